--- a/Bench/EngineModel.cpp
+++ b/Bench/EngineModel.cpp
@@ -21,7 +21,7 @@
 }
 
 std::optional<Started> EngineModel::startNext(const std::vector<Request> &All) {
-  if (m_Running >= m_Places || m_Waiting.empty())
+  if (m_Running >= m_Slots || m_Waiting.empty())
     return std::nullopt;
   Started Out;
   Out.m_Request = m_Waiting.begin()->second;
--- a/Bench/EngineModel.h
+++ b/Bench/EngineModel.h
@@ -33,7 +33,7 @@
 class EngineModel {
 public:
   EngineModel(double Speed, std::size_t Places, std::size_t CachedPrefixes)
-      : m_Speed(Speed), m_Places(Places), m_CachedPrefixes(CachedPrefixes) {}
+      : m_Speed(Speed), m_Slots(Places), m_CachedPrefixes(CachedPrefixes) {}
 
   void setSlowness(double Slowness) { m_Slowness = Slowness; }
   void enqueue(std::size_t Index, const Request &What);
@@ -49,7 +49,7 @@
 private:
   double m_Speed;
   double m_Slowness = 1;
-  std::size_t m_Places;
+  std::size_t m_Slots;
   std::size_t m_CachedPrefixes;
   std::size_t m_Running = 0;
   std::map<std::pair<std::uint32_t, std::size_t>, std::size_t> m_Waiting;
--- a/Bench/FleetCutProgram.cpp
+++ b/Bench/FleetCutProgram.cpp
@@ -4,13 +4,13 @@
 // how many instances share one of them, and how many of these it hears from.
 //
 //===----------------------------------------------------------------------===//
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
 
 #include <algorithm>
 #include <iostream>
 
 using namespace yardrill;
-using routing::FleetShare;
+using routing::FleetSubset;
 
 static const std::size_t FleetSizes[] = {6, 24, 89, 295, 440};
 static const std::size_t PoolSizes[] = {3,   8,   18,   48,   90,   140,
@@ -18,8 +18,8 @@
 /// As in the deployments of hundreds of instances.
 static constexpr std::size_t DataHalls = 5;
 
-static FleetShare::Fleet fleetOf(std::size_t Size) {
-  FleetShare::Fleet Out;
+static FleetSubset::Fleet fleetOf(std::size_t Size) {
+  FleetSubset::Fleet Out;
   for (std::size_t I = 0; I < Size; ++I) {
     config::Endpoint Address{"10." + std::to_string(1 + I % DataHalls) + ".0." +
                                  std::to_string(10 + I / DataHalls),
@@ -30,20 +30,20 @@
 }
 
 static void printRow(std::size_t Fleet, std::size_t Pool) {
-  FleetShare::Fleet All = fleetOf(Fleet);
+  FleetSubset::Fleet All = fleetOf(Fleet);
   std::size_t LeastOwn = Pool;
   std::size_t MostOwn = 0;
   std::size_t Near = 0;
   std::size_t Sum = 0;
   for (const auto &[Address, Hall] : All) {
-    FleetShare Share(Address, All, FleetShare::membersFor(Fleet, Pool));
+    FleetSubset Share(Address, All, FleetSubset::groupSizeFor(Fleet, Pool));
     std::size_t Own = 0;
     for (std::size_t Rank = 0; Rank < Pool; ++Rank)
-      Own += Share.isOwn(Rank, Pool) ? 1 : 0;
+      Own += Share.isInSubset(Rank, Pool) ? 1 : 0;
     LeastOwn = std::min(LeastOwn, Own);
     MostOwn = std::max(MostOwn, Own);
     Sum += Own;
-    Near = std::max(Near, Share.near().size());
+    Near = std::max(Near, Share.groupMembers().size());
   }
   std::cout << "instances=" << Fleet << " targets=" << Pool
             << " own_least=" << LeastOwn << " own_most=" << MostOwn
--- a/Bench/MembershipProgram.cpp
+++ b/Bench/MembershipProgram.cpp
@@ -71,13 +71,13 @@
   void recut() {
     if (!m_Table.takeFleetChange())
       return;
-    routing::FleetShare::Fleet All;
+    routing::FleetSubset::Fleet All;
     for (std::size_t I = 0; I < m_Fleet; ++I)
       All[address(I)] = core::DataHallName();
-    routing::FleetShare Share(address(0), All);
-    m_Table.setShare(Share);
+    routing::FleetSubset Share(address(0), All);
+    m_Table.setSubset(Share);
     for (std::size_t I = 1; I < m_Fleet; ++I)
-      if (Share.isNear(address(I)))
+      if (Share.isGroupPeer(address(I)))
         m_NearIndexes.push_back(I);
   }
 
--- a/Libraries/LibConfig/FleetConfiguration.cpp
+++ b/Libraries/LibConfig/FleetConfiguration.cpp
@@ -98,7 +98,7 @@
   Out.m_Name = core::TargetName(readName(Reader));
   Out.m_Address = Reader.endpoint("address");
   Out.m_DataHall = core::DataHallName(Reader.text("data_hall"));
-  Out.m_Places = static_cast<std::size_t>(Reader.integer("places", Counts, 8));
+  Out.m_Slots = static_cast<std::size_t>(Reader.integer("places", Counts, 8));
   Out.m_IsLeaving = Reader.boolean("leaving", false);
   return Out;
 }
@@ -134,7 +134,7 @@
   if (Out.m_Kind == PoolKind::Application && !Out.m_Models.empty())
     Reader.fault("models", "stands in an application pool", "nothing");
   for (const Target &T : Out.m_Targets)
-    if (T.m_Places <= Out.m_KeptPlaces)
+    if (T.m_Slots <= Out.m_KeptPlaces)
       Reader.fault("kept_places", "leaves no place at " + T.m_Name.value(),
                    "fewer than each target's places");
   return Out;
--- a/Libraries/LibConfig/FleetConfiguration.h
+++ b/Libraries/LibConfig/FleetConfiguration.h
@@ -34,7 +34,7 @@
   core::TargetName m_Name;
   Endpoint m_Address;
   core::DataHallName m_DataHall;
-  std::size_t m_Places = 0; ///< Requests it runs at one time.
+  std::size_t m_Slots = 0; ///< Requests it runs at one time.
   bool m_IsLeaving = false;
 };
 
--- a/Libraries/LibCore/StrongType.h
+++ b/Libraries/LibCore/StrongType.h
@@ -59,7 +59,7 @@
 using TargetVersion = StrongType<struct TargetVersionTag, std::string>;
 /// When a run of a target started: milliseconds since 1970 by its own clock,
 /// which may be wrong. 0: it does not say.
-using TargetBirth = StrongType<struct TargetBirthTag, std::int64_t>;
+using TargetStartTime = StrongType<struct TargetStartTimeTag, std::int64_t>;
 using InstanceName = StrongType<struct InstanceNameTag, std::string>;
 using DataHallName = StrongType<struct DataHallNameTag, std::string>;
 
--- a/Libraries/LibDecision/TargetTable.cpp
+++ b/Libraries/LibDecision/TargetTable.cpp
@@ -69,7 +69,7 @@
 }
 
 std::size_t TargetTable::share(const TargetState &Target) const {
-  return (Target.m_Target.m_Places + m_Instances - 1) / m_Instances;
+  return (Target.m_Target.m_Slots + m_Instances - 1) / m_Instances;
 }
 
 /// Requests of \p Target that would be served before one of \p Tier.
@@ -80,21 +80,21 @@
   return Count;
 }
 
-bool TargetTable::hasPlace(const TargetState &Target,
-                           core::TierNumber Tier) const {
+bool TargetTable::hasFreeSlot(const TargetState &Target,
+                              core::TierNumber Tier) const {
   std::size_t Before =
       m_HonoursPriority ? countUpTo(Target, Tier) : Target.m_Running;
   return Before < share(Target);
 }
 
-bool TargetTable::leavesKeptPlaces(core::TierNumber Tier) const {
+bool TargetTable::leavesReservedSlots(core::TierNumber Tier) const {
   if (m_KeptPlaces == 0)
     return true;
   std::size_t Places = 0;
   std::size_t Running = 0;
   for (const auto &[Name, State] : m_Targets) {
-    Places += State.m_Target.m_Places -
-              std::min(State.m_Target.m_Places, m_KeptPlaces);
+    Places +=
+        State.m_Target.m_Slots - std::min(State.m_Target.m_Slots, m_KeptPlaces);
     Running += countUpTo(State, Tier) - countUpTo(State, m_Highest);
   }
   return Running < (Places + m_Instances - 1) / m_Instances;
@@ -142,12 +142,12 @@
 std::optional<core::TargetName>
 TargetTable::choose(const ExpectedWork &Work, core::TierNumber Tier,
                     core::TimePoint Now, std::mt19937_64 &Random) const {
-  if (m_Highest < Tier && !leavesKeptPlaces(Tier))
+  if (m_Highest < Tier && !leavesReservedSlots(Tier))
     return std::nullopt;
   // Full pools are asked most often, so places are looked at first.
   std::vector<std::pair<double, const TargetState *>> Able;
   for (const auto &[Name, State] : m_Targets)
-    if (State.takesNewWork(Now) && hasPlace(State, Tier) &&
+    if (State.takesNewWork(Now) && hasFreeSlot(State, Tier) &&
         Work.isAllowedAt(State.m_Target))
       Able.emplace_back(0, &State);
   if (Able.empty())
--- a/Libraries/LibDecision/TargetTable.h
+++ b/Libraries/LibDecision/TargetTable.h
@@ -83,10 +83,10 @@
 
   /// A target that honours priorities serves a higher tier before what waits
   /// there of a lower one, so only work of the same or a higher tier counts.
-  bool hasPlace(const TargetState &Target, core::TierNumber Tier) const;
+  bool hasFreeSlot(const TargetState &Target, core::TierNumber Tier) const;
   /// Whether one more request of a lower tier leaves, over the whole pool, the
   /// places free that are kept for the highest.
-  bool leavesKeptPlaces(core::TierNumber Tier) const;
+  bool leavesReservedSlots(core::TierNumber Tier) const;
   double predictedFinish(const TargetState &Target, const ExpectedWork &Work,
                          bool IsWarm) const;
   /// Where the prefix is expected: its first targets by rendezvous hash, the
--- a/Libraries/LibGateway/AnswerTimes.cpp
+++ b/Libraries/LibGateway/AnswerTimes.cpp
@@ -33,7 +33,7 @@
   if (!m_FirstEventAt)
     m_FirstEventAt = Now;
   if (m_LastEventAt) {
-    m_LongestPause = std::max(m_LongestPause, Now - *m_LastEventAt);
+    m_MaxEventGap = std::max(m_MaxEventGap, Now - *m_LastEventAt);
     Pause = (Now - *m_LastEventAt) / static_cast<long>(Count);
   }
   m_LastEventAt = Now;
@@ -52,7 +52,7 @@
                                                      : Lateness::Target;
   }
   bool IsPaused =
-      PauseLimit > core::Duration::zero() && m_LongestPause > PauseLimit;
+      PauseLimit > core::Duration::zero() && m_MaxEventGap > PauseLimit;
   return IsPaused ? Lateness::Pause : Lateness::None;
 }
 
--- a/Libraries/LibGateway/AnswerTimes.h
+++ b/Libraries/LibGateway/AnswerTimes.h
@@ -39,7 +39,7 @@
   /// Time to the first event. \pre hasFirstEvent().
   core::Duration toFirstEvent() const { return *m_FirstEventAt - m_ArrivedAt; }
   /// Between events at one target.
-  core::Duration longestPause() const { return m_LongestPause; }
+  core::Duration longestPause() const { return m_MaxEventGap; }
   unsigned tries() const { return m_Tries; }
   /// That the current try has brought.
   std::size_t eventsOfTry() const { return m_EventsOfTry; }
@@ -53,7 +53,7 @@
   core::TimePoint m_TryStartedAt{};
   std::optional<core::TimePoint> m_FirstEventAt;
   std::optional<core::TimePoint> m_LastEventAt; ///< Of the current try.
-  core::Duration m_LongestPause{};
+  core::Duration m_MaxEventGap{};
   unsigned m_Tries = 0;
   std::size_t m_EventsOfTry = 0;
 };
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -14,7 +14,7 @@
 #include "LibRollout/Order.h"
 #include "LibRouting/RoutingTable.h"
 #include "LibRouting/Target.h"
-#include "LibRouting/TargetTerms.h"
+#include "LibRouting/TargetBackpressure.h"
 
 #include <optional>
 #include <string>
@@ -54,7 +54,7 @@
   bool m_IsEncoded = false; ///< The body is not as the target made it.
   /// How long the connection may rest before the target closes it.
   std::optional<core::Duration> m_KeepAlive;
-  routing::TargetTerms m_Terms;
+  routing::TargetBackpressure m_Terms;
 };
 
 /// Something that the store said.
--- a/Libraries/LibGateway/FleetRecord.h
+++ b/Libraries/LibGateway/FleetRecord.h
@@ -8,12 +8,12 @@
 #define YARDRILL_LIBGATEWAY_FLEETRECORD_H
 
 #include "LibGateway/StoreRecord.h"
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
 
 namespace yardrill::gateway {
 
 /// The data hall of each instance, by its peer address.
-using FleetList = routing::FleetShare::Fleet;
+using FleetList = routing::FleetSubset::Fleet;
 
 class FleetRecord {
 public:
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -112,7 +112,7 @@
 void Gateway::listen() {
   m_CallerServer = http::Server::create(
       m_Context, m_Settings.m_CallerAddress.toTcp(),
-      toServerLimits({}, m_Settings.m_MostConnections),
+      toServerLimits({}, m_Settings.m_MaxConnections),
       [this](http::Exchange &Caller, asio::yield_context Yield) {
         GatewayRequest Request(*this, Caller);
         Request.run(Yield);
@@ -145,8 +145,8 @@
       PeerLinkHooks{[this](peer::LoadReport &Report) { describeLoad(Report); },
                     [this] { peersChanged(); },
                     [this] { return largestPool(); },
-                    [this](const routing::FleetShare &Share) {
-                      m_Targets.setShare(Share);
+                    [this](const routing::FleetSubset &Share) {
+                      m_Targets.setSubset(Share);
                       updateQuotaOwners();
                     },
                     [this](const peer::PeerMessage &Message) {
@@ -163,7 +163,7 @@
       [this](core::Duration Since) { return mustWaitForPeers(Since); });
   m_Peers->start(m_Timers);
   m_Timers.subscribe(UpkeepPeriod, [this](core::TimePoint Now) {
-    m_Targets.forgetLapsed(Now);
+    m_Targets.removeExpired(Now);
     m_Follower.setNeeded(m_Peers->mustFollowStore());
     m_Connections.closeExpired();
     m_Ends.upkeep(Now);
@@ -228,7 +228,7 @@
   m_Table = std::move(Next);
   m_Quotas.setAccounts(m_Table->accounts());
   m_CallerServer->setLimits(
-      toServerLimits(m_Table->limits(), m_Settings.m_MostConnections));
+      toServerLimits(m_Table->limits(), m_Settings.m_MaxConnections));
   core::LogLine("configuration-in-force")
       .add("version", m_Table->version())
       .add("accounts", m_Table->accounts().size());
@@ -238,17 +238,18 @@
   std::size_t Out = 0;
   if (m_Table)
     for (const auto &[Name, Pool] : m_Table->pools())
-      Out = std::max(Out, m_Targets.countOf(Name));
+      Out = std::max(Out, m_Targets.targetCount(Name));
   return Out;
 }
 
 void Gateway::describeLoad(peer::LoadReport &Report) const {
-  for (const routing::KnownTarget *Known : m_Targets.busy()) {
-    const routing::TargetLoad &Own = Known->m_Own;
+  for (const routing::KnownTarget *Known : m_Targets.busyTargets()) {
+    const routing::TargetLoad &Own = Known->m_LocalLoad;
     peer::TargetUse Use;
     Use.m_Target = Known->m_Hash;
     Use.m_Running = static_cast<std::uint16_t>(Own.m_Running);
-    Use.m_PendingPrompt = static_cast<std::uint32_t>(Own.m_PendingPrompt);
+    Use.m_PendingPromptTokens =
+        static_cast<std::uint32_t>(Own.m_PendingPromptTokens);
     Report.m_Targets.push_back(Use);
   }
   Report.m_IsStoreConnected = m_Follower.isConnected();
@@ -361,10 +362,10 @@
     for (const peer::TargetUse &Use : Report.m_Targets) {
       routing::TargetLoad &Sum = Sums[Use.m_Target];
       Sum.m_Running += Use.m_Running;
-      Sum.m_PendingPrompt += Use.m_PendingPrompt;
+      Sum.m_PendingPromptTokens += Use.m_PendingPromptTokens;
     }
   }
-  m_Targets.setOthers(Sums);
+  m_Targets.setRemoteLoad(Sums);
 }
 
 //===----------------------------------------------------------------------===//
@@ -442,11 +443,11 @@
   m_Dispatcher.dispatchWaiting(Now);
 }
 
-std::optional<core::TimePoint> Gateway::opensAt(const core::PoolName &Pool,
-                                                core::TimePoint Now) {
-  if (m_Targets.admissions().isEmpty())
+std::optional<core::TimePoint> Gateway::availableAt(const core::PoolName &Pool,
+                                                    core::TimePoint Now) {
+  if (m_Targets.throttles().isEmpty())
     return std::nullopt;
-  return m_Targets.opensAt(Pool, m_Dispatcher.waitingFor(Pool), Now);
+  return m_Targets.availableAt(Pool, m_Dispatcher.waitingFor(Pool), Now);
 }
 
 void Gateway::placeBecameFree() {
@@ -481,9 +482,9 @@
   Set("yardrill_peers_missing", m_Peers->missing());
   Set("yardrill_target_connections_opened", m_Connections.opened());
   Set("yardrill_quarantined_contents", m_Quarantine.book().quarantined());
-  Set("yardrill_limited_targets", m_Targets.admissions().limited());
+  Set("yardrill_limited_targets", m_Targets.throttles().limited());
   Set("yardrill_resting_targets",
-      m_Targets.admissions().resting(core::steadyNow()));
+      m_Targets.throttles().backedOff(core::steadyNow()));
   Set("yardrill_suspected_contents", m_Quarantine.book().size());
   Set("yardrill_store_connected", m_Follower.isConnected() ? 1 : 0);
   Set("yardrill_store_revision",
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -82,8 +82,8 @@
   void place(const routing::PlacementRequest &What);
   void dispatchWaiting(core::TimePoint Now);
   /// From when a pool that takes nothing now takes one more request.
-  std::optional<core::TimePoint> opensAt(const core::PoolName &Pool,
-                                         core::TimePoint Now);
+  std::optional<core::TimePoint> availableAt(const core::PoolName &Pool,
+                                             core::TimePoint Now);
   /// Gives the place to a request that waits here, or lets the peers know.
   void placeBecameFree();
   /// Looks at what waits soon, if anything does: an instance at rest is not
--- a/Libraries/LibGateway/GatewayNews.cpp
+++ b/Libraries/LibGateway/GatewayNews.cpp
@@ -63,17 +63,17 @@
 }
 
 void Gateway::take(const routing::Target &Seen, platform::Revision At) {
-  routing::Announced Effect = m_Targets.announce(Seen);
-  if (Effect == routing::Announced::Nothing)
+  routing::AnnouncementEffect Effect = m_Targets.announce(Seen);
+  if (Effect == routing::AnnouncementEffect::Nothing)
     return;
   core::LogLine("target-seen")
       .add("target", Seen.m_Name)
-      .add("birth", Seen.m_Birth)
+      .add("birth", Seen.m_StartTime)
       .add("pool", Seen.m_Pool)
       .add("address", Seen.m_Address.toString())
       .add("is_leaving", Seen.m_IsLeaving)
       .add("revision", At);
-  if (Effect == routing::Announced::NewRun)
+  if (Effect == routing::AnnouncementEffect::NewRun)
     m_Connections.forget(Seen.m_Address.toTcp());
 }
 
--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -75,7 +75,7 @@
 core::Duration GatewayRequest::retryAfter() const {
   core::TimePoint Now = core::steadyNow();
   double Closed = 0;
-  if (auto OpensAt = m_Owner.opensAt(m_Pool, Now))
+  if (auto OpensAt = m_Owner.availableAt(m_Pool, Now))
     Closed = std::min(core::toSeconds(*OpensAt - Now), LongestClosedSeconds);
   std::uniform_real_distribution<double> Spread(
       0, RetryAfterSpreadSeconds + Closed * ClosedSpreadShare);
@@ -142,8 +142,8 @@
 
 core::Duration GatewayRequest::callersPatience() const {
   return std::max({core::Duration(LeastPatience),
-                   m_Route->m_Objective * PatienceOverObjective,
-                   m_Route->m_LongestPause * PatienceOverPause});
+                   m_Route->m_FirstByteObjective * PatienceOverObjective,
+                   m_Route->m_MaxEventGap * PatienceOverPause});
 }
 
 bool GatewayRequest::waitForTarget(asio::yield_context Yield) {
@@ -154,11 +154,11 @@
   Wanted.m_Request = m_Id;
   Wanted.m_Pool = m_Pool;
   Wanted.m_Route = routeHash();
-  Wanted.m_Rank = {m_Tier, m_Route->m_Tier};
-  Wanted.m_IsModel = Pool && Pool->m_IsModel;
+  Wanted.m_Priority = {m_Tier, m_Route->m_Tier};
+  Wanted.m_IsInference = Pool && Pool->m_IsInference;
   Wanted.m_PromptTokens = m_Said.m_PromptTokens;
-  Wanted.m_Tried = m_Tried;
-  if (Wanted.m_IsModel) {
+  Wanted.m_TriedTargets = m_TriedTargets;
+  if (Wanted.m_IsInference) {
     // The estimate is right at the median; without one, half of the most.
     double Tokens = m_Said.m_ExpectedTokens != 0
                         ? static_cast<double>(m_Said.m_ExpectedTokens)
@@ -167,20 +167,20 @@
   }
   Wanted.m_ArrivedAt = m_Times.arrivedAt();
   Wanted.m_EndsAt = m_EndsAt;
-  Wanted.m_LateAt = m_EndsAt;
-  if (m_Route->m_Objective > core::Duration::zero())
-    Wanted.m_LateAt = m_Times.arrivedAt() + m_Route->m_Objective;
-  Wanted.m_BeginsBy = m_EndsAt;
+  Wanted.m_FirstByteDue = m_EndsAt;
+  if (m_Route->m_FirstByteObjective > core::Duration::zero())
+    Wanted.m_FirstByteDue = m_Times.arrivedAt() + m_Route->m_FirstByteObjective;
+  Wanted.m_FirstEventDeadline = m_EndsAt;
   if (m_Route->m_Kind == routing::RouteKind::Stream)
-    Wanted.m_BeginsBy =
+    Wanted.m_FirstEventDeadline =
         std::min(m_EndsAt, m_Times.arrivedAt() + callersPatience());
   if (m_Relay.isStarted()) {
     // It began; what counts is that it goes on before its caller gives it up.
-    Wanted.m_BeginsBy =
+    Wanted.m_FirstEventDeadline =
         std::min(m_EndsAt, core::steadyNow() + callersPatience());
-    Wanted.m_LateAt = Wanted.m_BeginsBy;
+    Wanted.m_FirstByteDue = Wanted.m_FirstEventDeadline;
   }
-  m_PendingPrompt = Wanted.m_PromptTokens;
+  m_PendingPromptTokens = Wanted.m_PromptTokens;
   m_Owner.place(Wanted);
   while (!m_Target && !m_IsRefused && !m_IsCallerGone &&
          timeLeft() > core::Duration::zero()) {
@@ -213,7 +213,7 @@
       Wait = isQuarantined() ? QuarantinedRetryAfter : retryAfter();
     return answer(Status, m_Reason, Wait, Yield);
   }
-  m_Owner.m_Retries.of(m_Pool).noteRequest(m_Times.arrivedAt());
+  m_Owner.m_Retries.of(m_Pool).recordRequest(m_Times.arrivedAt());
   TryOutcome Last = TryOutcome::NotSent;
   while (true) {
     if (!waitForTarget(Yield)) {
@@ -223,7 +223,7 @@
     }
     // Others may have seen it end targets while it waited.
     if (isQuarantined()) {
-      m_Owner.m_Targets.ended(m_Target->run(), m_PendingPrompt);
+      m_Owner.m_Targets.recordEnd(m_Target->run(), m_PendingPromptTokens);
       m_Owner.placeBecameFree();
       break;
     }
@@ -249,7 +249,7 @@
   if (m_IsCallerGone || timeLeft() < LeastUsefulTime || isQuarantined())
     return false;
   if (Last == TryOutcome::Failed &&
-      (!m_Route->mayRunAgain() || m_Runs >= m_Route->m_MostTargets))
+      (!m_Route->isRetryable() || m_Runs >= m_Route->m_MaxAttempts))
     return false;
   // Sent on at once, it would end the next target before its caller returns; an
   // innocent one is served on that return.
@@ -285,8 +285,8 @@
     return answer(IsOver ? 504 : 502, m_Reason, core::Duration::zero(), Yield);
   m_Owner.m_Quotas.giveBack(m_Draw);
   if (m_IsRefused)
-    m_Reason = m_Owner.opensAt(m_Pool, core::steadyNow()) ? "targets-closed"
-                                                          : "no-target";
+    m_Reason = m_Owner.availableAt(m_Pool, core::steadyNow()) ? "targets-closed"
+                                                              : "no-target";
   answer(503, IsOver ? "time-over" : m_Reason, retryAfter(), Yield);
 }
 
--- a/Libraries/LibGateway/GatewayRequest.h
+++ b/Libraries/LibGateway/GatewayRequest.h
@@ -94,10 +94,10 @@
   bool m_IsCallerGone = false;
   bool m_IsOwnerGone = false;
   http::ClientConnection *m_Connection = nullptr;
-  std::set<routing::TargetRun> m_Tried;
-  unsigned m_Runs = 0;               ///< Tries that may have run.
-  std::uint32_t m_PendingPrompt = 0; ///< Counted at the current target.
-  bool m_HasAnswerBegun = false;     ///< Of the current try.
+  std::set<routing::TargetIncarnation> m_TriedTargets;
+  unsigned m_Runs = 0;                     ///< Tries that may have run.
+  std::uint32_t m_PendingPromptTokens = 0; ///< Counted at the current target.
+  bool m_HasAnswerBegun = false;           ///< Of the current try.
   /// How long the connection may be kept, by the last answer on it.
   core::Duration m_KeepFor{};
   /// A target's own failure, passed on unless another target does better.
--- a/Libraries/LibGateway/GatewayRequestAtTarget.cpp
+++ b/Libraries/LibGateway/GatewayRequestAtTarget.cpp
@@ -29,7 +29,7 @@
 static const char EventStreamType[] = "text/event-stream";
 
 TryOutcome GatewayRequest::tryTarget(asio::yield_context Yield) {
-  logSent(m_Owner.m_Targets.findRun(m_Target->run()),
+  logSent(m_Owner.m_Targets.findByIncarnation(m_Target->run()),
           m_Owner.m_Mirror.revision());
   if (timeLeft() <= core::Duration::zero()) {
     m_Reason = "time-over";
@@ -137,7 +137,7 @@
     m_Reason = Says.m_IsMisdirected ? "target-replaced" : "target-refused";
     logTargetRefusal(Head.m_Status);
     if (Says.m_IsMisdirected) {
-      m_Owner.m_Targets.replaced(m_Target->run());
+      m_Owner.m_Targets.recordReplacement(m_Target->run());
       m_Owner.m_Ends.noteEnded(m_Target->run());
     }
     while (!Connection.readPiece(timeLeft() + AnswerSlack, Yield).empty()) {
@@ -167,7 +167,7 @@
 
 TryOutcome GatewayRequest::passWhole(http::ResponseMessage Answer,
                                      asio::yield_context Yield) {
-  if (Answer.m_Head.m_Status >= 500 && m_Route->mayRunAgain()) {
+  if (Answer.m_Head.m_Status >= 500 && m_Route->isRetryable()) {
     m_Reason = "target-failed";
     m_FailureAnswer = std::move(Answer);
     return TryOutcome::Failed;
@@ -180,19 +180,20 @@
   metrics::RequestLabels Labels = labels();
   bool IsFirst = !m_Times.hasFirstEvent();
   std::optional<core::Duration> Pause = m_Times.noteEvents(Count, Now);
-  if (m_PendingPrompt > 0) {
-    m_Owner.m_Targets.began(m_Target->run(), m_PendingPrompt);
-    m_PendingPrompt = 0;
+  if (m_PendingPromptTokens > 0) {
+    m_Owner.m_Targets.recordFirstEvent(m_Target->run(), m_PendingPromptTokens);
+    m_PendingPromptTokens = 0;
   }
   if (IsFirst) {
-    m_Owner.m_Targets.noteBegin(m_Pool, Now - m_Times.tryStartedAt());
+    m_Owner.m_Targets.recordFirstEventTime(m_Pool,
+                                           Now - m_Times.tryStartedAt());
     m_Owner.m_Metrics.observe(metrics::RequestTime::FirstToken, Labels,
                               m_Times.toFirstEvent());
   }
   if (Pause) {
     m_Owner.m_Metrics.observe(metrics::RequestTime::BetweenTokens, Labels,
                               *Pause);
-    m_Owner.m_Targets.notePace(m_Target->run(), *Pause);
+    m_Owner.m_Targets.recordServiceTime(m_Target->run(), *Pause);
   }
 }
 
@@ -202,32 +203,33 @@
 
 void GatewayRequest::noteTry(TryOutcome Last) {
   core::TimePoint Now = core::steadyNow();
-  routing::TargetRun Run = m_Target->run();
+  routing::TargetIncarnation Run = m_Target->run();
   noteEvidence(Last, Now);
-  m_Owner.m_Targets.ended(Run, m_PendingPrompt);
-  m_Tried.insert(Run);
+  m_Owner.m_Targets.recordEnd(Run, m_PendingPromptTokens);
+  m_TriedTargets.insert(Run);
   bool IsShort = !m_Times.hasEventOfTry();
   switch (Last) {
   case TryOutcome::Complete:
-    m_Owner.m_Targets.succeeded(Run);
+    m_Owner.m_Targets.recordSuccess(Run);
     if (m_Relay.status() < LeastFailureStatus)
       m_Owner.m_Quarantine.noteWhole(m_Content);
     if (IsShort)
-      m_Owner.m_Targets.notePace(Run, Now - m_Times.tryStartedAt());
+      m_Owner.m_Targets.recordServiceTime(Run, Now - m_Times.tryStartedAt());
     break;
   case TryOutcome::NotSent:
-    m_Owner.m_Targets.failed(Run, routing::TargetFailure::Unreachable, Now);
+    m_Owner.m_Targets.recordFailure(Run, routing::TargetFailure::Unreachable,
+                                    Now);
     break;
   case TryOutcome::NotRun:
-    m_Owner.m_Targets.failed(Run, routing::TargetFailure::Refused, Now);
+    m_Owner.m_Targets.recordFailure(Run, routing::TargetFailure::Refused, Now);
     break;
   case TryOutcome::Failed:
     ++m_Runs;
-    m_Owner.m_Targets.failed(Run,
-                             m_HasAnswerBegun
-                                 ? routing::TargetFailure::Failed
-                                 : routing::TargetFailure::Unreachable,
-                             Now);
+    m_Owner.m_Targets.recordFailure(Run,
+                                    m_HasAnswerBegun
+                                        ? routing::TargetFailure::Failed
+                                        : routing::TargetFailure::Unreachable,
+                                    Now);
     break;
   case TryOutcome::CallerGone:
     break;
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -39,7 +39,7 @@
   routing::QuotaTolerance m_QuotaTolerance;
   /// Of requests to a version that may be bad.
   rollout::ExposureLimits m_Exposure;
-  std::size_t m_MostConnections = 1024; ///< Of callers.
+  std::size_t m_MaxConnections = 1024; ///< Of callers.
   /// Instances of a large fleet that share their targets; 0: by the number of
   /// targets.
   std::size_t m_GroupSize = 0;
--- a/Libraries/LibGateway/PeerLink.cpp
+++ b/Libraries/LibGateway/PeerLink.cpp
@@ -128,7 +128,7 @@
 
 void PeerLink::welcome(const config::Endpoint &Peer,
                        const peer::LoadReport &Report) {
-  if (!m_Recorded.empty() && !m_Share.isNear(Peer) && !canHelp(Report))
+  if (!m_Recorded.empty() && !m_Subset.isGroupPeer(Peer) && !canHelp(Report))
     return;
   core::LogLine("peer-found")
       .add("peer", Report.m_Name)
@@ -175,7 +175,8 @@
     return addSomeFarPeers((m_Far.size() + FollowerTurns - 1) / FollowerTurns,
                            To);
   auto Keeper = m_Peers.firstFollower();
-  if (Keeper && ++m_SeekNumber % KeeperTurns == 0 && !m_Share.isNear(*Keeper))
+  if (Keeper && ++m_SeekNumber % KeeperTurns == 0 &&
+      !m_Subset.isGroupPeer(*Keeper))
     To.push_back(*Keeper);
 }
 
@@ -192,38 +193,39 @@
     return;
   m_IsRecordNew = false;
   // With those that the list does not have yet.
-  routing::FleetShare::Fleet Fleet = heard();
+  routing::FleetSubset::Fleet Fleet = heard();
   Fleet.insert(m_Recorded.begin(), m_Recorded.end());
   bool IsSameFleet = Fleet == m_Fleet;
   m_Fleet = std::move(Fleet);
   if (IsSameFleet && wantedMembers() == m_Members)
     return;
   m_Members = wantedMembers();
-  m_Share = routing::FleetShare(m_Settings.m_PeerAddress, m_Fleet, m_Members);
-  m_Peers.setShare(m_Share);
+  m_Subset = routing::FleetSubset(m_Settings.m_PeerAddress, m_Fleet, m_Members);
+  m_Peers.setSubset(m_Subset);
   noteFleet();
   core::LogLine("fleet-cut")
       .add("instances", m_Fleet.size())
-      .add("groups", m_Share.groups())
-      .add("near", m_Share.near().size());
-  m_Hooks.m_Recut(m_Share);
+      .add("groups", m_Subset.groupCount())
+      .add("near", m_Subset.groupMembers().size());
+  m_Hooks.m_Recut(m_Subset);
 }
 
 std::size_t PeerLink::wantedMembers() const {
   if (m_Settings.m_GroupSize != 0)
     return m_Settings.m_GroupSize;
-  return routing::FleetShare::membersFor(m_Fleet.size(),
-                                         m_Hooks.m_LargestPool());
+  return routing::FleetSubset::groupSizeFor(m_Fleet.size(),
+                                            m_Hooks.m_LargestPool());
 }
 
 void PeerLink::noteFleet() {
   std::uint64_t Own = PeerTable::orderOf(m_Settings.m_PeerAddress);
   std::size_t Rank = 0;
-  m_Near.assign(m_Share.near().begin(), m_Share.near().end());
+  m_Near.assign(m_Subset.groupMembers().begin(), m_Subset.groupMembers().end());
   m_Far.clear();
   for (const auto &[Address, Hall] : m_Fleet) {
     Rank += PeerTable::orderOf(Address) < Own ? 1 : 0;
-    if (!(Address == m_Settings.m_PeerAddress) && !m_Share.isNear(Address))
+    if (!(Address == m_Settings.m_PeerAddress) &&
+        !m_Subset.isGroupPeer(Address))
       m_Far.push_back(Address);
   }
   m_FarTurns.setSize(m_Far.size());
@@ -231,14 +233,14 @@
 }
 
 bool PeerLink::mustFollowStore() const {
-  return m_Share.groups() == 1 || m_Duty.isNeeded();
+  return m_Subset.groupCount() == 1 || m_Duty.isNeeded();
 }
 
 std::size_t PeerLink::missing() const {
   const auto &All = m_Missing.all();
   return static_cast<std::size_t>(
       std::count_if(All.begin(), All.end(), [this](const auto &Each) {
-        return m_Share.groups() == 1 || m_Share.isNear(Each.first);
+        return m_Subset.groupCount() == 1 || m_Subset.isGroupPeer(Each.first);
       }));
 }
 
@@ -281,7 +283,7 @@
   m_Duty.update(m_Peers.followersBefore(), Now);
   fetchIfBehind(Now);
   tellChange();
-  bool IsLarge = m_Share.groups() > 1;
+  bool IsLarge = m_Subset.groupCount() > 1;
   if (IsLarge && Now - m_ReportedAt < LargeFleetPeriod)
     return;
   m_ReportedAt = Now;
@@ -289,7 +291,7 @@
     std::vector<config::Endpoint> To = m_Near;
     // Each group has to hear soon that the store said something new.
     if (IsLarge && m_Reported.m_IsStoreConnected && hasStoreNews())
-      addSomeFarPeers(m_Share.groups() * NewsInGroup, To);
+      addSomeFarPeers(m_Subset.groupCount() * NewsInGroup, To);
     return sendReport(To, false);
   }
   m_SoughtAt = Now;
@@ -298,7 +300,7 @@
   addFarReceivers(To);
   To.insert(To.end(), m_Hinted.begin(), m_Hinted.end());
   for (const auto &[Address, Since] : m_Missing.all())
-    if (!m_Share.isNear(Address))
+    if (!m_Subset.isGroupPeer(Address))
       To.push_back(Address);
   sendReport(To, true);
 }
--- a/Libraries/LibGateway/PeerLink.h
+++ b/Libraries/LibGateway/PeerLink.h
@@ -19,7 +19,7 @@
 #include "LibPeer/PeerCodec.h"
 #include "LibPeer/PeerSocket.h"
 #include "LibPlatform/StoreMirror.h"
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -37,7 +37,7 @@
   /// Targets of the largest pool.
   std::function<std::size_t()> m_LargestPool;
   /// Called when the fleet has another cut.
-  std::function<void(const routing::FleetShare &)> m_Recut;
+  std::function<void(const routing::FleetSubset &)> m_Recut;
   /// Called with each message that is no report.
   std::function<void(const peer::PeerMessage &)> m_Other;
 };
@@ -134,10 +134,10 @@
   PeerTable m_Peers;
   std::set<config::Endpoint> m_Hinted; ///< Perhaps peers; not heard from yet.
   MissingPeers m_Missing;
-  routing::FleetShare m_Share;
-  routing::FleetShare::Fleet m_Fleet; ///< That m_Share was cut from.
-  std::size_t m_Members = 0;          ///< Of its groups, at the most.
-  Rotation m_FarTurns;                ///< Through m_Far.
+  routing::FleetSubset m_Subset;
+  routing::FleetSubset::Fleet m_Fleet; ///< That m_Subset was cut from.
+  std::size_t m_Members = 0;           ///< Of its groups, at the most.
+  Rotation m_FarTurns;                 ///< Through m_Far.
   std::size_t m_SeekNumber = 0;
   peer::LoadReport m_Reported; ///< As last sent.
   std::uint64_t m_Sequence = 0;
@@ -149,7 +149,7 @@
   core::TimePoint m_StartedAt = core::steadyNow();
   FleetList m_Recorded;
   bool m_IsRecordNew = false;           ///< Since the last cut.
-  std::vector<config::Endpoint> m_Near; ///< As m_Share says.
+  std::vector<config::Endpoint> m_Near; ///< As m_Subset says.
   std::vector<config::Endpoint> m_Far;  ///< All others of m_Fleet.
   FollowerDuty m_Duty;
   std::mt19937_64 m_Random;
--- a/Libraries/LibGateway/PeerTable.cpp
+++ b/Libraries/LibGateway/PeerTable.cpp
@@ -133,15 +133,15 @@
   return Silent;
 }
 
-void PeerTable::setShare(const routing::FleetShare &Share) {
-  m_Share = Share;
+void PeerTable::setSubset(const routing::FleetSubset &Share) {
+  m_Subset = Share;
   rebuildNear();
 }
 
 void PeerTable::rebuildNear() {
   m_NearPeers.clear();
   for (auto &[Incarnation, Each] : m_Peers) {
-    Each.m_IsNear = m_Share.isNear(Each.m_Home.m_Peer);
+    Each.m_IsNear = m_Subset.isGroupPeer(Each.m_Home.m_Peer);
     if (Each.m_IsNear)
       m_NearPeers.push_back(Incarnation);
   }
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -10,7 +10,7 @@
 #include "LibCore/Time.h"
 #include "LibPeer/PeerDirectory.h"
 #include "LibPeer/PeerMessage.h"
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
 
 #include <cstdint>
 #include <map>
@@ -54,7 +54,7 @@
   /// \returns peers that fell silent since. To be called often; far ones are
   /// looked at once a second.
   std::vector<LivePeer> expire(core::TimePoint Now);
-  void setShare(const routing::FleetShare &Share);
+  void setSubset(const routing::FleetSubset &Share);
 
   const Peers &all() const { return m_Peers; }
   const LivePeer *find(core::IncarnationId Peer) const;
@@ -90,7 +90,7 @@
   Peers m_Peers;
   std::map<config::Endpoint, core::IncarnationId> m_ByAddress;
   std::vector<core::IncarnationId> m_NearPeers;
-  routing::FleetShare m_Share;
+  routing::FleetSubset m_Subset;
   std::set<std::pair<std::uint64_t, core::IncarnationId>> m_Followers;
   std::int64_t m_NewestRevision = 0;
   std::int64_t m_NewestWhole = 0;
--- a/Libraries/LibGateway/PoolRollout.cpp
+++ b/Libraries/LibGateway/PoolRollout.cpp
@@ -98,13 +98,13 @@
   return m_Record ? m_Record->m_Excluded : None;
 }
 
-bool PoolRollout::isOnTrial(const routing::Target &What) const {
+bool PoolRollout::isCanary(const routing::Target &What) const {
   return isActive() && What.m_Version == m_Order->m_Version;
 }
 
 bool PoolRollout::mayServe(const routing::Target &What,
                            core::TimePoint Now) const {
-  bool IsNew = isOnTrial(What);
+  bool IsNew = isCanary(What);
   if (!IsNew && excluded().count(What.m_Version) != 0)
     return false;
   // Withdrawn, and not yet written as rolled back.
@@ -118,14 +118,14 @@
   return IsNew == (m_Member->traffic(Now) == Traffic::New);
 }
 
-bool PoolRollout::isTrialDue(std::uint32_t Route, core::TimePoint Now) const {
+bool PoolRollout::isCanaryDue(std::uint32_t Route, core::TimePoint Now) const {
   return isActive() && m_Member->isSampleDue(Route, Now);
 }
 
-std::size_t PoolRollout::trialTurn(core::TimePoint Now) const {
+std::size_t PoolRollout::canaryTurn(core::TimePoint Now) const {
   return static_cast<std::size_t>(m_Member->age(Now) / TurnTime);
 }
 
-double PoolRollout::trialShare() const { return m_Member->share(); }
+double PoolRollout::canaryShare() const { return m_Member->share(); }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/PoolRollout.h
+++ b/Libraries/LibGateway/PoolRollout.h
@@ -48,10 +48,10 @@
 
   bool mayServe(const routing::Target &What,
                 core::TimePoint Now) const override;
-  bool isTrialDue(std::uint32_t Route, core::TimePoint Now) const override;
-  bool isOnTrial(const routing::Target &What) const override;
-  std::size_t trialTurn(core::TimePoint Now) const override;
-  double trialShare() const override;
+  bool isCanaryDue(std::uint32_t Route, core::TimePoint Now) const override;
+  bool isCanary(const routing::Target &What) const override;
+  std::size_t canaryTurn(core::TimePoint Now) const override;
+  double canaryShare() const override;
   /// Whether any version is treated otherwise than the others.
   bool isOpen() const { return isActive() || !excluded().empty(); }
 
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -45,7 +45,7 @@
   m_Member.noteEnded(Content, Which.run().hash(), core::steadyNow());
   core::LogLine("target-ended", core::LogLevel::Warning)
       .add("target", Which.m_Name)
-      .add("birth", Which.m_Birth)
+      .add("birth", Which.m_StartTime)
       .add("pool", Which.m_Pool)
       .add("content", Content)
       .add("targets_ended", book().standing(Content));
@@ -62,7 +62,7 @@
   std::vector<Observation> Seen;
   for (const peer::SeenEnd &Each : Told->m_Ends)
     Seen.push_back({{Each.m_ContentHigh, Each.m_ContentLow},
-                    Each.m_Run,
+                    Each.m_Incarnation,
                     Each.m_IsExcused});
   m_Member.merge(Seen, core::steadyNow());
 }
@@ -75,7 +75,7 @@
     std::size_t End = std::min(Seen.size(), First + peer::SeenEnds::Most);
     for (std::size_t I = First; I < End; ++I)
       Body.m_Ends.push_back({Seen[I].m_Content.m_High, Seen[I].m_Content.m_Low,
-                             Seen[I].m_Run, Seen[I].m_IsExcused});
+                             Seen[I].m_Incarnation, Seen[I].m_IsExcused});
     for (const config::Endpoint &Each : To)
       m_Hooks.m_Send(Each, Body);
   }
--- a/Libraries/LibGateway/QuotaDesk.cpp
+++ b/Libraries/LibGateway/QuotaDesk.cpp
@@ -17,47 +17,48 @@
 
 void QuotaDesk::sendCharges(core::TimePoint Now) {
   for (const routing::QuotaCharge &Each : m_Book.takeCharges()) {
-    auto Taken = [this, Each](const routing::QuotaAnswer &Answer) {
+    auto Taken = [this, Each](const routing::QuotaResponse &Answer) {
       if (Answer.m_Verdict == QuotaVerdict::Granted)
-        m_Book.relieve(Each.m_Account, Each.m_Tokens, core::steadyNow());
+        m_Book.settleCharge(Each.m_Account, Each.m_Tokens, core::steadyNow());
       return true;
     };
     std::uint64_t Number = expect(Each.m_Owner, Each.m_Account, Taken, Now);
     m_Metrics.count("yardrill_quota_charges_total");
     m_Send(Each.m_Owner,
-           peer::QuotaAsk{Number, Each.m_Account, Each.m_Tokens, 0, true});
+           peer::QuotaRequest{Number, Each.m_Account, Each.m_Tokens, 0, true});
   }
 }
 
-void QuotaDesk::ask(const routing::QuotaDraw &Draw, Receiver Answered,
+void QuotaDesk::ask(const routing::QuotaAcquisition &Draw, Receiver Answered,
                     core::TimePoint Now) {
-  const config::Endpoint &Owner = Draw.m_Left.back();
+  const config::Endpoint &Owner = Draw.m_RemainingOwners.back();
   std::uint64_t Number =
       expect(Owner, Draw.m_Account, std::move(Answered), Now);
   m_Metrics.count("yardrill_quota_asks_total");
   m_Send(Owner,
-         peer::QuotaAsk{Number, Draw.m_Account, Draw.m_Tokens, 0, false});
+         peer::QuotaRequest{Number, Draw.m_Account, Draw.m_Tokens, 0, false});
 }
 
-routing::QuotaAnswer QuotaDesk::answerTo(const peer::QuotaAsk &Ask,
-                                         core::TimePoint Now) {
+routing::QuotaResponse QuotaDesk::answerTo(const peer::QuotaRequest &Ask,
+                                           core::TimePoint Now) {
   if (!Ask.m_IsCharge)
-    return m_Book.answer({Ask.m_Account, Ask.m_Tokens, Ask.m_Returned}, Now);
-  routing::QuotaAnswer Out;
+    return m_Book.handleRequest({Ask.m_Account, Ask.m_Tokens, Ask.m_Returned},
+                                Now);
+  routing::QuotaResponse Out;
   if (m_Book.charge(Ask.m_Account, Ask.m_Tokens, Now))
     Out.m_Verdict = QuotaVerdict::Granted;
   return Out;
 }
 
-void QuotaDesk::take(const config::Endpoint &From, const peer::QuotaAsk &Ask,
-                     core::TimePoint Now) {
-  routing::QuotaAnswer Says = answerTo(Ask, Now);
+void QuotaDesk::take(const config::Endpoint &From,
+                     const peer::QuotaRequest &Ask, core::TimePoint Now) {
+  routing::QuotaResponse Says = answerTo(Ask, Now);
   sendCharges(Now);
   if (Ask.m_Tokens == 0)
     return;
   if (Says.m_Verdict == QuotaVerdict::Refused)
     m_Metrics.count("yardrill_quota_refused_as_owner_total");
-  peer::QuotaAnswer Answer;
+  peer::QuotaResponse Answer;
   Answer.m_Ask = Ask.m_Ask;
   Answer.m_Verdict = static_cast<std::uint8_t>(Says.m_Verdict);
   Answer.m_Tokens = Says.m_Tokens;
@@ -66,27 +67,27 @@
 }
 
 void QuotaDesk::take(const config::Endpoint &From,
-                     const peer::QuotaAnswer &Answer, core::TimePoint Now) {
+                     const peer::QuotaResponse &Answer, core::TimePoint Now) {
   auto Found = m_Pending.find(Answer.m_Ask);
   // An owner that has started anew may still be asked by its address.
   if (Found == m_Pending.end() || !(Found->second.m_Owner == From))
     return;
   Pending Asked = std::move(Found->second);
   m_Pending.erase(Found);
-  routing::QuotaAnswer Says;
+  routing::QuotaResponse Says;
   if (Answer.m_Verdict <= static_cast<std::uint8_t>(QuotaVerdict::NotOwner))
     Says.m_Verdict = static_cast<QuotaVerdict>(Answer.m_Verdict);
   Says.m_Tokens = Answer.m_Tokens;
   Says.m_RetryAfter =
       core::Duration(static_cast<std::int64_t>(Answer.m_RetryAfterUs));
   if (!Asked.m_Answered(Says))
-    m_Book.keep(From, Asked.m_Account, Says.m_Tokens, Now);
+    m_Book.cacheGrant(From, Asked.m_Account, Says.m_Tokens, Now);
 }
 
 void QuotaDesk::upkeep(core::TimePoint Now) {
-  for (const routing::QuotaReturn &Each : m_Book.takeUnused(Now))
+  for (const routing::QuotaReturn &Each : m_Book.takeUnusedGrants(Now))
     m_Send(Each.m_Owner,
-           peer::QuotaAsk{0, Each.m_Account, 0, Each.m_Tokens, false});
+           peer::QuotaRequest{0, Each.m_Account, 0, Each.m_Tokens, false});
   for (auto Each = m_Pending.begin(); Each != m_Pending.end();) {
     if (Now - Each->second.m_AskedAt <= LongestWay) {
       ++Each;
--- a/Libraries/LibGateway/QuotaDesk.h
+++ b/Libraries/LibGateway/QuotaDesk.h
@@ -5,7 +5,7 @@
 #include "LibCore/Time.h"
 #include "LibMetrics/MetricsRegistry.h"
 #include "LibPeer/PeerMessage.h"
-#include "LibRouting/QuotaBook.h"
+#include "LibRouting/DistributedQuota.h"
 
 #include <cstdint>
 #include <functional>
@@ -18,20 +18,20 @@
   using Sender =
       std::function<void(const config::Endpoint &, const peer::PeerBody &)>;
   /// \returns false when the answer is not waited for any more.
-  using Receiver = std::function<bool(const routing::QuotaAnswer &)>;
+  using Receiver = std::function<bool(const routing::QuotaResponse &)>;
 
-  QuotaDesk(routing::QuotaBook &Book, metrics::MetricsRegistry &Metrics,
+  QuotaDesk(routing::DistributedQuota &Book, metrics::MetricsRegistry &Metrics,
             Sender Send)
       : m_Book(Book), m_Metrics(Metrics), m_Send(std::move(Send)) {}
 
   /// Asks the owner that \p Draw has to ask next. Tokens of an answer that is
   /// not waited for any more are kept for others.
-  void ask(const routing::QuotaDraw &Draw, Receiver Answered,
+  void ask(const routing::QuotaAcquisition &Draw, Receiver Answered,
            core::TimePoint Now);
   /// Takes a message of another instance.
-  void take(const config::Endpoint &From, const peer::QuotaAsk &Ask,
+  void take(const config::Endpoint &From, const peer::QuotaRequest &Ask,
             core::TimePoint Now);
-  void take(const config::Endpoint &From, const peer::QuotaAnswer &Answer,
+  void take(const config::Endpoint &From, const peer::QuotaResponse &Answer,
             core::TimePoint Now);
   /// Asks other owners to take over their parts of debts made here. To be
   /// called after each decision of the book.
@@ -40,7 +40,8 @@
   void upkeep(core::TimePoint Now);
 
 private:
-  routing::QuotaAnswer answerTo(const peer::QuotaAsk &Ask, core::TimePoint Now);
+  routing::QuotaResponse answerTo(const peer::QuotaRequest &Ask,
+                                  core::TimePoint Now);
   /// \returns its number.
   std::uint64_t expect(const config::Endpoint &Owner,
                        routing::AccountHash Account, Receiver Answered,
@@ -53,7 +54,7 @@
     Receiver m_Answered;
   };
 
-  routing::QuotaBook &m_Book;
+  routing::DistributedQuota &m_Book;
   metrics::MetricsRegistry &m_Metrics;
   Sender m_Send;
   std::uint64_t m_Next = 1;
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -31,16 +31,16 @@
   std::vector<config::Endpoint> Members;
   for (const auto &[Address, Hall] : m_Owners)
     Members.push_back(Address);
-  m_Book.setRing(routing::OwnerRing(Members), core::steadyNow());
+  m_Book.setRing(routing::ConsistentHashRing(Members), core::steadyNow());
   return true;
 }
 
 void QuotaService::take(const peer::PeerMessage &Message) {
   core::TimePoint Now = core::steadyNow();
   const config::Endpoint &From = Message.m_From.m_Peer;
-  if (const auto *Ask = std::get_if<peer::QuotaAsk>(&Message.m_Body))
+  if (const auto *Ask = std::get_if<peer::QuotaRequest>(&Message.m_Body))
     return m_Desk.take(From, *Ask, Now);
-  if (const auto *Answer = std::get_if<peer::QuotaAnswer>(&Message.m_Body))
+  if (const auto *Answer = std::get_if<peer::QuotaResponse>(&Message.m_Body))
     m_Desk.take(From, *Answer, Now);
 }
 
@@ -55,7 +55,8 @@
   m_Desk.upkeep(Now);
 }
 
-bool QuotaService::draw(routing::QuotaDraw &Draw, asio::yield_context Yield) {
+bool QuotaService::draw(routing::QuotaAcquisition &Draw,
+                        asio::yield_context Yield) {
   QuotaStep Step = m_Book.begin(Draw, core::steadyNow());
   while (Step == QuotaStep::Ask)
     Step = ask(Draw, Yield);
@@ -69,21 +70,21 @@
 /// answer.
 struct Wait {
   explicit Wait(asio::io_context &Context)
-      : m_Timer(Context, routing::QuotaBook::Patience) {}
+      : m_Timer(Context, routing::DistributedQuota::ResponseTimeout) {}
 
   core::Timer m_Timer;
   bool m_IsOver = false;
-  std::optional<routing::QuotaAnswer> m_Answer;
+  std::optional<routing::QuotaResponse> m_Answer;
 };
 
 } // namespace
 
-QuotaStep QuotaService::ask(routing::QuotaDraw &Draw,
+QuotaStep QuotaService::ask(routing::QuotaAcquisition &Draw,
                             asio::yield_context Yield) {
   auto Waits = std::make_shared<Wait>(m_Context);
   m_Desk.ask(
       Draw,
-      [Waits](const routing::QuotaAnswer &Answer) {
+      [Waits](const routing::QuotaResponse &Answer) {
         if (Waits->m_IsOver)
           return false;
         Waits->m_Answer = Answer;
@@ -97,11 +98,11 @@
   Waits->m_IsOver = true;
   core::TimePoint Now = core::steadyNow();
   if (Waits->m_Answer)
-    return m_Book.answered(Draw, *Waits->m_Answer, Now);
-  return m_Book.unanswered(Draw, Now);
+    return m_Book.handleResponse(Draw, *Waits->m_Answer, Now);
+  return m_Book.handleTimeout(Draw, Now);
 }
 
-void QuotaService::giveBack(const routing::QuotaDraw &Draw) {
+void QuotaService::giveBack(const routing::QuotaAcquisition &Draw) {
   m_Book.giveBack(Draw, core::steadyNow());
 }
 
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -7,7 +7,7 @@
 #include "LibGateway/QuotaDesk.h"
 #include "LibMetrics/MetricsRegistry.h"
 #include "LibPeer/PeerMessage.h"
-#include "LibRouting/QuotaBook.h"
+#include "LibRouting/DistributedQuota.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/spawn.hpp>
@@ -31,15 +31,15 @@
   void upkeep(bool IsListConfirmed, core::TimePoint Now);
 
   /// Waits for its owners' answers. \returns whether \p Draw is granted.
-  bool draw(routing::QuotaDraw &Draw, boost::asio::yield_context Yield);
-  void giveBack(const routing::QuotaDraw &Draw);
+  bool draw(routing::QuotaAcquisition &Draw, boost::asio::yield_context Yield);
+  void giveBack(const routing::QuotaAcquisition &Draw);
 
 private:
-  routing::QuotaStep ask(routing::QuotaDraw &Draw,
+  routing::QuotaStep ask(routing::QuotaAcquisition &Draw,
                          boost::asio::yield_context Yield);
 
   boost::asio::io_context &m_Context;
-  routing::QuotaBook m_Book;
+  routing::DistributedQuota m_Book;
   QuotaDesk m_Desk;
   FleetList m_Owners;
   bool m_IsListConfirmed = true;
--- a/Libraries/LibGateway/RequestAdmission.cpp
+++ b/Libraries/LibGateway/RequestAdmission.cpp
@@ -35,7 +35,7 @@
   Out.m_Pool = Out.m_Route->choosePool(Point);
   if (Out.m_Account)
     Out.m_Charge = Said.m_HasSize ? Said.m_PromptTokens + Said.m_OutputTokens
-                                  : Out.m_Account->m_PlainTokens;
+                                  : Out.m_Account->m_DefaultTokens;
   return Out;
 }
 
--- a/Libraries/LibGateway/RequestFacts.cpp
+++ b/Libraries/LibGateway/RequestFacts.cpp
@@ -39,11 +39,11 @@
         .add("tokens", m_Draw.m_Tokens)
         .add("quota_from", toString(m_Draw.m_Source));
   if (Known)
-    Line.add("running_own", Known->m_Own.m_Running)
-        .add("running_others", Known->m_Others.m_Running)
-        .add("places", Known->m_Target.m_Places)
+    Line.add("running_own", Known->m_LocalLoad.m_Running)
+        .add("running_others", Known->m_RemoteLoad.m_Running)
+        .add("places", Known->m_Target.m_Slots)
         .add("slowness", Known->m_Slowness)
-        .add("failure_share", Known->m_FailureShare);
+        .add("failure_share", Known->m_FailureRate);
 }
 
 void RequestFacts::logTargetRefusal(unsigned TargetStatus) const {
@@ -66,8 +66,8 @@
       .add("tries", m_Times.tries())
       .add("total_us", Now - m_Times.arrivedAt());
   if (m_Route)
-    Line.add("late", toString(m_Times.lateness(m_Route->m_Objective,
-                                               m_Route->m_LongestPause, Now)));
+    Line.add("late", toString(m_Times.lateness(m_Route->m_FirstByteObjective,
+                                               m_Route->m_MaxEventGap, Now)));
   if (m_Times.hasFirstEvent())
     Line.add("first_event_us", m_Times.toFirstEvent())
         .add("longest_pause_us", m_Times.longestPause())
--- a/Libraries/LibGateway/RequestFacts.h
+++ b/Libraries/LibGateway/RequestFacts.h
@@ -11,7 +11,7 @@
 #include "LibMetrics/MetricsRegistry.h"
 #include "LibPlatform/KeyValueService.h"
 #include "LibQuarantine/ContentDigest.h"
-#include "LibRouting/QuotaBook.h"
+#include "LibRouting/DistributedQuota.h"
 #include "LibRouting/RoutingTable.h"
 #include "LibRouting/TargetDirectory.h"
 
@@ -26,7 +26,7 @@
   const routing::Account *m_Account = nullptr;
   core::PoolName m_Pool;
   core::TierNumber m_Tier{1};
-  routing::QuotaDraw m_Draw;           ///< From the account's quota.
+  routing::QuotaAcquisition m_Draw;    ///< From the account's quota.
   quarantine::ContentDigest m_Content; ///< Since it was admitted.
   AnswerTimes m_Times{core::steadyNow()};
   std::optional<routing::Target> m_Target; ///< Chosen for the current try.
--- a/Libraries/LibGateway/RolloutDesk.cpp
+++ b/Libraries/LibGateway/RolloutDesk.cpp
@@ -110,7 +110,7 @@
   if (!Which)
     return;
   PoolRollout &State = Which->m_State;
-  State.member().sent(Route, State.isOnTrial(Where), core::steadyNow());
+  State.member().sent(Route, State.isCanary(Where), core::steadyNow());
 }
 
 void RolloutDesk::answered(std::uint32_t Route, const routing::Target &Where,
@@ -120,7 +120,7 @@
     return;
   PoolRollout &State = Which->m_State;
   rollout::CellKey Key;
-  Key.m_Side = State.isOnTrial(Where) ? rollout::Side::New : rollout::Side::Old;
+  Key.m_Side = State.isCanary(Where) ? rollout::Side::New : rollout::Side::Old;
   Key.m_Target = Where.run().hash();
   Key.m_Route = Route;
   State.member().answered(Key, How, Time, core::steadyNow());
@@ -273,14 +273,14 @@
 rollout::Census RolloutDesk::census(const Pool &Which) const {
   rollout::Census Out;
   for (const routing::KnownTarget *Known :
-       m_Targets.allOf(Which.m_State.pool())) {
-    if (!Known->isOpen() || Known->m_LapsedAt)
+       m_Targets.allTargetsOf(Which.m_State.pool())) {
+    if (!Known->isOpen() || Known->m_ExpiredAt)
       continue;
     const routing::Target &Each = Known->m_Target;
-    if (Which.m_State.isOnTrial(Each))
-      Out.m_NewPlaces += Each.m_Places;
+    if (Which.m_State.isCanary(Each))
+      Out.m_NewPlaces += Each.m_Slots;
     else
-      Out.m_OldPlaces += Each.m_Places;
+      Out.m_OldPlaces += Each.m_Slots;
   }
   return Out;
 }
@@ -288,18 +288,19 @@
 std::set<core::TargetVersion>
 RolloutDesk::oldVersions(const Pool &Which) const {
   std::set<core::TargetVersion> Out;
-  for (const routing::KnownTarget *Each : m_Targets.allOf(Which.m_State.pool()))
-    if (!Which.m_State.isOnTrial(Each->m_Target))
+  for (const routing::KnownTarget *Each :
+       m_Targets.allTargetsOf(Which.m_State.pool()))
+    if (!Which.m_State.isCanary(Each->m_Target))
       Out.insert(Each->m_Target.m_Version);
   return Out;
 }
 
 std::uint32_t RolloutDesk::runningOld(const Pool &Which) const {
   std::size_t Out = 0;
-  for (const routing::KnownTarget *Each : m_Targets.busy())
+  for (const routing::KnownTarget *Each : m_Targets.busyTargets())
     if (Each->m_Target.m_Pool == Which.m_State.pool() &&
-        !Which.m_State.isOnTrial(Each->m_Target))
-      Out += Each->m_Own.m_Running;
+        !Which.m_State.isCanary(Each->m_Target))
+      Out += Each->m_LocalLoad.m_Running;
   return static_cast<std::uint32_t>(Out);
 }
 
--- a/Libraries/LibGateway/TargetEnds.cpp
+++ b/Libraries/LibGateway/TargetEnds.cpp
@@ -41,7 +41,7 @@
   Which->m_Probed.cancel();
 }
 
-void TargetEnds::noteEnded(const routing::TargetRun &Run) {
+void TargetEnds::noteEnded(const routing::TargetIncarnation &Run) {
   auto Found = m_Broken.find(Run);
   if (Found == m_Broken.end())
     return;
--- a/Libraries/LibGateway/TargetEnds.h
+++ b/Libraries/LibGateway/TargetEnds.h
@@ -53,7 +53,7 @@
   /// Others say that the run has ended: nobody listens at its address, another
   /// run answers there, or its announcement is gone. Counts for answers after
   /// which a new connection said nothing.
-  void noteEnded(const routing::TargetRun &Run);
+  void noteEnded(const routing::TargetIncarnation &Run);
   /// Forgets what nothing was heard of for a while. To be called a few times a
   /// second.
   void upkeep(core::TimePoint Now);
@@ -78,7 +78,7 @@
 
   boost::asio::io_context &m_Context;
   TargetEndsHooks m_Hooks;
-  std::map<routing::TargetRun, BrokenHandle> m_Broken;
+  std::map<routing::TargetIncarnation, BrokenHandle> m_Broken;
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/TargetTermsService.cpp
+++ b/Libraries/LibGateway/TargetTermsService.cpp
@@ -8,14 +8,15 @@
 
 namespace yardrill::gateway {
 
-using routing::StatedTerms;
+using routing::BackpressureReport;
 
 static constexpr std::chrono::seconds TellPeriod{1};
 
-static peer::ToldTerms toMessage(const StatedTerms &What, core::TimePoint Now) {
+static peer::ToldTerms toMessage(const BackpressureReport &What,
+                                 core::TimePoint Now) {
   peer::ToldTerms Out;
-  Out.m_Target = What.m_Run.m_Name.value();
-  Out.m_Birth = What.m_Run.m_Birth.value();
+  Out.m_Target = What.m_Incarnation.m_Name.value();
+  Out.m_StartTime = What.m_Incarnation.m_StartTime.value();
   Out.m_IsLimited = What.m_Limit.m_PerSecond.has_value();
   Out.m_PerSecond = What.m_Limit.m_PerSecond.value_or(0);
   Out.m_LimitAgeUs =
@@ -25,13 +26,13 @@
 }
 
 /// \returns none for what no instance says.
-static std::optional<StatedTerms> fromMessage(const peer::ToldTerms &Told,
-                                              core::TimePoint Now) {
+static std::optional<BackpressureReport>
+fromMessage(const peer::ToldTerms &Told, core::TimePoint Now) {
   if (!std::isfinite(Told.m_PerSecond) || Told.m_PerSecond < 0)
     return std::nullopt;
-  StatedTerms Out;
-  Out.m_Run = {core::TargetName(Told.m_Target),
-               core::TargetBirth(Told.m_Birth)};
+  BackpressureReport Out;
+  Out.m_Incarnation = {core::TargetName(Told.m_Target),
+                       core::TargetStartTime(Told.m_StartTime)};
   if (Told.m_IsLimited)
     Out.m_Limit.m_PerSecond = Told.m_PerSecond;
   // Longer ago than this machine runs: before all that it heard itself.
@@ -42,19 +43,19 @@
 }
 
 void TargetTermsService::said(const routing::Target &Which,
-                              const routing::TargetTerms &Terms,
+                              const routing::TargetBackpressure &Terms,
                               core::TimePoint Now) {
-  if (Terms.isEmpty() && m_Targets.admissions().isEmpty())
+  if (Terms.isEmpty() && m_Targets.throttles().isEmpty())
     return;
-  routing::TargetRun Run = Which.run();
-  bool IsNews = m_Targets.admissions().take(Run, Terms, Now);
-  if (IsNews || Terms.m_Rest || Terms.m_IsLimitUnreadable)
+  routing::TargetIncarnation Run = Which.run();
+  bool IsNews = m_Targets.throttles().update(Run, Terms, Now);
+  if (IsNews || Terms.m_Backoff || Terms.m_IsLimitUnreadable)
     logChange(Run, Terms);
   // A rest is asked of this instance alone.
   if (!IsNews)
     return;
   NewsFor To;
-  add(m_Targets.admissions().termsOf(Run), Now, To);
+  add(m_Targets.throttles().reportOf(Run), Now, To);
   send(To);
 }
 
@@ -64,19 +65,20 @@
   if (!News)
     return;
   for (const peer::ToldTerms &Each : News->m_Terms) {
-    std::optional<StatedTerms> Told = fromMessage(Each, Now);
-    if (Told && m_Targets.admissions().take(*Told, Now))
-      logChange(Told->m_Run, {});
+    std::optional<BackpressureReport> Told = fromMessage(Each, Now);
+    if (Told && m_Targets.throttles().update(*Told, Now))
+      logChange(Told->m_Incarnation, {});
   }
 }
 
-void TargetTermsService::add(const StatedTerms &What, core::TimePoint Now,
-                             NewsFor &To) {
-  const routing::KnownTarget *Known = m_Targets.findRun(What.m_Run);
+void TargetTermsService::add(const BackpressureReport &What,
+                             core::TimePoint Now, NewsFor &To) {
+  const routing::KnownTarget *Known =
+      m_Targets.findByIncarnation(What.m_Incarnation);
   if (!Known)
     return;
   for (const config::Endpoint &Each :
-       m_Targets.sharersOf(Known->m_Target.m_Pool))
+       m_Targets.subsetInstances(Known->m_Target.m_Pool))
     if (!(Each == m_Self))
       To[Each].push_back(toMessage(What, Now));
 }
@@ -92,31 +94,32 @@
     }
 }
 
-void TargetTermsService::logChange(const routing::TargetRun &Run,
-                                   const routing::TargetTerms &Said) const {
-  StatedTerms Known = m_Targets.admissions().termsOf(Run);
+void TargetTermsService::logChange(
+    const routing::TargetIncarnation &Run,
+    const routing::TargetBackpressure &Said) const {
+  BackpressureReport Known = m_Targets.throttles().reportOf(Run);
   core::LogLine Line("target-terms", core::LogLevel::Warning);
   Line.add("target", Run.m_Name)
-      .add("birth", Run.m_Birth)
+      .add("birth", Run.m_StartTime)
       .add("is_leaving", Known.m_IsLeaving);
   if (Known.m_Limit.m_PerSecond)
     Line.add("limit_per_second", *Known.m_Limit.m_PerSecond)
-        .add("is_sender", m_Targets.admissions().isSender(Run));
+        .add("is_sender", m_Targets.throttles().isSender(Run));
   if (Said.m_IsLimitUnreadable)
     Line.add("is_limit_unreadable", true);
-  if (Said.m_Rest)
-    Line.add("rest_us", *Said.m_Rest);
+  if (Said.m_Backoff)
+    Line.add("rest_us", *Said.m_Backoff);
 }
 
 void TargetTermsService::upkeep(core::TimePoint Now) {
-  if (m_Targets.admissions().isEmpty())
+  if (m_Targets.throttles().isEmpty())
     return;
-  m_Targets.admissions().forgetOld(Now);
+  m_Targets.throttles().removeStale(Now);
   if (Now - m_ToldAt < TellPeriod)
     return;
   m_ToldAt = Now;
   NewsFor To;
-  for (const StatedTerms &Each : m_Targets.admissions().toTell(Now))
+  for (const BackpressureReport &Each : m_Targets.throttles().dueReports(Now))
     add(Each, Now, To);
   send(To);
 }
--- a/Libraries/LibGateway/TargetTermsService.h
+++ b/Libraries/LibGateway/TargetTermsService.h
@@ -28,8 +28,8 @@
       : m_Self(std::move(Self)), m_Targets(Targets), m_Send(std::move(Hook)) {}
 
   /// An answer to this instance said so.
-  void said(const routing::Target &Which, const routing::TargetTerms &Terms,
-            core::TimePoint Now);
+  void said(const routing::Target &Which,
+            const routing::TargetBackpressure &Terms, core::TimePoint Now);
   /// Takes a message of another instance.
   void take(const peer::PeerMessage &Message, core::TimePoint Now);
   /// Tells again what is due. To be called a few times a second.
@@ -39,11 +39,12 @@
   using NewsFor = std::map<config::Endpoint, std::vector<peer::ToldTerms>>;
 
   /// Adds what is known of a run to the news for all that work with it.
-  void add(const routing::StatedTerms &What, core::TimePoint Now, NewsFor &To);
+  void add(const routing::BackpressureReport &What, core::TimePoint Now,
+           NewsFor &To);
   void send(const NewsFor &To);
   /// \param Said now by the target itself, beside what is known.
-  void logChange(const routing::TargetRun &Run,
-                 const routing::TargetTerms &Said) const;
+  void logChange(const routing::TargetIncarnation &Run,
+                 const routing::TargetBackpressure &Said) const;
 
   config::Endpoint m_Self;
   routing::TargetDirectory &m_Targets;
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -34,16 +34,17 @@
 
 /// Work under way at one target, sent by the reporting instance.
 struct TargetUse {
-  std::uint32_t m_Target = 0; ///< routing::TargetRun::hash().
+  std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash().
   std::uint16_t m_Running = 0;
-  std::uint32_t m_PendingPrompt = 0; ///< Prompt tokens without a first event.
+  std::uint32_t m_PendingPromptTokens =
+      0; ///< Prompt tokens without a first event.
 
   bool operator==(const TargetUse &Other) const {
     return m_Target == Other.m_Target && m_Running == Other.m_Running &&
-           m_PendingPrompt == Other.m_PendingPrompt;
+           m_PendingPromptTokens == Other.m_PendingPromptTokens;
   }
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Target, m_Running, m_PendingPrompt);
+    Ar(m_Target, m_Running, m_PendingPromptTokens);
   }
 };
 
@@ -78,7 +79,7 @@
 LoadReport completed(const LoadReport &Short, const LoadReport &Before);
 
 /// Asks an owner of an account's quota for tokens, or gives some back.
-struct QuotaAsk {
+struct QuotaRequest {
   std::uint64_t m_Ask = 0;     ///< The asker's number for it.
   std::uint32_t m_Account = 0; ///< Low half of stableHash() of its name.
   std::uint32_t m_Tokens = 0;  ///< 0: no answer is wanted.
@@ -91,7 +92,7 @@
   }
 };
 
-struct QuotaAnswer {
+struct QuotaResponse {
   std::uint64_t m_Ask = 0;
   std::uint8_t m_Verdict = 0; ///< A routing::QuotaVerdict.
   std::uint32_t m_Tokens = 0; ///< Granted.
@@ -104,7 +105,7 @@
 
 using PeerBody =
     std::variant<Heartbeat, decision::FloorOrder, decision::FloorReport,
-                 LoadReport, QuotaAsk, QuotaAnswer, RolloutReport,
+                 LoadReport, QuotaRequest, QuotaResponse, RolloutReport,
                  RolloutPermit, SeenEnds, TargetNews>;
 
 struct PeerMessage {
--- a/Libraries/LibPeer/QuarantineMessages.h
+++ b/Libraries/LibPeer/QuarantineMessages.h
@@ -12,11 +12,11 @@
 struct SeenEnd {
   std::uint64_t m_ContentHigh = 0;
   std::uint64_t m_ContentLow = 0;
-  std::uint32_t m_Run = 0; ///< routing::TargetRun::hash().
+  std::uint32_t m_Incarnation = 0; ///< routing::TargetIncarnation::hash().
   bool m_IsExcused = false;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_ContentHigh, m_ContentLow, m_Run, m_IsExcused);
+    Ar(m_ContentHigh, m_ContentLow, m_Incarnation, m_IsExcused);
   }
 };
 
--- a/Libraries/LibPeer/TargetMessages.h
+++ b/Libraries/LibPeer/TargetMessages.h
@@ -10,17 +10,19 @@
 
 namespace yardrill::peer {
 
-/// A routing::StatedTerms. Its time is told as an age, since clocks differ.
+/// A routing::BackpressureReport. Its time is told as an age, since clocks
+/// differ.
 struct ToldTerms {
   std::string m_Target;
-  std::int64_t m_Birth = 0;
+  std::int64_t m_StartTime = 0;
   bool m_IsLimited = false;
   double m_PerSecond = 0;
   std::uint64_t m_LimitAgeUs = 0; ///< Of the answer that said so.
   bool m_IsLeaving = false;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Target, m_Birth, m_IsLimited, m_PerSecond, m_LimitAgeUs, m_IsLeaving);
+    Ar(m_Target, m_StartTime, m_IsLimited, m_PerSecond, m_LimitAgeUs,
+       m_IsLeaving);
   }
 };
 
--- a/Libraries/LibQuarantine/Member.cpp
+++ b/Libraries/LibQuarantine/Member.cpp
@@ -108,8 +108,8 @@
   // since, or each end of a target would be written for popular contents.
   for (const Observation &Each : m_Recorded)
     if (m_Book.standing(Each.m_Content) < RunsToRecord)
-      Out.push_back({Each.m_Content, Each.m_Run,
-                     m_Book.isExcused(Each.m_Content, Each.m_Run)});
+      Out.push_back({Each.m_Content, Each.m_Incarnation,
+                     m_Book.isExcused(Each.m_Content, Each.m_Incarnation)});
   std::size_t Most = MostRecorded * QuarantineBook::MostRuns;
   if (Out.size() > Most)
     Out.resize(Most);
--- a/Libraries/LibQuarantine/QuarantineBook.cpp
+++ b/Libraries/LibQuarantine/QuarantineBook.cpp
@@ -103,7 +103,7 @@
   if (m_Cases.find(Seen.m_Content) == m_Cases.end())
     makeRoom();
   Case &Which = m_Cases[Seen.m_Content];
-  auto Found = Which.m_Runs.find(Seen.m_Run);
+  auto Found = Which.m_Runs.find(Seen.m_Incarnation);
   bool IsKnown = Found != Which.m_Runs.end();
   // Excused is for good.
   if (IsKnown && (Found->second || !Seen.m_IsExcused))
@@ -115,7 +115,7 @@
     makeRoom(Which);
     if (Which.m_Runs.size() >= MostRuns)
       return false;
-    Which.m_Runs.emplace(Seen.m_Run, Seen.m_IsExcused);
+    Which.m_Runs.emplace(Seen.m_Incarnation, Seen.m_IsExcused);
   }
   Which.m_ChangedAt = Now;
   bool IsQuarantined = Which.standing() >= RunsToQuarantine;
--- a/Libraries/LibQuarantine/QuarantineBook.h
+++ b/Libraries/LibQuarantine/QuarantineBook.h
@@ -27,19 +27,19 @@
 
 namespace yardrill::quarantine {
 
-/// routing::TargetRun::hash().
+/// routing::TargetIncarnation::hash().
 using RunHash = std::uint32_t;
 
 /// That a run of a target ended while a request with that content was under
 /// way there.
 struct Observation {
   ContentDigest m_Content;
-  RunHash m_Run = 0;
+  RunHash m_Incarnation = 0;
   bool m_IsExcused = false; ///< And that it says nothing any more.
 
   bool operator<(const Observation &Other) const {
-    return std::tie(m_Content, m_Run, m_IsExcused) <
-           std::tie(Other.m_Content, Other.m_Run, Other.m_IsExcused);
+    return std::tie(m_Content, m_Incarnation, m_IsExcused) <
+           std::tie(Other.m_Content, Other.m_Incarnation, Other.m_IsExcused);
   }
 };
 
--- a/Libraries/LibQuarantine/QuarantineText.cpp
+++ b/Libraries/LibQuarantine/QuarantineText.cpp
@@ -15,7 +15,7 @@
     if (!Before || !(*Before == Each.m_Content))
       Out << (Before ? "\n" : "") << Each.m_Content;
     Before = &Each.m_Content;
-    Out << ' ' << std::hex << Each.m_Run;
+    Out << ' ' << std::hex << Each.m_Incarnation;
     if (Each.m_IsExcused)
       Out << ExcusedMark;
   }
@@ -29,7 +29,8 @@
   Observation Out;
   Out.m_Content = Content;
   const char *End = Word.data() + Word.size();
-  auto [Last, Failure] = std::from_chars(Word.data(), End, Out.m_Run, HexBase);
+  auto [Last, Failure] =
+      std::from_chars(Word.data(), End, Out.m_Incarnation, HexBase);
   if (Failure != std::errc())
     return std::nullopt;
   Out.m_IsExcused = Last != End && *Last == ExcusedMark;
--- a/Libraries/LibRollout/Evidence.h
+++ b/Libraries/LibRollout/Evidence.h
@@ -21,7 +21,7 @@
 /// Answers of one run of a target on one route.
 struct CellKey {
   Side m_Side = Side::Old;
-  std::uint32_t m_Target = 0; ///< routing::TargetRun::hash().
+  std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash().
   std::uint32_t m_Route = 0;  ///< routing::Route::m_Hash.
 
   bool operator<(const CellKey &Other) const {
--- a/Libraries/LibRouting/OwnerRing.cpp
+++ b/Libraries/LibRouting/ConsistentHashRing.cpp
@@ -1,4 +1,4 @@
-#include "LibRouting/OwnerRing.h"
+#include "LibRouting/ConsistentHashRing.h"
 
 #include "LibCore/Digest.h"
 
@@ -6,7 +6,8 @@
 
 namespace yardrill::routing {
 
-OwnerRing::OwnerRing(const std::vector<config::Endpoint> &Members) {
+ConsistentHashRing::ConsistentHashRing(
+    const std::vector<config::Endpoint> &Members) {
   for (const config::Endpoint &Each : Members)
     m_Points.emplace_back(
         static_cast<std::uint32_t>(core::stableHash(Each.toString())), Each);
@@ -14,14 +15,15 @@
   m_Points.erase(std::unique(m_Points.begin(), m_Points.end()), m_Points.end());
 }
 
-std::vector<config::Endpoint> OwnerRing::ownersOf(std::uint32_t Hash) const {
+std::vector<config::Endpoint>
+ConsistentHashRing::ownersOf(std::uint32_t Hash) const {
   auto First = std::lower_bound(m_Points.begin(), m_Points.end(), Hash,
                                 [](const auto &Point, std::uint32_t Searched) {
                                   return Point.first < Searched;
                                 });
   auto Start = static_cast<std::size_t>(First - m_Points.begin());
   std::vector<config::Endpoint> Out;
-  for (std::size_t I = 0; I < std::min(MostOwners, m_Points.size()); ++I)
+  for (std::size_t I = 0; I < std::min(MaxOwners, m_Points.size()); ++I)
     Out.push_back(m_Points[(Start + I) % m_Points.size()].second);
   return Out;
 }
--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -23,41 +23,43 @@
 static constexpr double OverrunWeight = 3;
 /// Part of the time left that an answer should take at the most, since its
 /// length and the target's pace are only expected.
-static constexpr double UsableTime = 0.8;
+static constexpr double UsableTimeShare = 0.8;
 /// Part of a short request's time after which it is sent without a free place.
-static constexpr double MostWaitShare = 0.35;
+static constexpr double MaxWaitShare = 0.35;
 /// A prompt that a target reads within this time holds the streams beside it up
 /// for less than the shortest pause that routes set as a limit (200 ms).
-static constexpr double ShortReadMs = 100;
+static constexpr double ShortPrefillMs = 100;
 /// Part of a pool's places that the lowest rank leaves free for the others: of
 /// those about as many arrive until all instances know of a dispatch.
-static constexpr double KeptShare = 0.05;
+static constexpr double ReservedSlotShare = 0.05;
 /// A rank counts as present for so long after its last request.
-static constexpr std::chrono::seconds RankMemory{10};
+static constexpr std::chrono::seconds PriorityMemory{10};
 
 double Dispatcher::cost(const KnownTarget &At, const PlacementRequest &What,
                         core::TimePoint Now) const {
-  double HallCost = At.m_Target.m_DataHall == m_Home ? 0 : OtherHallCostMs;
+  double HallCost =
+      At.m_Target.m_DataHall == m_LocalDataHall ? 0 : OtherHallCostMs;
   if (m_Policy == PlacementPolicy::LeastOutstanding)
-    return static_cast<double>(At.m_Own.m_Running) /
-               static_cast<double>(At.m_Target.m_Places) +
+    return static_cast<double>(At.m_LocalLoad.m_Running) /
+               static_cast<double>(At.m_Target.m_Slots) +
            HallCost / 1000;
   double Running = static_cast<double>(At.running());
-  double Places = static_cast<double>(At.m_Target.m_Places);
+  double Places = static_cast<double>(At.m_Target.m_Slots);
   double Queued = Running >= Places ? Running - Places + 1 : 0;
   double Prompt = 0;
-  if (What.m_IsModel)
-    Prompt =
-        static_cast<double>(At.m_Own.m_PendingPrompt +
-                            At.m_Others.m_PendingPrompt + What.m_PromptTokens) /
-        PromptTokensPerMs;
+  if (What.m_IsInference)
+    Prompt = static_cast<double>(At.m_LocalLoad.m_PendingPromptTokens +
+                                 At.m_RemoteLoad.m_PendingPromptTokens +
+                                 What.m_PromptTokens) /
+             PromptTokensPerMs;
   double Start =
       (Prompt + Running * RunningCostMs + Queued * QueuedCostMs + 1) *
       At.m_Slowness;
-  double Finish = Start + What.m_ExpectedEvents * At.m_PaceMs;
-  double TimeLeft = core::toSeconds(What.m_EndsAt - Now) * 1000 * UsableTime;
+  double Finish = Start + What.m_ExpectedEvents * At.m_ServiceTimeMs;
+  double TimeLeft =
+      core::toSeconds(What.m_EndsAt - Now) * 1000 * UsableTimeShare;
   double Overrun = std::max(0.0, Finish - TimeLeft);
-  return Start + HallCost + At.m_FailureShare * FailureCostMs +
+  return Start + HallCost + At.m_FailureRate * FailureCostMs +
          Overrun * OverrunWeight;
 }
 
@@ -65,108 +67,112 @@
 // Who goes first
 //===----------------------------------------------------------------------===//
 
-void Dispatcher::noteRank(const PlacementRequest &What, core::TimePoint Now) {
-  auto &Ranks = m_Ranks[What.m_Pool];
-  Ranks[What.m_Rank] = Now;
+void Dispatcher::recordPriority(const PlacementRequest &What,
+                                core::TimePoint Now) {
+  auto &Ranks = m_PriorityLastSeen[What.m_Pool];
+  Ranks[What.m_Priority] = Now;
   for (auto Each = Ranks.begin(); Each != Ranks.end();)
-    Each =
-        Now - Each->second > RankMemory ? Ranks.erase(Each) : std::next(Each);
+    Each = Now - Each->second > PriorityMemory ? Ranks.erase(Each)
+                                               : std::next(Each);
 }
 
-bool Dispatcher::isLowest(const PlacementRequest &What) const {
-  auto Found = m_Ranks.find(What.m_Pool);
-  return Found != m_Ranks.end() && Found->second.size() > 1 &&
-         Found->second.rbegin()->first == What.m_Rank;
+bool Dispatcher::isLowestPriority(const PlacementRequest &What) const {
+  auto Found = m_PriorityLastSeen.find(What.m_Pool);
+  return Found != m_PriorityLastSeen.end() && Found->second.size() > 1 &&
+         Found->second.rbegin()->first == What.m_Priority;
 }
 
 Dispatcher::Urgency Dispatcher::urgencyOf(const PlacementRequest &What,
                                           core::TimePoint Now) const {
-  bool IsLate = What.m_LateAt <= Now;
-  if (isLowest(What))
+  bool IsLate = What.m_FirstByteDue <= Now;
+  if (isLowestPriority(What))
     return IsLate ? Urgency::LowestLate : Urgency::LowestInTime;
   return IsLate ? Urgency::Late : Urgency::InTime;
 }
 
-bool Dispatcher::goesBefore(const PlacementRequest &A,
-                            const PlacementRequest &B,
-                            core::TimePoint Now) const {
-  return std::make_tuple(urgencyOf(A, Now), A.m_Rank, A.m_LateAt, A.m_Request) <
-         std::make_tuple(urgencyOf(B, Now), B.m_Rank, B.m_LateAt, B.m_Request);
+bool Dispatcher::precedes(const PlacementRequest &A, const PlacementRequest &B,
+                          core::TimePoint Now) const {
+  return std::make_tuple(urgencyOf(A, Now), A.m_Priority, A.m_FirstByteDue,
+                         A.m_Request) <
+         std::make_tuple(urgencyOf(B, Now), B.m_Priority, B.m_FirstByteDue,
+                         B.m_Request);
 }
 
-core::TimePoint Dispatcher::waitsUntil(const PlacementRequest &What) const {
+core::TimePoint Dispatcher::queueDeadline(const PlacementRequest &What) const {
   if (m_Policy == PlacementPolicy::LeastOutstanding)
     return What.m_ArrivedAt;
   // A stream that is sent late displaces one that could still begin in time.
-  if (What.m_IsModel)
-    return std::min(What.m_LateAt, What.m_BeginsBy) -
-           m_Targets.timeToBegin(What.m_Pool);
+  if (What.m_IsInference)
+    return std::min(What.m_FirstByteDue, What.m_FirstEventDeadline) -
+           m_Targets.expectedFirstEventTime(What.m_Pool);
   core::Duration All = What.m_EndsAt - What.m_ArrivedAt;
   return What.m_ArrivedAt +
-         std::chrono::duration_cast<core::Duration>(All * MostWaitShare);
+         std::chrono::duration_cast<core::Duration>(All * MaxWaitShare);
 }
 
 //===----------------------------------------------------------------------===//
 // Where
 //===----------------------------------------------------------------------===//
 
-double Dispatcher::readTimeMs(const KnownTarget &At, std::uint32_t Tokens) {
+double Dispatcher::prefillTimeMs(const KnownTarget &At, std::uint32_t Tokens) {
   return static_cast<double>(Tokens) / PromptTokensPerMs * At.m_Slowness;
 }
 
-std::size_t Dispatcher::placesFor(const KnownTarget &At,
-                                  const PlacementRequest &What) {
-  auto Places = static_cast<double>(At.m_Target.m_Places);
-  if (!What.m_IsModel || readTimeMs(At, What.m_PromptTokens) < ShortReadMs)
-    return At.m_Target.m_Places;
+std::size_t Dispatcher::slotsFor(const KnownTarget &At,
+                                 const PlacementRequest &What) {
+  auto Places = static_cast<double>(At.m_Target.m_Slots);
+  if (!What.m_IsInference ||
+      prefillTimeMs(At, What.m_PromptTokens) < ShortPrefillMs)
+    return At.m_Target.m_Slots;
   // A long prompt holds up the streams beside it, a slow target's the more. A
   // limit for short prompts as well would leave slow targets mostly empty.
   Places = std::max(1.0, std::round(Places / std::max(1.0, At.m_Slowness)));
   return static_cast<std::size_t>(Places);
 }
 
-bool Dispatcher::leavesKeptPlaces(const PlacementRequest &What,
-                                  core::TimePoint Now) const {
-  if (!isLowest(What))
+bool Dispatcher::leavesReservedSlots(const PlacementRequest &What,
+                                     core::TimePoint Now) const {
+  if (!isLowestPriority(What))
     return true;
   const VersionGate *Gate = gateOf(What.m_Pool);
   double All = 0;
   double Free = 0;
-  for (const KnownTarget *Each : m_Targets.of(What.m_Pool)) {
+  for (const KnownTarget *Each : m_Targets.subsetOf(What.m_Pool)) {
     if (!m_Targets.isOpen(*Each, Now) ||
         (Gate && !Gate->mayServe(Each->m_Target, Now)))
       continue;
-    double Places = static_cast<double>(placesFor(*Each, What));
+    double Places = static_cast<double>(slotsFor(*Each, What));
     All += Places;
     Free += std::max(0.0, Places - static_cast<double>(Each->running()));
   }
-  return Free - 1 >= All * KeptShare;
+  return Free - 1 >= All * ReservedSlotShare;
 }
 
 const VersionGate *Dispatcher::gateOf(const core::PoolName &Pool) const {
   return m_Hooks.m_GateOf ? m_Hooks.m_GateOf(Pool) : nullptr;
 }
 
-std::vector<KnownTarget *> Dispatcher::onTrial(const VersionGate &Gate,
-                                               const PlacementRequest &What,
-                                               core::TimePoint Now) const {
+std::vector<KnownTarget *>
+Dispatcher::canaryCandidates(const VersionGate &Gate,
+                             const PlacementRequest &What,
+                             core::TimePoint Now) const {
   // A request that failed once is not made to try a version.
-  if (!What.m_Tried.empty() || !Gate.isTrialDue(What.m_Route, Now))
+  if (!What.m_TriedTargets.empty() || !Gate.isCanaryDue(What.m_Route, Now))
     return {};
   std::vector<KnownTarget *> All;
-  for (KnownTarget *Each : m_Targets.of(What.m_Pool))
-    if (m_Targets.isOpen(*Each, Now) && Gate.isOnTrial(Each->m_Target))
+  for (KnownTarget *Each : m_Targets.subsetOf(What.m_Pool))
+    if (m_Targets.isOpen(*Each, Now) && Gate.isCanary(Each->m_Target))
       All.push_back(Each);
   if (All.empty())
     return {};
   std::sort(All.begin(), All.end(), KnownTarget::ByHash());
-  double Share = Gate.trialShare() * static_cast<double>(All.size());
+  double Share = Gate.canaryShare() * static_cast<double>(All.size());
   auto Count = static_cast<std::size_t>(std::max(1.0, std::round(Share)));
-  std::size_t First = Gate.trialTurn(Now) * Count;
+  std::size_t First = Gate.canaryTurn(Now) * Count;
   std::vector<KnownTarget *> Out;
   for (std::size_t I = 0; I < Count; ++I) {
     KnownTarget *Each = All[(First + I) % All.size()];
-    if (Each->m_RestsUntil <= Now && hasPlace(*Each, What))
+    if (Each->m_CooldownUntil <= Now && hasFreeSlot(*Each, What))
       Out.push_back(Each);
   }
   return Out;
@@ -176,7 +182,7 @@
                                                   core::TimePoint Now) const {
   const VersionGate *Gate = gateOf(What.m_Pool);
   if (Gate) {
-    std::vector<KnownTarget *> Trial = onTrial(*Gate, What, Now);
+    std::vector<KnownTarget *> Trial = canaryCandidates(*Gate, What, Now);
     if (!Trial.empty())
       return Trial;
   }
@@ -184,30 +190,30 @@
   auto TakeOf = [&](const std::vector<KnownTarget *> &From) {
     for (KnownTarget *Each : From)
       if (m_Targets.isOpen(*Each, Now) &&
-          What.m_Tried.count(Each->m_Target.run()) == 0 &&
+          What.m_TriedTargets.count(Each->m_Target.run()) == 0 &&
           (!Gate || Gate->mayServe(Each->m_Target, Now)))
         Out.push_back(Each);
   };
-  TakeOf(m_Targets.of(What.m_Pool));
+  TakeOf(m_Targets.subsetOf(What.m_Pool));
   // While traffic moves, this instance's part may hold none of the version that
   // takes requests now.
   if (Gate && Out.empty())
-    TakeOf(m_Targets.allOf(What.m_Pool));
+    TakeOf(m_Targets.allTargetsOf(What.m_Pool));
   // A target that has just failed always has free places: where the others are
   // full, everything that waits would fall on it.
   auto IsResting = [Now](const KnownTarget *Each) {
-    return Each->m_RestsUntil > Now;
+    return Each->m_CooldownUntil > Now;
   };
   if (!std::all_of(Out.begin(), Out.end(), IsResting))
     Out.erase(std::remove_if(Out.begin(), Out.end(), IsResting), Out.end());
   return Out;
 }
 
-bool Dispatcher::hasPlace(const KnownTarget &At,
-                          const PlacementRequest &What) const {
+bool Dispatcher::hasFreeSlot(const KnownTarget &At,
+                             const PlacementRequest &What) const {
   if (At.isOnProbation())
-    return At.m_Own.m_Running == 0;
-  return At.running() < placesFor(At, What);
+    return At.m_LocalLoad.m_Running == 0;
+  return At.running() < slotsFor(At, What);
 }
 
 KnownTarget *Dispatcher::choose(const PlacementRequest &What, bool MustSend,
@@ -217,10 +223,10 @@
   double BestCost = 0;
   for (KnownTarget *Each : candidates(What, Now)) {
     HasAny = true;
-    if (!MustSend && !hasPlace(*Each, What))
+    if (!MustSend && !hasFreeSlot(*Each, What))
       continue;
     // One that is not announced any more is used when the others are full.
-    bool IsLapsed = Each->m_LapsedAt.has_value();
+    bool IsLapsed = Each->m_ExpiredAt.has_value();
     double Cost = cost(*Each, What, Now);
     if (Best && std::tie(IsLapsed, Cost) >= std::tie(IsBestLapsed, BestCost))
       continue;
@@ -232,32 +238,33 @@
 }
 
 std::optional<core::TimePoint>
-Dispatcher::opensFor(const PlacementRequest &What, core::TimePoint Now) const {
-  if (m_Targets.admissions().isEmpty())
+Dispatcher::nextAvailability(const PlacementRequest &What,
+                             core::TimePoint Now) const {
+  if (m_Targets.throttles().isEmpty())
     return std::nullopt;
   auto Ahead =
       std::count_if(m_Waiting.begin(), m_Waiting.end(), [&](const auto &Each) {
         return Each.second.m_Pool == What.m_Pool &&
-               goesBefore(Each.second, What, Now);
+               precedes(Each.second, What, Now);
       });
-  return m_Targets.opensAt(What.m_Pool, static_cast<std::size_t>(Ahead), Now,
-                           What.m_Tried);
+  return m_Targets.availableAt(What.m_Pool, static_cast<std::size_t>(Ahead),
+                               Now, What.m_TriedTargets);
 }
 
 bool Dispatcher::trySend(const PlacementRequest &What, core::TimePoint Now) {
   bool HasAny = false;
-  bool IsTimeUp = waitsUntil(What) <= Now;
+  bool IsTimeUp = queueDeadline(What) <= Now;
   // A stream sent to wait at a full target makes all that run there late; its
   // caller can come back in a better moment.
-  bool MustSend = IsTimeUp && (!What.m_IsModel ||
+  bool MustSend = IsTimeUp && (!What.m_IsInference ||
                                m_Policy == PlacementPolicy::LeastOutstanding);
   KnownTarget *Best = choose(What, MustSend, Now, HasAny);
   // Before its caller leaves it may have a place that is kept and still free.
-  if (Best && !IsTimeUp && !leavesKeptPlaces(What, Now))
+  if (Best && !IsTimeUp && !leavesReservedSlots(What, Now))
     return false;
   if (!HasAny && !IsTimeUp) {
-    auto OpensAt = opensFor(What, Now);
-    if (OpensAt && *OpensAt <= waitsUntil(What))
+    auto OpensAt = nextAvailability(What, Now);
+    if (OpensAt && *OpensAt <= queueDeadline(What))
       return false;
   }
   if (!HasAny || (IsTimeUp && !Best)) {
@@ -267,24 +274,24 @@
   if (!Best)
     return false;
   Target Where = Best->m_Target;
-  if (!m_Targets.tryStart(Where.run(), What.m_PromptTokens, Now))
+  if (!m_Targets.tryStartRequest(Where.run(), What.m_PromptTokens, Now))
     return false;
   m_Hooks.m_Send(What.m_Request, Where);
   return true;
 }
 
 void Dispatcher::place(const PlacementRequest &What, core::TimePoint Now) {
-  noteRank(What, Now);
+  recordPriority(What, Now);
   bool IsBehindOthers =
       std::any_of(m_Waiting.begin(), m_Waiting.end(), [&](const auto &Each) {
         return Each.second.m_Pool == What.m_Pool &&
-               goesBefore(Each.second, What, Now);
+               precedes(Each.second, What, Now);
       });
   if (!IsBehindOthers && trySend(What, Now))
     return;
   // Those ahead get what limited targets take until it would be too late.
-  auto OpensAt = opensFor(What, Now);
-  if (OpensAt && *OpensAt > waitsUntil(What))
+  auto OpensAt = nextAvailability(What, Now);
+  if (OpensAt && *OpensAt > queueDeadline(What))
     return m_Hooks.m_Refuse(What.m_Request);
   m_Waiting.emplace(What.m_Request, What);
 }
@@ -307,13 +314,13 @@
     Order.push_back(&What);
   std::sort(Order.begin(), Order.end(),
             [&](const PlacementRequest *A, const PlacementRequest *B) {
-              return goesBefore(*A, *B, Now);
+              return precedes(*A, *B, Now);
             });
   // Where one finds no place, those behind it find none either, unless their
   // time to be sent without one has come.
   std::set<core::PoolName> Full;
   for (const PlacementRequest *What : Order) {
-    if (Full.count(What->m_Pool) != 0 && Now < waitsUntil(*What))
+    if (Full.count(What->m_Pool) != 0 && Now < queueDeadline(*What))
       continue;
     if (trySend(*What, Now))
       m_Waiting.erase(core::RequestId(What->m_Request));
--- a/Libraries/LibRouting/Dispatcher.h
+++ b/Libraries/LibRouting/Dispatcher.h
@@ -24,19 +24,19 @@
   core::RequestId m_Request;
   core::PoolName m_Pool;
   std::uint32_t m_Route = 0; ///< Route::m_Hash.
-  Rank m_Rank;
-  bool m_IsModel = false;
+  Priority m_Priority;
+  bool m_IsInference = false;
   std::uint32_t m_PromptTokens = 0;
   double m_ExpectedEvents = 0; ///< Of a stream; 0: unknown, or no stream.
   core::TimePoint m_ArrivedAt{};
   /// A first byte after that is late. A stream that can't begin by then any
   /// more is refused; a short request is still served.
-  core::TimePoint m_LateAt{};
+  core::TimePoint m_FirstByteDue{};
   /// A stream without an event by then is given up by its caller.
-  core::TimePoint m_BeginsBy{};
+  core::TimePoint m_FirstEventDeadline{};
   /// The answer must be complete by then.
   core::TimePoint m_EndsAt{};
-  std::set<TargetRun> m_Tried; ///< Not again.
+  std::set<TargetIncarnation> m_TriedTargets; ///< Not again.
 };
 
 struct DispatcherHooks {
@@ -58,7 +58,7 @@
 public:
   Dispatcher(TargetDirectory &Targets, core::DataHallName Home,
              PlacementPolicy Policy, DispatcherHooks Hooks)
-      : m_Targets(Targets), m_Home(std::move(Home)), m_Policy(Policy),
+      : m_Targets(Targets), m_LocalDataHall(std::move(Home)), m_Policy(Policy),
         m_Hooks(std::move(Hooks)) {}
 
   /// Sends, queues or refuses. It waits here for a free place rather than at a
@@ -77,49 +77,50 @@
   enum class Urgency { InTime, Late, LowestInTime, LowestLate };
 
   Urgency urgencyOf(const PlacementRequest &What, core::TimePoint Now) const;
-  bool isLowest(const PlacementRequest &What) const;
+  bool isLowestPriority(const PlacementRequest &What) const;
   /// When it no longer waits for a free place: a stream is then refused, and a
   /// short request sent without one.
-  core::TimePoint waitsUntil(const PlacementRequest &What) const;
-  bool goesBefore(const PlacementRequest &A, const PlacementRequest &B,
-                  core::TimePoint Now) const;
+  core::TimePoint queueDeadline(const PlacementRequest &What) const;
+  bool precedes(const PlacementRequest &A, const PlacementRequest &B,
+                core::TimePoint Now) const;
   bool trySend(const PlacementRequest &What, core::TimePoint Now);
   /// From when targets that all take nothing now take this request, after those
   /// that go first; none: one is open, or none will be.
-  std::optional<core::TimePoint> opensFor(const PlacementRequest &What,
-                                          core::TimePoint Now) const;
+  std::optional<core::TimePoint> nextAvailability(const PlacementRequest &What,
+                                                  core::TimePoint Now) const;
   /// Targets that may be tried: those that failed just now only where there is
   /// no other.
   std::vector<KnownTarget *> candidates(const PlacementRequest &What,
                                         core::TimePoint Now) const;
   /// Targets under trial that this request is to try now; mostly none.
-  std::vector<KnownTarget *> onTrial(const VersionGate &Gate,
-                                     const PlacementRequest &What,
-                                     core::TimePoint Now) const;
+  std::vector<KnownTarget *> canaryCandidates(const VersionGate &Gate,
+                                              const PlacementRequest &What,
+                                              core::TimePoint Now) const;
   const VersionGate *gateOf(const core::PoolName &Pool) const;
-  bool hasPlace(const KnownTarget &At, const PlacementRequest &What) const;
+  bool hasFreeSlot(const KnownTarget &At, const PlacementRequest &What) const;
   KnownTarget *choose(const PlacementRequest &What, bool MustSend,
                       core::TimePoint Now, bool &HasAny);
   double cost(const KnownTarget &At, const PlacementRequest &What,
               core::TimePoint Now) const;
   /// Expected time that the target takes to read a prompt, alone.
-  static double readTimeMs(const KnownTarget &At, std::uint32_t Tokens);
+  static double prefillTimeMs(const KnownTarget &At, std::uint32_t Tokens);
   /// Places that such a request may take: fewer at a slow target, where its
   /// prompt is long.
-  static std::size_t placesFor(const KnownTarget &At,
-                               const PlacementRequest &What);
+  static std::size_t slotsFor(const KnownTarget &At,
+                              const PlacementRequest &What);
   /// Whether the lowest rank may take one more place.
-  bool leavesKeptPlaces(const PlacementRequest &What,
-                        core::TimePoint Now) const;
-  void noteRank(const PlacementRequest &What, core::TimePoint Now);
+  bool leavesReservedSlots(const PlacementRequest &What,
+                           core::TimePoint Now) const;
+  void recordPriority(const PlacementRequest &What, core::TimePoint Now);
 
   TargetDirectory &m_Targets;
-  core::DataHallName m_Home;
+  core::DataHallName m_LocalDataHall;
   PlacementPolicy m_Policy;
   DispatcherHooks m_Hooks;
   std::unordered_map<core::RequestId, PlacementRequest> m_Waiting;
   /// Ranks of each pool's requests, and when one was last seen.
-  std::map<core::PoolName, std::map<Rank, core::TimePoint>> m_Ranks;
+  std::map<core::PoolName, std::map<Priority, core::TimePoint>>
+      m_PriorityLastSeen;
 };
 
 } // namespace yardrill::routing
--- a/Libraries/LibRouting/QuotaBook.h
+++ b/Libraries/LibRouting/DistributedQuota.h
@@ -1,4 +1,5 @@
-//===-- QuotaBook.h - Whether a request is within its account's quota -----===//
+//===-- DistributedQuota.h - Whether a request is within its account's quota
+//-----===//
 //
 // Pure: it says whom to ask, and is told what they answered. An instance that
 // reaches no owner of an account must assume that the owners grant the whole
@@ -7,8 +8,8 @@
 // gets in by chance, so that the part is kept in the mean.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBROUTING_QUOTABOOK_H
-#define YARDRILL_LIBROUTING_QUOTABOOK_H
+#ifndef YARDRILL_LIBROUTING_DISTRIBUTEDQUOTA_H
+#define YARDRILL_LIBROUTING_DISTRIBUTEDQUOTA_H
 
 #include "LibRouting/QuotaOwner.h"
 
@@ -33,13 +34,13 @@
 std::string toString(QuotaSource Source);
 
 /// One request on its way to the tokens it needs.
-struct QuotaDraw {
+struct QuotaAcquisition {
   AccountHash m_Account = 0;
   std::uint32_t m_Tokens = 0;
   /// Who granted them; not set: nobody had to.
   std::optional<config::Endpoint> m_Owner;
   /// Owners that may still be asked, the next one last.
-  std::vector<config::Endpoint> m_Left;
+  std::vector<config::Endpoint> m_RemainingOwners;
   QuotaSource m_Source = QuotaSource::None;
   /// The shortest of the refusals.
   std::optional<core::Duration> m_RetryAfter;
@@ -48,8 +49,8 @@
 /// What is to be done next.
 enum class QuotaStep {
   Granted,
-  Refused, ///< QuotaDraw::m_RetryAfter says when to come back.
-  Ask,     ///< The last of QuotaDraw::m_Left.
+  Refused, ///< QuotaAcquisition::m_RetryAfter says when to come back.
+  Ask,     ///< The last of QuotaAcquisition::m_RemainingOwners.
 };
 
 /// Tokens to be given back to an owner.
@@ -59,86 +60,89 @@
   std::uint32_t m_Tokens = 0;
 };
 
-class QuotaBook {
+class DistributedQuota {
 public:
   /// How long an owner's answer is waited for: twenty times the way between two
   /// data halls, a third of what an instance of an eighth of a core stalls for
   /// at its worst.
-  static constexpr std::chrono::milliseconds Patience{60};
+  static constexpr std::chrono::milliseconds ResponseTimeout{60};
 
   /// \param IsFull whether no quota was used yet; see QuotaOwner.
-  QuotaBook(config::Endpoint Self, const QuotaTolerance &Tolerance, bool IsFull,
-            std::uint64_t Seed)
-      : m_Self(std::move(Self)), m_Own(m_Self, IsFull), m_Tolerance(Tolerance),
-        m_Random(Seed) {}
+  DistributedQuota(config::Endpoint Self, const QuotaTolerance &Tolerance,
+                   bool IsFull, std::uint64_t Seed)
+      : m_Self(std::move(Self)), m_LocalOwner(m_Self, IsFull),
+        m_Tolerance(Tolerance), m_Random(Seed) {}
 
   void setAccounts(std::vector<Account> Accounts, core::TimePoint Now);
-  void setRing(OwnerRing Ring, core::TimePoint Now);
+  void setRing(ConsistentHashRing HashRing, core::TimePoint Now);
   /// See QuotaOwner.
   void setListConfirmed(bool IsConfirmed) {
-    m_Own.setListConfirmed(IsConfirmed);
+    m_LocalOwner.setListConfirmed(IsConfirmed);
   }
 
-  QuotaStep begin(QuotaDraw &Draw, core::TimePoint Now);
+  QuotaStep begin(QuotaAcquisition &Draw, core::TimePoint Now);
   /// The owner that was to be asked has answered.
-  QuotaStep answered(QuotaDraw &Draw, const QuotaAnswer &Answer,
-                     core::TimePoint Now);
+  QuotaStep handleResponse(QuotaAcquisition &Draw, const QuotaResponse &Answer,
+                           core::TimePoint Now);
   /// It has not, within Patience.
-  QuotaStep unanswered(QuotaDraw &Draw, core::TimePoint Now);
+  QuotaStep handleTimeout(QuotaAcquisition &Draw, core::TimePoint Now);
   /// Keeps what an owner granted too late, to be used or given back.
-  void keep(const config::Endpoint &Owner, AccountHash Account,
-            std::uint32_t Tokens, core::TimePoint Now);
+  void cacheGrant(const config::Endpoint &Owner, AccountHash Account,
+                  std::uint32_t Tokens, core::TimePoint Now);
   /// Gives back the tokens of a request that did not run.
-  void giveBack(const QuotaDraw &Draw, core::TimePoint Now);
+  void giveBack(const QuotaAcquisition &Draw, core::TimePoint Now);
   /// \returns what was kept for long without use, to be sent to its owners.
-  std::vector<QuotaReturn> takeUnused(core::TimePoint Now);
+  std::vector<QuotaReturn> takeUnusedGrants(core::TimePoint Now);
 
   /// See QuotaOwner.
-  std::vector<QuotaCharge> takeCharges() { return m_Own.takeCharges(); }
+  std::vector<QuotaCharge> takeCharges() { return m_LocalOwner.takeCharges(); }
   bool charge(AccountHash Account, std::uint32_t Tokens, core::TimePoint Now) {
-    return m_Own.charge(Account, Tokens, Now);
+    return m_LocalOwner.charge(Account, Tokens, Now);
   }
-  void relieve(AccountHash Account, std::uint32_t Tokens, core::TimePoint Now) {
-    m_Own.relieve(Account, Tokens, Now);
+  void settleCharge(AccountHash Account, std::uint32_t Tokens,
+                    core::TimePoint Now) {
+    m_LocalOwner.settleCharge(Account, Tokens, Now);
   }
 
   /// Answers another instance.
-  QuotaAnswer answer(const QuotaAsk &Ask, core::TimePoint Now) {
-    return m_Own.answer(Ask, Now);
+  QuotaResponse handleRequest(const QuotaRequest &Ask, core::TimePoint Now) {
+    return m_LocalOwner.handleRequest(Ask, Now);
   }
 
 private:
   /// Tokens granted and not used yet.
-  struct Kept {
+  struct CachedGrant {
     config::Endpoint m_Owner;
     std::uint32_t m_Tokens = 0;
     core::TimePoint m_Since{}; ///< The oldest of them.
   };
-  struct Limited {
-    std::vector<Kept> m_Kept;
+  struct AccountState {
+    std::vector<CachedGrant> m_CachedGrants;
     /// For when no owner is reached; see the top of the file.
-    TokenQuota m_Alone;
+    TokenBucket m_IsolatedBucket;
     /// Owners that refused lately, until they may have tokens again.
-    std::map<config::Endpoint, core::TimePoint> m_EmptyUntil;
+    std::map<config::Endpoint, core::TimePoint> m_ExhaustedUntil;
   };
 
   void configure(core::TimePoint Now);
   /// Of what this instance lets in without an owner.
-  QuotaLimits aloneLimits(const QuotaLimits &Limits) const;
-  bool takeKept(Limited &Of, QuotaDraw &Draw);
-  QuotaStep next(QuotaDraw &Draw, core::TimePoint Now);
-  QuotaStep drawAlone(Limited &Of, QuotaDraw &Draw, core::TimePoint Now);
-  void noteRefusal(Limited &Of, const config::Endpoint &Owner, QuotaDraw &Draw,
-                   core::Duration RetryAfter, core::TimePoint Now);
+  QuotaLimits isolatedLimits(const QuotaLimits &Limits) const;
+  bool takeCachedGrant(AccountState &Of, QuotaAcquisition &Draw);
+  QuotaStep next(QuotaAcquisition &Draw, core::TimePoint Now);
+  QuotaStep acquireIsolated(AccountState &Of, QuotaAcquisition &Draw,
+                            core::TimePoint Now);
+  void recordRefusal(AccountState &Of, const config::Endpoint &Owner,
+                     QuotaAcquisition &Draw, core::Duration RetryAfter,
+                     core::TimePoint Now);
 
   config::Endpoint m_Self;
-  QuotaOwner m_Own;
+  QuotaOwner m_LocalOwner;
   QuotaTolerance m_Tolerance;
   std::vector<Account> m_Accounts;
-  OwnerRing m_Ring;
-  std::unordered_map<AccountHash, Limited> m_Limited;
+  ConsistentHashRing m_Ring;
+  std::unordered_map<AccountHash, AccountState> m_AccountStates;
   /// Owners that did not answer, until they are asked again.
-  std::map<config::Endpoint, core::TimePoint> m_SilentUntil;
+  std::map<config::Endpoint, core::TimePoint> m_UnresponsiveUntil;
   std::mt19937_64 m_Random;
 };
 
--- a/Libraries/LibRouting/BeginEstimate.cpp
+++ b/Libraries/LibRouting/FirstEventEstimate.cpp
@@ -1,4 +1,4 @@
-#include "LibRouting/BeginEstimate.h"
+#include "LibRouting/FirstEventEstimate.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,7 +15,7 @@
 static constexpr std::chrono::milliseconds Floor{150};
 static constexpr std::chrono::milliseconds Ceiling{800};
 
-void BeginEstimate::add(core::Duration Time) {
+void FirstEventEstimate::add(core::Duration Time) {
   double Ms = core::toSeconds(Time) * 1000;
   if (m_IsEmpty) {
     m_MeanMs = Ms;
@@ -27,7 +27,7 @@
   m_MeanMs += MeanWeight * (Ms - m_MeanMs);
 }
 
-core::Duration BeginEstimate::upperBound() const {
+core::Duration FirstEventEstimate::upperBound() const {
   core::Duration Bound =
       core::fromSeconds((m_MeanMs + DeviationFactor * m_DeviationMs) / 1000);
   return std::clamp<core::Duration>(Bound, Floor, Ceiling);
--- a/Libraries/LibRouting/BeginEstimate.h
+++ b/Libraries/LibRouting/FirstEventEstimate.h
@@ -1,6 +1,7 @@
-//===-- BeginEstimate.h - How long streams take to begin ------------------===//
-#ifndef YARDRILL_LIBROUTING_BEGINESTIMATE_H
-#define YARDRILL_LIBROUTING_BEGINESTIMATE_H
+//===-- FirstEventEstimate.h - How long streams take to begin
+//------------------===//
+#ifndef YARDRILL_LIBROUTING_FIRSTEVENTESTIMATE_H
+#define YARDRILL_LIBROUTING_FIRSTEVENTESTIMATE_H
 
 #include "LibCore/Time.h"
 
@@ -8,7 +9,7 @@
 
 /// Learns the time from a stream's dispatch to its first event, as a mean and
 /// a mean deviation, by the method of RFC 6298.
-class BeginEstimate {
+class FirstEventEstimate {
 public:
   void add(core::Duration Time);
   /// Nearly all begin within that time; never below a floor, nor above a
--- a/Libraries/LibRouting/FleetShare.cpp
+++ b/Libraries/LibRouting/FleetSubset.cpp
@@ -1,4 +1,4 @@
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
 
 #include "LibCore/Digest.h"
 
@@ -10,9 +10,10 @@
 
 /// Each member hears from all others, so what a group costs grows with the
 /// square of this.
-static constexpr std::size_t MostMembersOfAll = 24;
+static constexpr std::size_t MaxGroupSize = 24;
 
-std::vector<std::size_t> mixedOrder(const std::vector<PlacedMember> &Members) {
+std::vector<std::size_t>
+interleavedOrder(const std::vector<DataHallMember> &Members) {
   std::map<core::DataHallName, std::vector<std::size_t>> ByHall;
   for (std::size_t I = 0; I < Members.size(); ++I)
     ByHall[Members[I].m_DataHall].push_back(I);
@@ -37,79 +38,82 @@
   return Out;
 }
 
-std::size_t FleetShare::membersFor(std::size_t Instances, std::size_t Targets) {
+std::size_t FleetSubset::groupSizeFor(std::size_t Instances,
+                                      std::size_t Targets) {
   // A power of two: all instances must find the same number, also while some
   // know of a target more or less, and while targets are replaced.
   std::size_t Rounded = 1;
   while (Rounded * 2 <= Targets)
     Rounded *= 2;
-  std::size_t Groups = std::max<std::size_t>(1, Rounded / LeastTargets);
+  std::size_t Groups = std::max<std::size_t>(1, Rounded / MinPartitionTargets);
   std::size_t Members = (Instances + Groups - 1) / Groups;
-  return std::clamp(Members, DefaultMostMembers, MostMembersOfAll);
+  return std::clamp(Members, DefaultGroupSize, MaxGroupSize);
 }
 
-FleetShare::FleetShare(const config::Endpoint &Self, const Fleet &All,
-                       std::size_t MostMembers)
+FleetSubset::FleetSubset(const config::Endpoint &Self, const Fleet &All,
+                         std::size_t GroupSize)
     : m_Self(Self), m_Size(All.size()),
-      m_Groups((All.size() + MostMembers - 1) / MostMembers) {
+      m_GroupCount((All.size() + GroupSize - 1) / GroupSize) {
   std::vector<config::Endpoint> Addresses;
-  std::vector<PlacedMember> Members;
+  std::vector<DataHallMember> Members;
   for (const auto &[Address, Hall] : All) {
     Addresses.push_back(Address);
     Members.push_back({Hall, core::stableHash(Address.toString())});
   }
-  std::vector<std::size_t> Order = mixedOrder(Members);
+  std::vector<std::size_t> Order = interleavedOrder(Members);
   for (std::size_t Index : Order)
     m_Order.push_back(Addresses[Index]);
   for (std::size_t Rank = 0; Rank < m_Order.size(); ++Rank)
     if (m_Order[Rank] == Self)
       m_Rank = Rank;
-  m_Group = groupOf(m_Rank);
+  m_Group = groupOfRank(m_Rank);
   for (std::size_t Rank = 0; Rank < m_Order.size(); ++Rank)
-    if (groupOf(Rank) == m_Group && !(m_Order[Rank] == Self))
-      m_Near.insert(m_Order[Rank]);
+    if (groupOfRank(Rank) == m_Group && !(m_Order[Rank] == Self))
+      m_GroupMembers.insert(m_Order[Rank]);
 }
 
-std::size_t FleetShare::partsOf(std::size_t Count) const {
-  return std::clamp<std::size_t>(Count / LeastTargets, 1, m_Groups);
+std::size_t FleetSubset::partitionCount(std::size_t Count) const {
+  return std::clamp<std::size_t>(Count / MinPartitionTargets, 1, m_GroupCount);
 }
 
-bool FleetShare::isOwn(std::size_t Rank, std::size_t Count) const {
-  std::size_t Parts = partsOf(Count);
-  return Rank * Parts / Count == m_Group * Parts / m_Groups;
+bool FleetSubset::isInSubset(std::size_t Rank, std::size_t Count) const {
+  std::size_t Parts = partitionCount(Count);
+  return Rank * Parts / Count == m_Group * Parts / m_GroupCount;
 }
 
-FleetShare::Ranks FleetShare::ownRanks(std::size_t Count) const {
-  std::size_t Parts = partsOf(Count);
-  std::size_t Part = m_Group * Parts / m_Groups;
+FleetSubset::RankRange FleetSubset::subsetRanks(std::size_t Count) const {
+  std::size_t Parts = partitionCount(Count);
+  std::size_t Part = m_Group * Parts / m_GroupCount;
   auto FirstOf = [&](std::size_t Which) {
     return (Which * Count + Parts - 1) / Parts;
   };
   return {FirstOf(Part), FirstOf(Part + 1)};
 }
 
-std::vector<config::Endpoint> FleetShare::sharersOf(std::size_t Count) const {
-  std::size_t Parts = partsOf(Count);
-  std::size_t Part = m_Group * Parts / m_Groups;
+std::vector<config::Endpoint>
+FleetSubset::subsetInstances(std::size_t Count) const {
+  std::size_t Parts = partitionCount(Count);
+  std::size_t Part = m_Group * Parts / m_GroupCount;
   std::vector<config::Endpoint> Out;
   for (std::size_t Rank = 0; Rank < m_Order.size(); ++Rank)
-    if (groupOf(Rank) * Parts / m_Groups == Part)
+    if (groupOfRank(Rank) * Parts / m_GroupCount == Part)
       Out.push_back(m_Order[Rank]);
   return Out;
 }
 
-std::size_t FleetShare::orderFor(std::uint64_t Key, std::size_t Count) const {
+std::size_t FleetSubset::rendezvousRank(std::uint64_t Key,
+                                        std::size_t Count) const {
   auto WeightOf = [Key](const config::Endpoint &Of) {
     return core::stableHash(std::to_string(Key) + "@" + Of.toString());
   };
   std::uint64_t Own = WeightOf(m_Self);
-  std::vector<config::Endpoint> Sharers = sharersOf(Count);
+  std::vector<config::Endpoint> Sharers = subsetInstances(Count);
   return static_cast<std::size_t>(std::count_if(
       Sharers.begin(), Sharers.end(),
       [&](const config::Endpoint &Each) { return WeightOf(Each) > Own; }));
 }
 
-std::size_t FleetShare::firstOf(std::size_t Count) const {
+std::size_t FleetSubset::firstIndex(std::size_t Count) const {
   // Multiples of the golden ratio lie evenly, whichever neighbours are taken
   // (Weyl's sequence).
   static constexpr double GoldenRatio = 0.6180339887498949;
--- a/Libraries/LibRouting/PoolOrder.cpp
+++ b/Libraries/LibRouting/InterleavedTargets.cpp
@@ -1,28 +1,28 @@
-#include "LibRouting/PoolOrder.h"
+#include "LibRouting/InterleavedTargets.h"
 
 #include <algorithm>
 #include <cassert>
 
 namespace yardrill::routing {
 
-void PoolOrder::insert(KnownTarget &What) {
+void InterleavedTargets::insert(KnownTarget &What) {
   Hall &Into = m_Halls[What.m_Target.m_DataHall];
   auto Place = std::lower_bound(Into.begin(), Into.end(), &What,
                                 [this](const auto *A, const auto *B) {
-                                  ++m_Visited;
+                                  ++m_VisitCount;
                                   return KnownTarget::ByHash()(A, B);
                                 });
   Into.insert(Place, &What);
   ++m_Size;
 }
 
-void PoolOrder::erase(const KnownTarget &What) {
+void InterleavedTargets::erase(const KnownTarget &What) {
   auto From = m_Halls.find(What.m_Target.m_DataHall);
   assert(From != m_Halls.end());
   Hall &Members = From->second;
   auto Place = std::lower_bound(Members.begin(), Members.end(), &What,
                                 [this](const auto *A, const auto *B) {
-                                  ++m_Visited;
+                                  ++m_VisitCount;
                                   return KnownTarget::ByHash()(A, B);
                                 });
   assert(Place != Members.end() && *Place == &What);
@@ -32,8 +32,8 @@
   --m_Size;
 }
 
-std::size_t PoolOrder::before(const Hall &Other, const Hall &Of,
-                              std::size_t Index) const {
+std::size_t InterleavedTargets::countBefore(const Hall &Other, const Hall &Of,
+                                            std::size_t Index) const {
   // Index I of N members lies at (I + 1/2) / N. Compared as whole numbers: no
   // two instances may disagree by a rounding.
   std::size_t Place = (2 * Index + 1) * Other.size();
@@ -43,24 +43,26 @@
   bool IsLevel = Below < Other.size() && (2 * Below + 1) * Of.size() == Place;
   if (!IsLevel)
     return Below;
-  ++m_Visited;
+  ++m_VisitCount;
   return Below + (KnownTarget::ByHash()(Other[Below], Of[Index]) ? 1 : 0);
 }
 
-std::size_t PoolOrder::rankOf(const Hall &Of, std::size_t Index) const {
+std::size_t InterleavedTargets::rankOf(const Hall &Of,
+                                       std::size_t Index) const {
   std::size_t Out = Index;
   for (const auto &[Name, Other] : m_Halls)
     if (&Other != &Of)
-      Out += before(Other, Of, Index);
+      Out += countBefore(Other, Of, Index);
   return Out;
 }
 
-std::size_t PoolOrder::firstFrom(const Hall &Of, std::size_t Rank) const {
+std::size_t InterleavedTargets::firstIndexFrom(const Hall &Of,
+                                               std::size_t Rank) const {
   std::size_t Low = 0;
   std::size_t High = Of.size();
   while (Low < High) {
     std::size_t Middle = Low + (High - Low) / 2;
-    ++m_Visited;
+    ++m_VisitCount;
     if (rankOf(Of, Middle) < Rank)
       Low = Middle + 1;
     else
@@ -69,13 +71,13 @@
   return Low;
 }
 
-std::vector<KnownTarget *> PoolOrder::between(std::size_t First,
-                                              std::size_t Last) const {
+std::vector<KnownTarget *> InterleavedTargets::slice(std::size_t First,
+                                                     std::size_t Last) const {
   std::vector<KnownTarget *> Out(Last - First);
   for (const auto &[Name, Of] : m_Halls) {
-    std::size_t End = firstFrom(Of, Last);
-    for (std::size_t I = firstFrom(Of, First); I < End; ++I) {
-      ++m_Visited;
+    std::size_t End = firstIndexFrom(Of, Last);
+    for (std::size_t I = firstIndexFrom(Of, First); I < End; ++I) {
+      ++m_VisitCount;
       Out[rankOf(Of, I) - First] = Of[I];
     }
   }
--- a/Libraries/LibRouting/KnownTarget.cpp
+++ b/Libraries/LibRouting/KnownTarget.cpp
@@ -9,11 +9,12 @@
 static constexpr unsigned FailuresBeforeProbation = 2;
 
 bool KnownTarget::isOnProbation() const {
-  return m_FailuresInARow >= FailuresBeforeProbation;
+  return m_ConsecutiveFailures >= FailuresBeforeProbation;
 }
 
-void TargetLoad::forgetPrompt(std::uint32_t Tokens) {
-  m_PendingPrompt -= std::min<std::uint64_t>(m_PendingPrompt, Tokens);
+void TargetLoad::subtractPromptTokens(std::uint32_t Tokens) {
+  m_PendingPromptTokens -=
+      std::min<std::uint64_t>(m_PendingPromptTokens, Tokens);
 }
 
 } // namespace yardrill::routing
--- a/Libraries/LibRouting/KnownTarget.h
+++ b/Libraries/LibRouting/KnownTarget.h
@@ -14,29 +14,32 @@
 
 /// Work under way at a target, as one instance or all others count it.
 struct TargetLoad {
-  std::size_t m_Running = 0;         ///< Requests sent and not answered.
-  std::uint64_t m_PendingPrompt = 0; ///< Prompt tokens without a first event.
+  std::size_t m_Running = 0; ///< Requests sent and not answered.
+  std::uint64_t m_PendingPromptTokens =
+      0; ///< Prompt tokens without a first event.
 
-  void forgetPrompt(std::uint32_t Tokens);
+  void subtractPromptTokens(std::uint32_t Tokens);
 };
 
 /// One target as this instance knows it.
 struct KnownTarget {
   Target m_Target;
-  std::uint32_t m_Hash = 0; ///< TargetRun::hash().
-  TargetLoad m_Own;
-  TargetLoad m_Others;
-  double m_PaceMs = 0;       ///< Learned: time of one event or short answer.
-  double m_Slowness = 1;     ///< Against the faster targets of its pool.
-  double m_FailureShare = 0; ///< Learned: share of failures, decaying.
-  unsigned m_FailuresInARow = 0;
-  core::TimePoint m_RestsUntil{};
+  std::uint32_t m_Hash = 0; ///< TargetIncarnation::hash().
+  TargetLoad m_LocalLoad;
+  TargetLoad m_RemoteLoad;
+  double m_ServiceTimeMs = 0; ///< Learned: time of one event or short answer.
+  double m_Slowness = 1;      ///< Against the faster targets of its pool.
+  double m_FailureRate = 0;   ///< Learned: share of failures, decaying.
+  unsigned m_ConsecutiveFailures = 0;
+  core::TimePoint m_CooldownUntil{};
   /// Another run of a target answers at its address; it never comes back.
   bool m_IsReplaced = false;
   /// Since when its announcement is missing.
-  std::optional<core::TimePoint> m_LapsedAt;
+  std::optional<core::TimePoint> m_ExpiredAt;
 
-  std::size_t running() const { return m_Own.m_Running + m_Others.m_Running; }
+  std::size_t running() const {
+    return m_LocalLoad.m_Running + m_RemoteLoad.m_Running;
+  }
   /// Whether it may get new work at some time.
   bool isOpen() const { return !m_Target.m_IsLeaving && !m_IsReplaced; }
   /// Whether it failed too lately to be trusted with more than one request.
--- a/Libraries/LibRouting/QuotaOwner.cpp
+++ b/Libraries/LibRouting/QuotaOwner.cpp
@@ -14,16 +14,16 @@
 /// Smaller parts of a debt, in tokens, are not worth the messages: a third of
 /// the median request. Larger ones are shared, since debts of the largest
 /// requests that each owner kept for itself would exceed the tolerance.
-static constexpr std::uint32_t LeastCharge = 1000;
+static constexpr std::uint32_t MinCharge = 1000;
 /// Part of the burst that may be granted in advance within AdvanceTime, the
 /// time after which the instances give back what they did not use.
 static constexpr double AdvanceShare = 0.125;
 static constexpr double AdvancesPerSecond = 1;
 /// Part of what may be granted in advance that one ask gets: several instances
 /// have callers of the same account.
-static constexpr double AdvanceOfOneAsk = 0.25;
+static constexpr double AdvanceOfOneRequest = 0.25;
 /// Nothing is granted in advance below this part of the burst.
-static constexpr double PlentyShare = 0.5;
+static constexpr double AdvanceThresholdShare = 0.5;
 
 AccountHash hashOf(const core::AccountName &Account) {
   return static_cast<AccountHash>(core::stableHash(Account.value()));
@@ -35,14 +35,14 @@
   return Bound * m_Share + m_Tokens;
 }
 
-double QuotaOwner::startLevel(const QuotaLimits &Limits, double Part) const {
+double QuotaOwner::initialLevel(const QuotaLimits &Limits, double Part) const {
   // One that others kept until now: they may have granted all of it, and go on
   // until they hear of the new list.
-  if (m_HasStarted)
+  if (m_WasConfigured)
     return -core::toSeconds(HandoverTime) * Limits.m_TokensPerSecond * Part;
   // After a restart: what was granted before is not known. Two restarts of all
   // owners within a window leave no room for a credit.
-  return m_IsFull ? Limits.m_Burst * Part : 0;
+  return m_IsFullAtStart ? Limits.m_Burst * Part : 0;
 }
 
 static QuotaLimits advanceLimits(const QuotaLimits &Limits) {
@@ -51,11 +51,12 @@
 }
 
 void QuotaOwner::configure(const std::vector<Account> &Accounts,
-                           const OwnerRing &Ring, core::TimePoint Now) {
+                           const ConsistentHashRing &HashRing,
+                           core::TimePoint Now) {
   std::unordered_map<AccountHash, Bucket> Next;
   for (const Account &Each : Accounts) {
     AccountHash Hash = hashOf(Each.m_Name);
-    std::vector<config::Endpoint> Owners = Ring.ownersOf(Hash);
+    std::vector<config::Endpoint> Owners = HashRing.ownersOf(Hash);
     bool IsOwn =
         std::find(Owners.begin(), Owners.end(), m_Self) != Owners.end();
     if (!IsOwn || Each.m_TokensPerSecond <= 0)
@@ -65,8 +66,8 @@
     QuotaLimits Limits = All.part(Part);
     auto Known = m_Buckets.find(Hash);
     if (Known == m_Buckets.end()) {
-      TokenQuota Tokens(Limits, startLevel(All, Part), Now);
-      TokenQuota Advance(advanceLimits(Limits), 0, Now);
+      TokenBucket Tokens(Limits, initialLevel(All, Part), Now);
+      TokenBucket Advance(advanceLimits(Limits), 0, Now);
       Known = Next.emplace(Hash, Bucket{Tokens, Advance, {}}).first;
     } else {
       Known->second.m_Tokens.setLimits(Limits, Now);
@@ -77,15 +78,17 @@
     Known->second.m_Others = std::move(Owners);
   }
   m_Buckets = std::move(Next);
-  m_HasStarted = m_HasStarted || (!Accounts.empty() && Ring.size() > 0);
+  m_WasConfigured =
+      m_WasConfigured || (!Accounts.empty() && HashRing.size() > 0);
 }
 
-QuotaAnswer QuotaOwner::answer(const QuotaAsk &Ask, core::TimePoint Now) {
-  QuotaAnswer Out;
+QuotaResponse QuotaOwner::handleRequest(const QuotaRequest &Ask,
+                                        core::TimePoint Now) {
+  QuotaResponse Out;
   auto Found = m_Buckets.find(Ask.m_Account);
   if (Found == m_Buckets.end() || !m_IsListConfirmed)
     return Out;
-  TokenQuota &Tokens = Found->second.m_Tokens;
+  TokenBucket &Tokens = Found->second.m_Tokens;
   Tokens.giveBack(Ask.m_Returned, Now);
   Out.m_Verdict = QuotaVerdict::Granted;
   if (Ask.m_Tokens == 0)
@@ -97,10 +100,10 @@
   }
   shareDebt(Ask.m_Account, Found->second, Now);
   Out.m_Tokens = Ask.m_Tokens;
-  if (Tokens.level(Now) < Tokens.limits().m_Burst * PlentyShare)
+  if (Tokens.level(Now) < Tokens.limits().m_Burst * AdvanceThresholdShare)
     return Out;
-  TokenQuota &Advance = Found->second.m_Advance;
-  double More = std::floor(Advance.level(Now) * AdvanceOfOneAsk);
+  TokenBucket &Advance = Found->second.m_Advance;
+  double More = std::floor(Advance.level(Now) * AdvanceOfOneRequest);
   if (More >= 1 && Advance.tryTake(More, Now) && Tokens.tryTake(More, Now))
     Out.m_Tokens += static_cast<std::uint32_t>(More);
   return Out;
@@ -111,7 +114,7 @@
   double Debt = -Of.m_Tokens.level(Now);
   double All = static_cast<double>(1 + Of.m_Others.size());
   auto Part = static_cast<std::uint32_t>(std::max(0.0, Debt) / All);
-  if (Part < LeastCharge)
+  if (Part < MinCharge)
     return;
   for (const config::Endpoint &Each : Of.m_Others)
     m_Charges.push_back({Each, Account, Part});
@@ -126,8 +129,8 @@
   return true;
 }
 
-void QuotaOwner::relieve(AccountHash Account, std::uint32_t Tokens,
-                         core::TimePoint Now) {
+void QuotaOwner::settleCharge(AccountHash Account, std::uint32_t Tokens,
+                              core::TimePoint Now) {
   auto Found = m_Buckets.find(Account);
   if (Found != m_Buckets.end())
     Found->second.m_Tokens.giveBack(Tokens, Now);
--- a/Libraries/LibRouting/QuotaOwner.h
+++ b/Libraries/LibRouting/QuotaOwner.h
@@ -13,15 +13,15 @@
 //   + burst / 8                       tokens granted in advance
 //   + for each start of an owner, its part of the debt
 // and nothing depends on who else lives, is cut off, or is known to whom. What
-// instances do that reach no owner is bounded by QuotaBook.
+// instances do that reach no owner is bounded by DistributedQuota.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_QUOTAOWNER_H
 #define YARDRILL_LIBROUTING_QUOTAOWNER_H
 
-#include "LibRouting/OwnerRing.h"
+#include "LibRouting/ConsistentHashRing.h"
 #include "LibRouting/RoutingTable.h"
-#include "LibRouting/TokenQuota.h"
+#include "LibRouting/TokenBucket.h"
 
 #include <cstdint>
 #include <unordered_map>
@@ -46,7 +46,7 @@
   double tokens(const QuotaLimits &Limits) const;
 };
 
-struct QuotaAsk {
+struct QuotaRequest {
   AccountHash m_Account = 0;
   std::uint32_t m_Tokens = 0;   ///< 0: none, it only gives back.
   std::uint32_t m_Returned = 0; ///< Granted earlier and not used.
@@ -65,7 +65,7 @@
   NotOwner, ///< Or it has no configuration yet.
 };
 
-struct QuotaAnswer {
+struct QuotaResponse {
   QuotaVerdict m_Verdict = QuotaVerdict::NotOwner;
   /// Granted; where there is plenty, more than was asked for.
   std::uint32_t m_Tokens = 0;
@@ -76,15 +76,15 @@
 public:
   /// \param IsFull whether buckets start full, since nothing was drawn yet.
   QuotaOwner(const config::Endpoint &Self, bool IsFull)
-      : m_Self(Self), m_IsFull(IsFull) {}
+      : m_Self(Self), m_IsFullAtStart(IsFull) {}
 
   /// Takes over what is new, forgets what is no longer this instance's.
-  void configure(const std::vector<Account> &Accounts, const OwnerRing &Ring,
-                 core::TimePoint Now);
+  void configure(const std::vector<Account> &Accounts,
+                 const ConsistentHashRing &HashRing, core::TimePoint Now);
   /// Whether this instance would hear of a change of the list of owners. While
   /// it would not, it owns nothing: another may own the same by a newer list.
   void setListConfirmed(bool IsConfirmed) { m_IsListConfirmed = IsConfirmed; }
-  QuotaAnswer answer(const QuotaAsk &Ask, core::TimePoint Now);
+  QuotaResponse handleRequest(const QuotaRequest &Ask, core::TimePoint Now);
 
   /// \returns parts of debts made since the last call, to be sent to the other
   /// owners. Until one has taken its part, it counts here.
@@ -94,23 +94,24 @@
   /// Takes over a part of another owner's debt. \returns whether it did.
   bool charge(AccountHash Account, std::uint32_t Tokens, core::TimePoint Now);
   /// Another owner has taken over \p Tokens.
-  void relieve(AccountHash Account, std::uint32_t Tokens, core::TimePoint Now);
+  void settleCharge(AccountHash Account, std::uint32_t Tokens,
+                    core::TimePoint Now);
 
 private:
   struct Bucket {
-    TokenQuota m_Tokens;
-    TokenQuota m_Advance; ///< What may still be granted in advance.
+    TokenBucket m_Tokens;
+    TokenBucket m_Advance; ///< What may still be granted in advance.
     std::vector<config::Endpoint> m_Others; ///< Owners.
   };
 
   void shareDebt(AccountHash Account, Bucket &Of, core::TimePoint Now);
   /// Of a bucket that was not here before.
-  double startLevel(const QuotaLimits &Limits, double Part) const;
+  double initialLevel(const QuotaLimits &Limits, double Part) const;
 
   config::Endpoint m_Self;
-  bool m_IsFull;
+  bool m_IsFullAtStart;
   bool m_IsListConfirmed = true;
-  bool m_HasStarted = false; ///< It was configured with others on the ring.
+  bool m_WasConfigured = false; ///< It was configured with others on the ring.
   std::unordered_map<AccountHash, Bucket> m_Buckets;
   std::vector<QuotaCharge> m_Charges;
 };
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -11,13 +11,13 @@
     Times.pop_front();
 }
 
-void RetryBudget::forgetOld(core::TimePoint Now) {
+void RetryBudget::dropExpired(core::TimePoint Now) {
   dropBefore(m_Requests, Now - m_Limits.m_Window);
   dropBefore(m_Retries, Now - m_Limits.m_Window);
 }
 
-void RetryBudget::noteRequest(core::TimePoint Now) {
-  forgetOld(Now);
+void RetryBudget::recordRequest(core::TimePoint Now) {
+  dropExpired(Now);
   m_Requests.push_back(Now);
 }
 
@@ -35,7 +35,7 @@
 
 bool RetryBudget::tryTake(core::TimePoint Now, std::size_t Instances) {
   assert(Instances > 0);
-  forgetOld(Now);
+  dropExpired(Now);
   double Allowed = m_Limits.m_Ratio * static_cast<double>(m_Requests.size()) +
                    ownAllowance(Now, Instances);
   if (static_cast<double>(m_Retries.size()) + 1 > Allowed)
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -25,7 +25,7 @@
   explicit RetryBudget(const RetryLimits &Limits, core::TimePoint Since = {})
       : m_Limits(Limits), m_Since(Since) {}
 
-  void noteRequest(core::TimePoint Now);
+  void recordRequest(core::TimePoint Now);
   /// What was counted so far stays counted.
   void setLimits(const RetryLimits &Limits) { m_Limits = Limits; }
   /// \param Instances that may be spending the allowance, this one included;
@@ -34,7 +34,7 @@
   bool tryTake(core::TimePoint Now, std::size_t Instances);
 
 private:
-  void forgetOld(core::TimePoint Now);
+  void dropExpired(core::TimePoint Now);
 
   /// The part of the allowance that this instance may spend now.
   double ownAllowance(core::TimePoint Now, std::size_t Instances) const;
--- a/Libraries/LibRouting/RoutingTable.h
+++ b/Libraries/LibRouting/RoutingTable.h
@@ -15,24 +15,24 @@
 
 /// Who is served first: the client account's tier decides, and between those
 /// of one tier the route's.
-struct Rank {
+struct Priority {
   core::TierNumber m_Account{1};
   core::TierNumber m_Route{1};
 
-  bool operator==(const Rank &Other) const {
+  bool operator==(const Priority &Other) const {
     return m_Account == Other.m_Account && m_Route == Other.m_Route;
   }
   /// The higher rank comes first.
-  bool operator<(const Rank &Other) const {
+  bool operator<(const Priority &Other) const {
     return m_Account == Other.m_Account ? m_Route < Other.m_Route
                                         : m_Account < Other.m_Account;
   }
 };
 
 enum class RouteKind {
-  Repeatable, ///< A request may run more than once.
-  RunOnce,    ///< A request runs at most once.
-  Stream,     ///< The answer is a stream of events (text/event-stream).
+  Idempotent,    ///< A request may run more than once.
+  NonIdempotent, ///< A request runs at most once.
+  Stream,        ///< The answer is a stream of events (text/event-stream).
 };
 
 struct WeightedPool {
@@ -46,19 +46,19 @@
   std::string m_Prefix; ///< Of the path; begins and ends with a slash.
   /// Of host and prefix, set by the table's builder: the same in all versions.
   std::uint32_t m_Hash = 0;
-  RouteKind m_Kind = RouteKind::RunOnce;
-  core::Duration m_Timeout{};      ///< Longest time until the answer's end.
-  core::Duration m_Objective{};    ///< Of the first byte; zero: none.
-  core::Duration m_LongestPause{}; ///< Between events of a stream; zero: none.
+  RouteKind m_Kind = RouteKind::NonIdempotent;
+  core::Duration m_Timeout{}; ///< Longest time until the answer's end.
+  core::Duration m_FirstByteObjective{}; ///< Of the first byte; zero: none.
+  core::Duration m_MaxEventGap{}; ///< Between events of a stream; zero: none.
   core::TierNumber m_Tier{1};
   std::vector<WeightedPool> m_Pools; ///< Not empty.
-  unsigned m_MostTargets = 1;        ///< That may run one request.
+  unsigned m_MaxAttempts = 1;        ///< That may run one request.
   bool m_IsPublic = false;           ///< Needs no key.
   bool m_IsResumable = false;        ///< A stream may go on at another target.
 
   /// Whether a request that may have run can be sent to another target.
-  bool mayRunAgain() const {
-    return m_Kind == RouteKind::Repeatable ||
+  bool isRetryable() const {
+    return m_Kind == RouteKind::Idempotent ||
            (m_Kind == RouteKind::Stream && m_IsResumable);
   }
   /// \param Point uniformly distributed.
@@ -67,9 +67,9 @@
 
 struct Pool {
   core::PoolName m_Name;
-  std::size_t m_MostConnections = 0; ///< Of a target, from all instances.
-  bool m_IsModel = false;            ///< Its targets batch and stream tokens.
-  double m_TokensPerEvent = 1;       ///< Of a model's streams.
+  std::size_t m_MaxConnections = 0; ///< Of a target, from all instances.
+  bool m_IsInference = false;       ///< Its targets batch and stream tokens.
+  double m_TokensPerEvent = 1;      ///< Of a model's streams.
 };
 
 struct Account {
@@ -78,7 +78,7 @@
   core::TierNumber m_Tier{0};   ///< Goes before the route's; 0: it has none.
   double m_TokensPerSecond = 0; ///< Over all instances; 0: no limit.
   double m_Burst = 0;
-  std::uint32_t m_PlainTokens = 1; ///< Charged when a request names no size.
+  std::uint32_t m_DefaultTokens = 1; ///< Charged when a request names no size.
 };
 
 /// What a caller may send.
--- /dev/null
+++ b/Libraries/LibRouting/SharedRateLimit.cpp
@@ -0,0 +1,52 @@
+#include "LibRouting/SharedRateLimit.h"
+
+#include <algorithm>
+
+namespace yardrill::routing {
+
+/// Answers that were made before a limit was named may come after one that
+/// names it.
+static constexpr std::chrono::seconds ReorderTime{1};
+
+bool SharedRateLimit::apply(const RateLimitUpdate &Word) {
+  if (Word.m_At < m_Update.m_At)
+    return false;
+  if (!Word.m_PerSecond && isLimited() &&
+      Word.m_At - m_Update.m_At < ReorderTime)
+    return false;
+  bool IsChanged = m_Update.m_PerSecond != Word.m_PerSecond;
+  m_Update = Word;
+  return IsChanged;
+}
+
+void SharedRateLimit::setSenders(std::size_t Senders, core::TimePoint Now) {
+  if (m_Senders == 0 && Senders != 0 && m_LastAt <= Now) {
+    m_LastAt = Now;
+    m_BucketLevel = 1 + Tolerance;
+  }
+  m_Senders = Senders;
+}
+
+double SharedRateLimit::intervalSeconds() const {
+  return static_cast<double>(m_Senders) /
+         std::max(*m_Update.m_PerSecond, MinPerSecond);
+}
+
+void SharedRateLimit::recordSent(core::TimePoint Now) {
+  if (!isLimited() || !isSender())
+    return;
+  double Passed = core::toSeconds(Now - m_LastAt) / intervalSeconds();
+  m_BucketLevel = std::max(0.0, m_BucketLevel - Passed) + 1;
+  m_LastAt = Now;
+}
+
+std::optional<core::TimePoint> SharedRateLimit::availableAt() const {
+  if (!isLimited())
+    return core::TimePoint();
+  if (!isSender())
+    return std::nullopt;
+  return m_LastAt +
+         core::fromSeconds((m_BucketLevel - Tolerance) * intervalSeconds());
+}
+
+} // namespace yardrill::routing
--- a/Libraries/LibRouting/Target.cpp
+++ b/Libraries/LibRouting/Target.cpp
@@ -6,10 +6,10 @@
 
 namespace yardrill::routing {
 
-std::uint32_t TargetRun::hash() const {
+std::uint32_t TargetIncarnation::hash() const {
   std::string Text = m_Name.value();
-  if (m_Birth != core::TargetBirth())
-    Text += "@" + std::to_string(m_Birth.value());
+  if (m_StartTime != core::TargetStartTime())
+    Text += "@" + std::to_string(m_StartTime.value());
   return static_cast<std::uint32_t>(core::stableHash(Text));
 }
 
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -8,11 +8,11 @@
 #ifndef YARDRILL_LIBROUTING_TARGETDIRECTORY_H
 #define YARDRILL_LIBROUTING_TARGETDIRECTORY_H
 
-#include "LibRouting/AdmissionBook.h"
-#include "LibRouting/BeginEstimate.h"
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FirstEventEstimate.h"
+#include "LibRouting/FleetSubset.h"
+#include "LibRouting/InterleavedTargets.h"
 #include "LibRouting/KnownTarget.h"
-#include "LibRouting/PoolOrder.h"
+#include "LibRouting/TargetThrottleTable.h"
 
 #include <map>
 #include <set>
@@ -29,7 +29,7 @@
 };
 
 /// What an announcement changed.
-enum class Announced {
+enum class AnnouncementEffect {
   Nothing, ///< It says what is known.
   Changed, ///< Something of a run that is known.
   NewRun,  ///< A run that was not known.
@@ -44,40 +44,42 @@
 
   /// A target was announced or changed. What is counted and was learned of an
   /// earlier run under the same name is forgotten.
-  Announced announce(const Target &What);
+  AnnouncementEffect announce(const Target &What);
   /// Its announcement is gone. It is used for a little longer if nothing else
   /// is there: announcements that ran out while the store was away come back
   /// within two seconds of its return.
   void withdraw(const core::TargetName &Name, core::TimePoint Now);
   /// Forgets targets whose announcements did not come back.
-  void forgetLapsed(core::TimePoint Now);
+  void removeExpired(core::TimePoint Now);
 
   // What became of requests at a run. Of a run that has ended nothing is taken
   // in: its requests may outlast it.
   /// Counts a request that is about to be sent there, unless the target does
   /// not take it: nothing may be sent without this. \returns whether it does.
-  bool tryStart(const TargetRun &Run, std::uint32_t PromptTokens,
-                core::TimePoint Now);
-  void began(const TargetRun &Run, std::uint32_t PromptTokens);
-  void ended(const TargetRun &Run, std::uint32_t PendingPrompt);
-  void failed(const TargetRun &Run, TargetFailure How, core::TimePoint Now);
+  bool tryStartRequest(const TargetIncarnation &Run, std::uint32_t PromptTokens,
+                       core::TimePoint Now);
+  void recordFirstEvent(const TargetIncarnation &Run,
+                        std::uint32_t PromptTokens);
+  void recordEnd(const TargetIncarnation &Run, std::uint32_t PendingPrompt);
+  void recordFailure(const TargetIncarnation &Run, TargetFailure How,
+                     core::TimePoint Now);
   /// Another target answered at its address.
-  void replaced(const TargetRun &Run);
-  void succeeded(const TargetRun &Run);
+  void recordReplacement(const TargetIncarnation &Run);
+  void recordSuccess(const TargetIncarnation &Run);
   /// Time between two events of a stream, or of a whole short answer.
-  void notePace(const TargetRun &Run, core::Duration Pace);
+  void recordServiceTime(const TargetIncarnation &Run, core::Duration Pace);
   /// Time from the dispatch of a stream to its first event.
-  void noteBegin(const core::PoolName &Pool, core::Duration Time);
+  void recordFirstEventTime(const core::PoolName &Pool, core::Duration Time);
   /// By when nearly every stream that is sent now has begun.
-  core::Duration timeToBegin(const core::PoolName &Pool) const;
+  core::Duration expectedFirstEventTime(const core::PoolName &Pool) const;
   /// Sums over the other instances of the group, by KnownTarget::m_Hash; a
   /// target that is not named has no work of theirs. What other groups do at
   /// targets that all groups share is not known, and not guessed.
-  void setOthers(const std::unordered_map<std::uint32_t, TargetLoad> &Sums);
+  void setRemoteLoad(const std::unordered_map<std::uint32_t, TargetLoad> &Sums);
 
   /// What targets have said of themselves.
-  AdmissionBook &admissions() { return m_Admissions; }
-  const AdmissionBook &admissions() const { return m_Admissions; }
+  TargetThrottleTable &throttles() { return m_Throttles; }
+  const TargetThrottleTable &throttles() const { return m_Throttles; }
   /// Whether a request may be sent there now, as far as the target and its
   /// announcement say.
   bool isOpen(const KnownTarget &Which, core::TimePoint Now);
@@ -86,55 +88,59 @@
   /// \param Ahead requests that go before, where targets are limited.
   /// \param Except targets that do not count.
   std::optional<core::TimePoint>
-  opensAt(const core::PoolName &Pool, std::size_t Ahead, core::TimePoint Now,
-          const std::set<TargetRun> &Except = {});
+  availableAt(const core::PoolName &Pool, std::size_t Ahead,
+              core::TimePoint Now,
+              const std::set<TargetIncarnation> &Except = {});
   /// All instances that work with the same targets of the pool as this one.
-  std::vector<config::Endpoint> sharersOf(const core::PoolName &Pool) const {
-    return m_Share.sharersOf(countOf(Pool));
+  std::vector<config::Endpoint>
+  subsetInstances(const core::PoolName &Pool) const {
+    return m_FleetSubset.subsetInstances(targetCount(Pool));
   }
 
   /// How many targets the pool has.
-  std::size_t countOf(const core::PoolName &Pool) const;
+  std::size_t targetCount(const core::PoolName &Pool) const;
   /// The part of the targets that this instance works with.
-  void setShare(const FleetShare &Share);
+  void setSubset(const FleetSubset &Share);
 
   /// Whether the run may end any time, and not for what it runs: it has said
   /// that it leaves, or its announcement is gone while others are there.
-  bool isLeaving(const TargetRun &Run) const;
+  bool isLeaving(const TargetIncarnation &Run) const;
   KnownTarget *find(const core::TargetName &Name);
   /// \returns null when the run has ended, as far as is known.
-  KnownTarget *findRun(const TargetRun &Run);
+  KnownTarget *findByIncarnation(const TargetIncarnation &Run);
   /// Targets of a pool that this instance works with.
-  const std::vector<KnownTarget *> &of(const core::PoolName &Pool);
+  const std::vector<KnownTarget *> &subsetOf(const core::PoolName &Pool);
   /// All targets of a pool; costs by how many there are.
-  std::vector<KnownTarget *> allOf(const core::PoolName &Pool) const;
+  std::vector<KnownTarget *> allTargetsOf(const core::PoolName &Pool) const;
   const std::unordered_map<core::TargetName, KnownTarget> &all() const {
     return m_Targets;
   }
   /// Targets where requests of this instance are under way, by their hashes.
-  const std::set<const KnownTarget *, KnownTarget::ByHash> &busy() const {
+  const std::set<const KnownTarget *, KnownTarget::ByHash> &
+  busyTargets() const {
     return m_Busy;
   }
   /// Members of pools looked at since the start. Tests hold it against sizes.
-  std::size_t visited() const;
+  std::size_t visitCount() const;
 
 private:
   struct PoolState {
-    PoolOrder m_Order;
-    std::vector<KnownTarget *> m_Own; ///< This instance's part.
-    /// Whether m_Own is as m_Order and m_Share say; worked out when it is asked
-    /// for, so that a thousand targets that come at once cost one cut.
-    bool m_IsCut = false;
-    BeginEstimate m_Begin;
+    InterleavedTargets m_Order;
+    std::vector<KnownTarget *> m_SubsetTargets; ///< This instance's part.
+    /// Whether m_SubsetTargets is as m_Order and m_FleetSubset say; worked out
+    /// when it is asked for, so that a thousand targets that come at once cost
+    /// one cut.
+    bool m_IsSubsetValid = false;
+    FirstEventEstimate m_FirstEventEstimate;
   };
 
-  bool areMostLapsed() const;
+  bool areMostExpired() const;
   /// How many instances may send to a limited target; 0: this one may not.
-  std::size_t sendersOf(const TargetRun &Run);
+  std::size_t senderCount(const TargetIncarnation &Run);
   /// Its instances' parts are to be worked out anew.
-  void recut(PoolState &Which);
+  void invalidateSubset(PoolState &Which);
   void updateSlowness(const core::PoolName &Pool);
-  void cut(PoolState &Which) const;
+  void rebuildSubset(PoolState &Which) const;
   /// Takes it out of its pool and of what is counted.
   void detach(KnownTarget &Known);
   void attach(KnownTarget &Known);
@@ -143,10 +149,10 @@
   std::unordered_multimap<std::uint32_t, KnownTarget *> m_ByHash;
   std::unordered_map<core::PoolName, PoolState> m_Pools;
   std::set<const KnownTarget *, KnownTarget::ByHash> m_Busy;
-  std::vector<KnownTarget *> m_BusyElsewhere; ///< Where others have work.
-  std::set<core::TargetName> m_Lapsed;
-  FleetShare m_Share;
-  AdmissionBook m_Admissions;
+  std::vector<KnownTarget *> m_RemotelyBusy; ///< Where others have work.
+  std::set<core::TargetName> m_Expired;
+  FleetSubset m_FleetSubset;
+  TargetThrottleTable m_Throttles;
 };
 
 } // namespace yardrill::routing
--- /dev/null
+++ b/Libraries/LibRouting/TargetThrottle.cpp
@@ -0,0 +1,33 @@
+#include "LibRouting/TargetThrottle.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace yardrill::routing {
+
+bool TargetThrottle::update(const TargetBackpressure &Terms,
+                            core::TimePoint Now) {
+  // A longer rest is not shortened by what a later answer asks for.
+  if (Terms.m_Backoff)
+    m_BackoffUntil = std::max(m_BackoffUntil, Now + *Terms.m_Backoff);
+  bool IsNews = Terms.m_IsLeaving && setLeaving();
+  // What says nothing of a limit leaves the one that was named.
+  if (!Terms.m_IsLimitUnreadable && !Terms.m_IsLimitUnspecified)
+    IsNews = m_Limit.apply({Terms.m_RequestsPerSecond, Now}) || IsNews;
+  return IsNews;
+}
+
+bool TargetThrottle::setLeaving() { return !std::exchange(m_IsLeaving, true); }
+
+std::optional<Availability> TargetThrottle::availability() const {
+  auto At = m_Limit.availableAt();
+  if (m_IsLeaving || !At)
+    return std::nullopt;
+  Availability Out;
+  Out.m_At = std::max(*At, m_BackoffUntil);
+  if (m_Limit.isLimited())
+    Out.m_PerSecond = m_Limit.localPerSecond();
+  return Out;
+}
+
+} // namespace yardrill::routing
--- a/Libraries/LibRouting/TokenQuota.cpp
+++ b/Libraries/LibRouting/TokenBucket.cpp
@@ -1,22 +1,22 @@
-#include "LibRouting/TokenQuota.h"
+#include "LibRouting/TokenBucket.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace yardrill::routing {
 
-TokenQuota::TokenQuota(const QuotaLimits &Limits, double Level,
-                       core::TimePoint Now)
+TokenBucket::TokenBucket(const QuotaLimits &Limits, double Level,
+                         core::TimePoint Now)
     : m_Limits(Limits), m_Level(std::min(Level, Limits.m_Burst)),
       m_RefilledAt(Now) {}
 
-void TokenQuota::setLimits(const QuotaLimits &Limits, core::TimePoint Now) {
+void TokenBucket::setLimits(const QuotaLimits &Limits, core::TimePoint Now) {
   refill(Now);
   m_Limits = Limits;
   m_Level = std::min(m_Level, Limits.m_Burst);
 }
 
-void TokenQuota::refill(core::TimePoint Now) {
+void TokenBucket::refill(core::TimePoint Now) {
   double Passed = core::toSeconds(Now - m_RefilledAt);
   m_RefilledAt = Now;
   m_Refused *= std::exp2(-Passed);
@@ -24,7 +24,7 @@
       std::min(m_Limits.m_Burst, m_Level + Passed * m_Limits.m_TokensPerSecond);
 }
 
-bool TokenQuota::tryTake(double Tokens, core::TimePoint Now) {
+bool TokenBucket::tryTake(double Tokens, core::TimePoint Now) {
   refill(Now);
   if (m_Level <= 0) {
     m_Refused += Tokens;
@@ -34,22 +34,22 @@
   return true;
 }
 
-void TokenQuota::charge(double Tokens, core::TimePoint Now) {
+void TokenBucket::charge(double Tokens, core::TimePoint Now) {
   refill(Now);
   m_Level -= Tokens;
 }
 
-void TokenQuota::giveBack(double Tokens, core::TimePoint Now) {
+void TokenBucket::giveBack(double Tokens, core::TimePoint Now) {
   refill(Now);
   m_Level = std::min(m_Limits.m_Burst, m_Level + Tokens);
 }
 
-double TokenQuota::level(core::TimePoint Now) {
+double TokenBucket::level(core::TimePoint Now) {
   refill(Now);
   return m_Level;
 }
 
-core::Duration TokenQuota::untilAvailable() const {
+core::Duration TokenBucket::untilAvailable() const {
   if (m_Level > 0 || m_Limits.m_TokensPerSecond <= 0)
     return core::Duration::zero();
   double Seconds = (m_Refused - m_Level) / m_Limits.m_TokensPerSecond;
--- a/Libraries/LibRouting/TokenQuota.h
+++ b/Libraries/LibRouting/TokenBucket.h
@@ -1,6 +1,7 @@
-//===-- TokenQuota.h - A token bucket that may go into debt ---------------===//
-#ifndef YARDRILL_LIBROUTING_TOKENQUOTA_H
-#define YARDRILL_LIBROUTING_TOKENQUOTA_H
+//===-- TokenBucket.h - A token bucket that may go into debt
+//---------------===//
+#ifndef YARDRILL_LIBROUTING_TOKENBUCKET_H
+#define YARDRILL_LIBROUTING_TOKENBUCKET_H
 
 #include "LibCore/Time.h"
 
@@ -16,10 +17,10 @@
 };
 
 /// Within any time t, at most rate x t + burst + one request are taken.
-class TokenQuota {
+class TokenBucket {
 public:
   /// \param Level tokens it holds at first, at most the burst.
-  TokenQuota(const QuotaLimits &Limits, double Level, core::TimePoint Now);
+  TokenBucket(const QuotaLimits &Limits, double Level, core::TimePoint Now);
 
   void setLimits(const QuotaLimits &Limits, core::TimePoint Now);
   /// One request may be larger than what is left, or than the whole burst: it
--- a/Libraries/LibRouting/VersionGate.h
+++ b/Libraries/LibRouting/VersionGate.h
@@ -19,13 +19,13 @@
   /// Whether requests that try nothing go to such a target.
   virtual bool mayServe(const Target &What, core::TimePoint Now) const = 0;
   /// Whether a request on \p Route is to try the version under trial.
-  virtual bool isTrialDue(std::uint32_t Route, core::TimePoint Now) const = 0;
-  virtual bool isOnTrial(const Target &What) const = 0;
+  virtual bool isCanaryDue(std::uint32_t Route, core::TimePoint Now) const = 0;
+  virtual bool isCanary(const Target &What) const = 0;
   /// Targets under trial are tried in turns, a share of them at a time, so that
   /// each is loaded as it will be in the end. \returns which turn it is.
-  virtual std::size_t trialTurn(core::TimePoint Now) const = 0;
+  virtual std::size_t canaryTurn(core::TimePoint Now) const = 0;
   /// That part of them, 0 to 1.
-  virtual double trialShare() const = 0;
+  virtual double canaryShare() const = 0;
 };
 
 } // namespace yardrill::routing
--- a/Tests/Failures/AtMostOnceTest.cpp
+++ b/Tests/Failures/AtMostOnceTest.cpp
@@ -231,7 +231,7 @@
 
   void testFrozenAndWoken() {
     auto Wanted = shape(2);
-    Wanted.m_Places = 2; // One for each instance.
+    Wanted.m_Slots = 2; // One for each instance.
     Fleet All(Wanted);
     CPPUNIT_ASSERT(All.isServing());
     std::string Ticket = issueTicket(All.at(0).m_CallerPort);
--- a/Tests/Failures/NotRunTest.cpp
+++ b/Tests/Failures/NotRunTest.cpp
@@ -30,7 +30,7 @@
   void testOverload() {
     Fleet::Shape Wanted;
     Wanted.m_Instances = 2;
-    Wanted.m_Places = 4;
+    Wanted.m_Slots = 4;
     Wanted.m_QueueLimit = 5;
     Wanted.m_DeadlineMilliseconds[2] = 400;
     Fleet All(Wanted);
@@ -71,7 +71,7 @@
 
   void testRetryAfterIsSpread() {
     Fleet::Shape Wanted;
-    Wanted.m_Places = 1;
+    Wanted.m_Slots = 1;
     Wanted.m_QueueLimit = 20;
     Fleet All(Wanted);
     CPPUNIT_ASSERT(All.isServing());
--- a/Tests/Failures/TierOrderTest.cpp
+++ b/Tests/Failures/TierOrderTest.cpp
@@ -106,7 +106,7 @@
   void start() {
     Fleet::Shape Wanted;
     Wanted.m_Instances = InstanceCount;
-    Wanted.m_Places = 6;
+    Wanted.m_Slots = 6;
     Wanted.m_QueueLimit = 6;
     for (int &Deadline : Wanted.m_DeadlineMilliseconds)
       Deadline = 1200;
--- a/Tests/Failures/WholeAnswerTest.cpp
+++ b/Tests/Failures/WholeAnswerTest.cpp
@@ -39,7 +39,7 @@
     Fleet::Shape Out;
     Out.m_Instances = Instances;
     Out.m_Engines = Engines;
-    Out.m_Places = 32;
+    Out.m_Slots = 32;
     return Out;
   }
 
--- a/Tests/LibGateway/PeerTableTest.cpp
+++ b/Tests/LibGateway/PeerTableTest.cpp
@@ -47,10 +47,10 @@
   }
   /// Everyone in one group.
   void cutInOne(std::size_t Count) {
-    routing::FleetShare::Fleet Fleet{{m_Self, core::DataHallName("hall")}};
+    routing::FleetSubset::Fleet Fleet{{m_Self, core::DataHallName("hall")}};
     for (std::size_t I = 0; I < Count; ++I)
       Fleet[address(I)] = core::DataHallName("hall");
-    m_Table.setShare(routing::FleetShare(m_Self, Fleet));
+    m_Table.setSubset(routing::FleetSubset(m_Self, Fleet));
   }
 
 public:
--- a/Tests/LibGateway/TargetEndsTest.cpp
+++ b/Tests/LibGateway/TargetEndsTest.cpp
@@ -86,7 +86,7 @@
     breakOff(1);
     run();
     CPPUNIT_ASSERT(m_Told.empty());
-    m_Ends.noteEnded(routing::TargetRun(core::TargetName("i-2")));
+    m_Ends.noteEnded(routing::TargetIncarnation(core::TargetName("i-2")));
     CPPUNIT_ASSERT(m_Told.empty());
     m_Ends.noteEnded(target().run());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Told.size());
--- a/Tests/LibGateway/TargetTermsServiceTest.cpp
+++ b/Tests/LibGateway/TargetTermsServiceTest.cpp
@@ -35,8 +35,8 @@
     m_Targets.announce(Out);
     return Out;
   }
-  static routing::TargetTerms limited(double PerSecond) {
-    routing::TargetTerms Out;
+  static routing::TargetBackpressure limited(double PerSecond) {
+    routing::TargetBackpressure Out;
     Out.m_RequestsPerSecond = PerSecond;
     return Out;
   }
@@ -50,8 +50,8 @@
 public:
   void setUp() override {
     core::DataHallName Hall("hall");
-    m_Targets.setShare(
-        routing::FleetShare(m_Self, {{m_Self, Hall}, {m_Other, Hall}}));
+    m_Targets.setSubset(
+        routing::FleetSubset(m_Self, {{m_Self, Hall}, {m_Other, Hall}}));
   }
 
   void testTellsAllThatWorkWithTheTarget() {
@@ -86,8 +86,8 @@
       m_Service.upkeep(m_Now);
     }
     // A rest is for this instance alone.
-    routing::TargetTerms Tired;
-    Tired.m_Rest = seconds(3);
+    routing::TargetBackpressure Tired;
+    Tired.m_Backoff = seconds(3);
     m_Service.said(Which, Tired, m_Now);
     m_Service.upkeep(m_Now);
     CPPUNIT_ASSERT(m_Sent.empty());
@@ -108,12 +108,12 @@
     for (double Bad : {std::numeric_limits<double>::quiet_NaN(),
                        std::numeric_limits<double>::infinity(), -1.0})
       hear(Bad, 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Targets.admissions().limited());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Targets.throttles().limited());
     // Heard before all else, whatever the age.
     hear(3, std::numeric_limits<std::uint64_t>::max());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.admissions().limited());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.throttles().limited());
     hear(2, 5000);
-    auto Terms = m_Targets.admissions().termsOf(core::TargetName("a"));
+    auto Terms = m_Targets.throttles().reportOf(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(2.0, Terms.m_Limit.m_PerSecond.value_or(0));
     CPPUNIT_ASSERT(Terms.m_Limit.m_At == m_Now - milliseconds(5));
   }
--- a/Tests/LibRouting/DispatcherTermsTest.cpp
+++ b/Tests/LibRouting/DispatcherBackpressureTest.cpp
@@ -1,4 +1,5 @@
-//===-- DispatcherTermsTest.cpp - Waiting for targets that state terms ----===//
+//===-- DispatcherBackpressureTest.cpp - Waiting for targets that state terms
+//----===//
 #include "LibRouting/Dispatcher.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -7,10 +8,10 @@
 using namespace yardrill::routing;
 using std::chrono::milliseconds;
 
-class DispatcherTermsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(DispatcherTermsTest);
-  CPPUNIT_TEST(testRestThatATargetAskedForBindsAlone);
-  CPPUNIT_TEST(testWaitsForWhatALimitedTargetTakes);
+class DispatcherBackpressureTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DispatcherBackpressureTest);
+  CPPUNIT_TEST(testBackoffHoldsWithoutOtherTargets);
+  CPPUNIT_TEST(testWaitsForRateLimitedTarget);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -33,7 +34,7 @@
     Out.m_Name = core::TargetName("a");
     Out.m_Pool = m_Pool;
     Out.m_DataHall = core::DataHallName("hall");
-    Out.m_Places = Places;
+    Out.m_Slots = Places;
     m_Targets.announce(Out);
   }
   /// Waits 350 ms for a place.
@@ -41,10 +42,10 @@
     PlacementRequest Out;
     Out.m_Request = core::RequestId(Id);
     Out.m_Pool = m_Pool;
-    Out.m_Rank.m_Route = core::TierNumber(Tier);
+    Out.m_Priority.m_Route = core::TierNumber(Tier);
     Out.m_ArrivedAt = m_Now;
-    Out.m_LateAt = m_Now + milliseconds(100);
-    Out.m_BeginsBy = m_Now + milliseconds(1000);
+    Out.m_FirstByteDue = m_Now + milliseconds(100);
+    Out.m_FirstEventDeadline = m_Now + milliseconds(1000);
     Out.m_EndsAt = m_Now + milliseconds(1000);
     return Out;
   }
@@ -59,11 +60,11 @@
 public:
   /// Unlike a rest that was guessed, also where there is no other target and
   /// the time to wait is over.
-  void testRestThatATargetAskedForBindsAlone() {
+  void testBackoffHoldsWithoutOtherTargets() {
     announce(2);
-    TargetTerms Tired;
-    Tired.m_Rest = milliseconds(300);
-    m_Targets.admissions().take(core::TargetName("a"), Tired, m_Now);
+    TargetBackpressure Tired;
+    Tired.m_Backoff = milliseconds(300);
+    m_Targets.throttles().update(core::TargetName("a"), Tired, m_Now);
     // Waits for the end of the rest.
     place(1);
     CPPUNIT_ASSERT(m_Refused.empty());
@@ -80,13 +81,13 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(1));
   }
 
-  void testWaitsForWhatALimitedTargetTakes() {
-    FleetShare::Fleet Alone{{{"10.1.0.1", 7600}, core::DataHallName("hall")}};
-    m_Targets.setShare(FleetShare({"10.1.0.1", 7600}, Alone));
+  void testWaitsForRateLimitedTarget() {
+    FleetSubset::Fleet Alone{{{"10.1.0.1", 7600}, core::DataHallName("hall")}};
+    m_Targets.setSubset(FleetSubset({"10.1.0.1", 7600}, Alone));
     announce(6);
-    TargetTerms Limited;
+    TargetBackpressure Limited;
     Limited.m_RequestsPerSecond = 5;
-    m_Targets.admissions().take(core::TargetName("a"), Limited, m_Now);
+    m_Targets.throttles().update(core::TargetName("a"), Limited, m_Now);
     // It takes one after 200 ms and one more after 400; these wait 350 ms.
     place(1);
     CPPUNIT_ASSERT(m_Refused.empty());
@@ -100,11 +101,11 @@
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Dispatcher.waiting());
-    CPPUNIT_ASSERT(m_Targets.opensAt(m_Pool, 0, m_Now) ==
+    CPPUNIT_ASSERT(m_Targets.availableAt(m_Pool, 0, m_Now) ==
                    m_Now + milliseconds(200));
-    CPPUNIT_ASSERT(m_Targets.opensAt(m_Pool, 2, m_Now) ==
+    CPPUNIT_ASSERT(m_Targets.availableAt(m_Pool, 2, m_Now) ==
                    m_Now + milliseconds(600));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(DispatcherTermsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DispatcherBackpressureTest);
--- a/Tests/LibRouting/DispatcherTest.cpp
+++ b/Tests/LibRouting/DispatcherTest.cpp
@@ -10,30 +10,30 @@
 
 class DispatcherTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DispatcherTest);
-  CPPUNIT_TEST(testSpreadsOverFreePlaces);
-  CPPUNIT_TEST(testWorkOfOthersCounts);
-  CPPUNIT_TEST(testWorkOfOtherGroupsIsNotGuessed);
+  CPPUNIT_TEST(testSpreadsOverFreeSlots);
+  CPPUNIT_TEST(testCountsRemoteLoad);
+  CPPUNIT_TEST(testLoadOfOtherGroupsIsNotEstimated);
   CPPUNIT_TEST(testSlowTargetGetsLess);
-  CPPUNIT_TEST(testSlowTargetTakesShortPromptsAtAllItsPlaces);
+  CPPUNIT_TEST(testSlowTargetUsesAllSlotsForShortPrompts);
   CPPUNIT_TEST(testHigherTierLeavesTheQueueFirst);
-  CPPUNIT_TEST(testIsSentInTimeWithoutAFreePlace);
-  CPPUNIT_TEST(testStreamIsRefusedWhileItsCallerListens);
+  CPPUNIT_TEST(testIsSentInTimeWithoutAFreeSlot);
+  CPPUNIT_TEST(testStreamIsRefusedBeforeItsDeadline);
   CPPUNIT_TEST(testStreamIsGivenUpWhenItWouldBeginTooLate);
   CPPUNIT_TEST(testStreamIsRefusedOnceItCanNotBeginInTime);
   CPPUNIT_TEST(testLateRequestsGoBehindThoseInTime);
-  CPPUNIT_TEST(testLowestTierLeavesPlacesFree);
-  CPPUNIT_TEST(testKeptPlaceIsGivenBeforeTheCallerLeaves);
+  CPPUNIT_TEST(testLowestTierLeavesSlotsFree);
+  CPPUNIT_TEST(testReservedSlotIsUsedBeforeDeadline);
   CPPUNIT_TEST(testAccountGoesBeforeRoute);
   CPPUNIT_TEST(testLongAnswersGoToQuickTargets);
   CPPUNIT_TEST(testLeavingAndTriedTargetsGetNothing);
-  CPPUNIT_TEST(testRestingTargetIsUsedOnlyAlone);
-  CPPUNIT_TEST(testWaitsForASoundTargetBesideARestingOne);
-  CPPUNIT_TEST(testRestedTargetIsTriedWithOneRequest);
-  CPPUNIT_TEST(testOneErrorDoesNotCloseATarget);
+  CPPUNIT_TEST(testTargetInCooldownIsUsedOnlyAlone);
+  CPPUNIT_TEST(testWaitsForHealthyTargetDuringCooldown);
+  CPPUNIT_TEST(testTargetOnProbationGetsOneRequest);
+  CPPUNIT_TEST(testOneErrorStartsNoCooldown);
   CPPUNIT_TEST(testReplacedTargetGetsNothing);
-  CPPUNIT_TEST(testTriedRunThatStartedAgainIsAnother);
-  CPPUNIT_TEST(testLapsedTargetsServeUntilTheyAreForgotten);
-  CPPUNIT_TEST(testReturnedTargetIsAsBefore);
+  CPPUNIT_TEST(testRestartedTargetMayBeTriedAgain);
+  CPPUNIT_TEST(testExpiredTargetsServeUntilRemoved);
+  CPPUNIT_TEST(testReannouncedTargetKeepsItsState);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -57,7 +57,7 @@
     Out.m_Name = core::TargetName(Name);
     Out.m_Pool = m_Pool;
     Out.m_DataHall = core::DataHallName("hall");
-    Out.m_Places = Places;
+    Out.m_Slots = Places;
     return Out;
   }
   void announce(const std::string &Name, std::size_t Places = 2) {
@@ -67,10 +67,10 @@
     PlacementRequest Out;
     Out.m_Request = core::RequestId(Id);
     Out.m_Pool = m_Pool;
-    Out.m_Rank.m_Route = core::TierNumber(Tier);
+    Out.m_Priority.m_Route = core::TierNumber(Tier);
     Out.m_ArrivedAt = m_Now;
-    Out.m_LateAt = m_Now + milliseconds(100);
-    Out.m_BeginsBy = m_Now + milliseconds(1000);
+    Out.m_FirstByteDue = m_Now + milliseconds(100);
+    Out.m_FirstEventDeadline = m_Now + milliseconds(1000);
     Out.m_EndsAt = m_Now + milliseconds(1000);
     return Out;
   }
@@ -82,11 +82,12 @@
     return Found == m_Sent.end() ? "" : Found->second.value();
   }
   void fail(const std::string &Name) {
-    m_Targets.failed(core::TargetName(Name), TargetFailure::Unreachable, m_Now);
+    m_Targets.recordFailure(core::TargetName(Name), TargetFailure::Unreachable,
+                            m_Now);
   }
 
 public:
-  void testSpreadsOverFreePlaces() {
+  void testSpreadsOverFreeSlots() {
     announce("a");
     announce("b");
     std::map<std::string, int> Counts;
@@ -98,40 +99,40 @@
     CPPUNIT_ASSERT_EQUAL(2, Counts["b"]);
     place(5);
     CPPUNIT_ASSERT_EQUAL(std::string(), sentTo(5));
-    m_Targets.ended(core::TargetName("a"), 0);
+    m_Targets.recordEnd(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(5));
   }
 
-  void testWorkOfOthersCounts() {
+  void testCountsRemoteLoad() {
     announce("a");
     announce("b");
     auto Hash = [](const char *Name) {
       return static_cast<std::uint32_t>(core::stableHash(Name));
     };
-    m_Targets.setOthers({{Hash("a"), {2, 0}}});
+    m_Targets.setRemoteLoad({{Hash("a"), {2, 0}}});
     place(1);
     place(2);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(1));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(2));
     place(3);
     CPPUNIT_ASSERT_EQUAL(std::string(), sentTo(3));
-    m_Targets.setOthers({});
+    m_Targets.setRemoteLoad({});
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(3));
   }
 
-  void testWorkOfOtherGroupsIsNotGuessed() {
-    FleetShare::Fleet Fleet;
+  void testLoadOfOtherGroupsIsNotEstimated() {
+    FleetSubset::Fleet Fleet;
     for (int I = 0; I < 80; ++I)
       Fleet[{"10.1.0." + std::to_string(100 + I), 7600}] =
           core::DataHallName("hall");
-    m_Targets.setShare(FleetShare({"10.1.0.100", 7600}, Fleet));
+    m_Targets.setSubset(FleetSubset({"10.1.0.100", 7600}, Fleet));
     announce("a", 6);
     place(1);
     // That one request runs here does not mean that all ten groups have one
     // there, which would fill it.
-    m_Targets.setOthers({});
+    m_Targets.setRemoteLoad({});
     place(2);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(2));
   }
@@ -140,8 +141,8 @@
     announce("quick", 10);
     announce("slow", 10);
     for (int I = 0; I < 50; ++I) {
-      m_Targets.notePace(core::TargetName("quick"), milliseconds(10));
-      m_Targets.notePace(core::TargetName("slow"), milliseconds(40));
+      m_Targets.recordServiceTime(core::TargetName("quick"), milliseconds(10));
+      m_Targets.recordServiceTime(core::TargetName("slow"), milliseconds(40));
     }
     std::map<std::string, int> Counts;
     for (std::uint64_t Id = 1; Id <= 10; ++Id) {
@@ -151,20 +152,21 @@
     CPPUNIT_ASSERT(Counts["quick"] >= 2 * Counts["slow"]);
   }
 
-  void testSlowTargetTakesShortPromptsAtAllItsPlaces() {
+  void testSlowTargetUsesAllSlotsForShortPrompts() {
     announce("quick", 4);
     announce("quick too", 4);
     announce("slow", 4);
     for (int I = 0; I < 50; ++I) {
-      m_Targets.notePace(core::TargetName("quick"), milliseconds(10));
-      m_Targets.notePace(core::TargetName("quick too"), milliseconds(10));
-      m_Targets.notePace(core::TargetName("slow"), milliseconds(40));
+      m_Targets.recordServiceTime(core::TargetName("quick"), milliseconds(10));
+      m_Targets.recordServiceTime(core::TargetName("quick too"),
+                                  milliseconds(10));
+      m_Targets.recordServiceTime(core::TargetName("slow"), milliseconds(40));
     }
     auto PlaceMany = [this](std::uint64_t First, std::uint32_t Tokens) {
       for (std::uint64_t Id = First; Id < First + 12; ++Id) {
         PlacementRequest Stream = request(Id);
-        Stream.m_IsModel = true;
-        Stream.m_LateAt = Stream.m_EndsAt;
+        Stream.m_IsInference = true;
+        Stream.m_FirstByteDue = Stream.m_EndsAt;
         Stream.m_PromptTokens = Tokens;
         m_Dispatcher.place(Stream, m_Now);
       }
@@ -184,18 +186,18 @@
     place(2, 3);
     place(3, 2);
     place(4, 1);
-    m_Targets.ended(core::TargetName("a"), 0);
+    m_Targets.recordEnd(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(4));
     CPPUNIT_ASSERT_EQUAL(std::string(), sentTo(3));
-    m_Targets.ended(core::TargetName("a"), 0);
+    m_Targets.recordEnd(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(3));
     CPPUNIT_ASSERT(m_Dispatcher.withdraw(core::RequestId(2)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Dispatcher.waiting());
   }
 
-  void testIsSentInTimeWithoutAFreePlace() {
+  void testIsSentInTimeWithoutAFreeSlot() {
     announce("a", 1);
     place(1);
     place(2);
@@ -207,12 +209,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(2));
   }
 
-  void testStreamIsRefusedWhileItsCallerListens() {
+  void testStreamIsRefusedBeforeItsDeadline() {
     announce("a", 1);
     place(1);
     PlacementRequest Stream = request(2);
-    Stream.m_IsModel = true;
-    Stream.m_LateAt = Stream.m_EndsAt; // Its route has no objective.
+    Stream.m_IsInference = true;
+    Stream.m_FirstByteDue = Stream.m_EndsAt; // Its route has no objective.
     m_Dispatcher.place(Stream, m_Now);
     m_Now += milliseconds(849);
     m_Dispatcher.dispatchWaiting(m_Now);
@@ -226,11 +228,11 @@
   void testStreamIsGivenUpWhenItWouldBeginTooLate() {
     announce("a", 1);
     for (int I = 0; I < 30; ++I)
-      m_Targets.noteBegin(m_Pool, milliseconds(400));
+      m_Targets.recordFirstEventTime(m_Pool, milliseconds(400));
     place(1);
     PlacementRequest Stream = request(2);
-    Stream.m_IsModel = true;
-    Stream.m_LateAt = Stream.m_EndsAt;
+    Stream.m_IsInference = true;
+    Stream.m_FirstByteDue = Stream.m_EndsAt;
     m_Dispatcher.place(Stream, m_Now);
     m_Now += milliseconds(580);
     m_Dispatcher.dispatchWaiting(m_Now);
@@ -244,11 +246,11 @@
   void testStreamIsRefusedOnceItCanNotBeginInTime() {
     announce("a", 1);
     for (int I = 0; I < 30; ++I)
-      m_Targets.noteBegin(m_Pool, milliseconds(200));
+      m_Targets.recordFirstEventTime(m_Pool, milliseconds(200));
     place(1);
     PlacementRequest Stream = request(2);
-    Stream.m_IsModel = true;
-    Stream.m_LateAt = m_Now + milliseconds(500);
+    Stream.m_IsInference = true;
+    Stream.m_FirstByteDue = m_Now + milliseconds(500);
     m_Dispatcher.place(Stream, m_Now);
     m_Now += milliseconds(280);
     m_Dispatcher.dispatchWaiting(m_Now);
@@ -257,7 +259,7 @@
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(2)) == 1);
     // With a free place it is sent, however late.
-    m_Targets.ended(core::TargetName("a"), 0);
+    m_Targets.recordEnd(core::TargetName("a"), 0);
     Stream.m_Request = core::RequestId(3);
     m_Dispatcher.place(Stream, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(3));
@@ -269,15 +271,15 @@
     place(2);
     m_Now += milliseconds(150);
     place(3);
-    m_Targets.ended(core::TargetName("a"), 0);
+    m_Targets.recordEnd(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(3));
-    m_Targets.ended(core::TargetName("a"), 0);
+    m_Targets.recordEnd(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(2));
   }
 
-  void testLowestTierLeavesPlacesFree() {
+  void testLowestTierLeavesSlotsFree() {
     announce("a", 3);
     announce("b", 3);
     place(1, 1);
@@ -289,21 +291,21 @@
     place(7, 1);
     CPPUNIT_ASSERT(!sentTo(7).empty());
     // A tier that is alone may use every place.
-    m_Targets.ended(core::TargetName(sentTo(7)), 0);
+    m_Targets.recordEnd(core::TargetName(sentTo(7)), 0);
     m_Now += std::chrono::seconds(11);
     place(8, 3);
     CPPUNIT_ASSERT(!sentTo(8).empty());
   }
 
-  void testKeptPlaceIsGivenBeforeTheCallerLeaves() {
+  void testReservedSlotIsUsedBeforeDeadline() {
     announce("a", 3);
     PlacementRequest High = request(1, 1);
-    High.m_IsModel = true;
+    High.m_IsInference = true;
     m_Dispatcher.place(High, m_Now);
     for (std::uint64_t Id = 2; Id <= 3; ++Id) {
       PlacementRequest Low = request(Id, 3);
-      Low.m_IsModel = true;
-      Low.m_LateAt = Low.m_EndsAt;
+      Low.m_IsInference = true;
+      Low.m_FirstByteDue = Low.m_EndsAt;
       m_Dispatcher.place(Low, m_Now);
     }
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(2));
@@ -317,10 +319,10 @@
     announce("a", 1);
     place(1);
     PlacementRequest Low = request(2, 1);
-    Low.m_Rank.m_Account = core::TierNumber(2);
+    Low.m_Priority.m_Account = core::TierNumber(2);
     m_Dispatcher.place(Low, m_Now);
     place(3, 3);
-    m_Targets.ended(core::TargetName("a"), 0);
+    m_Targets.recordEnd(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(3));
   }
@@ -329,8 +331,8 @@
     announce("quick", 10);
     announce("slow", 10);
     for (int I = 0; I < 50; ++I) {
-      m_Targets.notePace(core::TargetName("quick"), milliseconds(10));
-      m_Targets.notePace(core::TargetName("slow"), milliseconds(40));
+      m_Targets.recordServiceTime(core::TargetName("quick"), milliseconds(10));
+      m_Targets.recordServiceTime(core::TargetName("slow"), milliseconds(40));
     }
     for (std::uint64_t Id = 1; Id <= 6; ++Id) {
       PlacementRequest Long = request(Id);
@@ -347,13 +349,13 @@
     Leaving.m_IsLeaving = true;
     m_Targets.announce(Leaving);
     PlacementRequest Again = request(1);
-    Again.m_Tried.insert(core::TargetName("a"));
+    Again.m_TriedTargets.insert(core::TargetName("a"));
     m_Dispatcher.place(Again, m_Now);
     CPPUNIT_ASSERT(m_Sent.empty());
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(1)) == 1);
   }
 
-  void testRestingTargetIsUsedOnlyAlone() {
+  void testTargetInCooldownIsUsedOnlyAlone() {
     announce("a");
     announce("b");
     fail("a");
@@ -362,12 +364,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(1));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(2));
     fail("b");
-    m_Targets.ended(core::TargetName("b"), 0);
+    m_Targets.recordEnd(core::TargetName("b"), 0);
     place(3);
     CPPUNIT_ASSERT(!sentTo(3).empty());
   }
 
-  void testWaitsForASoundTargetBesideARestingOne() {
+  void testWaitsForHealthyTargetDuringCooldown() {
     announce("a");
     announce("b");
     fail("a");
@@ -376,12 +378,12 @@
     // The resting one has free places because it is down.
     CPPUNIT_ASSERT_EQUAL(std::string(), sentTo(3));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_Dispatcher.waiting());
-    m_Targets.ended(core::TargetName("b"), 0);
+    m_Targets.recordEnd(core::TargetName("b"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(3));
   }
 
-  void testRestedTargetIsTriedWithOneRequest() {
+  void testTargetOnProbationGetsOneRequest() {
     announce("a", 3);
     announce("b", 1);
     fail("a");
@@ -391,15 +393,16 @@
       place(Id);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_Sent.size());
     // It answers: as good as any.
-    m_Targets.began(core::TargetName("a"), 0);
+    m_Targets.recordFirstEvent(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_Sent.size());
   }
 
-  void testOneErrorDoesNotCloseATarget() {
+  void testOneErrorStartsNoCooldown() {
     announce("a");
     announce("b", 1);
-    m_Targets.failed(core::TargetName("a"), TargetFailure::Failed, m_Now);
+    m_Targets.recordFailure(core::TargetName("a"), TargetFailure::Failed,
+                            m_Now);
     for (std::uint64_t Id = 1; Id <= 3; ++Id)
       place(Id);
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), m_Sent.size());
@@ -407,7 +410,7 @@
 
   void testReplacedTargetGetsNothing() {
     announce("a");
-    m_Targets.replaced(core::TargetName("a"));
+    m_Targets.recordReplacement(core::TargetName("a"));
     // Its announcement may be repeated before it ends.
     announce("a");
     place(1);
@@ -416,19 +419,19 @@
 
   /// The only target crashed under a request that may be sent again, and is
   /// back under its name: it is not the run that was tried.
-  void testTriedRunThatStartedAgainIsAnother() {
+  void testRestartedTargetMayBeTriedAgain() {
     Target Again = target("a");
-    Again.m_Birth = core::TargetBirth(1);
+    Again.m_StartTime = core::TargetStartTime(1);
     m_Targets.announce(Again);
     PlacementRequest Wanted = request(1);
-    Wanted.m_Tried.insert(Again.run());
-    Again.m_Birth = core::TargetBirth(2);
+    Wanted.m_TriedTargets.insert(Again.run());
+    Again.m_StartTime = core::TargetStartTime(2);
     m_Targets.announce(Again);
     m_Dispatcher.place(Wanted, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(1));
   }
 
-  void testLapsedTargetsServeUntilTheyAreForgotten() {
+  void testExpiredTargetsServeUntilRemoved() {
     announce("a");
     announce("b");
     m_Targets.withdraw(core::TargetName("a"), m_Now);
@@ -436,31 +439,31 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(1));
     // Alone it is gone soon.
     m_Now += milliseconds(1300);
-    m_Targets.forgetLapsed(m_Now);
+    m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.all().size());
     // All at once is the mark of an outage: they may yet come back.
     m_Targets.withdraw(core::TargetName("b"), m_Now);
     m_Now += milliseconds(2000);
-    m_Targets.forgetLapsed(m_Now);
+    m_Targets.removeExpired(m_Now);
     place(2);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(2));
     m_Now += milliseconds(500);
-    m_Targets.forgetLapsed(m_Now);
+    m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT(m_Targets.all().empty());
     place(3);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(3)) == 1);
   }
 
-  void testReturnedTargetIsAsBefore() {
+  void testReannouncedTargetKeepsItsState() {
     announce("a");
     place(1);
     m_Targets.withdraw(core::TargetName("a"), m_Now);
     announce("a");
     m_Now += std::chrono::seconds(10);
-    m_Targets.forgetLapsed(m_Now);
+    m_Targets.removeExpired(m_Now);
     const KnownTarget *Known = m_Targets.find(core::TargetName("a"));
-    CPPUNIT_ASSERT(Known && !Known->m_LapsedAt);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Known->m_Own.m_Running);
+    CPPUNIT_ASSERT(Known && !Known->m_ExpiredAt);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Known->m_LocalLoad.m_Running);
   }
 };
 
--- a/Tests/LibRouting/FleetShareTest.cpp
+++ b/Tests/LibRouting/FleetSubsetTest.cpp
@@ -1,4 +1,4 @@
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <map>
@@ -6,14 +6,14 @@
 using namespace yardrill;
 using namespace yardrill::routing;
 
-class FleetShareTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FleetShareTest);
+class FleetSubsetTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(FleetSubsetTest);
   CPPUNIT_TEST(testSmallFleetIsOneGroup);
   CPPUNIT_TEST(testGroupsCoverTheFleetAndTheTargets);
-  CPPUNIT_TEST(testEachGroupIsAMixOfAllHalls);
+  CPPUNIT_TEST(testEachGroupMixesDataHalls);
   CPPUNIT_TEST(testFewTargetsAreSharedByAll);
-  CPPUNIT_TEST(testNothingChangesInKindAtASize);
-  CPPUNIT_TEST(testEqualTargetsAreMetInDifferentOrders);
+  CPPUNIT_TEST(testSubsetGrowsSmoothlyWithPool);
+  CPPUNIT_TEST(testInstancesStartAtDifferentTargets);
   CPPUNIT_TEST(testOneMoreInstanceMovesFewTargets);
   CPPUNIT_TEST_SUITE_END();
 
@@ -26,8 +26,8 @@
                                   "a", "b", "a", "c", "b"};
     return core::DataHallName(Halls[Index % 10]);
   }
-  static FleetShare::Fleet fleet(std::size_t Size) {
-    FleetShare::Fleet Out;
+  static FleetSubset::Fleet fleet(std::size_t Size) {
+    FleetSubset::Fleet Out;
     for (std::size_t I = 0; I < Size; ++I)
       Out[address(I)] = hallOf(I);
     return Out;
@@ -35,25 +35,26 @@
 
 public:
   void testSmallFleetIsOneGroup() {
-    FleetShare Share(address(3), fleet(7));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Share.near().size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Share.groups());
+    FleetSubset Share(address(3), fleet(7));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Share.groupMembers().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Share.groupCount());
     for (std::size_t Rank = 0; Rank < 12; ++Rank)
-      CPPUNIT_ASSERT(Share.isOwn(Rank, 12));
-    CPPUNIT_ASSERT(FleetShare().isOwn(5, 6));
+      CPPUNIT_ASSERT(Share.isInSubset(Rank, 12));
+    CPPUNIT_ASSERT(FleetSubset().isInSubset(5, 6));
   }
 
   void testGroupsCoverTheFleetAndTheTargets() {
     auto Fleet = fleet(89);
     std::map<std::size_t, int> Owners;
     for (std::size_t I = 0; I < 89; ++I) {
-      FleetShare Share(address(I), Fleet);
-      CPPUNIT_ASSERT_EQUAL(std::size_t(12), Share.groups());
-      CPPUNIT_ASSERT(Share.near().size() >= 6 && Share.near().size() <= 7);
-      for (const config::Endpoint &Peer : Share.near())
-        CPPUNIT_ASSERT(FleetShare(Peer, Fleet).isNear(address(I)));
+      FleetSubset Share(address(I), Fleet);
+      CPPUNIT_ASSERT_EQUAL(std::size_t(12), Share.groupCount());
+      CPPUNIT_ASSERT(Share.groupMembers().size() >= 6 &&
+                     Share.groupMembers().size() <= 7);
+      for (const config::Endpoint &Peer : Share.groupMembers())
+        CPPUNIT_ASSERT(FleetSubset(Peer, Fleet).isGroupPeer(address(I)));
       for (std::size_t Rank = 0; Rank < 90; ++Rank)
-        Owners[Rank] += Share.isOwn(Rank, 90) ? 1 : 0;
+        Owners[Rank] += Share.isInSubset(Rank, 90) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(90), Owners.size());
     for (const auto &[Rank, Count] : Owners)
@@ -61,23 +62,23 @@
   }
 
   void testFewTargetsAreSharedByAll() {
-    FleetShare Share(address(40), fleet(89));
+    FleetSubset Share(address(40), fleet(89));
     for (std::size_t Rank = 0; Rank < 3; ++Rank)
-      CPPUNIT_ASSERT(Share.isOwn(Rank, 3));
-    CPPUNIT_ASSERT(!Share.isOwn(89, 90) || !Share.isOwn(0, 90));
+      CPPUNIT_ASSERT(Share.isInSubset(Rank, 3));
+    CPPUNIT_ASSERT(!Share.isInSubset(89, 90) || !Share.isInSubset(0, 90));
   }
 
   // 295 instances and 160 targets had all targets in common, where 222 would
   // have been cut into parts of six; nobody knew what the others did there.
-  void testNothingChangesInKindAtASize() {
+  void testSubsetGrowsSmoothlyWithPool() {
     for (std::size_t Size : {6, 24, 89, 295, 440}) {
       std::size_t Before = 0;
       for (std::size_t Count = 3; Count <= 12000; Count += 1 + Count / 8) {
-        FleetShare Share(address(Size / 2), fleet(Size),
-                         FleetShare::membersFor(Size, Count));
+        FleetSubset Share(address(Size / 2), fleet(Size),
+                          FleetSubset::groupSizeFor(Size, Count));
         std::size_t Own = 0;
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
-          Own += Share.isOwn(Rank, Count) ? 1 : 0;
+          Own += Share.isInSubset(Rank, Count) ? 1 : 0;
         // An eighth more targets: at the most half of them more or fewer.
         if (Before != 0) {
           CPPUNIT_ASSERT(Own * 2 + 2 >= Before);
@@ -86,7 +87,7 @@
         // Whoever shares a target with many others hears a good part of them.
         double Sharers =
             static_cast<double>(Size * Own) / static_cast<double>(Count);
-        double Heard = static_cast<double>(Share.near().size() + 1);
+        double Heard = static_cast<double>(Share.groupMembers().size() + 1);
         if (Count >= Size / 2)
           CPPUNIT_ASSERT(Heard * 1.25 >= Sharers);
         Before = Own;
@@ -94,11 +95,11 @@
     }
   }
 
-  void testEqualTargetsAreMetInDifferentOrders() {
+  void testInstancesStartAtDifferentTargets() {
     auto Fleet = fleet(295);
     std::map<std::size_t, int> First;
     for (std::size_t I = 0; I < 295; ++I)
-      ++First[FleetShare(address(I), Fleet).firstOf(8)];
+      ++First[FleetSubset(address(I), Fleet).firstIndex(8)];
     CPPUNIT_ASSERT_EQUAL(std::size_t(8), First.size());
     for (const auto &[Place, Count] : First)
       CPPUNIT_ASSERT(Count <= 295 / 8 + 8);
@@ -108,20 +109,21 @@
     // Whichever instance looks, and on the average of all.
     int Moved = 0;
     for (std::size_t I = 0; I < 89; ++I) {
-      FleetShare Before(address(I), fleet(89));
-      FleetShare After(address(I), fleet(90));
+      FleetSubset Before(address(I), fleet(89));
+      FleetSubset After(address(I), fleet(90));
       for (std::size_t Rank = 0; Rank < 90; ++Rank)
-        Moved += Before.isOwn(Rank, 90) != After.isOwn(Rank, 90) ? 1 : 0;
+        Moved +=
+            Before.isInSubset(Rank, 90) != After.isInSubset(Rank, 90) ? 1 : 0;
     }
     CPPUNIT_ASSERT(Moved <= 2 * 89);
   }
 
-  void testEachGroupIsAMixOfAllHalls() {
+  void testEachGroupMixesDataHalls() {
     auto Fleet = fleet(80);
     for (std::size_t I = 0; I < 80; ++I) {
-      FleetShare Share(address(I), Fleet);
+      FleetSubset Share(address(I), Fleet);
       std::map<core::DataHallName, int> Counts{{hallOf(I), 1}};
-      for (const config::Endpoint &Peer : Share.near())
+      for (const config::Endpoint &Peer : Share.groupMembers())
         ++Counts[Fleet.at(Peer)];
       // Halves, three tenths and a fifth of eight.
       CPPUNIT_ASSERT(Counts[core::DataHallName("a")] >= 3);
@@ -131,4 +133,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FleetShareTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FleetSubsetTest);
--- a/Tests/LibRouting/PoolOrderTest.cpp
+++ b/Tests/LibRouting/InterleavedTargetsTest.cpp
@@ -1,6 +1,6 @@
-#include "LibRouting/PoolOrder.h"
+#include "LibRouting/InterleavedTargets.h"
 
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
 #include "LibRouting/TargetDirectory.h"
 
 #include <cmath>
@@ -13,13 +13,13 @@
 
 /// What a target costs that comes, changes or goes is counted in members of its
 /// pool that are looked at, not in time.
-class PoolOrderTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PoolOrderTest);
-  CPPUNIT_TEST(testOrderIsThatOfASort);
-  CPPUNIT_TEST(testOwnRanksAreThoseThatAreOwn);
-  CPPUNIT_TEST(testOneChangeCostsTheLogarithmOfThePool);
-  CPPUNIT_TEST(testManyTargetsThatComeAtOnceCostOneCut);
-  CPPUNIT_TEST(testWorkElsewhereIsForgottenWhenItIsOver);
+class InterleavedTargetsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(InterleavedTargetsTest);
+  CPPUNIT_TEST(testMatchesInterleavedOrder);
+  CPPUNIT_TEST(testSubsetRanksMatchIsInSubset);
+  CPPUNIT_TEST(testChangeCostIsLogarithmic);
+  CPPUNIT_TEST(testBulkAnnouncementBuildsSubsetOnce);
+  CPPUNIT_TEST(testRemoteLoadIsCleared);
   CPPUNIT_TEST_SUITE_END();
 
   static Target target(std::size_t Index, std::size_t Halls) {
@@ -32,23 +32,23 @@
         "hall-" + std::to_string(Hall < Halls ? Hall : Hall % 2));
     return Out;
   }
-  static FleetShare share(std::size_t Instances, std::size_t Targets) {
-    FleetShare::Fleet Fleet;
+  static FleetSubset share(std::size_t Instances, std::size_t Targets) {
+    FleetSubset::Fleet Fleet;
     for (std::size_t I = 0; I < Instances; ++I)
       Fleet[{"10." + std::to_string(1 + I / 200) + ".0." +
                  std::to_string(10 + I % 200),
              7600}] = core::DataHallName("hall-" + std::to_string(I % 3));
     return {Fleet.begin()->first, Fleet,
-            FleetShare::membersFor(Instances, Targets)};
+            FleetSubset::groupSizeFor(Instances, Targets)};
   }
 
 public:
-  void testOrderIsThatOfASort() {
+  void testMatchesInterleavedOrder() {
     std::mt19937_64 Random(7);
     for (std::size_t Halls : {1, 2, 3, 5, 14}) {
       std::deque<KnownTarget> Kept;
       std::vector<KnownTarget *> In;
-      PoolOrder Order;
+      InterleavedTargets Order;
       for (std::size_t Step = 0; Step < 300; ++Step) {
         if (In.empty() || Random() % 3 != 0) {
           KnownTarget &Added = Kept.emplace_back();
@@ -61,13 +61,13 @@
           Order.erase(*In[Which]);
           In.erase(In.begin() + static_cast<long>(Which));
         }
-        std::vector<PlacedMember> Members;
+        std::vector<DataHallMember> Members;
         for (const KnownTarget *Each : In)
           Members.push_back({Each->m_Target.m_DataHall, Each->m_Hash});
-        std::vector<std::size_t> Sorted = mixedOrder(Members);
+        std::vector<std::size_t> Sorted = interleavedOrder(Members);
         std::size_t First = Random() % (In.size() + 1);
         std::size_t Last = First + Random() % (In.size() + 1 - First);
-        std::vector<KnownTarget *> Got = Order.between(First, Last);
+        std::vector<KnownTarget *> Got = Order.slice(First, Last);
         CPPUNIT_ASSERT_EQUAL(Last - First, Got.size());
         for (std::size_t I = First; I < Last; ++I)
           CPPUNIT_ASSERT(Got[I - First] == In[Sorted[I]]);
@@ -75,13 +75,13 @@
     }
   }
 
-  void testOwnRanksAreThoseThatAreOwn() {
+  void testSubsetRanksMatchIsInSubset() {
     for (std::size_t Size : {1, 6, 24, 89, 295, 440})
       for (std::size_t Count : {1, 3, 8, 90, 161, 1002, 12000}) {
-        FleetShare Share = share(Size, Count);
-        FleetShare::Ranks Own = Share.ownRanks(Count);
+        FleetSubset Share = share(Size, Count);
+        FleetSubset::RankRange Own = Share.subsetRanks(Count);
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
-          CPPUNIT_ASSERT_EQUAL(Share.isOwn(Rank, Count),
+          CPPUNIT_ASSERT_EQUAL(Share.isInSubset(Rank, Count),
                                Rank >= Own.m_First && Rank < Own.m_End);
       }
   }
@@ -90,51 +90,52 @@
   /// that they have: each target that came, changed or went had its whole pool
   /// sorted anew. Now some thirty members are looked at, beside the instance's
   /// own part, which is filled anew.
-  void testOneChangeCostsTheLogarithmOfThePool() {
+  void testChangeCostIsLogarithmic() {
     core::PoolName Pool("pool");
     for (std::size_t Count : {90, 1002, 3000, 12000}) {
       TargetDirectory Targets;
-      Targets.setShare(share(300, Count));
+      Targets.setSubset(share(300, Count));
       for (std::size_t I = 0; I < Count; ++I)
         Targets.announce(target(I, 3));
-      std::size_t Own = Targets.of(Pool).size();
-      std::size_t Before = Targets.visited();
+      std::size_t Own = Targets.subsetOf(Pool).size();
+      std::size_t Before = Targets.visitCount();
       core::TimePoint Now{std::chrono::hours(1)};
       static constexpr std::size_t Changes = 50;
       for (std::size_t I = 0; I < Changes; ++I) {
         Targets.announce(target(Count + I, 3));
-        Targets.of(Pool);
+        Targets.subsetOf(Pool);
         Target Leaving = target(I, 3);
         Leaving.m_IsLeaving = true;
         Targets.announce(Leaving);
-        Targets.of(Pool);
+        Targets.subsetOf(Pool);
         Targets.withdraw(Leaving.m_Name, Now);
         Now += std::chrono::seconds(3);
-        Targets.forgetLapsed(Now);
-        Targets.of(Pool);
+        Targets.removeExpired(Now);
+        Targets.subsetOf(Pool);
       }
       // Two searches in each of three halls for each of two cuts, one for each
       // insertion and removal. Each look at a rank compares with at the most
       // one member of each other hall.
       static constexpr std::size_t Halls = 3;
       double Search = std::log2(static_cast<double>(Count)) + 1;
-      double Each = static_cast<double>(Targets.visited() - Before) / Changes;
+      double Each =
+          static_cast<double>(Targets.visitCount() - Before) / Changes;
       double Cut = Halls * (Halls * 2 * Search + static_cast<double>(Own));
       CPPUNIT_ASSERT(Each <= 2 * (Cut + Search));
     }
   }
 
-  void testManyTargetsThatComeAtOnceCostOneCut() {
+  void testBulkAnnouncementBuildsSubsetOnce() {
     static constexpr std::size_t Count = 12000;
     TargetDirectory Targets;
-    Targets.setShare(share(300, Count));
+    Targets.setSubset(share(300, Count));
     for (std::size_t I = 0; I < Count; ++I)
       Targets.announce(target(I, 3));
-    Targets.of(core::PoolName("pool"));
-    CPPUNIT_ASSERT(Targets.visited() <= Count * 20);
+    Targets.subsetOf(core::PoolName("pool"));
+    CPPUNIT_ASSERT(Targets.visitCount() <= Count * 20);
   }
 
-  void testWorkElsewhereIsForgottenWhenItIsOver() {
+  void testRemoteLoadIsCleared() {
     TargetDirectory Targets;
     for (std::size_t I = 0; I < 3; ++I)
       Targets.announce(target(I, 1));
@@ -142,23 +143,24 @@
     auto Running = [&](std::size_t I) {
       return Targets.find(target(I, 1).m_Name)->running();
     };
-    Targets.setOthers({{HashOf(0), {3, 0}}, {HashOf(1), {2, 0}}, {99, {7, 0}}});
-    Targets.setOthers({{HashOf(1), {1, 0}}});
+    Targets.setRemoteLoad(
+        {{HashOf(0), {3, 0}}, {HashOf(1), {2, 0}}, {99, {7, 0}}});
+    Targets.setRemoteLoad({{HashOf(1), {1, 0}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Running(0));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Running(1));
     // It moves to another data hall while others work there.
     Target Moved = target(1, 1);
     Moved.m_DataHall = core::DataHallName("another");
     Targets.announce(Moved);
-    Targets.setOthers({});
+    Targets.setRemoteLoad({});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Running(1));
     // One goes with the work of others on it.
-    Targets.setOthers({{HashOf(2), {3, 0}}});
+    Targets.setRemoteLoad({{HashOf(2), {3, 0}}});
     Targets.withdraw(target(2, 1).m_Name, core::TimePoint());
-    Targets.forgetLapsed(core::TimePoint() + std::chrono::seconds(9));
-    Targets.setOthers({});
+    Targets.removeExpired(core::TimePoint() + std::chrono::seconds(9));
+    Targets.setRemoteLoad({});
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), Targets.all().size());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PoolOrderTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(InterleavedTargetsTest);
--- a/Tests/LibRouting/LimitModelTest.cpp
+++ b/Tests/LibRouting/LimitModelTest.cpp
@@ -17,9 +17,9 @@
   CPPUNIT_TEST_SUITE(LimitModelTest);
   CPPUNIT_TEST(testSmallFleets);
   CPPUNIT_TEST(testLargeFleet);
-  CPPUNIT_TEST(testManyInstancesBeforeFewTargets);
+  CPPUNIT_TEST(testManyInstancesWithFewTargets);
   CPPUNIT_TEST(testWholePoolIsLimited);
-  CPPUNIT_TEST(testEachByItselfIsTooMuch);
+  CPPUNIT_TEST(testIndependentInstancesExceedTheLimit);
   CPPUNIT_TEST_SUITE_END();
 
   /// Where the demand is there.
@@ -47,14 +47,14 @@
     assertHolds({7, 9, 80, 12}, 20);
   }
   void testLargeFleet() { assertHolds({74, 90, 570, 3}, 2); }
-  void testManyInstancesBeforeFewTargets() { assertHolds({295, 3, 400, 2}, 1); }
+  void testManyInstancesWithFewTargets() { assertHolds({295, 3, 400, 2}, 1); }
   void testWholePoolIsLimited() {
     LimitDay Day{7, 9, 38, 1.4};
     Day.m_LimitedShare = 1;
     assertHolds(Day, 20);
   }
   /// What the model is for: instances that each keep the limit alone.
-  void testEachByItselfIsTooMuch() {
+  void testIndependentInstancesExceedTheLimit() {
     CPPUNIT_ASSERT(playLimitDay({7, 9, 38, 1.4}, LimitWay::Alone).m_WorstShare >
                    1);
   }
--- a/Tests/LibRouting/QuotaDeploymentsTest.cpp
+++ b/Tests/LibRouting/QuotaDeploymentsTest.cpp
@@ -34,10 +34,10 @@
 class QuotaDeploymentsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaDeploymentsTest);
   CPPUNIT_TEST(testCutOffWhileOthersGrantAll);
-  CPPUNIT_TEST(testBredDays);
-  CPPUNIT_TEST(testListThatOthersHaveReplaced);
+  CPPUNIT_TEST(testRegressionScenarios);
+  CPPUNIT_TEST(testStaleMemberList);
   CPPUNIT_TEST(testOnlyTheLargestRequests);
-  CPPUNIT_TEST(testRandomDays);
+  CPPUNIT_TEST(testRandomScenarios);
   CPPUNIT_TEST(testSmallestLimitsUnderKillsInSeries);
   CPPUNIT_TEST_SUITE_END();
 
@@ -83,7 +83,7 @@
                   {cut(9000, 0.35, 8000)}));
   }
 
-  void testBredDays() {
+  void testRegressionScenarios() {
     check(day("simulations-grown", 961975, 5.36134, 1000061,
               {split(6318, 0.426183, 5794), split(9734, 0.252555, 7549),
                cut(16420, 0.229914, 3488), cut(10308, 0.349382, 4716),
@@ -108,7 +108,7 @@
   /// store. It goes on granting its third of the limit to its own callers, and
   /// so does the one that owns that third by the new list. In a small fleet
   /// each has callers enough: up to 1.83 times what may be exceeded.
-  void testListThatOthersHaveReplaced() {
+  void testStaleMemberList() {
     check(day("simulations", 263380, 5.41783, 4261951405298700608,
               {cut(11956, 0.146528, 3679), cut(16273, 0.208981, 5390),
                cut(11737, 0.277992, 7914), add(12306, 0.40965),
@@ -150,7 +150,7 @@
 
   /// Limits from the largest down to half of the smallest, all kinds of faults,
   /// singly and together.
-  void testRandomDays() {
+  void testRandomScenarios() {
     constexpr std::uint64_t Days = 12;
     for (const QuotaDeployment &Each : QuotaDeployment::all()) {
       double Most = 0;
--- a/Tests/LibRouting/QuotaModelTest.cpp
+++ b/Tests/LibRouting/QuotaModelTest.cpp
@@ -4,8 +4,8 @@
 // its bound; and an account that asks for less than its limit is served.
 //
 //===----------------------------------------------------------------------===//
-#include "LibRouting/OwnerRing.h"
-#include "LibRouting/TokenQuota.h"
+#include "LibRouting/ConsistentHashRing.h"
+#include "LibRouting/TokenBucket.h"
 #include "QuotaFleet.h"
 
 #include <algorithm>
@@ -159,7 +159,7 @@
   std::size_t m_Size;
   std::size_t m_Next = 0;
   tests::QuotaFleet m_Fleet;
-  routing::TokenQuota m_One{{Rate, Burst}, Burst, m_Fleet.now()};
+  routing::TokenBucket m_One{{Rate, Burst}, Burst, m_Fleet.now()};
   double m_CutOff = 0; ///< Times that an instance was.
   double m_AskedOfOne = 0;
   double m_RefusedByOne = 0;
@@ -169,7 +169,7 @@
 
 class QuotaModelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaModelTest);
-  CPPUNIT_TEST(testCalm);
+  CPPUNIT_TEST(testNoFaults);
   CPPUNIT_TEST(testAllAreKilledTogether);
   CPPUNIT_TEST(testKilledInTurn);
   CPPUNIT_TEST(testSomeAreCutOff);
@@ -207,8 +207,8 @@
 public:
   // Beside what one bucket that knows everything refuses of the same requests:
   // some are as large as its burst.
-  void testCalm() {
-    double Owners = routing::OwnerRing::MostOwners;
+  void testNoFaults() {
+    double Owners = routing::ConsistentHashRing::MaxOwners;
     double Bound =
         Rate * Window.count() + Burst + Owners * LargestRequest + Burst / 8;
     CPPUNIT_ASSERT(Bound < BoundOfWindow);
