--- a/Tests/LibRouting/QuotaTest.cpp
+++ b/Tests/LibRouting/QuotaTest.cpp
@@ -1,5 +1,5 @@
 //===-- QuotaTest.cpp - Buckets, owners and draws of quotas ---------------===//
-#include "LibRouting/QuotaBook.h"
+#include "LibRouting/DistributedQuota.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <set>
@@ -12,8 +12,8 @@
 class QuotaTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaTest);
   CPPUNIT_TEST(testBucketBoundsEveryWindow);
-  CPPUNIT_TEST(testManyRefusedAreToldToComeLater);
-  CPPUNIT_TEST(testRingNamesTheSameOwnersEverywhere);
+  CPPUNIT_TEST(testRetryAfterGrowsWithRefusals);
+  CPPUNIT_TEST(testRingIsIndependentOfMemberOrder);
   CPPUNIT_TEST(testOneMoreInstanceMovesFewAccounts);
   CPPUNIT_TEST(testOwnersTogetherGrantTheLimit);
   CPPUNIT_TEST(testRestartedOwnersStartWithNothing);
@@ -24,11 +24,11 @@
   CPPUNIT_TEST(testUnusedTokensAreGivenBackOnce);
   CPPUNIT_TEST(testAdvanceIsBounded);
   CPPUNIT_TEST(testRefusedOnlyWhenAllOwnersRefuse);
-  CPPUNIT_TEST(testSilentOwnerIsPassedOver);
-  CPPUNIT_TEST(testAloneWithoutAnyOwner);
-  CPPUNIT_TEST(testStartedAloneKeepsWithinItsPart);
-  CPPUNIT_TEST(testNothingIsLetInWhileNobodyIsKnown);
-  CPPUNIT_TEST(testAccountWithoutLimitAsksNobody);
+  CPPUNIT_TEST(testUnresponsiveOwnerIsSkipped);
+  CPPUNIT_TEST(testIsolatedInstanceUsesTolerance);
+  CPPUNIT_TEST(testRestartedIsolatedInstancesKeepTolerance);
+  CPPUNIT_TEST(testNothingIsGrantedWithoutMembers);
+  CPPUNIT_TEST(testAccountWithoutLimitAsksNoOwner);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -49,36 +49,36 @@
   }
   /// An instance that owns the account, in a fleet of \p Count.
   config::Endpoint owner(std::size_t Count) const {
-    return OwnerRing(members(Count)).ownersOf(m_Account).front();
+    return ConsistentHashRing(members(Count)).ownersOf(m_Account).front();
   }
   /// One that does not.
   config::Endpoint stranger(std::size_t Count) const {
-    auto Owners = OwnerRing(members(Count)).ownersOf(m_Account);
+    auto Owners = ConsistentHashRing(members(Count)).ownersOf(m_Account);
     for (const config::Endpoint &Each : members(Count))
       if (std::find(Owners.begin(), Owners.end(), Each) == Owners.end())
         return Each;
     return {};
   }
-  QuotaBook bookOf(const config::Endpoint &Self, std::size_t Count,
-                   double Rate = 1000, double Burst = 1000) const {
-    QuotaBook Book(Self, QuotaTolerance(), false, 7);
-    Book.setRing(OwnerRing(members(Count)), m_Now);
+  DistributedQuota bookOf(const config::Endpoint &Self, std::size_t Count,
+                          double Rate = 1000, double Burst = 1000) const {
+    DistributedQuota Book(Self, QuotaTolerance(), false, 7);
+    Book.setRing(ConsistentHashRing(members(Count)), m_Now);
     Book.setAccounts(accounts(Rate, Burst), m_Now);
     return Book;
   }
-  QuotaDraw draw(std::uint32_t Tokens) const {
-    QuotaDraw Out;
+  QuotaAcquisition draw(std::uint32_t Tokens) const {
+    QuotaAcquisition Out;
     Out.m_Account = m_Account;
     Out.m_Tokens = Tokens;
     return Out;
   }
-  static QuotaAnswer granted(std::uint32_t Tokens) {
+  static QuotaResponse granted(std::uint32_t Tokens) {
     return {QuotaVerdict::Granted, Tokens, {}};
   }
 
 public:
   void testBucketBoundsEveryWindow() {
-    TokenQuota Quota({1000, 500}, 500, m_Now);
+    TokenBucket Quota({1000, 500}, 500, m_Now);
     double Taken = 0;
     for (int I = 0; I < 800; ++I) {
       m_Now += milliseconds(10);
@@ -95,8 +95,8 @@
     CPPUNIT_ASSERT(Quota.untilAvailable() >= milliseconds(50));
   }
 
-  void testManyRefusedAreToldToComeLater() {
-    TokenQuota Quota({1000, 500}, 500, m_Now);
+  void testRetryAfterGrowsWithRefusals() {
+    TokenBucket Quota({1000, 500}, 500, m_Now);
     CPPUNIT_ASSERT(Quota.tryTake(500, m_Now));
     CPPUNIT_ASSERT(!Quota.tryTake(200, m_Now));
     CPPUNIT_ASSERT(Quota.untilAvailable() <= milliseconds(200));
@@ -108,29 +108,30 @@
     CPPUNIT_ASSERT(Quota.untilAvailable() <= milliseconds(200));
   }
 
-  void testRingNamesTheSameOwnersEverywhere() {
+  void testRingIsIndependentOfMemberOrder() {
     auto Members = members(89);
-    OwnerRing Ring(Members);
+    ConsistentHashRing HashRing(Members);
     std::reverse(Members.begin(), Members.end());
-    OwnerRing Other(Members);
+    ConsistentHashRing Other(Members);
     std::set<config::Endpoint> Owners;
     for (std::uint32_t I = 0; I < 8000; ++I) {
       std::uint32_t Hash = I * 536870;
-      CPPUNIT_ASSERT(Ring.ownersOf(Hash) == Other.ownersOf(Hash));
-      CPPUNIT_ASSERT_EQUAL(OwnerRing::MostOwners, Ring.ownersOf(Hash).size());
-      for (const config::Endpoint &Each : Ring.ownersOf(Hash))
+      CPPUNIT_ASSERT(HashRing.ownersOf(Hash) == Other.ownersOf(Hash));
+      CPPUNIT_ASSERT_EQUAL(ConsistentHashRing::MaxOwners,
+                           HashRing.ownersOf(Hash).size());
+      for (const config::Endpoint &Each : HashRing.ownersOf(Hash))
         Owners.insert(Each);
     }
     // The work is dealt to all.
     CPPUNIT_ASSERT_EQUAL(std::size_t(89), Owners.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         OwnerRing(members(1)).ownersOf(5).size());
-    CPPUNIT_ASSERT(OwnerRing().ownersOf(5).empty());
+                         ConsistentHashRing(members(1)).ownersOf(5).size());
+    CPPUNIT_ASSERT(ConsistentHashRing().ownersOf(5).empty());
   }
 
   void testOneMoreInstanceMovesFewAccounts() {
-    OwnerRing Before(members(89));
-    OwnerRing After(members(90));
+    ConsistentHashRing Before(members(89));
+    ConsistentHashRing After(members(90));
     int Moved = 0;
     for (std::uint32_t I = 0; I < 8000; ++I)
       if (Before.ownersOf(I * 536870) != After.ownersOf(I * 536870))
@@ -141,19 +142,19 @@
 
   void testOwnersTogetherGrantTheLimit() {
     // Six instances, three of them owners; each first asks one of them.
-    std::map<config::Endpoint, QuotaBook> Books;
+    std::map<config::Endpoint, DistributedQuota> Books;
     for (const config::Endpoint &Each : members(6))
       Books.emplace(Each, bookOf(Each, 6));
     double Taken = 0;
     for (int I = 0; I < 800; ++I) {
       m_Now += milliseconds(10);
       for (auto &[Self, Book] : Books) {
-        QuotaDraw Draw = draw(50);
+        QuotaAcquisition Draw = draw(50);
         QuotaStep Step = Book.begin(Draw, m_Now);
         while (Step == QuotaStep::Ask) {
-          QuotaBook &Owner = Books.at(Draw.m_Left.back());
-          Step = Book.answered(Draw, Owner.answer({m_Account, 50, 0}, m_Now),
-                               m_Now);
+          DistributedQuota &Owner = Books.at(Draw.m_RemainingOwners.back());
+          Step = Book.handleResponse(
+              Draw, Owner.handleRequest({m_Account, 50, 0}, m_Now), m_Now);
         }
         Taken += Step == QuotaStep::Granted ? 50 : 0;
       }
@@ -166,12 +167,13 @@
   void testRestartedOwnersStartWithNothing() {
     // What was granted before the restart is not known.
     QuotaOwner Owner(owner(6), false);
-    Owner.configure(accounts(1000, 1000), OwnerRing(members(6)), m_Now);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    Owner.configure(accounts(1000, 1000), ConsistentHashRing(members(6)),
+                    m_Now);
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Refused);
     m_Now += milliseconds(300);
     double Taken = 0;
-    while (Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    while (Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
            QuotaVerdict::Granted)
       ++Taken;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(100, Taken, 1);
@@ -181,44 +183,48 @@
     // It was none among six; the earlier one may have granted all there is.
     config::Endpoint Self = stranger(6);
     QuotaOwner Owner(Self, true);
-    Owner.configure(accounts(1000, 1000), OwnerRing(members(6)), m_Now);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    Owner.configure(accounts(1000, 1000), ConsistentHashRing(members(6)),
+                    m_Now);
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::NotOwner);
-    Owner.configure(accounts(1000, 1000), OwnerRing({Self}), m_Now);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    Owner.configure(accounts(1000, 1000), ConsistentHashRing({Self}), m_Now);
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Refused);
     // The earlier owner may not have heard of it yet, and grants what is
     // refilled.
     m_Now += milliseconds(2990);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Refused);
     m_Now += milliseconds(20);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Granted);
   }
 
   void testUnconfirmedListOwnsNothing() {
     QuotaOwner Owner(owner(6), true);
-    Owner.configure(accounts(1000, 1000), OwnerRing(members(6)), m_Now);
+    Owner.configure(accounts(1000, 1000), ConsistentHashRing(members(6)),
+                    m_Now);
     Owner.setListConfirmed(false);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::NotOwner);
     Owner.setListConfirmed(true);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Granted);
   }
 
   void testDebtIsSharedByTheOwners() {
     // Each has a third of 9,000 tokens; one lets in 12,000.
-    auto Owners = OwnerRing(members(6)).ownersOf(m_Account);
+    auto Owners = ConsistentHashRing(members(6)).ownersOf(m_Account);
     std::map<config::Endpoint, QuotaOwner> All;
     for (const config::Endpoint &Each : Owners) {
       QuotaOwner &New = All.emplace(Each, QuotaOwner(Each, true)).first->second;
-      New.configure(accounts(9000, 9000), OwnerRing(members(6)), m_Now);
+      New.configure(accounts(9000, 9000), ConsistentHashRing(members(6)),
+                    m_Now);
     }
     QuotaOwner &First = All.at(Owners[0]);
-    CPPUNIT_ASSERT(First.answer({m_Account, 12000, 0}, m_Now).m_Verdict ==
-                   QuotaVerdict::Granted);
+    CPPUNIT_ASSERT(
+        First.handleRequest({m_Account, 12000, 0}, m_Now).m_Verdict ==
+        QuotaVerdict::Granted);
     auto Charges = First.takeCharges();
     CPPUNIT_ASSERT(First.takeCharges().empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), Charges.size());
@@ -229,62 +235,65 @@
     // Until another has taken its part, all of the debt is here: 9,000 tokens
     // at 3,000 a second. With one part taken, 6,000.
     m_Now += milliseconds(10);
-    QuotaAnswer Refused = First.answer({m_Account, 1, 0}, m_Now);
+    QuotaResponse Refused = First.handleRequest({m_Account, 1, 0}, m_Now);
     CPPUNIT_ASSERT(Refused.m_RetryAfter > milliseconds(2980));
     CPPUNIT_ASSERT(All.at(Owners[1]).charge(m_Account, 3000, m_Now));
-    First.relieve(m_Account, 3000, m_Now);
-    Refused = First.answer({m_Account, 1, 0}, m_Now);
+    First.settleCharge(m_Account, 3000, m_Now);
+    Refused = First.handleRequest({m_Account, 1, 0}, m_Now);
     CPPUNIT_ASSERT(Refused.m_RetryAfter > milliseconds(1980));
     CPPUNIT_ASSERT(Refused.m_RetryAfter < milliseconds(2000));
     CPPUNIT_ASSERT(
-        All.at(Owners[1]).answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+        All.at(Owners[1]).handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
         QuotaVerdict::Refused);
     CPPUNIT_ASSERT(
-        All.at(Owners[2]).answer({m_Account, 1, 0}, m_Now).m_Verdict ==
+        All.at(Owners[2]).handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
         QuotaVerdict::Granted);
     // Who does not own the account takes nothing over.
     QuotaOwner Stranger(stranger(6), true);
-    Stranger.configure(accounts(9000, 9000), OwnerRing(members(6)), m_Now);
+    Stranger.configure(accounts(9000, 9000), ConsistentHashRing(members(6)),
+                       m_Now);
     CPPUNIT_ASSERT(!Stranger.charge(m_Account, 3000, m_Now));
   }
 
   void testLowerLimitBindsAtOnce() {
     QuotaOwner Owner(owner(1), true);
-    Owner.configure(accounts(1000, 5000), OwnerRing(members(1)), m_Now);
-    Owner.configure(accounts(10, 20), OwnerRing(members(1)), m_Now);
-    CPPUNIT_ASSERT(Owner.answer({m_Account, 100, 0}, m_Now).m_Verdict ==
+    Owner.configure(accounts(1000, 5000), ConsistentHashRing(members(1)),
+                    m_Now);
+    Owner.configure(accounts(10, 20), ConsistentHashRing(members(1)), m_Now);
+    CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 100, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Granted);
-    QuotaAnswer Second = Owner.answer({m_Account, 1, 0}, m_Now);
+    QuotaResponse Second = Owner.handleRequest({m_Account, 1, 0}, m_Now);
     CPPUNIT_ASSERT(Second.m_Verdict == QuotaVerdict::Refused);
     CPPUNIT_ASSERT(Second.m_RetryAfter > seconds(5));
   }
 
   void testUnusedTokensAreGivenBackOnce() {
-    QuotaBook Book = bookOf(stranger(6), 6);
-    QuotaDraw Draw = draw(100);
+    DistributedQuota Book = bookOf(stranger(6), 6);
+    QuotaAcquisition Draw = draw(100);
     CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Ask);
-    config::Endpoint Owner = Draw.m_Left.back();
-    CPPUNIT_ASSERT(Book.answered(Draw, granted(150), m_Now) ==
+    config::Endpoint Owner = Draw.m_RemainingOwners.back();
+    CPPUNIT_ASSERT(Book.handleResponse(Draw, granted(150), m_Now) ==
                    QuotaStep::Granted);
     // It did not run; the next one of its account uses the same tokens.
     Book.giveBack(Draw, m_Now);
-    QuotaDraw Next = draw(120);
+    QuotaAcquisition Next = draw(120);
     CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Granted);
     CPPUNIT_ASSERT(*Next.m_Owner == Owner);
-    CPPUNIT_ASSERT(Book.takeUnused(m_Now).empty());
-    auto Unused = Book.takeUnused(m_Now + seconds(2));
+    CPPUNIT_ASSERT(Book.takeUnusedGrants(m_Now).empty());
+    auto Unused = Book.takeUnusedGrants(m_Now + seconds(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Unused.size());
     CPPUNIT_ASSERT(Unused[0].m_Owner == Owner && Unused[0].m_Tokens == 30);
-    CPPUNIT_ASSERT(Book.takeUnused(m_Now + seconds(2)).empty());
+    CPPUNIT_ASSERT(Book.takeUnusedGrants(m_Now + seconds(2)).empty());
   }
 
   void testAdvanceIsBounded() {
     QuotaOwner Owner(owner(1), true);
-    Owner.configure(accounts(100000, 100000), OwnerRing(members(1)), m_Now);
+    Owner.configure(accounts(100000, 100000), ConsistentHashRing(members(1)),
+                    m_Now);
     std::uint64_t Advance = 0;
     for (int I = 0; I < 1000; ++I) {
       m_Now += milliseconds(1);
-      Advance += Owner.answer({m_Account, 10, 0}, m_Now).m_Tokens - 10;
+      Advance += Owner.handleRequest({m_Account, 10, 0}, m_Now).m_Tokens - 10;
     }
     // An eighth of the burst each second, and nothing at the start.
     CPPUNIT_ASSERT(Advance > 6000);
@@ -292,45 +301,45 @@
   }
 
   void testRefusedOnlyWhenAllOwnersRefuse() {
-    QuotaBook Book = bookOf(stranger(6), 6);
-    QuotaDraw Draw = draw(100);
+    DistributedQuota Book = bookOf(stranger(6), 6);
+    QuotaAcquisition Draw = draw(100);
     CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Ask);
     for (int Time : {300, 200})
-      CPPUNIT_ASSERT(
-          Book.answered(Draw, {QuotaVerdict::Refused, 0, milliseconds(Time)},
-                        m_Now) == QuotaStep::Ask);
-    CPPUNIT_ASSERT(Book.answered(Draw,
-                                 {QuotaVerdict::Refused, 0, milliseconds(400)},
-                                 m_Now) == QuotaStep::Refused);
+      CPPUNIT_ASSERT(Book.handleResponse(
+                         Draw, {QuotaVerdict::Refused, 0, milliseconds(Time)},
+                         m_Now) == QuotaStep::Ask);
+    CPPUNIT_ASSERT(
+        Book.handleResponse(Draw, {QuotaVerdict::Refused, 0, milliseconds(400)},
+                            m_Now) == QuotaStep::Refused);
     CPPUNIT_ASSERT(*Draw.m_RetryAfter == milliseconds(200));
     // All said so just now; nobody is asked again for a while.
-    QuotaDraw Next = draw(1);
+    QuotaAcquisition Next = draw(1);
     CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Refused);
     m_Now += milliseconds(60);
     Next = draw(1);
     CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Ask);
   }
 
-  void testSilentOwnerIsPassedOver() {
-    QuotaBook Book = bookOf(stranger(6), 6);
-    QuotaDraw Draw = draw(100);
+  void testUnresponsiveOwnerIsSkipped() {
+    DistributedQuota Book = bookOf(stranger(6), 6);
+    QuotaAcquisition Draw = draw(100);
     CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Ask);
-    config::Endpoint Silent = Draw.m_Left.back();
-    CPPUNIT_ASSERT(Book.unanswered(Draw, m_Now) == QuotaStep::Ask);
-    CPPUNIT_ASSERT(Book.answered(Draw, granted(100), m_Now) ==
+    config::Endpoint Silent = Draw.m_RemainingOwners.back();
+    CPPUNIT_ASSERT(Book.handleTimeout(Draw, m_Now) == QuotaStep::Ask);
+    CPPUNIT_ASSERT(Book.handleResponse(Draw, granted(100), m_Now) ==
                    QuotaStep::Granted);
     for (int I = 0; I < 20; ++I) {
-      QuotaDraw Next = draw(100);
+      QuotaAcquisition Next = draw(100);
       CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Ask);
-      CPPUNIT_ASSERT(!(Next.m_Left.back() == Silent));
+      CPPUNIT_ASSERT(!(Next.m_RemainingOwners.back() == Silent));
     }
     // It is tried again later.
     m_Now += seconds(1);
     bool IsAsked = false;
     for (int I = 0; I < 20; ++I) {
-      QuotaDraw Next = draw(100);
+      QuotaAcquisition Next = draw(100);
       Book.begin(Next, m_Now);
-      IsAsked = IsAsked || Next.m_Left.back() == Silent;
+      IsAsked = IsAsked || Next.m_RemainingOwners.back() == Silent;
     }
     CPPUNIT_ASSERT(IsAsked);
   }
@@ -340,27 +349,27 @@
   std::uint32_t takenAlone(std::size_t Count, const QuotaTolerance &Tolerance,
                            std::uint64_t Seed, core::Duration Period,
                            core::Duration Length, bool HasReachedOwner) const {
-    QuotaBook Book(stranger(Count), Tolerance, false, Seed);
-    Book.setRing(OwnerRing(members(Count)), m_Now);
+    DistributedQuota Book(stranger(Count), Tolerance, false, Seed);
+    Book.setRing(ConsistentHashRing(members(Count)), m_Now);
     Book.setAccounts(accounts(1000, 1000), m_Now);
     if (HasReachedOwner) {
-      QuotaDraw First = draw(50);
+      QuotaAcquisition First = draw(50);
       Book.begin(First, m_Now);
-      CPPUNIT_ASSERT(Book.answered(First, granted(50), m_Now) ==
+      CPPUNIT_ASSERT(Book.handleResponse(First, granted(50), m_Now) ==
                      QuotaStep::Granted);
     }
     std::uint32_t Taken = 0;
     for (core::Duration At = Period; At <= Length; At += Period) {
-      QuotaDraw Next = draw(50);
+      QuotaAcquisition Next = draw(50);
       QuotaStep Step = Book.begin(Next, m_Now + At);
       while (Step == QuotaStep::Ask)
-        Step = Book.unanswered(Next, m_Now + At);
+        Step = Book.handleTimeout(Next, m_Now + At);
       Taken += Step == QuotaStep::Granted ? 50 : 0;
     }
     return Taken;
   }
 
-  void testAloneWithoutAnyOwner() {
+  void testIsolatedInstanceUsesTolerance() {
     // 2,000 tokens are tolerated; a quarter is for all that reach no owner, and
     // comes again within a window. One of ten has 50 of them by its end.
     QuotaTolerance Tolerance{0.1, 1100, seconds(8)};
@@ -376,7 +385,7 @@
                                     seconds(8), true));
   }
 
-  void testStartedAloneKeepsWithinItsPart() {
+  void testRestartedIsolatedInstancesKeepTolerance() {
     // Many processes start again and again, and reach nobody for 0.4 s. Each
     // has a hundredth of 500 in 8 s, 0.25 tokens by then, for requests of 50.
     QuotaTolerance Tolerance{0.1, 1100, seconds(8)};
@@ -389,18 +398,18 @@
     CPPUNIT_ASSERT(Taken <= 7500);
   }
 
-  void testNothingIsLetInWhileNobodyIsKnown() {
-    QuotaBook Book(owner(6), QuotaTolerance(), false, 7);
+  void testNothingIsGrantedWithoutMembers() {
+    DistributedQuota Book(owner(6), QuotaTolerance(), false, 7);
     Book.setAccounts(accounts(1000, 1000), m_Now);
-    QuotaDraw Draw = draw(1);
+    QuotaAcquisition Draw = draw(1);
     CPPUNIT_ASSERT(Book.begin(Draw, m_Now + seconds(1)) == QuotaStep::Refused);
     CPPUNIT_ASSERT(*Draw.m_RetryAfter > core::Duration::zero());
   }
 
-  void testAccountWithoutLimitAsksNobody() {
-    QuotaBook Book(owner(6), QuotaTolerance(), false, 7);
+  void testAccountWithoutLimitAsksNoOwner() {
+    DistributedQuota Book(owner(6), QuotaTolerance(), false, 7);
     Book.setAccounts(accounts(0, 0), m_Now);
-    QuotaDraw Draw = draw(1000000);
+    QuotaAcquisition Draw = draw(1000000);
     CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Granted);
   }
 };
--- a/Tests/LibRouting/BudgetTest.cpp
+++ b/Tests/LibRouting/RetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-//===-- BudgetTest.cpp - Retry budgets
+//===-- RetryBudgetTest.cpp - Retry budgets
 //-------------------------------------===//
 #include "LibRouting/RetryBudget.h"
 
@@ -9,12 +9,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class BudgetTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(BudgetTest);
+class RetryBudgetTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RetryBudgetTest);
   CPPUNIT_TEST(testRetriesStayBelowTheRatioInEveryWindow);
   CPPUNIT_TEST(testAllowanceWithoutRequests);
   CPPUNIT_TEST(testAllowanceIsSharedByAllInstances);
-  CPPUNIT_TEST(testNewLimitsForgetNothing);
+  CPPUNIT_TEST(testNewLimitsKeepCounts);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -27,7 +27,7 @@
       m_Now += milliseconds(10);
       // Requests come only in every other five seconds.
       if (I / 500 % 2 == 0)
-        Budget.noteRequest(m_Now);
+        Budget.recordRequest(m_Now);
       if (Budget.tryTake(m_Now, 1))
         Taken.push_back(m_Now);
     }
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT(!Budget.tryTake(m_Now, 3));
   }
 
-  void testNewLimitsForgetNothing() {
+  void testNewLimitsKeepCounts() {
     RetryBudget Budget({0.2, seconds(10), 2});
     CPPUNIT_ASSERT(Budget.tryTake(m_Now, 1));
     Budget.setLimits({0.2, seconds(10), 1});
@@ -67,4 +67,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(BudgetTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RetryBudgetTest);
--- a/Tests/LibRouting/RoutingTableTest.cpp
+++ b/Tests/LibRouting/RoutingTableTest.cpp
@@ -72,14 +72,14 @@
 
   void testWhatMayRunAgain() {
     Route Each;
-    Each.m_Kind = RouteKind::RunOnce;
-    CPPUNIT_ASSERT(!Each.mayRunAgain());
-    Each.m_Kind = RouteKind::Repeatable;
-    CPPUNIT_ASSERT(Each.mayRunAgain());
+    Each.m_Kind = RouteKind::NonIdempotent;
+    CPPUNIT_ASSERT(!Each.isRetryable());
+    Each.m_Kind = RouteKind::Idempotent;
+    CPPUNIT_ASSERT(Each.isRetryable());
     Each.m_Kind = RouteKind::Stream;
-    CPPUNIT_ASSERT(!Each.mayRunAgain());
+    CPPUNIT_ASSERT(!Each.isRetryable());
     Each.m_IsResumable = true;
-    CPPUNIT_ASSERT(Each.mayRunAgain());
+    CPPUNIT_ASSERT(Each.isRetryable());
   }
 };
 
--- a/Tests/LibRouting/TargetDirectoryTest.cpp
+++ b/Tests/LibRouting/TargetDirectoryTest.cpp
@@ -8,9 +8,9 @@
 
 class TargetDirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TargetDirectoryTest);
-  CPPUNIT_TEST(testSmallPoolThatLeavesIsForgottenSoon);
-  CPPUNIT_TEST(testRunThatStartsAgainUnderItsNameIsNew);
-  CPPUNIT_TEST(testRequestsThatOutlastTheirRunCountNowhere);
+  CPPUNIT_TEST(testExpiredTargetsOfSmallPoolAreRemovedSoon);
+  CPPUNIT_TEST(testRestartedTargetStartsFresh);
+  CPPUNIT_TEST(testRequestsOfEndedRunAreIgnored);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -19,12 +19,12 @@
   bool announce(const char *Name, const char *Pool, std::int64_t Birth = 0) {
     Target What;
     What.m_Name = core::TargetName(Name);
-    What.m_Birth = core::TargetBirth(Birth);
+    What.m_StartTime = core::TargetStartTime(Birth);
     What.m_Pool = core::PoolName(Pool);
-    return m_Targets.announce(What) == Announced::NewRun;
+    return m_Targets.announce(What) == AnnouncementEffect::NewRun;
   }
-  static TargetRun run(const char *Name, std::int64_t Birth) {
-    return {core::TargetName(Name), core::TargetBirth(Birth)};
+  static TargetIncarnation run(const char *Name, std::int64_t Birth) {
+    return {core::TargetName(Name), core::TargetStartTime(Birth)};
   }
 
 public:
@@ -33,7 +33,7 @@
   /// without a word before; over half of a pool was taken as an outage of the
   /// store, for which announcements are missed for longer. It was no outage:
   /// the announcements of all other pools stood.
-  void testSmallPoolThatLeavesIsForgottenSoon() {
+  void testExpiredTargetsOfSmallPoolAreRemovedSoon() {
     for (const char *Name : {"a", "b", "c"})
       announce(Name, "small");
     for (const char *Name : {"d", "e", "f", "g"})
@@ -42,35 +42,36 @@
     m_Now += milliseconds(900);
     m_Targets.withdraw(core::TargetName("b"), m_Now);
     m_Now += milliseconds(300);
-    m_Targets.forgetLapsed(m_Now);
+    m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT(!m_Targets.find(core::TargetName("a")));
     CPPUNIT_ASSERT(m_Targets.find(core::TargetName("b")));
     m_Now += milliseconds(900);
-    m_Targets.forgetLapsed(m_Now);
+    m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT(!m_Targets.find(core::TargetName("b")));
     // Most of all at once: an outage.
     for (const char *Name : {"c", "d", "e"})
       m_Targets.withdraw(core::TargetName(Name), m_Now);
     m_Now += milliseconds(2000);
-    m_Targets.forgetLapsed(m_Now);
+    m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), m_Targets.all().size());
   }
 
   /// A target crashes while it is full, slow, resting after failures and taken
   /// for replaced, and starts again under its name: all its places are free and
   /// nothing that was learned holds. The earlier run is known no more.
-  void testRunThatStartsAgainUnderItsNameIsNew() {
+  void testRestartedTargetStartsFresh() {
     CPPUNIT_ASSERT(announce("a", "pool", 5000));
     announce("b", "pool", 5000);
     for (int I = 0; I < 3; ++I) {
-      m_Targets.tryStart(run("a", 5000), 1000, m_Now);
-      m_Targets.failed(run("a", 5000), TargetFailure::Unreachable, m_Now);
-      m_Targets.notePace(run("a", 5000), milliseconds(90));
-      m_Targets.notePace(run("b", 5000), milliseconds(10));
+      m_Targets.tryStartRequest(run("a", 5000), 1000, m_Now);
+      m_Targets.recordFailure(run("a", 5000), TargetFailure::Unreachable,
+                              m_Now);
+      m_Targets.recordServiceTime(run("a", 5000), milliseconds(90));
+      m_Targets.recordServiceTime(run("b", 5000), milliseconds(10));
     }
-    m_Targets.replaced(run("a", 5000));
+    m_Targets.recordReplacement(run("a", 5000));
     std::uint32_t Before = m_Targets.find(core::TargetName("a"))->m_Hash;
-    m_Targets.setOthers({{Before, {4, 4000}}});
+    m_Targets.setRemoteLoad({{Before, {4, 4000}}});
     // An announcement that only says more of the same run changes none of it.
     CPPUNIT_ASSERT(!announce("a", "pool", 5000));
     CPPUNIT_ASSERT_EQUAL(std::size_t(7),
@@ -80,34 +81,36 @@
     CPPUNIT_ASSERT(announce("a", "pool", 4000));
     const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), Now.m_Own.m_PendingPrompt);
-    CPPUNIT_ASSERT(Now.isOpen() && !Now.isOnProbation() && !Now.m_LapsedAt);
-    CPPUNIT_ASSERT(Now.m_RestsUntil <= m_Now && Now.m_FailureShare == 0);
-    CPPUNIT_ASSERT(Now.m_Slowness == 1 && Now.m_PaceMs == 0);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0),
+                         Now.m_LocalLoad.m_PendingPromptTokens);
+    CPPUNIT_ASSERT(Now.isOpen() && !Now.isOnProbation() && !Now.m_ExpiredAt);
+    CPPUNIT_ASSERT(Now.m_CooldownUntil <= m_Now && Now.m_FailureRate == 0);
+    CPPUNIT_ASSERT(Now.m_Slowness == 1 && Now.m_ServiceTimeMs == 0);
     // What others told of the earlier run is not counted at this one.
     CPPUNIT_ASSERT(Now.m_Hash != Before);
-    m_Targets.setOthers({{Before, {4, 4000}}});
+    m_Targets.setRemoteLoad({{Before, {4, 4000}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
-    CPPUNIT_ASSERT(!m_Targets.findRun(run("a", 5000)));
+    CPPUNIT_ASSERT(!m_Targets.findByIncarnation(run("a", 5000)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2),
-                         m_Targets.of(core::PoolName("pool")).size());
+                         m_Targets.subsetOf(core::PoolName("pool")).size());
   }
 
-  void testRequestsThatOutlastTheirRunCountNowhere() {
+  void testRequestsOfEndedRunAreIgnored() {
     announce("a", "pool", 1);
-    m_Targets.tryStart(run("a", 1), 1000, m_Now);
-    m_Targets.tryStart(run("a", 1), 1000, m_Now);
+    m_Targets.tryStartRequest(run("a", 1), 1000, m_Now);
+    m_Targets.tryStartRequest(run("a", 1), 1000, m_Now);
     announce("a", "pool", 2);
-    m_Targets.tryStart(run("a", 2), 700, m_Now);
-    m_Targets.began(run("a", 1), 1000);
-    m_Targets.ended(run("a", 1), 1000);
-    m_Targets.ended(run("a", 1), 1000);
-    m_Targets.failed(run("a", 1), TargetFailure::Unreachable, m_Now);
-    m_Targets.replaced(run("a", 1));
+    m_Targets.tryStartRequest(run("a", 2), 700, m_Now);
+    m_Targets.recordFirstEvent(run("a", 1), 1000);
+    m_Targets.recordEnd(run("a", 1), 1000);
+    m_Targets.recordEnd(run("a", 1), 1000);
+    m_Targets.recordFailure(run("a", 1), TargetFailure::Unreachable, m_Now);
+    m_Targets.recordReplacement(run("a", 1));
     const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Now.running());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(700), Now.m_Own.m_PendingPrompt);
-    CPPUNIT_ASSERT(Now.isOpen() && Now.m_RestsUntil <= m_Now);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(700),
+                         Now.m_LocalLoad.m_PendingPromptTokens);
+    CPPUNIT_ASSERT(Now.isOpen() && Now.m_CooldownUntil <= m_Now);
   }
 };
 
--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -120,30 +120,30 @@
     Head.m_Headers = {{"server-limit", " 1.4 "},
                       {"Server-Leaving", "1"},
                       {"Retry-After", "3"}};
-    routing::TargetTerms Terms = m_Dialect.describe(Head).m_Terms;
+    routing::TargetBackpressure Terms = m_Dialect.describe(Head).m_Terms;
     CPPUNIT_ASSERT_EQUAL(1.4, Terms.m_RequestsPerSecond.value());
     CPPUNIT_ASSERT(Terms.m_IsLeaving);
     // Only one that turns a request away asks for rest.
-    CPPUNIT_ASSERT(!Terms.m_Rest);
+    CPPUNIT_ASSERT(!Terms.m_Backoff);
     Head.m_Status = 503;
     Head.m_Headers = {{"Retry-After", "2.5"}, {"Server-Limit", "0"}};
     Terms = m_Dialect.describe(Head).m_Terms;
-    CPPUNIT_ASSERT(Terms.m_Rest == std::chrono::milliseconds(2500));
+    CPPUNIT_ASSERT(Terms.m_Backoff == std::chrono::milliseconds(2500));
     CPPUNIT_ASSERT_EQUAL(0.0, Terms.m_RequestsPerSecond.value());
-    CPPUNIT_ASSERT(!Terms.m_IsLimitUnsaid);
+    CPPUNIT_ASSERT(!Terms.m_IsLimitUnspecified);
     // Another target has the address.
     Head.m_Status = 421;
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.isEmpty());
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnsaid);
+    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
     // A signed answer of a run that names no limit says that there is none.
     Head.m_Status = 200;
     Head.m_Headers = {{"Replica-Seal", "s"}};
-    CPPUNIT_ASSERT(!m_Dialect.describe(Head).m_Terms.m_IsLimitUnsaid);
+    CPPUNIT_ASSERT(!m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
     Head.m_Headers = {};
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnsaid);
+    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
     Head.m_Status = 503;
     Head.m_Headers = {{"Replica-Seal", "s"}, {"Not-Executed", "1"}};
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnsaid);
+    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
   }
 
   void testUnreadableTerms() {
@@ -152,9 +152,9 @@
     for (const char *Text : {"", "-1", "-0.0", "nan", "inf", "1e300", "many",
                              "1,4", "0x10", "1.4 a second"}) {
       Head.m_Headers = {{"Server-Limit", Text}, {"Retry-After", Text}};
-      routing::TargetTerms Terms = m_Dialect.describe(Head).m_Terms;
+      routing::TargetBackpressure Terms = m_Dialect.describe(Head).m_Terms;
       CPPUNIT_ASSERT(!Terms.m_RequestsPerSecond && Terms.m_IsLimitUnreadable);
-      CPPUNIT_ASSERT(!Terms.m_Rest);
+      CPPUNIT_ASSERT(!Terms.m_Backoff);
     }
     Head.m_Headers = {{"Server-Limit", "2"}, {"server-limit", "3"}};
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnreadable);
@@ -163,7 +163,7 @@
                       {"Server-Leaving", "0"}};
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.isEmpty());
     Head.m_Headers = {{"Retry-After", std::string(300, '9')}};
-    auto Rest = m_Dialect.describe(Head).m_Terms.m_Rest;
+    auto Rest = m_Dialect.describe(Head).m_Terms.m_Backoff;
     CPPUNIT_ASSERT(!Rest || *Rest <= std::chrono::hours(1));
   }
 
@@ -189,17 +189,17 @@
     const auto *First = Table->findRoute("ficu95.example", "/pufi791/x");
     CPPUNIT_ASSERT(First && First->m_Kind == routing::RouteKind::Stream);
     CPPUNIT_ASSERT(First->m_Tier == core::TierNumber(2));
-    CPPUNIT_ASSERT(First->m_LongestPause == std::chrono::milliseconds(200));
+    CPPUNIT_ASSERT(First->m_MaxEventGap == std::chrono::milliseconds(200));
     const auto *Second = Table->findRoute("ficu95.example", "/lohu930/");
     CPPUNIT_ASSERT(Second && Second->m_IsPublic);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), Second->m_Pools.size());
-    CPPUNIT_ASSERT_EQUAL(2U, Second->m_MostTargets);
-    CPPUNIT_ASSERT(Table->findPool(core::PoolName("huvo11a"))->m_IsModel);
-    CPPUNIT_ASSERT(!Table->findPool(core::PoolName("wuno96b"))->m_IsModel);
+    CPPUNIT_ASSERT_EQUAL(2U, Second->m_MaxAttempts);
+    CPPUNIT_ASSERT(Table->findPool(core::PoolName("huvo11a"))->m_IsInference);
+    CPPUNIT_ASSERT(!Table->findPool(core::PoolName("wuno96b"))->m_IsInference);
     const auto *Owner = Table->findAccountByKey("k2");
     CPPUNIT_ASSERT(Owner && Owner->m_Tier == core::TierNumber(2));
     CPPUNIT_ASSERT_EQUAL(77261.0, Owner->m_TokensPerSecond);
-    CPPUNIT_ASSERT_EQUAL(200U, Owner->m_PlainTokens);
+    CPPUNIT_ASSERT_EQUAL(200U, Owner->m_DefaultTokens);
     CPPUNIT_ASSERT_EQUAL(std::size_t(8192), Table->limits().m_HeaderBytes);
   }
 
@@ -212,7 +212,7 @@
     auto News = m_Dialect.read(Change);
     const auto &Seen = std::get<gateway::TargetSeen>(News).m_Target;
     CPPUNIT_ASSERT(Seen.m_Name == core::TargetName("i-7f"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Seen.m_Places);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Seen.m_Slots);
     CPPUNIT_ASSERT(!Seen.m_IsLeaving);
     Change.m_Value.replace(Change.m_Value.find("ready"), 5, "draining");
     News = m_Dialect.read(Change);
--- a/Tests/Platform/ForeignEntryTest.cpp
+++ b/Tests/Platform/ForeignEntryTest.cpp
@@ -62,13 +62,14 @@
 
 public:
   void testReadsOldAndNewForms() {
-    CPPUNIT_ASSERT(read(entry(oldForm())).m_Birth == core::TargetBirth());
-    CPPUNIT_ASSERT(read(entry(newForm())).m_Birth ==
-                   core::TargetBirth(1796258454000));
+    CPPUNIT_ASSERT(read(entry(oldForm())).m_StartTime ==
+                   core::TargetStartTime());
+    CPPUNIT_ASSERT(read(entry(newForm())).m_StartTime ==
+                   core::TargetStartTime(1796258454000));
     json::object More = newForm();
     More["stage"] = "colocated";
     More["models"] = json::array{json::object{{"name", "m"}}};
-    CPPUNIT_ASSERT_EQUAL(std::size_t(6), read(entry(More)).m_Places);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(6), read(entry(More)).m_Slots);
   }
 
   void testMissingFieldsNameNoTarget() {
@@ -156,8 +157,8 @@
       Change.m_Key = "servers/foreign";
       try {
         routing::Target Seen = read(Change);
-        CPPUNIT_ASSERT(Seen.m_Places >= 1 && Seen.m_Places <= 65535);
-        CPPUNIT_ASSERT(Seen.m_Birth.value() >= 0);
+        CPPUNIT_ASSERT(Seen.m_Slots >= 1 && Seen.m_Slots <= 65535);
+        CPPUNIT_ASSERT(Seen.m_StartTime.value() >= 0);
         CPPUNIT_ASSERT(Seen.m_Address.m_Port != 0);
         Targets.announce(Seen);
         ++Readable;
@@ -170,8 +171,8 @@
     for (int I = 0; I < 4; ++I) {
       auto *Sound =
           Targets.find(core::TargetName("sound-" + std::to_string(I)));
-      CPPUNIT_ASSERT(Sound && !Sound->m_LapsedAt);
-      CPPUNIT_ASSERT_EQUAL(std::size_t(6), Sound->m_Target.m_Places);
+      CPPUNIT_ASSERT(Sound && !Sound->m_ExpiredAt);
+      CPPUNIT_ASSERT_EQUAL(std::size_t(6), Sound->m_Target.m_Slots);
     }
   }
 
--- a/Tests/Sessions/SessionTest.cpp
+++ b/Tests/Sessions/SessionTest.cpp
@@ -40,7 +40,7 @@
   static Fleet::Shape shapeOf(const YAML::Node &Node) {
     Fleet::Shape Out;
     Out.m_Instances = Node["instances"].as<int>();
-    Out.m_Places = Node["places"].as<int>(8);
+    Out.m_Slots = Node["places"].as<int>(8);
     return Out;
   }
 
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -151,8 +151,8 @@
   static const struct {
     RequestKind m_Kind;
     const char *m_Path;
-  } Kinds[] = {{RequestKind::RunOnce, "/once/"},
-               {RequestKind::Repeatable, "/again/"},
+  } Kinds[] = {{RequestKind::NonIdempotent, "/once/"},
+               {RequestKind::Idempotent, "/again/"},
                {RequestKind::Stream, "/stream/"},
                {RequestKind::ResumableStream, "/resume/"}};
   for (std::uint64_t Left = 1 + draw(RequestsOfConnection); Left > 0; --Left) {
@@ -182,7 +182,7 @@
     try {
       auto Connection = http::ClientConnection::connect(
           m_Context, m_Under.callerAddress(Gateway), ConnectTime, Yield);
-      Attempt What = makeAttempt(Gateway, RequestKind::Repeatable, false);
+      Attempt What = makeAttempt(Gateway, RequestKind::Idempotent, false);
       What.m_Content =
           BadPrefix + std::to_string(Number) + "-" + std::to_string(Series);
       exchange(*Connection, What, "/again/", Yield);
@@ -258,7 +258,7 @@
       continue;
     AcceptedVersion Asked = m_Under.versions().back();
     std::size_t Life = m_Under.lifeOf(Gateway);
-    Attempt What = makeAttempt(Gateway, RequestKind::Repeatable, false);
+    Attempt What = makeAttempt(Gateway, RequestKind::Idempotent, false);
     What.m_IsProbe = true;
     try {
       auto Connection = http::ClientConnection::connect(
--- a/Tests/Soak/Ledger.cpp
+++ b/Tests/Soak/Ledger.cpp
@@ -95,9 +95,9 @@
   if (!What)
     return;
   m_TokensRun[What->m_Account].push_back({m_Now(), What->m_Tokens});
-  if (++What->m_Runs > 1 && !What->mayRunAgain())
+  if (++What->m_Runs > 1 && !What->isRetryable())
     broken("once", Id + " ran again");
-  if (What->m_Status && isRefusal(*What->m_Status) && !What->mayRunAgain())
+  if (What->m_Status && isRefusal(*What->m_Status) && !What->isRetryable())
     broken("refusal", Id + " ran after it was refused");
 }
 
@@ -164,7 +164,7 @@
 void Ledger::answered(const std::string &Id, unsigned Status) {
   Attempt &What = m_Attempts.at(Id);
   What.m_Status = Status;
-  if (isRefusal(Status) && What.m_Runs > 0 && !What.mayRunAgain())
+  if (isRefusal(Status) && What.m_Runs > 0 && !What.isRetryable())
     broken("refusal", Id + " was refused after it ran");
   if (!What.m_IsProbe && (Status == 401 || Status == 404))
     broken("denied", Id + " got " + std::to_string(Status));
--- a/Tests/Soak/Ledger.h
+++ b/Tests/Soak/Ledger.h
@@ -61,7 +61,7 @@
 inline constexpr double ServedAfterRecovery = 0.9;
 } // namespace bounds
 
-enum class RequestKind { RunOnce, Repeatable, Stream, ResumableStream };
+enum class RequestKind { NonIdempotent, Idempotent, Stream, ResumableStream };
 
 struct QuotaTerms {
   double m_TokensPerSecond = 0;
@@ -71,7 +71,7 @@
 /// One request of a caller.
 struct Attempt {
   std::string m_Id;
-  RequestKind m_Kind = RequestKind::RunOnce;
+  RequestKind m_Kind = RequestKind::NonIdempotent;
   std::size_t m_Gateway = 0;
   std::string m_Account;
   /// Of a request that ends its targets: all attempts alike. Empty: no other
@@ -87,8 +87,8 @@
   bool m_HasTargetTrouble = false;
   std::optional<unsigned> m_Status; ///< Of a refusal or a whole answer.
 
-  bool mayRunAgain() const {
-    return m_Kind == RequestKind::Repeatable ||
+  bool isRetryable() const {
+    return m_Kind == RequestKind::Idempotent ||
            m_Kind == RequestKind::ResumableStream;
   }
 };
--- a/Tests/Soak/LedgerTest.cpp
+++ b/Tests/Soak/LedgerTest.cpp
@@ -34,7 +34,7 @@
   Ledger m_Book{2, [this] { return m_Now; }};
   int m_Next = 0;
 
-  std::string send(RequestKind Kind = RequestKind::RunOnce,
+  std::string send(RequestKind Kind = RequestKind::NonIdempotent,
                    const std::string &Account = "open") {
     Attempt What;
     What.m_Id = "a" + std::to_string(++m_Next);
@@ -142,7 +142,7 @@
   }
 
   void testSecondRun() {
-    std::string Again = send(RequestKind::Repeatable);
+    std::string Again = send(RequestKind::Idempotent);
     run(Again);
     run(Again);
     expectNothing();
@@ -246,14 +246,14 @@
     m_Book.setQuota("limited", {100, 100});
     // (100 x 8 + 100) x 1.1 + 2,800 tokens are allowed in 8 s.
     for (int I = 0; I < 38; ++I)
-      run(send(RequestKind::RunOnce, "limited"));
+      run(send(RequestKind::NonIdempotent, "limited"));
     m_Book.finish(m_Now);
     expect("quota");
   }
 
   void testRetries() {
     for (int I = 0; I < 53; ++I) {
-      std::string Id = send(RequestKind::Repeatable);
+      std::string Id = send(RequestKind::Idempotent);
       run(Id);
       run(Id);
       m_Book.answered(Id, 200);
@@ -261,7 +261,7 @@
     m_Book.finish(m_Now);
     // 53 of 53: a fifth of them and 52 are allowed.
     expectNothing();
-    std::string Id = send(RequestKind::Repeatable);
+    std::string Id = send(RequestKind::Idempotent);
     for (int I = 0; I < 14; ++I)
       run(Id);
     m_Book.answered(Id, 200);
@@ -287,7 +287,7 @@
     auto Come = [this](std::size_t Gateway) {
       Attempt What;
       What.m_Id = "a" + std::to_string(++m_Next);
-      What.m_Kind = RequestKind::Repeatable;
+      What.m_Kind = RequestKind::Idempotent;
       What.m_Gateway = Gateway;
       What.m_Content = "bad";
       What.m_SentAt = m_Now;
--- a/Tests/StandIns/ModelEngine.cpp
+++ b/Tests/StandIns/ModelEngine.cpp
@@ -122,7 +122,7 @@
 
 void ModelEngine::waitForPlace(const std::shared_ptr<Job> &Which,
                                asio::yield_context Yield) {
-  if (m_Busy < m_Settings.m_Places) {
+  if (m_Busy < m_Settings.m_Slots) {
     ++m_Busy;
     Which->m_HasPlace = true;
     return noteLoad();
--- a/Tests/StandIns/ModelEngine.h
+++ b/Tests/StandIns/ModelEngine.h
@@ -14,7 +14,7 @@
 namespace yardrill::standins {
 
 struct ModelEngineSettings {
-  std::size_t m_Places = 8;
+  std::size_t m_Slots = 8;
   double m_DecodeRate = 200;    ///< Tokens a second of one stream.
   double m_PrefillRate = 20000; ///< Tokens a second.
   std::size_t m_CachedPrefixes = 16;
--- a/Tests/Support/EndingTarget.h
+++ b/Tests/Support/EndingTarget.h
@@ -28,7 +28,7 @@
 };
 
 /// What a target says in its answers beside the usual.
-struct StatedTerms {
+struct BackpressureReport {
   std::string m_Headers; ///< Whole lines, in each answer.
   /// Answers 503 and does not run what comes.
   bool m_TurnsAway = false;
@@ -54,7 +54,7 @@
   }
 
   /// From now on, in answers that begin then.
-  void state(StatedTerms Terms) { m_Terms = std::move(Terms); }
+  void state(BackpressureReport Terms) { m_Terms = std::move(Terms); }
   /// Announces itself once more, under the same name.
   void announceAgain() { announce(); }
   void withdrawAnnouncement() { m_Store.remove(key()); }
@@ -186,7 +186,7 @@
   ArrivalBook &m_Book;
   std::size_t m_Number;
   std::size_t m_Life = 1;
-  StatedTerms m_Terms;
+  BackpressureReport m_Terms;
   tcp::acceptor m_Acceptor;
   int m_Port;
   std::list<std::weak_ptr<tcp::socket>> m_Sockets;
--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -56,7 +56,7 @@
     m_EnginePorts.push_back(freePort());
     std::vector<std::string> Command = {
         StandIn, "engine", "--port=" + std::to_string(m_EnginePorts.back()),
-        "--places=" + std::to_string(Wanted.m_Places)};
+        "--places=" + std::to_string(Wanted.m_Slots)};
     for (const std::string &Flag : words(Wanted.m_EngineFlags))
       Command.push_back(Flag);
     m_Engines.emplace_back(Command, Log);
@@ -143,7 +143,7 @@
   for (std::size_t I = 0; I < m_EnginePorts.size(); ++I) {
     std::string Name = "engine-" + std::to_string(I + 1);
     Out << "      - {name: " << Name << ", address: " << local(m_EnginePorts[I])
-        << ", data_hall: edinburgh, places: " << m_Shape.m_Places
+        << ", data_hall: edinburgh, places: " << m_Shape.m_Slots
         << (Name == LeavingTarget ? ", leaving: true" : "") << "}\n";
   }
   Out << "  - name: seats\n    kind: application\n    queue_limit: "
@@ -151,7 +151,7 @@
       << "\n    routes:\n      - {prefix: /transfers, repeatable: false}\n"
       << "    targets:\n      - {name: seats-1, address: "
       << local(m_ApplicationPort)
-      << ", data_hall: glasgow, places: " << m_Shape.m_Places << "}\n";
+      << ", data_hall: glasgow, places: " << m_Shape.m_Slots << "}\n";
   return Out.str();
 }
 
--- a/Tests/Support/Fleet.h
+++ b/Tests/Support/Fleet.h
@@ -16,7 +16,7 @@
   struct Shape {
     int m_Instances = 1;
     int m_Engines = 1;
-    int m_Places = 8; ///< Of each target.
+    int m_Slots = 8; ///< Of each target.
     int m_QueueLimit = 1000;
     int m_DeadlineMilliseconds[3] = {60000, 60000, 60000}; ///< By tier.
     std::string m_EngineFlags = "--decode_rate=200";
--- a/Tests/Support/GatewayFleet.cpp
+++ b/Tests/Support/GatewayFleet.cpp
@@ -20,7 +20,7 @@
 }
 
 GatewayFleet::GatewayFleet(std::size_t Gateways, std::size_t Targets)
-    : m_Places(Gateways) {
+    : m_Slots(Gateways) {
   m_Store.put("op/config", Configuration);
   for (std::size_t I = 0; I < Targets; ++I)
     m_Targets.push_back(
@@ -44,7 +44,7 @@
 }
 
 void GatewayFleet::start(std::size_t Index) {
-  Place &Where = m_Places[Index];
+  Place &Where = m_Slots[Index];
   gateway::GatewaySettings Settings;
   Settings.m_Name = core::InstanceName("gateway-" + std::to_string(Index));
   Settings.m_DataHall = core::DataHallName("hall");
@@ -53,7 +53,7 @@
   Settings.m_PeerAddress = local(Where.m_PeerPort);
   Settings.m_MetricsAddress = local(Where.m_MetricsPort);
   Settings.m_PeerKey = "test";
-  for (const Place &Each : m_Places)
+  for (const Place &Each : m_Slots)
     Settings.m_Seeds.push_back(local(Each.m_PeerPort));
   Settings.m_IsFirstStart = !Where.m_HasRun;
   Settings.m_Retries = {0.2, std::chrono::seconds(10), 200};
@@ -69,12 +69,12 @@
 }
 
 void GatewayFleet::startAll() {
-  for (std::size_t I = 0; I < m_Places.size(); ++I)
+  for (std::size_t I = 0; I < m_Slots.size(); ++I)
     start(I);
 }
 
 void GatewayFleet::kill(std::size_t Index) {
-  Place &Which = m_Places[Index];
+  Place &Which = m_Slots[Index];
   if (!Which.m_Gateway)
     return;
   Which.m_Context->stop();
@@ -85,7 +85,7 @@
 }
 
 void GatewayFleet::killAll() {
-  for (std::size_t I = 0; I < m_Places.size(); ++I)
+  for (std::size_t I = 0; I < m_Slots.size(); ++I)
     kill(I);
 }
 
@@ -94,10 +94,10 @@
   Ask.m_Method = "GET";
   Ask.m_Target = "/readyz";
   return eventually([&] {
-    for (std::size_t I = 0; I < m_Places.size(); ++I)
-      if (call(m_Places[I].m_ReadinessPort, Ask).m_Status != 200 ||
+    for (std::size_t I = 0; I < m_Slots.size(); ++I)
+      if (call(m_Slots[I].m_ReadinessPort, Ask).m_Status != 200 ||
           metric(I, "yardrill_peers") + 1 !=
-              static_cast<double>(m_Places.size()) ||
+              static_cast<double>(m_Slots.size()) ||
           metric(I, "yardrill_targets") !=
               static_cast<double>(m_Targets.size()))
         return false;
@@ -121,14 +121,14 @@
 
 Reply GatewayFleet::send(std::size_t Gateway, const std::string &Path,
                          const std::string &Body) {
-  return call(m_Places[Gateway].m_CallerPort, request(Path, Body));
+  return call(m_Slots[Gateway].m_CallerPort, request(Path, Body));
 }
 
 double GatewayFleet::metric(std::size_t Gateway, const std::string &Name) {
   http::RequestMessage Ask;
   Ask.m_Method = "GET";
   Ask.m_Target = "/metrics";
-  Reply Got = call(m_Places[Gateway].m_MetricsPort, Ask);
+  Reply Got = call(m_Slots[Gateway].m_MetricsPort, Ask);
   std::string Line = "\n" + Name + " ";
   std::size_t At = ("\n" + Got.m_Body).find(Line);
   return At == std::string::npos
--- a/Tests/Support/GatewayFleet.h
+++ b/Tests/Support/GatewayFleet.h
@@ -32,7 +32,7 @@
 
   /// Runs \p What where the targets run, and waits for it.
   void withTargets(const std::function<void()> &What);
-  std::size_t size() const { return m_Places.size(); }
+  std::size_t size() const { return m_Slots.size(); }
   SharedStore &store() { return m_Store; }
   EndingTarget &target(std::size_t Index) { return *m_Targets[Index]; }
   std::size_t targets() const { return m_Targets.size(); }
@@ -68,7 +68,7 @@
   SharedStore m_Store;
   platform::PlatformDialect m_Dialect;
   ArrivalBook m_Book;
-  std::vector<Place> m_Places;
+  std::vector<Place> m_Slots;
   std::vector<std::unique_ptr<EndingTarget>> m_Targets;
   asio::executor_work_guard<asio::io_context::executor_type> m_Work{
       m_Context.get_executor()};
--- a/Tests/Support/LimitFleet.cpp
+++ b/Tests/Support/LimitFleet.cpp
@@ -11,8 +11,8 @@
 namespace yardrill::tests {
 
 using core::TimePoint;
-using routing::AdmissionBook;
-using routing::FleetShare;
+using routing::FleetSubset;
+using routing::TargetThrottleTable;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -56,7 +56,7 @@
 struct Datagram {
   TimePoint m_At;
   std::size_t m_To = 0;
-  routing::StatedTerms m_Terms;
+  routing::BackpressureReport m_Terms;
   TimePoint m_SentAt;
 };
 
@@ -68,9 +68,9 @@
 };
 
 struct ModelInstance {
-  std::unique_ptr<AdmissionBook> m_Book;
-  FleetShare::Fleet m_List; ///< As it knows the fleet.
-  FleetShare m_Share;
+  std::unique_ptr<TargetThrottleTable> m_Book;
+  FleetSubset::Fleet m_List; ///< As it knows the fleet.
+  FleetSubset m_Share;
   std::uint64_t m_Life = 1;
   bool m_IsThere = true;
   TimePoint m_DownUntil{};
@@ -98,7 +98,7 @@
   static core::DataHallName hallOf(std::size_t Instance) {
     return core::DataHallName("hall-" + std::to_string(Instance % 3));
   }
-  static routing::TargetRun runOf(std::size_t Target) {
+  static routing::TargetIncarnation runOf(std::size_t Target) {
     return {core::TargetName("t-" + std::to_string(Target))};
   }
   bool chance(double Share) {
@@ -118,16 +118,18 @@
   bool isCut(const ModelInstance &Which) const {
     return m_Now < Which.m_CutUntil;
   }
-  bool isNamed() const {
+  bool isLimited() const {
     return m_Now >= m_Start + NamedFrom && m_Now < m_Start + NamedUntil;
   }
 
-  void start(std::size_t Index, const FleetShare::Fleet &List);
-  void setList(std::size_t Index, FleetShare::Fleet List);
-  std::size_t sendersOf(std::size_t Index, const routing::TargetRun &Run);
+  void start(std::size_t Index, const FleetSubset::Fleet &List);
+  void setList(std::size_t Index, FleetSubset::Fleet List);
+  std::size_t sendersOf(std::size_t Index,
+                        const routing::TargetIncarnation &Run);
   void request();
   void answer(const Answer &What);
-  void tell(std::size_t From, const std::vector<routing::StatedTerms> &Terms);
+  void tell(std::size_t From,
+            const std::vector<routing::BackpressureReport> &Terms);
   void deliver();
   void fault();
   void learn();
@@ -142,7 +144,7 @@
   std::size_t m_Limited = 0; ///< The first targets.
   std::vector<ModelInstance> m_Instances;
   std::map<config::Endpoint, std::size_t> m_Indexes;
-  FleetShare::Fleet m_Fleet; ///< As it is.
+  FleetSubset::Fleet m_Fleet; ///< As it is.
   /// Changes of the fleet on their way to one instance.
   std::vector<std::pair<TimePoint, std::size_t>> m_News;
   std::vector<Datagram> m_Datagrams;
@@ -154,13 +156,14 @@
 } // namespace
 
 std::size_t LimitModel::sendersOf(std::size_t Index,
-                                  const routing::TargetRun &Run) {
+                                  const routing::TargetIncarnation &Run) {
   const ModelInstance &Own = m_Instances[Index];
-  std::size_t Sharers = Own.m_Share.sharersOf(m_Day.m_Targets).size();
-  std::size_t Order = Own.m_Share.orderFor(Run.hash(), m_Day.m_Targets);
+  std::size_t Sharers = Own.m_Share.subsetInstances(m_Day.m_Targets).size();
+  std::size_t Order = Own.m_Share.rendezvousRank(Run.hash(), m_Day.m_Targets);
   switch (m_Way) {
   case LimitWay::Senders: {
-    std::size_t Senders = std::min(routing::SharedLimit::MostSenders, Sharers);
+    std::size_t Senders =
+        std::min(routing::SharedRateLimit::MaxSenders, Sharers);
     return Order < Senders ? Senders : 0;
   }
   case LimitWay::OneSender:
@@ -173,17 +176,17 @@
   return 0;
 }
 
-void LimitModel::setList(std::size_t Index, FleetShare::Fleet List) {
+void LimitModel::setList(std::size_t Index, FleetSubset::Fleet List) {
   ModelInstance &Own = m_Instances[Index];
   Own.m_List = std::move(List);
-  Own.m_Share = FleetShare(addressOf(Index), Own.m_List, m_Members);
+  Own.m_Share = FleetSubset(addressOf(Index), Own.m_List, m_Members);
   Own.m_Book->invalidateSenders();
 }
 
-void LimitModel::start(std::size_t Index, const FleetShare::Fleet &List) {
+void LimitModel::start(std::size_t Index, const FleetSubset::Fleet &List) {
   ModelInstance &Own = m_Instances[Index];
-  Own.m_Book = std::make_unique<AdmissionBook>(
-      [this, Index](const routing::TargetRun &Run) {
+  Own.m_Book = std::make_unique<TargetThrottleTable>(
+      [this, Index](const routing::TargetIncarnation &Run) {
         return sendersOf(Index, Run);
       });
   Own.m_ToldAt.assign(m_Limited, TimePoint::max());
@@ -199,18 +202,18 @@
   // As a dispatcher that finds the limited ones the least busy.
   std::vector<std::size_t> Open;
   for (std::size_t Target = 0; Target < m_Limited; ++Target)
-    if (Own.m_Share.isOwn(Target * m_Day.m_Targets / m_Limited,
-                          m_Day.m_Targets) &&
+    if (Own.m_Share.isInSubset(Target * m_Day.m_Targets / m_Limited,
+                               m_Day.m_Targets) &&
         Own.m_Book->isOpen(runOf(Target), m_Now))
       Open.push_back(Target);
   if (Open.empty())
     return;
   std::size_t Target = Open[drawn(Open.size())];
-  Own.m_Book->noteSent(runOf(Target), m_Now);
+  Own.m_Book->recordSent(runOf(Target), m_Now);
   bool IsTold = Own.m_ToldAt[Target] < m_Now - ToldTime;
   if (IsTold && Own.m_ExcusedUntil < m_Now)
     m_Arrivals[Target].push_back({m_Now, Index});
-  m_All[Target] += isNamed() ? 1 : 0;
+  m_All[Target] += isLimited() ? 1 : 0;
   m_Answers.push_back({m_Now + AnswerTime, Index, Target, Own.m_Life});
 }
 
@@ -218,26 +221,27 @@
   ModelInstance &Own = m_Instances[What.m_Instance];
   if (!Own.m_IsThere || Own.m_Life != What.m_Life)
     return;
-  routing::TargetTerms Terms;
-  if (isNamed()) {
+  routing::TargetBackpressure Terms;
+  if (isLimited()) {
     Terms.m_RequestsPerSecond = m_Day.m_Limit;
     Own.m_ToldAt[What.m_Target] = std::min(Own.m_ToldAt[What.m_Target], m_Now);
   }
-  routing::TargetRun Run = runOf(What.m_Target);
-  if (Own.m_Book->take(Run, Terms, m_Now))
-    tell(What.m_Instance, {Own.m_Book->termsOf(Run)});
+  routing::TargetIncarnation Run = runOf(What.m_Target);
+  if (Own.m_Book->update(Run, Terms, m_Now))
+    tell(What.m_Instance, {Own.m_Book->reportOf(Run)});
 }
 
 void LimitModel::tell(std::size_t From,
-                      const std::vector<routing::StatedTerms> &Terms) {
+                      const std::vector<routing::BackpressureReport> &Terms) {
   ModelInstance &Own = m_Instances[From];
   if (Terms.empty() || isCut(Own))
     return;
-  for (const config::Endpoint &To : Own.m_Share.sharersOf(m_Day.m_Targets)) {
+  for (const config::Endpoint &To :
+       Own.m_Share.subsetInstances(m_Day.m_Targets)) {
     std::size_t Index = m_Indexes.at(To);
     if (Index == From || chance(LostShare))
       continue;
-    for (const routing::StatedTerms &Each : Terms)
+    for (const routing::BackpressureReport &Each : Terms)
       m_Datagrams.push_back({m_Now + Step + upTo(LongestDelay) / 10 +
                                  (chance(LateShare) ? upTo(LongestDelay)
                                                     : core::Duration::zero()),
@@ -259,7 +263,7 @@
     ++To.m_Heard;
     // Told as an age.
     Each.m_Terms.m_Limit.m_At += m_Now - Each.m_SentAt;
-    To.m_Book->take(Each.m_Terms, m_Now);
+    To.m_Book->update(Each.m_Terms, m_Now);
   }
   m_Datagrams = std::move(Left);
 }
@@ -340,7 +344,7 @@
 }
 
 LimitResult LimitModel::play() {
-  m_Members = FleetShare::membersFor(m_Day.m_Instances, m_Day.m_Targets);
+  m_Members = FleetSubset::groupSizeFor(m_Day.m_Instances, m_Day.m_Targets);
   m_Limited = std::max<std::size_t>(
       1, static_cast<std::size_t>(static_cast<double>(m_Day.m_Targets) *
                                   m_Day.m_LimitedShare));
@@ -380,8 +384,8 @@
       if (m_Now - Own.m_ToldOthersAt < TellPeriod)
         continue;
       Own.m_ToldOthersAt = m_Now;
-      Own.m_Book->forgetOld(m_Now);
-      tell(I, Own.m_Book->toTell(m_Now));
+      Own.m_Book->removeStale(m_Now);
+      tell(I, Own.m_Book->dueReports(m_Now));
     }
     if (m_Now >= m_Start + NamedUntil && IsAnyLimited)
       Out.m_EndKnownSeconds = core::toSeconds(m_Now - (m_Start + NamedUntil));
--- a/Tests/Support/LimitFleet.h
+++ b/Tests/Support/LimitFleet.h
@@ -1,15 +1,15 @@
 //===-- LimitFleet.h - A fleet before targets that name limits ------------===//
 //
-// A model in simulated time: instances with their real AdmissionBook and
-// FleetShare, datagrams that are lost or late, and instances that are killed,
+// A model in simulated time: instances with their real TargetThrottleTable and
+// FleetSubset, datagrams that are lost or late, and instances that are killed,
 // frozen, cut off, added and removed, each learning of it at its own time.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_LIMITFLEET_H
 #define YARDRILL_TESTS_SUPPORT_LIMITFLEET_H
 
-#include "LibRouting/AdmissionBook.h"
-#include "LibRouting/FleetShare.h"
+#include "LibRouting/FleetSubset.h"
+#include "LibRouting/TargetThrottleTable.h"
 
 #include <cstdint>
 #include <vector>
@@ -18,7 +18,7 @@
 
 /// Ways to keep a limit over all instances.
 enum class LimitWay {
-  Senders,    ///< As SharedLimit does.
+  Senders,    ///< As SharedRateLimit does.
   OneSender,  ///< One instance has the whole limit.
   EqualParts, ///< Each instance has as much of it as any other.
   Alone,      ///< Each keeps to the whole limit by itself.
--- a/Tests/Support/QuarantineFleet.cpp
+++ b/Tests/Support/QuarantineFleet.cpp
@@ -297,7 +297,7 @@
   std::size_t Offset = drawBelow(m_Targets.size());
   for (std::size_t I = 0; I < m_Targets.size(); ++I) {
     Target &Each = m_Targets[(I + Offset) % m_Targets.size()];
-    if (Each.m_IsUp && Each.m_Running.size() < m_Day.m_Places &&
+    if (Each.m_IsUp && Each.m_Running.size() < m_Day.m_Slots &&
         (!Where || Each.m_Running.size() < Where->m_Running.size()))
       Where = &Each;
   }
--- a/Tests/Support/QuarantineFleet.h
+++ b/Tests/Support/QuarantineFleet.h
@@ -34,7 +34,7 @@
   std::uint64_t m_Seed = 1;
   std::size_t m_Instances = 6;
   std::size_t m_Targets = 9;
-  std::size_t m_Places = 6; ///< Of a target.
+  std::size_t m_Slots = 6; ///< Of a target.
   std::chrono::milliseconds m_Length{60000};
   /// Requests a second for each target.
   double m_RequestRate = 5;
--- a/Tests/Support/QuotaFleet.cpp
+++ b/Tests/Support/QuotaFleet.cpp
@@ -1,6 +1,6 @@
 #include "QuotaFleet.h"
 
-#include "LibRouting/QuotaBook.h"
+#include "LibRouting/DistributedQuota.h"
 
 #include <algorithm>
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace yardrill::tests {
 
-using routing::QuotaBook;
+using routing::DistributedQuota;
 using routing::QuotaStep;
 
 /// Of datagrams, each on its way for one step.
@@ -34,8 +34,8 @@
   std::uint64_t m_Draw = 0;
   bool m_IsAnswer = false;
   bool m_IsCharge = false;
-  routing::QuotaAsk m_Ask;
-  routing::QuotaAnswer m_Answer;
+  routing::QuotaRequest m_Ask;
+  routing::QuotaResponse m_Answer;
 };
 
 struct CallerRequest {
@@ -46,7 +46,7 @@
 struct OpenDraw {
   std::size_t m_Instance = 0;
   std::size_t m_Account = 0;
-  routing::QuotaDraw m_Draw;
+  routing::QuotaAcquisition m_Draw;
   core::TimePoint m_AskedAt{};
 };
 
@@ -70,7 +70,7 @@
   /// One instance.
   struct Member {
     config::Endpoint m_Address;
-    std::unique_ptr<QuotaBook> m_Book; ///< Null: down.
+    std::unique_ptr<DistributedQuota> m_Book; ///< Null: down.
     core::TimePoint m_DownUntil{};
     core::TimePoint m_ReadsAt{}; ///< When it hears of the list and accounts.
     bool m_HasRead = false;
@@ -126,7 +126,7 @@
   }
 
   void start(Member &Of, bool IsFirst) {
-    Of.m_Book = std::make_unique<QuotaBook>(
+    Of.m_Book = std::make_unique<DistributedQuota>(
         Of.m_Address, m_Settings.m_Tolerance, IsFirst, m_Random());
     Of.m_HasRead = false;
     Of.m_ReadsAt = m_Now;
@@ -136,7 +136,7 @@
 
   /// Tells it the list of instances, and the accounts.
   void read(Member &Of) {
-    Of.m_Book->setRing(routing::OwnerRing(m_Recorded), m_Now);
+    Of.m_Book->setRing(routing::ConsistentHashRing(m_Recorded), m_Now);
     if (!Of.m_HasRead)
       Of.m_Book->setAccounts(m_Settings.m_Accounts, m_Now);
     Of.m_HasRead = true;
@@ -174,7 +174,7 @@
       Ask.m_From = Open.m_Instance;
       Ask.m_Draw = Id;
       Ask.m_Ask = {Open.m_Draw.m_Account, Open.m_Draw.m_Tokens, 0};
-      return send(m_Indexes.at(Open.m_Draw.m_Left.back()), Ask);
+      return send(m_Indexes.at(Open.m_Draw.m_RemainingOwners.back()), Ask);
     }
     bool IsCutOff = m_Members[Open.m_Instance].m_CutUntil > m_Now;
     if (Step == QuotaStep::Granted)
@@ -186,8 +186,9 @@
     m_Open.erase(Id);
   }
 
-  routing::QuotaAnswer charge(QuotaBook &Book, const routing::QuotaAsk &Ask) {
-    routing::QuotaAnswer Out;
+  routing::QuotaResponse charge(DistributedQuota &Book,
+                                const routing::QuotaRequest &Ask) {
+    routing::QuotaResponse Out;
     if (Book.charge(Ask.m_Account, Ask.m_Tokens, m_Now))
       Out.m_Verdict = routing::QuotaVerdict::Granted;
     return Out;
@@ -205,7 +206,7 @@
   }
 
   void take(std::size_t Instance, const Datagram &What) {
-    QuotaBook &Book = *m_Members[Instance].m_Book;
+    DistributedQuota &Book = *m_Members[Instance].m_Book;
     if (!What.m_IsAnswer) {
       Datagram Answer;
       Answer.m_From = Instance;
@@ -214,40 +215,40 @@
       Answer.m_Ask = What.m_Ask;
       Answer.m_IsCharge = What.m_IsCharge;
       Answer.m_Answer = What.m_IsCharge ? charge(Book, What.m_Ask)
-                                        : Book.answer(What.m_Ask, m_Now);
+                                        : Book.handleRequest(What.m_Ask, m_Now);
       return send(What.m_From, Answer);
     }
     if (What.m_IsCharge) {
       if (What.m_Answer.m_Verdict == routing::QuotaVerdict::Granted)
-        Book.relieve(What.m_Ask.m_Account, What.m_Ask.m_Tokens, m_Now);
+        Book.settleCharge(What.m_Ask.m_Account, What.m_Ask.m_Tokens, m_Now);
       return;
     }
     auto Open = m_Open.find(What.m_Draw);
     const config::Endpoint &Owner = m_Members[What.m_From].m_Address;
-    bool IsWaitedFor =
-        Open != m_Open.end() && Open->second.m_Draw.m_Left.back() == Owner;
+    bool IsWaitedFor = Open != m_Open.end() &&
+                       Open->second.m_Draw.m_RemainingOwners.back() == Owner;
     if (IsWaitedFor)
-      return settle(What.m_Draw,
-                    Book.answered(Open->second.m_Draw, What.m_Answer, m_Now));
-    Book.keep(Owner, What.m_Ask.m_Account, What.m_Answer.m_Tokens, m_Now);
+      return settle(What.m_Draw, Book.handleResponse(Open->second.m_Draw,
+                                                     What.m_Answer, m_Now));
+    Book.cacheGrant(Owner, What.m_Ask.m_Account, What.m_Answer.m_Tokens, m_Now);
   }
 
   void giveUpWaiting() {
     std::vector<std::uint64_t> Late;
     for (const auto &[Id, Open] : m_Open)
-      if (m_Now - Open.m_AskedAt > QuotaBook::Patience &&
+      if (m_Now - Open.m_AskedAt > DistributedQuota::ResponseTimeout &&
           m_Members[Open.m_Instance].m_FrozenUntil <= m_Now)
         Late.push_back(Id);
     for (std::uint64_t Id : Late) {
       OpenDraw &Open = m_Open.at(Id);
-      QuotaBook &Book = *m_Members[Open.m_Instance].m_Book;
-      settle(Id, Book.unanswered(Open.m_Draw, m_Now));
+      DistributedQuota &Book = *m_Members[Open.m_Instance].m_Book;
+      settle(Id, Book.handleTimeout(Open.m_Draw, m_Now));
     }
   }
 
   void returnUnused(std::size_t Instance) {
     for (const routing::QuotaReturn &Each :
-         m_Members[Instance].m_Book->takeUnused(m_Now)) {
+         m_Members[Instance].m_Book->takeUnusedGrants(m_Now)) {
       Datagram Return;
       Return.m_From = Instance;
       Return.m_Ask = {Each.m_Account, 0, Each.m_Tokens};
