--- a/Libraries/LibGateway/TargetTermsService.cpp
+++ b/Libraries/LibGateway/BackpressureService.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/TargetTermsService.h"
+#include "LibGateway/BackpressureService.h"
 
 #include "LibCore/Log.h"
 
@@ -10,7 +10,7 @@
 
 using routing::BackpressureReport;
 
-static constexpr std::chrono::seconds TellPeriod{1};
+static constexpr std::chrono::seconds ResendPeriod{1};
 
 static peer::ToldTerms toMessage(const BackpressureReport &What,
                                  core::TimePoint Now) {
@@ -42,9 +42,9 @@
   return Out;
 }
 
-void TargetTermsService::said(const routing::Target &Which,
-                              const routing::TargetBackpressure &Terms,
-                              core::TimePoint Now) {
+void BackpressureService::noteStated(const routing::Target &Which,
+                                     const routing::TargetBackpressure &Terms,
+                                     core::TimePoint Now) {
   if (Terms.isEmpty() && m_Targets.throttles().isEmpty())
     return;
   routing::TargetIncarnation Run = Which.run();
@@ -54,13 +54,13 @@
   // A rest is asked of this instance alone.
   if (!IsNews)
     return;
-  NewsFor To;
+  UpdatesByPeer To;
   add(m_Targets.throttles().reportOf(Run), Now, To);
   send(To);
 }
 
-void TargetTermsService::take(const peer::PeerMessage &Message,
-                              core::TimePoint Now) {
+void BackpressureService::handle(const peer::PeerMessage &Message,
+                                 core::TimePoint Now) {
   const auto *News = std::get_if<peer::TargetNews>(&Message.m_Body);
   if (!News)
     return;
@@ -71,8 +71,8 @@
   }
 }
 
-void TargetTermsService::add(const BackpressureReport &What,
-                             core::TimePoint Now, NewsFor &To) {
+void BackpressureService::add(const BackpressureReport &What,
+                              core::TimePoint Now, UpdatesByPeer &To) {
   const routing::KnownTarget *Known =
       m_Targets.findByIncarnation(What.m_Incarnation);
   if (!Known)
@@ -83,7 +83,7 @@
       To[Each].push_back(toMessage(What, Now));
 }
 
-void TargetTermsService::send(const NewsFor &To) {
+void BackpressureService::send(const UpdatesByPeer &To) {
   for (const auto &[Address, Terms] : To)
     for (std::size_t First = 0; First < Terms.size();
          First += peer::TargetNews::Most) {
@@ -94,7 +94,7 @@
     }
 }
 
-void TargetTermsService::logChange(
+void BackpressureService::logChange(
     const routing::TargetIncarnation &Run,
     const routing::TargetBackpressure &Said) const {
   BackpressureReport Known = m_Targets.throttles().reportOf(Run);
@@ -111,14 +111,14 @@
     Line.add("rest_us", *Said.m_Backoff);
 }
 
-void TargetTermsService::upkeep(core::TimePoint Now) {
+void BackpressureService::upkeep(core::TimePoint Now) {
   if (m_Targets.throttles().isEmpty())
     return;
   m_Targets.throttles().removeStale(Now);
-  if (Now - m_ToldAt < TellPeriod)
+  if (Now - m_LastSentAt < ResendPeriod)
     return;
-  m_ToldAt = Now;
-  NewsFor To;
+  m_LastSentAt = Now;
+  UpdatesByPeer To;
   for (const BackpressureReport &Each : m_Targets.throttles().dueReports(Now))
     add(Each, Now, To);
   send(To);
--- a/Libraries/LibGateway/TargetTermsService.h
+++ b/Libraries/LibGateway/BackpressureService.h
@@ -1,12 +1,13 @@
-//===-- TargetTermsService.h - What targets say, between instances --------===//
+//===-- BackpressureService.h - What targets say, between instances
+//--------===//
 //
 // An instance that may not send to a limited target hears of the limit, and of
 // its end, from those that may. What changes is told at once, and again every
 // second, since datagrams are lost.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBGATEWAY_TARGETTERMSSERVICE_H
-#define YARDRILL_LIBGATEWAY_TARGETTERMSSERVICE_H
+#ifndef YARDRILL_LIBGATEWAY_BACKPRESSURESERVICE_H
+#define YARDRILL_LIBGATEWAY_BACKPRESSURESERVICE_H
 
 #include "LibConfig/Endpoint.h"
 #include "LibPeer/PeerMessage.h"
@@ -18,30 +19,32 @@
 
 namespace yardrill::gateway {
 
-class TargetTermsService {
+class BackpressureService {
 public:
   using Send =
       std::function<void(const config::Endpoint &, const peer::PeerBody &)>;
 
-  TargetTermsService(config::Endpoint Self, routing::TargetDirectory &Targets,
-                     Send Hook)
+  BackpressureService(config::Endpoint Self, routing::TargetDirectory &Targets,
+                      Send Hook)
       : m_Self(std::move(Self)), m_Targets(Targets), m_Send(std::move(Hook)) {}
 
   /// An answer to this instance said so.
-  void said(const routing::Target &Which,
-            const routing::TargetBackpressure &Terms, core::TimePoint Now);
+  void noteStated(const routing::Target &Which,
+                  const routing::TargetBackpressure &Terms,
+                  core::TimePoint Now);
   /// Takes a message of another instance.
-  void take(const peer::PeerMessage &Message, core::TimePoint Now);
+  void handle(const peer::PeerMessage &Message, core::TimePoint Now);
   /// Tells again what is due. To be called a few times a second.
   void upkeep(core::TimePoint Now);
 
 private:
-  using NewsFor = std::map<config::Endpoint, std::vector<peer::ToldTerms>>;
+  using UpdatesByPeer =
+      std::map<config::Endpoint, std::vector<peer::ToldTerms>>;
 
   /// Adds what is known of a run to the news for all that work with it.
   void add(const routing::BackpressureReport &What, core::TimePoint Now,
-           NewsFor &To);
-  void send(const NewsFor &To);
+           UpdatesByPeer &To);
+  void send(const UpdatesByPeer &To);
   /// \param Said now by the target itself, beside what is known.
   void logChange(const routing::TargetIncarnation &Run,
                  const routing::TargetBackpressure &Said) const;
@@ -49,7 +52,7 @@
   config::Endpoint m_Self;
   routing::TargetDirectory &m_Targets;
   Send m_Send;
-  core::TimePoint m_ToldAt{};
+  core::TimePoint m_LastSentAt{};
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -30,7 +30,7 @@
   std::optional<std::string> m_Key;
   std::optional<core::Duration> m_Deadline; ///< From the request's arrival.
   std::optional<std::string> m_LastEvent;   ///< Already received by the caller.
-  bool m_HasSize = false; ///< Whether the two token counts were given.
+  bool m_HasTokenCounts = false; ///< Whether the two token counts were given.
   std::uint32_t m_PromptTokens = 0;
   std::uint32_t m_OutputTokens = 0;   ///< The most that may come.
   std::uint32_t m_ExpectedTokens = 0; ///< The caller's estimate; 0: none.
@@ -45,7 +45,7 @@
 };
 
 /// What a target's answer says about itself.
-struct AnswerDescription {
+struct ResponseDescription {
   std::string m_Id;        ///< Of the request it answers.
   bool m_IsSigned = false; ///< Bears the target's signature.
   bool m_IsNotRun = false; ///< The target did not run the request.
@@ -58,29 +58,30 @@
 };
 
 /// Something that the store said.
-struct ConfigurationSeen {
+struct ConfigurationUpdate {
   routing::RoutingTableHandle m_Table;
 };
-struct TargetSeen {
+struct TargetUpdate {
   routing::Target m_Target;
 };
-struct TargetGone {
+struct TargetRemoval {
   core::TargetName m_Target;
 };
-struct RolloutOrderSeen {
+struct RolloutOrderUpdate {
   rollout::Order m_Order;
 };
-struct RolloutOrderGone {
+struct RolloutOrderRemoval {
   core::PoolName m_Pool;
 };
 /// What operators read of a pool's roll-out; none: the entry is gone.
-struct RolloutStatusSeen {
+struct RolloutStatusUpdate {
   core::PoolName m_Pool;
   std::optional<rollout::Status> m_Status;
 };
-using StoreNews =
-    std::variant<std::monostate, ConfigurationSeen, TargetSeen, TargetGone,
-                 RolloutOrderSeen, RolloutOrderGone, RolloutStatusSeen>;
+using StoreUpdate =
+    std::variant<std::monostate, ConfigurationUpdate, TargetUpdate,
+                 TargetRemoval, RolloutOrderUpdate, RolloutOrderRemoval,
+                 RolloutStatusUpdate>;
 
 class Dialect {
 public:
@@ -95,9 +96,10 @@
   /// Names the request in an answer that the gateway itself makes.
   virtual void prepare(http::ResponseHead &Answer,
                        const RequestDescription &To) const = 0;
-  virtual AnswerDescription describe(const http::ResponseHead &Head) const = 0;
+  virtual ResponseDescription
+  describe(const http::ResponseHead &Head) const = 0;
   /// \throws core::Error of kind Protocol for an entry that can't be read.
-  virtual StoreNews read(const platform::Entry &Change) const = 0;
+  virtual StoreUpdate read(const platform::Entry &Change) const = 0;
   /// The entry that tells operators of a pool's roll-out.
   virtual platform::Put write(const core::PoolName &Pool,
                               const rollout::Status &Status) const = 0;
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -21,60 +21,60 @@
 static constexpr std::chrono::milliseconds UpkeepPeriod{250};
 /// Peers and the store answer a start within a tenth of a second; after this
 /// time they are away, and requests are refused at once.
-static constexpr std::chrono::milliseconds ConfigurationPatience{400};
+static constexpr std::chrono::milliseconds ConfigurationTimeout{400};
 /// How long a stopping instance still takes requests: the balancer needs two
 /// seconds to notice that it is not ready.
-static constexpr std::chrono::milliseconds AcceptWhileStopping{3000};
+static constexpr std::chrono::milliseconds AcceptPeriodWhenStopping{3000};
 /// A stopping instance ends this long before it would be killed.
 static constexpr std::chrono::milliseconds StopMargin{300};
 /// A fleet that starts for the first time has time before its first request:
 /// the seeds ask the store, and the others ask them.
-static constexpr core::Duration LeastStartDelay =
-    std::chrono::milliseconds(1500);
-static constexpr core::Duration LongestStartDelay = std::chrono::seconds(4);
+static constexpr core::Duration MinStartDelay = std::chrono::milliseconds(1500);
+static constexpr core::Duration MaxStartDelay = std::chrono::seconds(4);
 /// A process that starts again asks its peers first, which answer within some
 /// tens of milliseconds if any is there, and with a tenth of the store's bytes;
 /// otherwise it asks the store without a longer wait, since callers wait too.
-static constexpr core::Duration LeastRestartDelay =
-    std::chrono::milliseconds(40);
-static constexpr core::Duration LongestRestartDelay =
-    std::chrono::milliseconds(90);
+static constexpr core::Duration MinRestartDelay = std::chrono::milliseconds(40);
+static constexpr core::Duration MaxRestartDelay = std::chrono::milliseconds(90);
 /// What a process that was told everything waits until it knows whether it is
 /// one of those that follow the store; meanwhile it hears the news from peers.
-static constexpr core::Duration DutyTime = std::chrono::milliseconds(1500);
+static constexpr core::Duration FollowerDecisionDelay =
+    std::chrono::milliseconds(1500);
 /// Within this time a peer that has everything has passed it on.
-static constexpr core::Duration PeerPatience = std::chrono::seconds(1);
+static constexpr core::Duration PeerTransferTimeout = std::chrono::seconds(1);
 /// A new connection to a target takes about a millisecond; a full queue of
 /// connections drops the opening packet for seconds.
 static constexpr std::chrono::milliseconds ConnectTimeout{350};
-static constexpr std::size_t MostIdleConnections = 64;
+static constexpr std::size_t MaxIdleConnections = 64;
 /// A connection on which nothing was asked is kept for so long: its target has
 /// not said when it closes it.
-static constexpr std::chrono::seconds ProbedConnectionTime{1};
-static constexpr std::size_t MostChangesKept = 4096;
+static constexpr std::chrono::seconds ProbedConnectionIdleTime{1};
+static constexpr std::size_t MaxMirrorChanges = 4096;
 
 Gateway::Gateway(asio::io_context &Context, GatewaySettings Settings,
                  const Dialect &Wire, platform::KeyValueService &Store)
     : m_Context(Context), m_Settings(std::move(Settings)), m_Wire(Wire),
-      m_Store(Store), m_Timers(Context), m_Record(Context, Store),
-      m_Mirror(MostChangesKept), m_Follower(Context, Store, m_Mirror),
+      m_Store(Store), m_Timers(Context), m_MembershipRecord(Context, Store),
+      m_Mirror(MaxMirrorChanges), m_Follower(Context, Store, m_Mirror),
       m_Dispatcher(
           m_Targets, m_Settings.m_DataHall, m_Settings.m_Placement,
           {[this](core::RequestId Request, const routing::Target &Where) {
-             GatewayRequest &Sent = *m_Open.at(Request);
+             GatewayRequest &Sent = *m_OpenRequests.at(Request);
              m_Rollouts.sent(Sent.routeHash(), Where);
-             Sent.sendTo(Where);
+             Sent.assignTarget(Where);
              m_Peers->reportSoon();
            },
-           [this](core::RequestId Request) { m_Open.at(Request)->refuse(); },
+           [this](core::RequestId Request) {
+             m_OpenRequests.at(Request)->refuse();
+           },
            [this](const core::PoolName &Pool) {
              return m_Rollouts.gateOf(Pool);
            }}),
-      m_Connections(Context, {ConnectTimeout, MostIdleConnections}),
+      m_Connections(Context, {ConnectTimeout, MaxIdleConnections}),
       m_Retries(m_Settings.m_Retries,
                 // Nothing was spent before a deployment's first start.
                 m_Settings.m_IsFirstStart ? core::TimePoint() : m_StartedAt),
-      m_Ends(Context, targetEndsHooks()),
+      m_ExitDetector(Context, exitDetectorHooks()),
       m_Terms(m_Settings.m_PeerAddress, m_Targets,
               [this](const config::Endpoint &To, const peer::PeerBody &Body) {
                 m_Peers->send(To, Body);
@@ -89,12 +89,13 @@
                  core::IncarnationId(core::randomBits()), m_Settings.m_Exposure,
                  m_Targets, rolloutHooks()),
       m_Random(core::randomBits()) {
-  m_Mirror.subscribe([this](const platform::Entry &Change) { take(Change); });
+  m_Mirror.subscribe(
+      [this](const platform::Entry &Change) { applyEntry(Change); });
   listen();
 }
 
 Gateway::~Gateway() {
-  for (const auto &[Id, Request] : m_Open)
+  for (const auto &[Id, Request] : m_OpenRequests)
     Request->ownerIsGone();
 }
 
@@ -125,7 +126,7 @@
   m_ReadinessServer = http::Server::create(
       m_Context, m_Settings.m_ReadinessAddress.toTcp(), http::ServerLimits(),
       [this](http::Exchange &Call, asio::yield_context Yield) {
-        Call.sendWhole(answerReadiness(), Yield);
+        Call.sendWhole(readinessResponse(), Yield);
       },
       http::bareAnswer);
   if (m_Settings.m_MetricsAddress)
@@ -143,17 +144,17 @@
   m_Peers = std::make_unique<PeerLink>(
       m_Context, m_Settings, m_Mirror, m_Metrics,
       PeerLinkHooks{[this](peer::LoadReport &Report) { describeLoad(Report); },
-                    [this] { peersChanged(); },
-                    [this] { return largestPool(); },
+                    [this] { updatePeerLoads(); },
+                    [this] { return largestPoolSize(); },
                     [this](const routing::FleetSubset &Share) {
                       m_Targets.setSubset(Share);
                       updateQuotaOwners();
                     },
                     [this](const peer::PeerMessage &Message) {
-                      m_Quotas.take(Message);
-                      m_Rollouts.take(Message);
-                      m_Quarantine.take(Message);
-                      m_Terms.take(Message, core::steadyNow());
+                      m_Quotas.handle(Message);
+                      m_Rollouts.handle(Message);
+                      m_Quarantine.handle(Message);
+                      m_Terms.handle(Message, core::steadyNow());
                     }});
 }
 
@@ -166,14 +167,14 @@
     m_Targets.removeExpired(Now);
     m_Follower.setNeeded(m_Peers->mustFollowStore());
     m_Connections.closeExpired();
-    m_Ends.upkeep(Now);
+    m_ExitDetector.upkeep(Now);
     m_Terms.upkeep(Now);
     m_Quarantine.upkeep(Now);
     m_Quotas.upkeep(m_Peers->isListConfirmed(), Now);
     // A process that has found the others does without a record.
     if (m_Roster.recorded().empty())
       updateQuotaOwners();
-    keepRecord(Now);
+    updateMembershipRecord(Now);
   });
   core::LogLine("instance-started")
       .add("instance", m_Settings.m_Name)
@@ -196,18 +197,19 @@
   if (HasNobodyToAsk || (IsFirst && IsSeed))
     return core::Duration::zero();
   std::uniform_int_distribution<std::int64_t> Delay(
-      (IsFirst ? LeastStartDelay : LeastRestartDelay).count(),
-      (IsFirst ? LongestStartDelay : LongestRestartDelay).count());
+      (IsFirst ? MinStartDelay : MinRestartDelay).count(),
+      (IsFirst ? MaxStartDelay : MaxRestartDelay).count());
   return core::Duration(Delay(m_Random));
 }
 
 bool Gateway::mustWaitForPeers(core::Duration SinceStart) const {
   bool IsTold = m_Mirror.revision() != platform::Revision();
   core::Duration Least =
-      IsTold ? std::max(m_StartDelay, DutyTime) : m_StartDelay;
+      IsTold ? std::max(m_StartDelay, FollowerDecisionDelay) : m_StartDelay;
   if (IsTold || SinceStart < Least)
     return SinceStart < Least;
-  return SinceStart < m_StartDelay + PeerPatience && m_Peers->hasWhoKnows();
+  return SinceStart < m_StartDelay + PeerTransferTimeout &&
+         m_Peers->hasWhoKnows();
 }
 
 void Gateway::reload(const GatewaySettings &Settings) {
@@ -222,7 +224,7 @@
 // What the store and the peers say
 //===----------------------------------------------------------------------===//
 
-void Gateway::adopt(routing::RoutingTableHandle Next) {
+void Gateway::applyConfiguration(routing::RoutingTableHandle Next) {
   if (m_Table && !(m_Table->version() < Next->version()))
     return;
   m_Table = std::move(Next);
@@ -234,7 +236,7 @@
       .add("accounts", m_Table->accounts().size());
 }
 
-std::size_t Gateway::largestPool() const {
+std::size_t Gateway::largestPoolSize() const {
   std::size_t Out = 0;
   if (m_Table)
     for (const auto &[Name, Pool] : m_Table->pools())
@@ -270,26 +272,26 @@
       .add("is_recorded", !m_Roster.recorded().empty());
 }
 
-void Gateway::keepRecord(core::TimePoint Now) {
+void Gateway::updateMembershipRecord(core::TimePoint Now) {
   if (!m_Follower.isConnected() || !m_Peers->keepsRecord())
     return;
   if (auto List = m_Roster.correction(m_Peers->heard(), Now))
-    m_Record.write(*List, Now);
+    m_MembershipRecord.write(*List, Now);
 }
 
 //===----------------------------------------------------------------------===//
 // Targets that end
 //===----------------------------------------------------------------------===//
 
-TargetEndsHooks Gateway::targetEndsHooks() {
-  TargetEndsHooks Out;
+TargetExitDetectorHooks Gateway::exitDetectorHooks() {
+  TargetExitDetectorHooks Out;
   Out.m_Probe = [this](const routing::Target &Which,
                        asio::yield_context Yield) {
     return probe(Which, Yield);
   };
-  Out.m_EndedUnder = [this](const routing::Target &Which,
+  Out.m_ReportExit = [this](const routing::Target &Which,
                             const quarantine::ContentDigest &Content) {
-    m_Quarantine.noteEnded(Which, Content);
+    m_Quarantine.noteTargetExit(Which, Content);
   };
   return Out;
 }
@@ -306,17 +308,17 @@
   return Out;
 }
 
-Presence Gateway::probe(const routing::Target &Which,
-                        asio::yield_context Yield) {
+ProbeResult Gateway::probe(const routing::Target &Which,
+                           asio::yield_context Yield) {
   auto Address = Which.m_Address.toTcp();
   try {
     m_Connections.giveBack(Address, m_Connections.open(Address, true, Yield),
-                           ProbedConnectionTime);
+                           ProbedConnectionIdleTime);
   } catch (const Error &Failure) {
-    return Failure.kind() == core::ErrorKind::Refused ? Presence::Gone
-                                                      : Presence::Unknown;
+    return Failure.kind() == core::ErrorKind::Refused ? ProbeResult::Gone
+                                                      : ProbeResult::Unknown;
   }
-  return Presence::Listens;
+  return ProbeResult::Listens;
 }
 
 //===----------------------------------------------------------------------===//
@@ -342,23 +344,23 @@
   return Out;
 }
 
-void Gateway::armRollouts() {
-  if (m_AreRolloutsArmed || !m_Rollouts.isBusy())
+void Gateway::scheduleRolloutUpkeep() {
+  if (m_IsRolloutUpkeepScheduled || !m_Rollouts.isBusy())
     return;
-  m_AreRolloutsArmed = true;
+  m_IsRolloutUpkeepScheduled = true;
   m_Timers.callAfter(RolloutPeriod, [this](core::TimePoint Now) {
-    m_AreRolloutsArmed = false;
+    m_IsRolloutUpkeepScheduled = false;
     m_Rollouts.upkeep(Now);
-    armRollouts();
+    scheduleRolloutUpkeep();
   });
 }
 
-void Gateway::peersChanged() {
+void Gateway::updatePeerLoads() {
   std::unordered_map<std::uint32_t, routing::TargetLoad> Sums;
-  m_DoPeersWait = false;
+  m_HasWaitingPeers = false;
   for (const LivePeer *Peer : m_Peers->peers().nearPeers()) {
     const peer::LoadReport &Report = Peer->m_Report;
-    m_DoPeersWait = m_DoPeersWait || Report.m_HasWaiting;
+    m_HasWaitingPeers = m_HasWaitingPeers || Report.m_HasWaiting;
     for (const peer::TargetUse &Use : Report.m_Targets) {
       routing::TargetLoad &Sum = Sums[Use.m_Target];
       Sum.m_Running += Use.m_Running;
@@ -373,38 +375,38 @@
 //===----------------------------------------------------------------------===//
 
 bool Gateway::isJustStarted() const {
-  return core::steadyNow() - m_StartedAt < ConfigurationPatience;
+  return core::steadyNow() - m_StartedAt < ConfigurationTimeout;
 }
 
 bool Gateway::isReady() const {
   return m_Table && m_StoppingSince == core::TimePoint();
 }
 
-http::ResponseMessage Gateway::answerReadiness() const {
+http::ResponseMessage Gateway::readinessResponse() const {
   return http::bareAnswer(isReady() ? 200 : 503);
 }
 
-bool Gateway::isTooLate(core::TimePoint Now) const {
+bool Gateway::isPastAcceptPeriod(core::TimePoint Now) const {
   return m_StoppingSince != core::TimePoint() &&
-         Now - m_StoppingSince > AcceptWhileStopping;
+         Now - m_StoppingSince > AcceptPeriodWhenStopping;
 }
 
 void Gateway::stop(std::function<void()> Finished) {
   if (m_StoppingSince != core::TimePoint())
     return;
   m_StoppingSince = core::steadyNow();
-  m_Finished = std::move(Finished);
+  m_OnStopped = std::move(Finished);
   m_CallerServer->closeAfterAnswers();
   m_Peers->setStopping();
-  armTick();
+  scheduleTick();
   core::LogLine("instance-stopping")
       .add("instance", m_Settings.m_Name)
-      .add("open_requests", m_Open.size());
+      .add("open_requests", m_OpenRequests.size());
 }
 
 void Gateway::pollStop(core::TimePoint Now) {
   core::Duration Passed = Now - m_StoppingSince;
-  if (Passed < AcceptWhileStopping || !m_Finished)
+  if (Passed < AcceptPeriodWhenStopping || !m_OnStopped)
     return;
   m_CallerServer->stopAccepting();
   bool IsIdle = m_CallerServer->openRequests() == 0;
@@ -412,27 +414,27 @@
     return;
   core::LogLine("instance-stopped")
       .add("instance", m_Settings.m_Name)
-      .add("open_requests", m_Open.size());
-  std::function<void()> Finished = std::move(m_Finished);
-  m_Finished = nullptr;
+      .add("open_requests", m_OpenRequests.size());
+  std::function<void()> Finished = std::move(m_OnStopped);
+  m_OnStopped = nullptr;
   Finished();
 }
 
 void Gateway::place(const routing::PlacementRequest &What) {
   m_Peers->tellChange();
   m_Dispatcher.place(What, core::steadyNow());
-  armTick();
+  scheduleTick();
 }
 
-void Gateway::armTick() {
-  bool IsNeeded = m_Dispatcher.waiting() > 0 || m_Finished;
-  if (m_IsTickArmed || !IsNeeded)
+void Gateway::scheduleTick() {
+  bool IsNeeded = m_Dispatcher.waiting() > 0 || m_OnStopped;
+  if (m_IsTickScheduled || !IsNeeded)
     return;
-  m_IsTickArmed = true;
+  m_IsTickScheduled = true;
   m_Timers.callAfter(TickPeriod, [this](core::TimePoint Now) {
-    m_IsTickArmed = false;
+    m_IsTickScheduled = false;
     tick(Now);
-    armTick();
+    scheduleTick();
   });
 }
 
@@ -450,9 +452,9 @@
   return m_Targets.availableAt(Pool, m_Dispatcher.waitingFor(Pool), Now);
 }
 
-void Gateway::placeBecameFree() {
+void Gateway::handleFreedSlot() {
   dispatchWaiting(core::steadyNow());
-  if (m_DoPeersWait)
+  if (m_HasWaitingPeers)
     m_Peers->reportSoon();
 }
 
@@ -466,7 +468,7 @@
 // Figures
 //===----------------------------------------------------------------------===//
 
-bool Gateway::mayRetry(const core::PoolName &Pool) {
+bool Gateway::tryReserveRetry(const core::PoolName &Pool) {
   return m_Retries.of(Pool).tryTake(core::steadyNow(), m_Peers->sharers());
 }
 
@@ -475,7 +477,7 @@
     m_Metrics.setGauge(Name, static_cast<double>(Value));
   };
   Set("yardrill_open_connections", m_CallerServer->openConnections());
-  Set("yardrill_open_requests", m_Open.size());
+  Set("yardrill_open_requests", m_OpenRequests.size());
   Set("yardrill_waiting_requests", m_Dispatcher.waiting());
   Set("yardrill_targets", m_Targets.all().size());
   Set("yardrill_peers", m_Peers->peers().all().size());
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -9,6 +9,7 @@
 #define YARDRILL_LIBGATEWAY_GATEWAY_H
 
 #include "LibCore/TimerService.h"
+#include "LibGateway/BackpressureService.h"
 #include "LibGateway/Dialect.h"
 #include "LibGateway/FleetRecord.h"
 #include "LibGateway/FleetRoster.h"
@@ -20,8 +21,7 @@
 #include "LibGateway/RolloutDesk.h"
 #include "LibGateway/RolloutWriter.h"
 #include "LibGateway/StateFollower.h"
-#include "LibGateway/TargetEnds.h"
-#include "LibGateway/TargetTermsService.h"
+#include "LibGateway/TargetExitDetector.h"
 #include "LibHTTP/ConnectionPool.h"
 #include "LibHTTP/Server.h"
 #include "LibMetrics/MetricsRegistry.h"
@@ -64,20 +64,20 @@
   core::Duration startDelay();
   /// Whether peers may tell everything sooner, or cheaper, than the store.
   bool mustWaitForPeers(core::Duration SinceStart) const;
-  void take(const platform::Entry &Change);
+  void applyEntry(const platform::Entry &Change);
   /// \param At of its announcement.
-  void take(const routing::Target &Seen, platform::Revision At);
-  void adopt(routing::RoutingTableHandle Next);
+  void applyTarget(const routing::Target &Seen, platform::Revision At);
+  void applyConfiguration(routing::RoutingTableHandle Next);
   /// Targets of the largest pool that the configuration names.
-  std::size_t largestPool() const;
+  std::size_t largestPoolSize() const;
   void describeLoad(peer::LoadReport &Report) const;
-  void peersChanged();
+  void updatePeerLoads();
   /// Who owns quotas, by what is known of the fleet now.
   void updateQuotaOwners();
-  void keepRecord(core::TimePoint Now);
+  void updateMembershipRecord(core::TimePoint Now);
   RolloutHooks rolloutHooks();
   /// Looks after roll-outs while there are any.
-  void armRollouts();
+  void scheduleRolloutUpkeep();
   /// Both decide by what the peers said up to now.
   void place(const routing::PlacementRequest &What);
   void dispatchWaiting(core::TimePoint Now);
@@ -85,25 +85,25 @@
   std::optional<core::TimePoint> availableAt(const core::PoolName &Pool,
                                              core::TimePoint Now);
   /// Gives the place to a request that waits here, or lets the peers know.
-  void placeBecameFree();
+  void handleFreedSlot();
   /// Looks at what waits soon, if anything does: an instance at rest is not
   /// woken 50 times a second.
-  void armTick();
+  void scheduleTick();
   void tick(core::TimePoint Now);
   void pollStop(core::TimePoint Now);
   /// Whether a request that comes now could no longer be finished.
-  bool isTooLate(core::TimePoint Now) const;
+  bool isPastAcceptPeriod(core::TimePoint Now) const;
   bool isReady() const;
   /// Whether the configuration may still be on its way.
   bool isJustStarted() const;
-  TargetEndsHooks targetEndsHooks();
+  TargetExitDetectorHooks exitDetectorHooks();
   QuarantineHooks quarantineHooks();
   /// Whether somebody listens at a target's address.
-  Presence probe(const routing::Target &Which,
-                 boost::asio::yield_context Yield);
+  ProbeResult probe(const routing::Target &Which,
+                    boost::asio::yield_context Yield);
   /// Counts the retry, if one more is within the budget.
-  bool mayRetry(const core::PoolName &Pool);
-  http::ResponseMessage answerReadiness() const;
+  bool tryReserveRetry(const core::PoolName &Pool);
+  http::ResponseMessage readinessResponse() const;
   void updateGauges();
 
   boost::asio::io_context &m_Context;
@@ -113,7 +113,7 @@
   platform::KeyValueService &m_Store;
   core::SteadyTimerService m_Timers;
   metrics::MetricsRegistry m_Metrics;
-  FleetRecord m_Record;
+  FleetRecord m_MembershipRecord;
   FleetRoster m_Roster;
   platform::StoreMirror m_Mirror;
   StateFollower m_Follower;
@@ -122,8 +122,8 @@
   routing::Dispatcher m_Dispatcher;
   http::ConnectionPool m_Connections;
   RetryBudgets m_Retries;
-  TargetEnds m_Ends;
-  TargetTermsService m_Terms;
+  TargetExitDetector m_ExitDetector;
+  BackpressureService m_Terms;
   QuarantineService m_Quarantine;
   std::unique_ptr<PeerLink> m_Peers;
   QuotaService m_Quotas;
@@ -132,15 +132,15 @@
   std::unique_ptr<http::Server> m_CallerServer;
   std::unique_ptr<http::Server> m_ReadinessServer;
   std::unique_ptr<http::Server> m_MetricsServer;
-  std::unordered_map<core::RequestId, GatewayRequest *> m_Open;
-  bool m_DoPeersWait = false; ///< Near peers, for free places.
-  bool m_IsTickArmed = false;
-  bool m_AreRolloutsArmed = false;
+  std::unordered_map<core::RequestId, GatewayRequest *> m_OpenRequests;
+  bool m_HasWaitingPeers = false; ///< Near peers, for free places.
+  bool m_IsTickScheduled = false;
+  bool m_IsRolloutUpkeepScheduled = false;
   std::uint64_t m_NextRequest = 1;
   std::mt19937_64 m_Random;
   core::Duration m_StartDelay{};
   core::TimePoint m_StoppingSince{};
-  std::function<void()> m_Finished;
+  std::function<void()> m_OnStopped;
 };
 
 class Gateway::Builder {
--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -12,12 +12,12 @@
 using core::Error;
 
 /// Least time left for which another target is tried.
-static constexpr std::chrono::milliseconds LeastUsefulTime{20};
+static constexpr std::chrono::milliseconds MinRetryTime{20};
 /// Callers give a stream up, also before its first event, after a gap of the
 /// longest of these (the platform's word on its clients).
-static constexpr std::chrono::seconds LeastPatience{2};
-static constexpr int PatienceOverObjective = 4;
-static constexpr int PatienceOverPause = 8;
+static constexpr std::chrono::seconds MinCallerTimeout{2};
+static constexpr int CallerTimeoutPerObjective = 4;
+static constexpr int CallerTimeoutPerPause = 8;
 /// When to come back after a refusal: spread, so that those who were refused
 /// together do not return together.
 static constexpr double FirstRetryAfterSeconds = 0.15;
@@ -26,46 +26,46 @@
 /// spread over so much more.
 static constexpr double ClosedSpreadShare = 0.25;
 /// Another target may be there sooner.
-static constexpr double LongestClosedSeconds = 5;
+static constexpr double MaxClosedSeconds = 5;
 /// News that excuses a request is here by then.
 static constexpr std::chrono::seconds QuarantinedRetryAfter{2};
 /// How often a request that came before the configuration looks for it.
-static constexpr std::chrono::milliseconds ConfigurationLook{5};
+static constexpr std::chrono::milliseconds ConfigurationPollPeriod{5};
 /// Bounds tries at targets that can't be connected to.
-static constexpr unsigned MostTries = 4;
+static constexpr unsigned MaxAttempts = 4;
 
 GatewayRequest::GatewayRequest(Gateway &Owner, http::Exchange &Caller)
     : m_Owner(Owner), m_Caller(Caller),
-      m_Relay(Caller, {[this] { return timeLeft() + AnswerSlack; },
+      m_Relay(Caller, {[this] { return timeLeft() + ResponseGracePeriod; },
                        [this](std::size_t Count) { noteEvents(Count); }}),
-      m_Id(Owner.m_NextRequest++), m_Wake(Owner.m_Context) {
+      m_Id(Owner.m_NextRequest++), m_WakeTimer(Owner.m_Context) {
   m_Table = Owner.m_Table;
-  m_Owner.m_Open.emplace(m_Id, this);
+  m_Owner.m_OpenRequests.emplace(m_Id, this);
 }
 
 GatewayRequest::~GatewayRequest() {
   if (m_IsOwnerGone)
     return;
   m_Owner.m_Dispatcher.withdraw(m_Id);
-  m_Owner.m_Open.erase(m_Id);
+  m_Owner.m_OpenRequests.erase(m_Id);
   m_Caller.setHangUpHook(nullptr);
 }
 
-void GatewayRequest::sendTo(const routing::Target &Where) {
+void GatewayRequest::assignTarget(const routing::Target &Where) {
   m_Target = Where;
-  m_Wake.cancel();
+  m_WakeTimer.cancel();
 }
 
 void GatewayRequest::refuse() {
   m_IsRefused = true;
-  m_Wake.cancel();
+  m_WakeTimer.cancel();
 }
 
 void GatewayRequest::callerHungUp() {
   m_IsCallerGone = true;
   if (m_Connection)
     m_Connection->close();
-  m_Wake.cancel();
+  m_WakeTimer.cancel();
 }
 
 core::Duration GatewayRequest::timeLeft() const {
@@ -76,7 +76,7 @@
   core::TimePoint Now = core::steadyNow();
   double Closed = 0;
   if (auto OpensAt = m_Owner.availableAt(m_Pool, Now))
-    Closed = std::min(core::toSeconds(*OpensAt - Now), LongestClosedSeconds);
+    Closed = std::min(core::toSeconds(*OpensAt - Now), MaxClosedSeconds);
   std::uniform_real_distribution<double> Spread(
       0, RetryAfterSpreadSeconds + Closed * ClosedSpreadShare);
   return core::fromSeconds(FirstRetryAfterSeconds + Closed +
@@ -88,13 +88,13 @@
 //===----------------------------------------------------------------------===//
 
 unsigned GatewayRequest::admit(asio::yield_context Yield) {
-  m_Said = m_Owner.m_Wire.describe(m_Caller.request());
-  if (m_Owner.isTooLate(m_Times.arrivedAt())) {
+  m_Description = m_Owner.m_Wire.describe(m_Caller.request());
+  if (m_Owner.isPastAcceptPeriod(m_Timing.arrivedAt())) {
     m_Reason = "stopping";
     return 503;
   }
-  RequestAdmission Admission(m_Table.get(), m_Times.arrivedAt());
-  AdmittedRequest Admitted = Admission.admit(m_Said, m_Owner.m_Random());
+  RequestAdmission Admission(m_Table.get(), m_Timing.arrivedAt());
+  AdmissionResult Admitted = Admission.admit(m_Description, m_Owner.m_Random());
   m_Reason = Admitted.m_Reason;
   m_Route = Admitted.m_Route;
   m_Account = Admitted.m_Account;
@@ -119,7 +119,7 @@
   quarantine::Content What;
   if (m_Account)
     What.m_Account = m_Account->m_Name.value();
-  What.m_Host = m_Said.m_Host;
+  What.m_Host = m_Description.m_Host;
   What.m_Method = Asked.m_Method;
   What.m_Target = Asked.m_Target;
   What.m_Body = Asked.m_Body;
@@ -140,10 +140,10 @@
   return IsGranted;
 }
 
-core::Duration GatewayRequest::callersPatience() const {
-  return std::max({core::Duration(LeastPatience),
-                   m_Route->m_FirstByteObjective * PatienceOverObjective,
-                   m_Route->m_MaxEventGap * PatienceOverPause});
+core::Duration GatewayRequest::callerTimeout() const {
+  return std::max({core::Duration(MinCallerTimeout),
+                   m_Route->m_FirstByteObjective * CallerTimeoutPerObjective,
+                   m_Route->m_MaxEventGap * CallerTimeoutPerPause});
 }
 
 bool GatewayRequest::waitForTarget(asio::yield_context Yield) {
@@ -156,28 +156,29 @@
   Wanted.m_Route = routeHash();
   Wanted.m_Priority = {m_Tier, m_Route->m_Tier};
   Wanted.m_IsInference = Pool && Pool->m_IsInference;
-  Wanted.m_PromptTokens = m_Said.m_PromptTokens;
+  Wanted.m_PromptTokens = m_Description.m_PromptTokens;
   Wanted.m_TriedTargets = m_TriedTargets;
   if (Wanted.m_IsInference) {
     // The estimate is right at the median; without one, half of the most.
-    double Tokens = m_Said.m_ExpectedTokens != 0
-                        ? static_cast<double>(m_Said.m_ExpectedTokens)
-                        : static_cast<double>(m_Said.m_OutputTokens) / 2;
+    double Tokens = m_Description.m_ExpectedTokens != 0
+                        ? static_cast<double>(m_Description.m_ExpectedTokens)
+                        : static_cast<double>(m_Description.m_OutputTokens) / 2;
     Wanted.m_ExpectedEvents = Tokens / Pool->m_TokensPerEvent;
   }
-  Wanted.m_ArrivedAt = m_Times.arrivedAt();
+  Wanted.m_ArrivedAt = m_Timing.arrivedAt();
   Wanted.m_EndsAt = m_EndsAt;
   Wanted.m_FirstByteDue = m_EndsAt;
   if (m_Route->m_FirstByteObjective > core::Duration::zero())
-    Wanted.m_FirstByteDue = m_Times.arrivedAt() + m_Route->m_FirstByteObjective;
+    Wanted.m_FirstByteDue =
+        m_Timing.arrivedAt() + m_Route->m_FirstByteObjective;
   Wanted.m_FirstEventDeadline = m_EndsAt;
   if (m_Route->m_Kind == routing::RouteKind::Stream)
     Wanted.m_FirstEventDeadline =
-        std::min(m_EndsAt, m_Times.arrivedAt() + callersPatience());
+        std::min(m_EndsAt, m_Timing.arrivedAt() + callerTimeout());
   if (m_Relay.isStarted()) {
     // It began; what counts is that it goes on before its caller gives it up.
     Wanted.m_FirstEventDeadline =
-        std::min(m_EndsAt, core::steadyNow() + callersPatience());
+        std::min(m_EndsAt, core::steadyNow() + callerTimeout());
     Wanted.m_FirstByteDue = Wanted.m_FirstEventDeadline;
   }
   m_PendingPromptTokens = Wanted.m_PromptTokens;
@@ -185,8 +186,8 @@
   while (!m_Target && !m_IsRefused && !m_IsCallerGone &&
          timeLeft() > core::Duration::zero()) {
     boost::system::error_code Ignored;
-    m_Wake.expires_after(timeLeft());
-    m_Wake.async_wait(Yield[Ignored]);
+    m_WakeTimer.expires_after(timeLeft());
+    m_WakeTimer.async_wait(Yield[Ignored]);
   }
   m_Owner.m_Dispatcher.withdraw(m_Id);
   return m_Target.has_value();
@@ -195,8 +196,8 @@
 void GatewayRequest::waitForConfiguration(asio::yield_context Yield) {
   while (!m_Owner.m_Table && m_Owner.isJustStarted() && !m_IsCallerGone) {
     boost::system::error_code Ignored;
-    m_Wake.expires_after(ConfigurationLook);
-    m_Wake.async_wait(Yield[Ignored]);
+    m_WakeTimer.expires_after(ConfigurationPollPeriod);
+    m_WakeTimer.async_wait(Yield[Ignored]);
   }
   m_Table = m_Owner.m_Table;
 }
@@ -211,31 +212,31 @@
       Wait = m_Draw.m_RetryAfter.value_or(retryAfter());
     if (Status == 503)
       Wait = isQuarantined() ? QuarantinedRetryAfter : retryAfter();
-    return answer(Status, m_Reason, Wait, Yield);
+    return respond(Status, m_Reason, Wait, Yield);
   }
-  m_Owner.m_Retries.of(m_Pool).recordRequest(m_Times.arrivedAt());
-  TryOutcome Last = TryOutcome::NotSent;
+  m_Owner.m_Retries.of(m_Pool).recordRequest(m_Timing.arrivedAt());
+  AttemptOutcome Last = AttemptOutcome::NotSent;
   while (true) {
     if (!waitForTarget(Yield)) {
       if (m_IsCallerGone)
-        Last = TryOutcome::CallerGone;
+        Last = AttemptOutcome::CallerGone;
       break;
     }
     // Others may have seen it end targets while it waited.
     if (isQuarantined()) {
       m_Owner.m_Targets.recordEnd(m_Target->run(), m_PendingPromptTokens);
-      m_Owner.placeBecameFree();
+      m_Owner.handleFreedSlot();
       break;
     }
-    m_Times.noteTry(core::steadyNow());
-    Last = tryTarget(Yield);
-    noteTry(Last);
-    if (Last == TryOutcome::Complete || Last == TryOutcome::CallerGone ||
-        !mayTryAgain(Last))
+    m_Timing.noteAttempt(core::steadyNow());
+    Last = runAttempt(Yield);
+    noteAttempt(Last);
+    if (Last == AttemptOutcome::Complete ||
+        Last == AttemptOutcome::CallerGone || !shouldRetry(Last))
       break;
   }
-  if (Last == TryOutcome::Complete || Last == TryOutcome::CallerGone) {
-    m_Reason = Last == TryOutcome::Complete ? "complete" : "caller-gone";
+  if (Last == AttemptOutcome::Complete || Last == AttemptOutcome::CallerGone) {
+    m_Reason = Last == AttemptOutcome::Complete ? "complete" : "caller-gone";
     return finish("request-finished");
   }
   finishFailed(Last, Yield);
@@ -245,59 +246,62 @@
 // After a target
 //===----------------------------------------------------------------------===//
 
-bool GatewayRequest::mayTryAgain(TryOutcome Last) {
-  if (m_IsCallerGone || timeLeft() < LeastUsefulTime || isQuarantined())
+bool GatewayRequest::shouldRetry(AttemptOutcome Last) {
+  if (m_IsCallerGone || timeLeft() < MinRetryTime || isQuarantined())
     return false;
-  if (Last == TryOutcome::Failed &&
-      (!m_Route->isRetryable() || m_Runs >= m_Route->m_MaxAttempts))
+  if (Last == AttemptOutcome::Failed &&
+      (!m_Route->isRetryable() ||
+       m_PossibleExecutions >= m_Route->m_MaxAttempts))
     return false;
   // Sent on at once, it would end the next target before its caller returns; an
   // innocent one is served on that return.
-  if (Last == TryOutcome::Failed && m_Owner.m_Quarantine.isSuspect(m_Content))
+  if (Last == AttemptOutcome::Failed &&
+      m_Owner.m_Quarantine.isSuspect(m_Content))
     return false;
   // A stream without an id to go on from can't be taken up elsewhere.
   if (m_Relay.isStarted() && m_Relay.lastEventId().empty())
     return false;
   // Where no byte arrived nothing counts against the budget.
-  if (Last == TryOutcome::NotSent)
-    return m_Times.tries() < MostTries;
-  if (m_Owner.mayRetry(m_Pool))
+  if (Last == AttemptOutcome::NotSent)
+    return m_Timing.attempts() < MaxAttempts;
+  if (m_Owner.tryReserveRetry(m_Pool))
     return true;
   core::LogLine("retry-budget-spent")
-      .add("request", m_Said.m_Id)
+      .add("request", m_Description.m_Id)
       .add("pool", m_Pool);
   return false;
 }
 
-void GatewayRequest::finishFailed(TryOutcome Last, asio::yield_context Yield) {
+void GatewayRequest::finishFailed(AttemptOutcome Last,
+                                  asio::yield_context Yield) {
   if (m_Relay.isStarted()) {
     // Never let half an answer look whole.
     m_Caller.abort();
     return finish("request-broken-off");
   }
   bool IsOver = timeLeft() <= core::Duration::zero();
-  if (m_FailureAnswer && Last == TryOutcome::Failed) {
+  if (m_FailureResponse && Last == AttemptOutcome::Failed) {
     m_Reason = "target-failed";
-    m_Relay.sendWhole(std::move(*m_FailureAnswer), Yield);
+    m_Relay.sendWhole(std::move(*m_FailureResponse), Yield);
     return finish("request-finished");
   }
-  if (m_Runs > 0)
-    return answer(IsOver ? 504 : 502, m_Reason, core::Duration::zero(), Yield);
+  if (m_PossibleExecutions > 0)
+    return respond(IsOver ? 504 : 502, m_Reason, core::Duration::zero(), Yield);
   m_Owner.m_Quotas.giveBack(m_Draw);
   if (m_IsRefused)
     m_Reason = m_Owner.availableAt(m_Pool, core::steadyNow()) ? "targets-closed"
                                                               : "no-target";
-  answer(503, IsOver ? "time-over" : m_Reason, retryAfter(), Yield);
+  respond(503, IsOver ? "time-over" : m_Reason, retryAfter(), Yield);
 }
 
-void GatewayRequest::answer(unsigned Status, const char *Reason,
-                            core::Duration RetryAfter,
-                            asio::yield_context Yield) {
+void GatewayRequest::respond(unsigned Status, const char *Reason,
+                             core::Duration RetryAfter,
+                             asio::yield_context Yield) {
   m_Status = Status;
   m_Reason = Reason;
   http::ResponseMessage Answer;
   Answer.m_Head.m_Status = Status;
-  m_Owner.m_Wire.prepare(Answer.m_Head, m_Said);
+  m_Owner.m_Wire.prepare(Answer.m_Head, m_Description);
   if (RetryAfter > core::Duration::zero()) {
     char Text[32];
     std::snprintf(Text, sizeof Text, "%.3f", core::toSeconds(RetryAfter));
@@ -313,8 +317,8 @@
 }
 
 void GatewayRequest::finish(const char *Event) const {
-  logEnd(Event, m_Relay.status());
-  countEnd(m_Owner.m_Metrics);
+  logCompletion(Event, m_Relay.status());
+  countCompletion(m_Owner.m_Metrics);
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/GatewayRequest.h
+++ b/Libraries/LibGateway/GatewayRequest.h
@@ -3,10 +3,10 @@
 #define YARDRILL_LIBGATEWAY_GATEWAYREQUEST_H
 
 #include "LibCore/Timer.h"
-#include "LibGateway/AnswerRelay.h"
 #include "LibGateway/Gateway.h"
 #include "LibGateway/RequestAdmission.h"
-#include "LibGateway/RequestFacts.h"
+#include "LibGateway/RequestInfo.h"
+#include "LibGateway/ResponseRelay.h"
 #include "LibHTTP/ClientConnection.h"
 
 #include <boost/asio/spawn.hpp>
@@ -21,7 +21,7 @@
 /// to no other, so that it can be sent again only by this code: after a
 /// target's own word that it did not run, when no byte was sent, or when its
 /// route lets it run twice.
-class GatewayRequest : private RequestFacts {
+class GatewayRequest : private RequestInfo {
 public:
   GatewayRequest(Gateway &Owner, http::Exchange &Caller);
   ~GatewayRequest();
@@ -31,7 +31,7 @@
   /// Returns when the caller has its answer or is gone.
   void run(boost::asio::yield_context Yield);
   /// The dispatcher chose a target.
-  void sendTo(const routing::Target &Where);
+  void assignTarget(const routing::Target &Where);
   std::uint32_t routeHash() const { return m_Route ? m_Route->m_Hash : 0; }
   /// The dispatcher found none.
   void refuse();
@@ -42,7 +42,7 @@
 private:
   /// A target stops at the deadline it was given and says so; its own word is
   /// waited for this long beyond.
-  static constexpr std::chrono::milliseconds AnswerSlack{200};
+  static constexpr std::chrono::milliseconds ResponseGracePeriod{200};
 
   /// \returns the status that ends the request here, or 0 to go on.
   unsigned admit(boost::asio::yield_context Yield);
@@ -50,58 +50,58 @@
   bool drawQuota(std::uint32_t Tokens, boost::asio::yield_context Yield);
   quarantine::ContentDigest contentDigest() const;
   /// How long the caller waits for an event of a stream.
-  core::Duration callersPatience() const;
+  core::Duration callerTimeout() const;
   /// Callers that waited for this instance to start come before the store's
   /// first answer.
   void waitForConfiguration(boost::asio::yield_context Yield);
   bool waitForTarget(boost::asio::yield_context Yield);
-  TryOutcome tryTarget(boost::asio::yield_context Yield);
-  TryOutcome exchange(http::ClientConnection &Connection,
-                      boost::asio::yield_context Yield);
+  AttemptOutcome runAttempt(boost::asio::yield_context Yield);
+  AttemptOutcome exchange(http::ClientConnection &Connection,
+                          boost::asio::yield_context Yield);
   /// Reads heads until one answers this request: an answer to an earlier one
   /// may come late, in the place of the next.
-  http::ResponseHead readOwnHead(http::ClientConnection &Connection,
-                                 boost::asio::yield_context Yield);
+  http::ResponseHead readMatchingHead(http::ClientConnection &Connection,
+                                      boost::asio::yield_context Yield);
   /// Keeps a failure back where another target may do better.
-  TryOutcome passWhole(http::ResponseMessage Answer,
-                       boost::asio::yield_context Yield);
+  AttemptOutcome relayWhole(http::ResponseMessage Answer,
+                            boost::asio::yield_context Yield);
   void noteEvents(std::size_t Count);
   /// Whether another target may be tried after \p Last.
-  bool mayTryAgain(TryOutcome Last);
-  void finishFailed(TryOutcome Last, boost::asio::yield_context Yield);
-  void answer(unsigned Status, const char *Reason, core::Duration RetryAfter,
-              boost::asio::yield_context Yield);
+  bool shouldRetry(AttemptOutcome Last);
+  void finishFailed(AttemptOutcome Last, boost::asio::yield_context Yield);
+  void respond(unsigned Status, const char *Reason, core::Duration RetryAfter,
+               boost::asio::yield_context Yield);
   core::Duration timeLeft() const;
   core::Duration retryAfter() const;
   void callerHungUp();
-  void noteTry(TryOutcome Last);
+  void noteAttempt(AttemptOutcome Last);
   /// Whether it must go to no target, also one that was chosen.
   bool isQuarantined();
   /// Finds out whether the target ended under the request.
-  void noteBroken(boost::asio::yield_context Yield);
+  void noteBrokenResponse(boost::asio::yield_context Yield);
   /// Tells roll-outs how the try turned out.
-  void noteEvidence(TryOutcome Last, core::TimePoint Now);
-  core::Duration sizedTime(core::Duration Took) const;
+  void reportRolloutOutcome(AttemptOutcome Last, core::TimePoint Now);
+  core::Duration normalizedDuration(core::Duration Took) const;
   void finish(const char *Event) const;
 
   Gateway &m_Owner;
   http::Exchange &m_Caller;
-  AnswerRelay m_Relay;
+  ResponseRelay m_Relay;
   core::RequestId m_Id;
   core::TimePoint m_EndsAt;
-  core::Timer m_Wake;
+  core::Timer m_WakeTimer;
   bool m_IsRefused = false;
   bool m_IsCallerGone = false;
   bool m_IsOwnerGone = false;
   http::ClientConnection *m_Connection = nullptr;
   std::set<routing::TargetIncarnation> m_TriedTargets;
-  unsigned m_Runs = 0;                     ///< Tries that may have run.
+  unsigned m_PossibleExecutions = 0;       ///< Tries that may have run.
   std::uint32_t m_PendingPromptTokens = 0; ///< Counted at the current target.
-  bool m_HasAnswerBegun = false;           ///< Of the current try.
+  bool m_HasResponseStarted = false;       ///< Of the current try.
   /// How long the connection may be kept, by the last answer on it.
-  core::Duration m_KeepFor{};
+  core::Duration m_KeepAliveTime{};
   /// A target's own failure, passed on unless another target does better.
-  std::optional<http::ResponseMessage> m_FailureAnswer;
+  std::optional<http::ResponseMessage> m_FailureResponse;
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/GatewayRequestAtTarget.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -1,4 +1,4 @@
-//===-- GatewayRequestAtTarget.cpp - One try at one target ----------------===//
+//===-- GatewayRequestAttempt.cpp - One try at one target ---------------===//
 #include "LibGateway/GatewayRequest.h"
 
 #include "LibCore/Error.h"
@@ -11,29 +11,29 @@
 
 /// Answers up to this size are read whole before they are passed on, so that
 /// a broken one can still be replaced.
-static constexpr std::uint64_t MostBytesReadWhole = 262144;
+static constexpr std::uint64_t MaxBufferedBytes = 262144;
 /// A kept connection is used until this long before its target closes it.
 static constexpr std::chrono::milliseconds KeepAliveMargin{500};
 static constexpr std::chrono::seconds DefaultKeepAlive{4};
 /// Times of streams are compared between targets as if all had this length. The
 /// unit does not matter, nor what is the same for all; how a prompt's length
 /// weighs against an answer's matters a little.
-static constexpr double SizedMs = 100;
+static constexpr double ReferenceMs = 100;
 static constexpr double PromptTokensPerMs = 50;
 static constexpr double EventMs = 25;
-static constexpr double FirstMs = 10;
+static constexpr double FirstEventMs = 10;
 /// An error of the target's own; it may not have begun to run the request.
-static constexpr unsigned LeastFailureStatus = 500;
+static constexpr unsigned MinFailureStatus = 500;
 /// A caller that leaves sooner says nothing about its target.
-static constexpr std::chrono::seconds LeastTelling{1};
+static constexpr std::chrono::seconds MinMeaningfulWait{1};
 static const char EventStreamType[] = "text/event-stream";
 
-TryOutcome GatewayRequest::tryTarget(asio::yield_context Yield) {
-  logSent(m_Owner.m_Targets.findByIncarnation(m_Target->run()),
-          m_Owner.m_Mirror.revision());
+AttemptOutcome GatewayRequest::runAttempt(asio::yield_context Yield) {
+  logDispatch(m_Owner.m_Targets.findByIncarnation(m_Target->run()),
+              m_Owner.m_Mirror.revision());
   if (timeLeft() <= core::Duration::zero()) {
     m_Reason = "time-over";
-    return TryOutcome::NotSent;
+    return AttemptOutcome::NotSent;
   }
   auto Address = m_Target->m_Address.toTcp();
   std::unique_ptr<http::ClientConnection> Connection;
@@ -42,17 +42,17 @@
   } catch (const Error &Failure) {
     m_Reason = "connect-failed";
     if (Failure.kind() == core::ErrorKind::Refused)
-      m_Owner.m_Ends.noteEnded(m_Target->run());
+      m_Owner.m_ExitDetector.noteTargetExit(m_Target->run());
     core::LogLine("connect-failed", core::LogLevel::Warning)
-        .add("request", m_Said.m_Id)
+        .add("request", m_Description.m_Id)
         .add("target", m_Target->m_Name)
         .add("reason", Failure.what());
-    return TryOutcome::NotSent;
+    return AttemptOutcome::NotSent;
   }
   if (m_IsCallerGone)
-    return TryOutcome::CallerGone;
+    return AttemptOutcome::CallerGone;
   m_Connection = Connection.get();
-  TryOutcome Result = TryOutcome::Failed;
+  AttemptOutcome Result = AttemptOutcome::Failed;
   bool IsBroken = false;
   try {
     Result = exchange(*Connection, Yield);
@@ -61,18 +61,19 @@
     m_Reason =
         timeLeft() <= core::Duration::zero() ? "time-over" : "target-broke";
     core::LogLine("target-broke", core::LogLevel::Warning)
-        .add("request", m_Said.m_Id)
+        .add("request", m_Description.m_Id)
         .add("target", m_Target->m_Name)
         .add("content", m_Content)
         .add("reason", Failure.what());
   }
   m_Connection = nullptr;
-  if (Result == TryOutcome::Complete || Result == TryOutcome::NotRun)
-    m_Owner.m_Connections.giveBack(Address, std::move(Connection), m_KeepFor);
-  if (m_IsCallerGone && Result != TryOutcome::Complete)
-    return TryOutcome::CallerGone;
+  if (Result == AttemptOutcome::Complete || Result == AttemptOutcome::NotRun)
+    m_Owner.m_Connections.giveBack(Address, std::move(Connection),
+                                   m_KeepAliveTime);
+  if (m_IsCallerGone && Result != AttemptOutcome::Complete)
+    return AttemptOutcome::CallerGone;
   if (IsBroken)
-    noteBroken(Yield);
+    noteBrokenResponse(Yield);
   return Result;
 }
 
@@ -83,22 +84,22 @@
   return true;
 }
 
-void GatewayRequest::noteBroken(asio::yield_context Yield) {
+void GatewayRequest::noteBrokenResponse(asio::yield_context Yield) {
   // One that leaves ends as it was told to, whatever runs there.
   if (!m_Owner.m_Targets.isLeaving(m_Target->run()))
-    m_Owner.m_Ends.noteBroken(*m_Target, m_Content, Yield);
+    m_Owner.m_ExitDetector.noteBrokenResponse(*m_Target, m_Content, Yield);
 }
 
 http::ResponseHead
-GatewayRequest::readOwnHead(http::ClientConnection &Connection,
-                            asio::yield_context Yield) {
+GatewayRequest::readMatchingHead(http::ClientConnection &Connection,
+                                 asio::yield_context Yield) {
   while (true) {
-    core::Duration Limit = timeLeft() + AnswerSlack;
+    core::Duration Limit = timeLeft() + ResponseGracePeriod;
     http::ResponseHead Head = Connection.readHead(Limit, Yield);
-    if (m_Owner.m_Wire.describe(Head).m_Id == m_Said.m_Id)
+    if (m_Owner.m_Wire.describe(Head).m_Id == m_Description.m_Id)
       return Head;
     core::LogLine("surplus-answer", core::LogLevel::Warning)
-        .add("request", m_Said.m_Id)
+        .add("request", m_Description.m_Id)
         .add("target", m_Target->m_Name)
         .add("status", Head.m_Status);
     while (!Connection.readPiece(Limit, Yield).empty()) {
@@ -113,64 +114,66 @@
          Type->compare(0, sizeof EventStreamType - 1, EventStreamType) == 0;
 }
 
-TryOutcome GatewayRequest::exchange(http::ClientConnection &Connection,
-                                    asio::yield_context Yield) {
+AttemptOutcome GatewayRequest::exchange(http::ClientConnection &Connection,
+                                        asio::yield_context Yield) {
   Connection.allowBodyUntilClose();
   ForwardDescription What;
   What.m_Target = m_Target->m_Name;
   What.m_TimeLeft = timeLeft();
   if (m_Account)
     What.m_Account = m_Account->m_Name;
-  What.m_LastEvent = m_Said.m_LastEvent;
+  What.m_LastEvent = m_Description.m_LastEvent;
   if (!m_Relay.lastEventId().empty())
     What.m_LastEvent = m_Relay.lastEventId();
   m_Owner.m_Wire.prepare(m_Caller.request(), What);
-  m_HasAnswerBegun = false;
+  m_HasResponseStarted = false;
   Connection.sendRequest(m_Caller.request(), timeLeft(), Yield);
-  http::ResponseHead Head = readOwnHead(Connection, Yield);
-  m_HasAnswerBegun = true;
-  AnswerDescription Says = m_Owner.m_Wire.describe(Head);
-  m_Owner.m_Terms.said(*m_Target, Says.m_Terms, core::steadyNow());
-  TryOutcome Result = TryOutcome::Failed;
+  http::ResponseHead Head = readMatchingHead(Connection, Yield);
+  m_HasResponseStarted = true;
+  ResponseDescription Says = m_Owner.m_Wire.describe(Head);
+  m_Owner.m_Terms.noteStated(*m_Target, Says.m_Terms, core::steadyNow());
+  AttemptOutcome Result = AttemptOutcome::Failed;
   bool IsSuccess = Head.m_Status >= 200 && Head.m_Status < 300;
   if (Says.m_IsNotRun) {
     m_Reason = Says.m_IsMisdirected ? "target-replaced" : "target-refused";
     logTargetRefusal(Head.m_Status);
     if (Says.m_IsMisdirected) {
       m_Owner.m_Targets.recordReplacement(m_Target->run());
-      m_Owner.m_Ends.noteEnded(m_Target->run());
+      m_Owner.m_ExitDetector.noteTargetExit(m_Target->run());
     }
-    while (!Connection.readPiece(timeLeft() + AnswerSlack, Yield).empty()) {
+    while (!Connection.readPiece(timeLeft() + ResponseGracePeriod, Yield)
+                .empty()) {
       // Its reason is for us alone.
     }
-    Result = TryOutcome::NotRun;
+    Result = AttemptOutcome::NotRun;
   } else if (IsSuccess && (!Says.m_IsSigned || Says.m_IsEncoded)) {
     m_Reason = "unsigned-answer";
-    return TryOutcome::Failed;
+    return AttemptOutcome::Failed;
   } else if (IsSuccess && isEventStream(Head)) {
     Result = m_Relay.relayEvents(Connection, Head, Yield);
-    if (Result == TryOutcome::Failed)
+    if (Result == AttemptOutcome::Failed)
       m_Reason = "stream-cut";
   } else if (m_Relay.isStarted()) {
     // A stream that goes on elsewhere can only go on as a stream.
     m_Reason = "resume-refused";
-    return TryOutcome::Failed;
+    return AttemptOutcome::Failed;
   } else if (Head.m_ContentLength &&
-             *Head.m_ContentLength <= MostBytesReadWhole) {
-    Result = passWhole(m_Relay.readWhole(Connection, Head, Yield), Yield);
+             *Head.m_ContentLength <= MaxBufferedBytes) {
+    Result = relayWhole(m_Relay.readWhole(Connection, Head, Yield), Yield);
   } else {
-    Result = m_Relay.relayPieces(Connection, Head, Yield);
+    Result = m_Relay.relayBytes(Connection, Head, Yield);
   }
-  m_KeepFor = Says.m_KeepAlive.value_or(DefaultKeepAlive) - KeepAliveMargin;
+  m_KeepAliveTime =
+      Says.m_KeepAlive.value_or(DefaultKeepAlive) - KeepAliveMargin;
   return Result;
 }
 
-TryOutcome GatewayRequest::passWhole(http::ResponseMessage Answer,
-                                     asio::yield_context Yield) {
+AttemptOutcome GatewayRequest::relayWhole(http::ResponseMessage Answer,
+                                          asio::yield_context Yield) {
   if (Answer.m_Head.m_Status >= 500 && m_Route->isRetryable()) {
     m_Reason = "target-failed";
-    m_FailureAnswer = std::move(Answer);
-    return TryOutcome::Failed;
+    m_FailureResponse = std::move(Answer);
+    return AttemptOutcome::Failed;
   }
   return m_Relay.sendWhole(std::move(Answer), Yield);
 }
@@ -178,17 +181,17 @@
 void GatewayRequest::noteEvents(std::size_t Count) {
   core::TimePoint Now = core::steadyNow();
   metrics::RequestLabels Labels = labels();
-  bool IsFirst = !m_Times.hasFirstEvent();
-  std::optional<core::Duration> Pause = m_Times.noteEvents(Count, Now);
+  bool IsFirst = !m_Timing.hasFirstEvent();
+  std::optional<core::Duration> Pause = m_Timing.noteEvents(Count, Now);
   if (m_PendingPromptTokens > 0) {
     m_Owner.m_Targets.recordFirstEvent(m_Target->run(), m_PendingPromptTokens);
     m_PendingPromptTokens = 0;
   }
   if (IsFirst) {
     m_Owner.m_Targets.recordFirstEventTime(m_Pool,
-                                           Now - m_Times.tryStartedAt());
+                                           Now - m_Timing.attemptStartedAt());
     m_Owner.m_Metrics.observe(metrics::RequestTime::FirstToken, Labels,
-                              m_Times.toFirstEvent());
+                              m_Timing.timeToFirstEvent());
   }
   if (Pause) {
     m_Owner.m_Metrics.observe(metrics::RequestTime::BetweenTokens, Labels,
@@ -201,48 +204,50 @@
 // What the try says
 //===----------------------------------------------------------------------===//
 
-void GatewayRequest::noteTry(TryOutcome Last) {
+void GatewayRequest::noteAttempt(AttemptOutcome Last) {
   core::TimePoint Now = core::steadyNow();
   routing::TargetIncarnation Run = m_Target->run();
-  noteEvidence(Last, Now);
+  reportRolloutOutcome(Last, Now);
   m_Owner.m_Targets.recordEnd(Run, m_PendingPromptTokens);
   m_TriedTargets.insert(Run);
-  bool IsShort = !m_Times.hasEventOfTry();
+  bool IsShort = !m_Timing.hasEventInAttempt();
   switch (Last) {
-  case TryOutcome::Complete:
+  case AttemptOutcome::Complete:
     m_Owner.m_Targets.recordSuccess(Run);
-    if (m_Relay.status() < LeastFailureStatus)
+    if (m_Relay.status() < MinFailureStatus)
       m_Owner.m_Quarantine.noteWhole(m_Content);
     if (IsShort)
-      m_Owner.m_Targets.recordServiceTime(Run, Now - m_Times.tryStartedAt());
+      m_Owner.m_Targets.recordServiceTime(Run,
+                                          Now - m_Timing.attemptStartedAt());
     break;
-  case TryOutcome::NotSent:
+  case AttemptOutcome::NotSent:
     m_Owner.m_Targets.recordFailure(Run, routing::TargetFailure::Unreachable,
                                     Now);
     break;
-  case TryOutcome::NotRun:
+  case AttemptOutcome::NotRun:
     m_Owner.m_Targets.recordFailure(Run, routing::TargetFailure::Refused, Now);
     break;
-  case TryOutcome::Failed:
-    ++m_Runs;
+  case AttemptOutcome::Failed:
+    ++m_PossibleExecutions;
     m_Owner.m_Targets.recordFailure(Run,
-                                    m_HasAnswerBegun
+                                    m_HasResponseStarted
                                         ? routing::TargetFailure::Failed
                                         : routing::TargetFailure::Unreachable,
                                     Now);
     break;
-  case TryOutcome::CallerGone:
+  case AttemptOutcome::CallerGone:
     break;
   }
-  m_Owner.placeBecameFree();
+  m_Owner.handleFreedSlot();
 }
 
-void GatewayRequest::noteEvidence(TryOutcome Last, core::TimePoint Now) {
-  bool IsFailure = Last == TryOutcome::Failed;
-  bool IsWhole = Last == TryOutcome::Complete;
-  core::Duration Took = Now - m_Times.tryStartedAt();
+void GatewayRequest::reportRolloutOutcome(AttemptOutcome Last,
+                                          core::TimePoint Now) {
+  bool IsFailure = Last == AttemptOutcome::Failed;
+  bool IsWhole = Last == AttemptOutcome::Complete;
+  core::Duration Took = Now - m_Timing.attemptStartedAt();
   // Callers leave what is slow: that they did says as much.
-  bool IsLeft = Last == TryOutcome::CallerGone && Took >= LeastTelling;
+  bool IsLeft = Last == AttemptOutcome::CallerGone && Took >= MinMeaningfulWait;
   if (!IsFailure && !IsWhole && !IsLeft)
     return;
   if (IsWhole && m_Relay.status() >= 500)
@@ -250,16 +255,16 @@
   m_Owner.m_Rollouts.answered(routeHash(), *m_Target,
                               IsFailure ? rollout::AnswerQuality::Failed
                                         : rollout::AnswerQuality::Whole,
-                              sizedTime(Took));
+                              normalizedDuration(Took));
 }
 
-core::Duration GatewayRequest::sizedTime(core::Duration Took) const {
-  if (!m_Times.hasEventOfTry())
+core::Duration GatewayRequest::normalizedDuration(core::Duration Took) const {
+  if (!m_Timing.hasEventInAttempt())
     return Took;
-  double Expected = m_Said.m_PromptTokens / PromptTokensPerMs +
-                    static_cast<double>(m_Times.eventsOfTry()) * EventMs +
-                    FirstMs;
-  return core::fromSeconds(core::toSeconds(Took) * SizedMs / Expected);
+  double Expected = m_Description.m_PromptTokens / PromptTokensPerMs +
+                    static_cast<double>(m_Timing.eventsInAttempt()) * EventMs +
+                    FirstEventMs;
+  return core::fromSeconds(core::toSeconds(Took) * ReferenceMs / Expected);
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/GatewayNews.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -1,4 +1,5 @@
-//===-- GatewayNews.cpp - What the store says, and whom it is for ---------===//
+//===-- GatewayStoreUpdates.cpp - What the store says, and whom it is for
+//---===//
 #include "LibGateway/Gateway.h"
 
 #include "LibCore/Error.h"
@@ -8,18 +9,18 @@
 
 using core::Error;
 
-void Gateway::take(const platform::Entry &Change) {
-  if (m_Record.isItsKey(Change.m_Key)) {
-    m_Roster.setRecorded(m_Record.read(Change));
+void Gateway::applyEntry(const platform::Entry &Change) {
+  if (m_MembershipRecord.isItsKey(Change.m_Key)) {
+    m_Roster.setRecorded(m_MembershipRecord.read(Change));
     m_Peers->setRecorded(m_Roster.recorded());
     return updateQuotaOwners();
   }
   if (m_Quarantine.isItsKey(Change.m_Key))
-    return m_Quarantine.take(Change);
+    return m_Quarantine.applyEntry(Change);
   if (m_Rollouts.takeRecord(Change))
-    return armRollouts();
+    return scheduleRolloutUpkeep();
   core::TimePoint Begin = core::steadyNow();
-  StoreNews News;
+  StoreUpdate News;
   try {
     News = m_Wire.read(Change);
   } catch (const Error &Failure) {
@@ -32,37 +33,37 @@
       m_Targets.withdraw(*Name, core::steadyNow());
     return;
   }
-  if (auto *Seen = std::get_if<ConfigurationSeen>(&News)) {
+  if (auto *Seen = std::get_if<ConfigurationUpdate>(&News)) {
     core::LogLine("configuration-read")
         .add("version", Seen->m_Table->version())
         .add("revision", Change.m_Modified)
         .add("bytes", Change.m_Value.size())
         .add("took_us", core::steadyNow() - Begin);
-    return adopt(std::move(Seen->m_Table));
+    return applyConfiguration(std::move(Seen->m_Table));
   }
-  if (const auto *Seen = std::get_if<TargetSeen>(&News))
-    return take(Seen->m_Target, Change.m_Modified);
-  if (const auto *Gone = std::get_if<TargetGone>(&News)) {
+  if (const auto *Seen = std::get_if<TargetUpdate>(&News))
+    return applyTarget(Seen->m_Target, Change.m_Modified);
+  if (const auto *Gone = std::get_if<TargetRemoval>(&News)) {
     core::LogLine("target-gone")
         .add("target", Gone->m_Target)
         .add("revision", Change.m_Modified);
     if (routing::KnownTarget *Known = m_Targets.find(Gone->m_Target))
-      m_Ends.noteEnded(Known->m_Target.run());
+      m_ExitDetector.noteTargetExit(Known->m_Target.run());
     m_Targets.withdraw(Gone->m_Target, core::steadyNow());
     return;
   }
-  if (const auto *Seen = std::get_if<RolloutOrderSeen>(&News))
+  if (const auto *Seen = std::get_if<RolloutOrderUpdate>(&News))
     m_Rollouts.setOrder(Seen->m_Order.m_Pool, Seen->m_Order);
-  if (const auto *Gone = std::get_if<RolloutOrderGone>(&News))
+  if (const auto *Gone = std::get_if<RolloutOrderRemoval>(&News))
     m_Rollouts.setOrder(Gone->m_Pool, std::nullopt);
-  if (const auto *Seen = std::get_if<RolloutStatusSeen>(&News))
+  if (const auto *Seen = std::get_if<RolloutStatusUpdate>(&News))
     m_Rollouts.setStatus(Seen->m_Pool, Seen->m_Status,
                          Change.m_IsDeleted ? platform::Revision()
                                             : Change.m_Modified);
-  armRollouts();
+  scheduleRolloutUpkeep();
 }
 
-void Gateway::take(const routing::Target &Seen, platform::Revision At) {
+void Gateway::applyTarget(const routing::Target &Seen, platform::Revision At) {
   routing::AnnouncementEffect Effect = m_Targets.announce(Seen);
   if (Effect == routing::AnnouncementEffect::Nothing)
     return;
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -40,9 +40,9 @@
   return Out;
 }
 
-void QuarantineService::noteEnded(const routing::Target &Which,
-                                  const ContentDigest &Content) {
-  m_Member.noteEnded(Content, Which.run().hash(), core::steadyNow());
+void QuarantineService::noteTargetExit(const routing::Target &Which,
+                                       const ContentDigest &Content) {
+  m_Member.noteTargetExit(Content, Which.run().hash(), core::steadyNow());
   core::LogLine("target-ended", core::LogLevel::Warning)
       .add("target", Which.m_Name)
       .add("birth", Which.m_StartTime)
@@ -55,7 +55,7 @@
   m_Member.noteWhole(Content, core::steadyNow());
 }
 
-void QuarantineService::take(const peer::PeerMessage &Message) {
+void QuarantineService::handle(const peer::PeerMessage &Message) {
   const auto *Told = std::get_if<peer::SeenEnds>(&Message.m_Body);
   if (!Told)
     return;
@@ -89,7 +89,7 @@
   tell(Seen, Drawn);
 }
 
-void QuarantineService::take(const platform::Entry &Change) {
+void QuarantineService::applyEntry(const platform::Entry &Change) {
   if (!m_Member.takeRecord(m_Record.read(Change), core::steadyNow()))
     m_Record.logUnreadable(Change);
 }
--- a/Libraries/LibGateway/QuarantineService.h
+++ b/Libraries/LibGateway/QuarantineService.h
@@ -33,8 +33,8 @@
                     platform::KeyValueService &Store, QuarantineHooks Hooks);
 
   /// A target ended while a request with that content was under way there.
-  void noteEnded(const routing::Target &Which,
-                 const quarantine::ContentDigest &Content);
+  void noteTargetExit(const routing::Target &Which,
+                      const quarantine::ContentDigest &Content);
   /// A target answered it whole.
   void noteWhole(const quarantine::ContentDigest &Content);
   /// Whether it must not be sent to any target.
@@ -48,10 +48,10 @@
   const quarantine::QuarantineBook &book() const { return m_Member.book(); }
 
   /// Takes a message of another instance.
-  void take(const peer::PeerMessage &Message);
+  void handle(const peer::PeerMessage &Message);
   bool isItsKey(const std::string &Key) const { return m_Record.isItsKey(Key); }
   /// Takes in what the store says.
-  void take(const platform::Entry &Change);
+  void applyEntry(const platform::Entry &Change);
   /// Sends and writes what is due. To be called a few times a second.
   void upkeep(core::TimePoint Now);
 
--- a/Libraries/LibGateway/QuotaDesk.cpp
+++ b/Libraries/LibGateway/QuotaDesk.cpp
@@ -50,8 +50,8 @@
   return Out;
 }
 
-void QuotaDesk::take(const config::Endpoint &From,
-                     const peer::QuotaRequest &Ask, core::TimePoint Now) {
+void QuotaDesk::handle(const config::Endpoint &From,
+                       const peer::QuotaRequest &Ask, core::TimePoint Now) {
   routing::QuotaResponse Says = answerTo(Ask, Now);
   sendCharges(Now);
   if (Ask.m_Tokens == 0)
@@ -66,8 +66,8 @@
   m_Send(From, Answer);
 }
 
-void QuotaDesk::take(const config::Endpoint &From,
-                     const peer::QuotaResponse &Answer, core::TimePoint Now) {
+void QuotaDesk::handle(const config::Endpoint &From,
+                       const peer::QuotaResponse &Answer, core::TimePoint Now) {
   auto Found = m_Pending.find(Answer.m_Ask);
   // An owner that has started anew may still be asked by its address.
   if (Found == m_Pending.end() || !(Found->second.m_Owner == From))
--- a/Libraries/LibGateway/QuotaDesk.h
+++ b/Libraries/LibGateway/QuotaDesk.h
@@ -29,10 +29,10 @@
   void ask(const routing::QuotaAcquisition &Draw, Receiver Answered,
            core::TimePoint Now);
   /// Takes a message of another instance.
-  void take(const config::Endpoint &From, const peer::QuotaRequest &Ask,
-            core::TimePoint Now);
-  void take(const config::Endpoint &From, const peer::QuotaResponse &Answer,
-            core::TimePoint Now);
+  void handle(const config::Endpoint &From, const peer::QuotaRequest &Ask,
+              core::TimePoint Now);
+  void handle(const config::Endpoint &From, const peer::QuotaResponse &Answer,
+              core::TimePoint Now);
   /// Asks other owners to take over their parts of debts made here. To be
   /// called after each decision of the book.
   void sendCharges(core::TimePoint Now);
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -35,13 +35,13 @@
   return true;
 }
 
-void QuotaService::take(const peer::PeerMessage &Message) {
+void QuotaService::handle(const peer::PeerMessage &Message) {
   core::TimePoint Now = core::steadyNow();
   const config::Endpoint &From = Message.m_From.m_Peer;
   if (const auto *Ask = std::get_if<peer::QuotaRequest>(&Message.m_Body))
-    return m_Desk.take(From, *Ask, Now);
+    return m_Desk.handle(From, *Ask, Now);
   if (const auto *Answer = std::get_if<peer::QuotaResponse>(&Message.m_Body))
-    m_Desk.take(From, *Answer, Now);
+    m_Desk.handle(From, *Answer, Now);
 }
 
 void QuotaService::upkeep(bool IsListConfirmed, core::TimePoint Now) {
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -25,7 +25,7 @@
   /// than before.
   bool setOwners(const FleetList &Instances);
   /// Takes a message of a peer, if it is about quotas.
-  void take(const peer::PeerMessage &Message);
+  void handle(const peer::PeerMessage &Message);
   /// To be called a few times a second.
   /// \param IsListConfirmed see QuotaOwner.
   void upkeep(bool IsListConfirmed, core::TimePoint Now);
--- a/Libraries/LibGateway/RequestAdmission.cpp
+++ b/Libraries/LibGateway/RequestAdmission.cpp
@@ -4,21 +4,21 @@
 
 namespace yardrill::gateway {
 
-AdmittedRequest RequestAdmission::refuse(unsigned Status,
+AdmissionResult RequestAdmission::refuse(unsigned Status,
                                          const char *Reason) const {
-  AdmittedRequest Out;
+  AdmissionResult Out;
   Out.m_Status = Status;
   Out.m_Reason = Reason;
   return Out;
 }
 
-AdmittedRequest RequestAdmission::admit(const RequestDescription &Said,
+AdmissionResult RequestAdmission::admit(const RequestDescription &Said,
                                         std::uint64_t Point) {
   if (!m_Table)
     return refuse(503, "no-configuration");
   if (Said.m_Id.empty())
     return refuse(400, "no-id");
-  AdmittedRequest Out;
+  AdmissionResult Out;
   Out.m_Route = m_Table->findRoute(Said.m_Host, Said.m_Path);
   if (!Out.m_Route)
     return refuse(404, "no-route");
@@ -34,8 +34,9 @@
   Out.m_EndsAt = m_Now + Limit;
   Out.m_Pool = Out.m_Route->choosePool(Point);
   if (Out.m_Account)
-    Out.m_Charge = Said.m_HasSize ? Said.m_PromptTokens + Said.m_OutputTokens
-                                  : Out.m_Account->m_DefaultTokens;
+    Out.m_Charge = Said.m_HasTokenCounts
+                       ? Said.m_PromptTokens + Said.m_OutputTokens
+                       : Out.m_Account->m_DefaultTokens;
   return Out;
 }
 
--- a/Libraries/LibGateway/RequestAdmission.h
+++ b/Libraries/LibGateway/RequestAdmission.h
@@ -10,7 +10,7 @@
 namespace yardrill::gateway {
 
 /// A request that was let in, or the answer that ends it.
-struct AdmittedRequest {
+struct AdmissionResult {
   unsigned m_Status = 0; ///< 0: let in; else the answer's.
   const char *m_Reason = "";
   const routing::Route *m_Route = nullptr;     ///< Of the table asked.
@@ -28,10 +28,10 @@
       : m_Table(Table), m_Now(Now) {}
 
   /// \param Point uniformly distributed; it chooses among a route's pools.
-  AdmittedRequest admit(const RequestDescription &Said, std::uint64_t Point);
+  AdmissionResult admit(const RequestDescription &Said, std::uint64_t Point);
 
 private:
-  AdmittedRequest refuse(unsigned Status, const char *Reason) const;
+  AdmissionResult refuse(unsigned Status, const char *Reason) const;
 
   const routing::RoutingTable *m_Table;
   core::TimePoint m_Now;
--- a/Libraries/LibGateway/RequestFacts.cpp
+++ b/Libraries/LibGateway/RequestInfo.cpp
@@ -1,37 +1,37 @@
-#include "LibGateway/RequestFacts.h"
+#include "LibGateway/RequestInfo.h"
 
 #include "LibCore/Log.h"
 
 namespace yardrill::gateway {
 
-metrics::RequestLabels RequestFacts::labels() const {
+metrics::RequestLabels RequestInfo::labels() const {
   return {m_Account ? m_Account->m_Name : core::AccountName(), m_Tier, m_Pool};
 }
 
-void RequestFacts::logQuota(const char *Event) const {
+void RequestInfo::logQuota(const char *Event) const {
   core::LogLine Line(Event);
-  Line.add("request", m_Said.m_Id)
+  Line.add("request", m_Description.m_Id)
       .add("account", m_Account->m_Name)
       .add("tokens", m_Draw.m_Tokens)
       .add("limit_per_second", m_Account->m_TokensPerSecond)
       .add("limit_burst", m_Account->m_Burst)
       .add("quota_from", toString(m_Draw.m_Source))
-      .add("took_us", core::steadyNow() - m_Times.arrivedAt());
+      .add("took_us", core::steadyNow() - m_Timing.arrivedAt());
   if (m_Draw.m_RetryAfter)
     Line.add("retry_after_us", *m_Draw.m_RetryAfter);
 }
 
-void RequestFacts::logSent(const routing::KnownTarget *Known,
-                           platform::Revision StoreRevision) const {
+void RequestInfo::logDispatch(const routing::KnownTarget *Known,
+                              platform::Revision StoreRevision) const {
   core::LogLine Line("request-sent");
-  Line.add("request", m_Said.m_Id)
+  Line.add("request", m_Description.m_Id)
       .add("content", m_Content)
       .add("route", m_Route->m_Name)
       .add("account_tier", m_Tier)
       .add("route_tier", m_Route->m_Tier)
       .add("target", m_Target->m_Name)
-      .add("try", m_Times.tries())
-      .add("waited_us", core::steadyNow() - m_Times.arrivedAt())
+      .add("try", m_Timing.attempts())
+      .add("waited_us", core::steadyNow() - m_Timing.arrivedAt())
       .add("configuration", m_Table->version())
       .add("store_revision", StoreRevision);
   if (m_Account)
@@ -46,45 +46,46 @@
         .add("failure_share", Known->m_FailureRate);
 }
 
-void RequestFacts::logTargetRefusal(unsigned TargetStatus) const {
+void RequestInfo::logTargetRefusal(unsigned TargetStatus) const {
   core::LogLine(m_Reason, core::LogLevel::Warning)
-      .add("request", m_Said.m_Id)
+      .add("request", m_Description.m_Id)
       .add("target", m_Target->m_Name)
       .add("status", TargetStatus)
-      .add("try", m_Times.tries());
+      .add("try", m_Timing.attempts());
 }
 
-void RequestFacts::logEnd(const char *Event, unsigned AnswerStatus) const {
+void RequestInfo::logCompletion(const char *Event,
+                                unsigned AnswerStatus) const {
   core::LogLine Line(Event);
   core::TimePoint Now = core::steadyNow();
-  Line.add("request", m_Said.m_Id)
+  Line.add("request", m_Description.m_Id)
       .add("route", m_Route ? m_Route->m_Name : "")
       .add("tier", m_Tier)
       .add("pool", m_Pool)
       .add("status", m_Status != 0 ? m_Status : AnswerStatus)
       .add("reason", m_Reason)
-      .add("tries", m_Times.tries())
-      .add("total_us", Now - m_Times.arrivedAt());
+      .add("tries", m_Timing.attempts())
+      .add("total_us", Now - m_Timing.arrivedAt());
   if (m_Route)
-    Line.add("late", toString(m_Times.lateness(m_Route->m_FirstByteObjective,
-                                               m_Route->m_MaxEventGap, Now)));
-  if (m_Times.hasFirstEvent())
-    Line.add("first_event_us", m_Times.toFirstEvent())
-        .add("longest_pause_us", m_Times.longestPause())
-        .add("prompt_tokens", m_Said.m_PromptTokens);
+    Line.add("late", toString(m_Timing.lateness(m_Route->m_FirstByteObjective,
+                                                m_Route->m_MaxEventGap, Now)));
+  if (m_Timing.hasFirstEvent())
+    Line.add("first_event_us", m_Timing.timeToFirstEvent())
+        .add("longest_pause_us", m_Timing.longestPause())
+        .add("prompt_tokens", m_Description.m_PromptTokens);
   if (m_Table)
     Line.add("configuration", m_Table->version());
   if (m_Target)
     Line.add("target", m_Target->m_Name);
   // In request-sent otherwise.
-  if (m_Route && m_Times.tries() == 0)
+  if (m_Route && m_Timing.attempts() == 0)
     Line.add("content", m_Content);
 }
 
-void RequestFacts::countEnd(metrics::MetricsRegistry &Metrics) const {
+void RequestInfo::countCompletion(metrics::MetricsRegistry &Metrics) const {
   metrics::RequestLabels Labels = labels();
   Metrics.observe(metrics::RequestTime::Total, Labels,
-                  core::steadyNow() - m_Times.arrivedAt());
+                  core::steadyNow() - m_Timing.arrivedAt());
   Metrics.countOutcome(Labels, m_Reason);
 }
 
--- a/Libraries/LibGateway/RequestFacts.h
+++ b/Libraries/LibGateway/RequestInfo.h
@@ -1,13 +1,13 @@
-//===-- RequestFacts.h - What is known of one request ---------------------===//
+//===-- RequestInfo.h - What is known of one request ---------------------===//
 //
 // Read by its logs and metrics, which stand apart from what decides.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBGATEWAY_REQUESTFACTS_H
-#define YARDRILL_LIBGATEWAY_REQUESTFACTS_H
+#ifndef YARDRILL_LIBGATEWAY_REQUESTINFO_H
+#define YARDRILL_LIBGATEWAY_REQUESTINFO_H
 
-#include "LibGateway/AnswerTimes.h"
 #include "LibGateway/Dialect.h"
+#include "LibGateway/ResponseTiming.h"
 #include "LibMetrics/MetricsRegistry.h"
 #include "LibPlatform/KeyValueService.h"
 #include "LibQuarantine/ContentDigest.h"
@@ -19,8 +19,8 @@
 
 namespace yardrill::gateway {
 
-struct RequestFacts {
-  RequestDescription m_Said;
+struct RequestInfo {
+  RequestDescription m_Description;
   routing::RoutingTableHandle m_Table; ///< In force when it was admitted.
   const routing::Route *m_Route = nullptr;
   const routing::Account *m_Account = nullptr;
@@ -28,7 +28,7 @@
   core::TierNumber m_Tier{1};
   routing::QuotaAcquisition m_Draw;    ///< From the account's quota.
   quarantine::ContentDigest m_Content; ///< Since it was admitted.
-  AnswerTimes m_Times{core::steadyNow()};
+  ResponseTiming m_Timing{core::steadyNow()};
   std::optional<routing::Target> m_Target; ///< Chosen for the current try.
   unsigned m_Status = 0;                   ///< Of an answer of our own.
   const char *m_Reason = "";
@@ -39,12 +39,12 @@
   void logQuota(const char *Event) const;
   /// What decided for the target, and how old it is.
   /// \param Known null: it is not known any more.
-  void logSent(const routing::KnownTarget *Known,
-               platform::Revision StoreRevision) const;
+  void logDispatch(const routing::KnownTarget *Known,
+                   platform::Revision StoreRevision) const;
   void logTargetRefusal(unsigned TargetStatus) const;
   /// \param AnswerStatus of a target's answer that was passed on.
-  void logEnd(const char *Event, unsigned AnswerStatus) const;
-  void countEnd(metrics::MetricsRegistry &Metrics) const;
+  void logCompletion(const char *Event, unsigned AnswerStatus) const;
+  void countCompletion(metrics::MetricsRegistry &Metrics) const;
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/AnswerRelay.h
+++ b/Libraries/LibGateway/ResponseRelay.h
@@ -1,6 +1,7 @@
-//===-- AnswerRelay.h - A target's answer on its way to the caller --------===//
-#ifndef YARDRILL_LIBGATEWAY_ANSWERRELAY_H
-#define YARDRILL_LIBGATEWAY_ANSWERRELAY_H
+//===-- ResponseRelay.h - A target's answer on its way to the caller
+//--------===//
+#ifndef YARDRILL_LIBGATEWAY_RESPONSERELAY_H
+#define YARDRILL_LIBGATEWAY_RESPONSERELAY_H
 
 #include "LibCore/Time.h"
 #include "LibGateway/EventSplitter.h"
@@ -14,7 +15,7 @@
 namespace yardrill::gateway {
 
 /// How one try at one target ended.
-enum class TryOutcome {
+enum class AttemptOutcome {
   Complete,   ///< The caller has the whole answer.
   NotSent,    ///< No byte reached the target.
   NotRun,     ///< The target said that it did not run the request.
@@ -22,18 +23,18 @@
   CallerGone, ///< The caller hung up or does not read.
 };
 
-struct AnswerRelayHooks {
+struct ResponseRelayHooks {
   /// How long the target may still be silent.
-  std::function<core::Duration()> m_Patience;
+  std::function<core::Duration()> m_TargetTimeout;
   /// So many whole events came, and are about to be passed on.
-  std::function<void(std::size_t)> m_EventsCame;
+  std::function<void(std::size_t)> m_OnEvents;
 };
 
 /// Passes answers on to one caller. An answer that has begun may go on from
 /// another target if it is a stream of events with ids.
-class AnswerRelay {
+class ResponseRelay {
 public:
-  AnswerRelay(http::Exchange &Caller, AnswerRelayHooks Hooks)
+  ResponseRelay(http::Exchange &Caller, ResponseRelayHooks Hooks)
       : m_Caller(Caller), m_Hooks(std::move(Hooks)) {}
 
   /// Reads the body of a target's answer. \throws core::Error when it breaks.
@@ -41,17 +42,17 @@
                                   const http::ResponseHead &Head,
                                   boost::asio::yield_context Yield) const;
   /// \returns Complete or CallerGone.
-  TryOutcome sendWhole(http::ResponseMessage Answer,
-                       boost::asio::yield_context Yield);
+  AttemptOutcome sendWhole(http::ResponseMessage Answer,
+                           boost::asio::yield_context Yield);
   /// Bytes as they come. \throws core::Error when the target's answer breaks.
-  TryOutcome relayPieces(http::ClientConnection &From,
-                         const http::ResponseHead &Head,
-                         boost::asio::yield_context Yield);
+  AttemptOutcome relayBytes(http::ClientConnection &From,
+                            const http::ResponseHead &Head,
+                            boost::asio::yield_context Yield);
   /// Whole events as they come; Failed when the body ends within one.
   /// \throws core::Error when the target's answer breaks.
-  TryOutcome relayEvents(http::ClientConnection &From,
-                         const http::ResponseHead &Head,
-                         boost::asio::yield_context Yield);
+  AttemptOutcome relayEvents(http::ClientConnection &From,
+                             const http::ResponseHead &Head,
+                             boost::asio::yield_context Yield);
 
   /// The caller has the head of an answer.
   bool isStarted() const { return m_IsStarted; }
@@ -67,7 +68,7 @@
             bool IsEnd, boost::asio::yield_context Yield);
 
   http::Exchange &m_Caller;
-  AnswerRelayHooks m_Hooks;
+  ResponseRelayHooks m_Hooks;
   EventSplitter m_Events;
   bool m_IsStarted = false;
   unsigned m_Status = 0;
--- a/Libraries/LibGateway/AnswerTimes.cpp
+++ b/Libraries/LibGateway/ResponseTiming.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/AnswerTimes.h"
+#include "LibGateway/ResponseTiming.h"
 
 #include <algorithm>
 
@@ -20,15 +20,15 @@
   return "unknown";
 }
 
-void AnswerTimes::noteTry(core::TimePoint Now) {
-  m_TryStartedAt = Now;
+void ResponseTiming::noteAttempt(core::TimePoint Now) {
+  m_AttemptStartedAt = Now;
   m_LastEventAt.reset();
-  m_EventsOfTry = 0;
-  ++m_Tries;
+  m_EventsInAttempt = 0;
+  ++m_Attempts;
 }
 
-std::optional<core::Duration> AnswerTimes::noteEvents(std::size_t Count,
-                                                      core::TimePoint Now) {
+std::optional<core::Duration> ResponseTiming::noteEvents(std::size_t Count,
+                                                         core::TimePoint Now) {
   std::optional<core::Duration> Pause;
   if (!m_FirstEventAt)
     m_FirstEventAt = Now;
@@ -37,19 +37,19 @@
     Pause = (Now - *m_LastEventAt) / static_cast<long>(Count);
   }
   m_LastEventAt = Now;
-  m_EventsOfTry += Count;
+  m_EventsInAttempt += Count;
   return Pause;
 }
 
-Lateness AnswerTimes::lateness(core::Duration Objective,
-                               core::Duration PauseLimit,
-                               core::TimePoint Now) const {
+Lateness ResponseTiming::lateness(core::Duration Objective,
+                                  core::Duration PauseLimit,
+                                  core::TimePoint Now) const {
   core::Duration Took = m_FirstEventAt.value_or(Now) - m_ArrivedAt;
   if (Objective > core::Duration::zero() && Took > Objective) {
-    if (m_Tries > 1)
+    if (m_Attempts > 1)
       return Lateness::Again;
-    return (m_TryStartedAt - m_ArrivedAt) * 2 > Took ? Lateness::Waited
-                                                     : Lateness::Target;
+    return (m_AttemptStartedAt - m_ArrivedAt) * 2 > Took ? Lateness::Waited
+                                                         : Lateness::Target;
   }
   bool IsPaused =
       PauseLimit > core::Duration::zero() && m_MaxEventGap > PauseLimit;
--- a/Libraries/LibGateway/AnswerTimes.h
+++ b/Libraries/LibGateway/ResponseTiming.h
@@ -1,6 +1,7 @@
-//===-- AnswerTimes.h - When one request arrived, went on and came back ---===//
-#ifndef YARDRILL_LIBGATEWAY_ANSWERTIMES_H
-#define YARDRILL_LIBGATEWAY_ANSWERTIMES_H
+//===-- ResponseTiming.h - When one request arrived, went on and came back
+//---===//
+#ifndef YARDRILL_LIBGATEWAY_RESPONSETIMING_H
+#define YARDRILL_LIBGATEWAY_RESPONSETIMING_H
 
 #include "LibCore/Time.h"
 
@@ -21,28 +22,30 @@
 const char *toString(Lateness What);
 
 /// Pure. Times of one request and its answer.
-class AnswerTimes {
+class ResponseTiming {
 public:
-  explicit AnswerTimes(core::TimePoint ArrivedAt) : m_ArrivedAt(ArrivedAt) {}
+  explicit ResponseTiming(core::TimePoint ArrivedAt) : m_ArrivedAt(ArrivedAt) {}
 
-  void noteTry(core::TimePoint Now);
+  void noteAttempt(core::TimePoint Now);
   /// So many events came at once. \returns the time since the last ones at the
   /// same target, for each of these; not set for the first.
   std::optional<core::Duration> noteEvents(std::size_t Count,
                                            core::TimePoint Now);
 
   core::TimePoint arrivedAt() const { return m_ArrivedAt; }
-  core::TimePoint tryStartedAt() const { return m_TryStartedAt; }
+  core::TimePoint attemptStartedAt() const { return m_AttemptStartedAt; }
   bool hasFirstEvent() const { return m_FirstEventAt.has_value(); }
   /// Whether the current try has brought an event.
-  bool hasEventOfTry() const { return m_LastEventAt.has_value(); }
+  bool hasEventInAttempt() const { return m_LastEventAt.has_value(); }
   /// Time to the first event. \pre hasFirstEvent().
-  core::Duration toFirstEvent() const { return *m_FirstEventAt - m_ArrivedAt; }
+  core::Duration timeToFirstEvent() const {
+    return *m_FirstEventAt - m_ArrivedAt;
+  }
   /// Between events at one target.
   core::Duration longestPause() const { return m_MaxEventGap; }
-  unsigned tries() const { return m_Tries; }
+  unsigned attempts() const { return m_Attempts; }
   /// That the current try has brought.
-  std::size_t eventsOfTry() const { return m_EventsOfTry; }
+  std::size_t eventsInAttempt() const { return m_EventsInAttempt; }
 
   /// Of an answer that is complete at \p Now. A limit of zero is none.
   Lateness lateness(core::Duration Objective, core::Duration PauseLimit,
@@ -50,12 +53,12 @@
 
 private:
   core::TimePoint m_ArrivedAt;
-  core::TimePoint m_TryStartedAt{};
+  core::TimePoint m_AttemptStartedAt{};
   std::optional<core::TimePoint> m_FirstEventAt;
   std::optional<core::TimePoint> m_LastEventAt; ///< Of the current try.
   core::Duration m_MaxEventGap{};
-  unsigned m_Tries = 0;
-  std::size_t m_EventsOfTry = 0;
+  unsigned m_Attempts = 0;
+  std::size_t m_EventsInAttempt = 0;
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/RetryBudgets.cpp
+++ b/Libraries/LibGateway/RetryBudgets.cpp
@@ -4,23 +4,23 @@
 
 /// Part of the retry allowance that is used: twice as many instances as are
 /// seen may be at work, and one that restarts may have used its part before.
-static constexpr double SlackShare = 0.5;
+static constexpr double UsableShare = 0.5;
 
-static routing::RetryLimits used(routing::RetryLimits Limits) {
-  Limits.m_Allowance *= SlackShare;
+static routing::RetryLimits usableLimits(routing::RetryLimits Limits) {
+  Limits.m_Allowance *= UsableShare;
   return Limits;
 }
 
 RetryBudgets::RetryBudgets(const routing::RetryLimits &Limits,
                            core::TimePoint Since)
-    : m_Limits(used(Limits)), m_Since(Since) {}
+    : m_Limits(usableLimits(Limits)), m_Since(Since) {}
 
 routing::RetryBudget &RetryBudgets::of(const core::PoolName &Pool) {
   return m_Budgets.try_emplace(Pool, m_Limits, m_Since).first->second;
 }
 
 void RetryBudgets::setLimits(const routing::RetryLimits &Limits) {
-  m_Limits = used(Limits);
+  m_Limits = usableLimits(Limits);
   for (auto &[Pool, Budget] : m_Budgets)
     Budget.setLimits(m_Limits);
 }
--- a/Libraries/LibGateway/RolloutDesk.cpp
+++ b/Libraries/LibGateway/RolloutDesk.cpp
@@ -143,7 +143,7 @@
   return *Which.m_Coordinator;
 }
 
-void RolloutDesk::take(const peer::PeerMessage &Message) {
+void RolloutDesk::handle(const peer::PeerMessage &Message) {
   core::TimePoint Now = core::steadyNow();
   if (const auto *Told = std::get_if<peer::RolloutReport>(&Message.m_Body)) {
     Pool *Active = findActive(Told->m_Pool);
@@ -155,7 +155,7 @@
     Which.m_State.member().learnAge(Report.m_Age, Now);
     rollout::Permit Given =
         coordinatorOf(Which, Now)
-            .take(Message.m_From.m_Incarnation, Report, Now);
+            .handleReport(Message.m_From.m_Incarnation, Report, Now);
     if (Told->m_WantsPermit)
       m_Hooks.m_Send(Message.m_From.m_Peer,
                      peer::toMessage(Given, Told->m_Pool));
@@ -163,7 +163,7 @@
   }
   if (const auto *Given = std::get_if<peer::RolloutPermit>(&Message.m_Body)) {
     if (Pool *Which = findActive(Given->m_Pool))
-      Which->m_State.member().take(peer::toPermit(*Given), Now);
+      Which->m_State.member().applyPermit(peer::toPermit(*Given), Now);
   }
 }
 
@@ -196,8 +196,9 @@
   rollout::Member &Member = Which.m_State.member();
   rollout::Report Report = Member.report(runningOld(Which), Now);
   if (*To == m_Self)
-    return Member.take(
-        coordinatorOf(Which, Now).take(m_Incarnation, Report, Now), Now);
+    return Member.applyPermit(
+        coordinatorOf(Which, Now).handleReport(m_Incarnation, Report, Now),
+        Now);
   for (const peer::RolloutReport &Part :
        peer::toMessages(Report, Which.m_State.pool()))
     m_Hooks.m_Send(*To, Part);
--- a/Libraries/LibGateway/RolloutDesk.h
+++ b/Libraries/LibGateway/RolloutDesk.h
@@ -48,7 +48,7 @@
   static std::string recordKey(const core::PoolName &Pool);
 
   /// Takes a message of a peer, if it is about roll-outs.
-  void take(const peer::PeerMessage &Message);
+  void handle(const peer::PeerMessage &Message);
 
   /// \returns null where all versions are alike.
   const routing::VersionGate *gateOf(const core::PoolName &Pool) const;
--- /dev/null
+++ b/Libraries/LibGateway/TargetExitDetector.cpp
@@ -0,0 +1,68 @@
+#include "LibGateway/TargetExitDetector.h"
+
+namespace yardrill::gateway {
+
+namespace asio = boost::asio;
+
+/// Three missing heartbeats and the way of the news: what has not been heard
+/// of by then is not heard of any more.
+static constexpr std::chrono::seconds ExitNoticeTimeout{6};
+
+void TargetExitDetector::noteBrokenResponse(
+    const routing::Target &Which, const quarantine::ContentDigest &Content,
+    asio::yield_context Yield) {
+  auto [Place, IsNew] = m_BrokenResponses.try_emplace(Which.run());
+  if (IsNew)
+    Place->second = std::make_shared<BrokenResponses>(m_Context, Which);
+  // Kept alive while this coroutine waits.
+  BrokenResponsesHandle Known = Place->second;
+  Known->m_Contents.push_back(Content);
+  Known->m_LastAt = core::steadyNow();
+  if (Known->m_HasExited)
+    return reportExit(*Known);
+  if (!Known->m_IsProbing)
+    return probe(Known, Yield);
+  boost::system::error_code Ignored;
+  Known->m_ProbeDone.async_wait(Yield[Ignored]);
+}
+
+void TargetExitDetector::probe(const BrokenResponsesHandle &Which,
+                               asio::yield_context Yield) {
+  Which->m_IsProbing = true;
+  Which->m_ProbeDone.expires_at(core::Timer::time_point::max());
+  ProbeResult Seen = m_Hooks.m_Probe(Which->m_Which, Yield);
+  Which->m_IsProbing = false;
+  if (Seen == ProbeResult::Gone)
+    Which->m_HasExited = true;
+  // It outlived them: what becomes of it later says nothing of them.
+  if (Seen == ProbeResult::Listens)
+    Which->m_Contents.clear();
+  if (Which->m_HasExited)
+    reportExit(*Which);
+  Which->m_ProbeDone.cancel();
+}
+
+void TargetExitDetector::noteTargetExit(const routing::TargetIncarnation &Run) {
+  auto Found = m_BrokenResponses.find(Run);
+  if (Found == m_BrokenResponses.end())
+    return;
+  Found->second->m_HasExited = true;
+  reportExit(*Found->second);
+}
+
+void TargetExitDetector::reportExit(BrokenResponses &Which) {
+  std::vector<quarantine::ContentDigest> Contents;
+  Contents.swap(Which.m_Contents);
+  for (const quarantine::ContentDigest &Each : Contents)
+    m_Hooks.m_ReportExit(Which.m_Which, Each);
+}
+
+void TargetExitDetector::upkeep(core::TimePoint Now) {
+  for (auto Each = m_BrokenResponses.begin();
+       Each != m_BrokenResponses.end();) {
+    bool IsOld = Now - Each->second->m_LastAt > ExitNoticeTimeout;
+    Each = IsOld ? m_BrokenResponses.erase(Each) : std::next(Each);
+  }
+}
+
+} // namespace yardrill::gateway
--- a/Libraries/LibGateway/UploadBudget.cpp
+++ b/Libraries/LibGateway/UploadBudget.cpp
@@ -9,13 +9,13 @@
 static constexpr double LinkShare = 0.75;
 /// Small patches may queue up for this long; a report takes as long to tell of
 /// others that could be asked.
-static constexpr std::chrono::milliseconds MostBacklog{100};
+static constexpr std::chrono::milliseconds MaxBacklog{100};
 
 UploadBudget::UploadBudget(double LinkBytesPerSecond)
     : m_BytesPerSecond(LinkBytesPerSecond * LinkShare) {}
 
 bool UploadBudget::tryTake(std::size_t Bytes, core::TimePoint Now) {
-  if (m_FreeAt > Now + MostBacklog)
+  if (m_FreeAt > Now + MaxBacklog)
     return false;
   double Seconds = static_cast<double>(Bytes) / m_BytesPerSecond;
   m_FreeAt = std::max(m_FreeAt, Now) + core::fromSeconds(Seconds);
--- a/Libraries/LibQuarantine/Member.cpp
+++ b/Libraries/LibQuarantine/Member.cpp
@@ -20,9 +20,9 @@
 /// Contents in the store's entry; with three runs each it has 15 KB.
 static constexpr std::size_t MostRecorded = 256;
 
-void Member::noteEnded(const ContentDigest &Content, RunHash Run,
-                       core::TimePoint Now) {
-  m_Book.noteEnded(Content, Run, Now);
+void Member::noteTargetExit(const ContentDigest &Content, RunHash Run,
+                            core::TimePoint Now) {
+  m_Book.noteTargetExit(Content, Run, Now);
   tellNews(Now);
 }
 
--- a/Libraries/LibQuarantine/Member.h
+++ b/Libraries/LibQuarantine/Member.h
@@ -35,8 +35,8 @@
       : m_Hooks(std::move(Hooks)), m_Book(m_Hooks.m_Changed) {}
 
   // What is seen here, as in QuarantineBook.
-  void noteEnded(const ContentDigest &Content, RunHash Run,
-                 core::TimePoint Now);
+  void noteTargetExit(const ContentDigest &Content, RunHash Run,
+                      core::TimePoint Now);
   void noteWhole(const ContentDigest &Content, core::TimePoint Now);
   /// Takes what another instance tells.
   void merge(const std::vector<Observation> &Seen, core::TimePoint Now);
--- a/Libraries/LibQuarantine/QuarantineBook.cpp
+++ b/Libraries/LibQuarantine/QuarantineBook.cpp
@@ -58,8 +58,8 @@
 // What is seen here
 //===----------------------------------------------------------------------===//
 
-void QuarantineBook::noteEnded(const ContentDigest &Content, RunHash Run,
-                               core::TimePoint Now) {
+void QuarantineBook::noteTargetExit(const ContentDigest &Content, RunHash Run,
+                                    core::TimePoint Now) {
   Observation Seen{Content, Run, wasWholeLately(Content, Now)};
   if (take(Seen, Now))
     m_News.push_back(Seen);
--- a/Libraries/LibQuarantine/QuarantineBook.h
+++ b/Libraries/LibQuarantine/QuarantineBook.h
@@ -61,8 +61,8 @@
       : m_Changed(std::move(Changed)) {}
 
   /// A target ended under it, at this instance.
-  void noteEnded(const ContentDigest &Content, RunHash Run,
-                 core::TimePoint Now);
+  void noteTargetExit(const ContentDigest &Content, RunHash Run,
+                      core::TimePoint Now);
   /// A target answered it whole, and went on.
   void noteWhole(const ContentDigest &Content, core::TimePoint Now);
   /// What another instance or the store says.
--- a/Libraries/LibRollout/Coordinator.cpp
+++ b/Libraries/LibRollout/Coordinator.cpp
@@ -49,8 +49,8 @@
   return std::min(Own + SlackShare * m_Limits.m_Slack / Expected, MostSampled);
 }
 
-Permit Coordinator::take(core::IncarnationId From, const Report &Told,
-                         core::TimePoint Now) {
+Permit Coordinator::handleReport(core::IncarnationId From, const Report &Told,
+                                 core::TimePoint Now) {
   Known &Member = m_Members[From];
   for (const auto &[Key, Counts] : Told.m_Cells) {
     Cell &Held = Member.m_Cells[Key];
--- a/Libraries/LibRollout/Coordinator.h
+++ b/Libraries/LibRollout/Coordinator.h
@@ -43,8 +43,8 @@
   Coordinator(Order What, const ExposureLimits &Limits, core::TimePoint Now);
 
   /// \returns the answer to it.
-  Permit take(core::IncarnationId From, const Report &Told,
-              core::TimePoint Now);
+  Permit handleReport(core::IncarnationId From, const Report &Told,
+                      core::TimePoint Now);
   /// To be called several times a second. \param Age of the order.
   /// \returns the end of the order; asked again it stays what it was.
   std::optional<Decision> decide(const Census &Targets, core::Duration Age,
--- a/Libraries/LibRollout/Member.cpp
+++ b/Libraries/LibRollout/Member.cpp
@@ -28,7 +28,7 @@
   return traffic(Now) == Traffic::Sample && m_Exposure.isDue(Route);
 }
 
-void Member::take(const Permit &Given, core::TimePoint Now) {
+void Member::applyPermit(const Permit &Given, core::TimePoint Now) {
   if (Given.m_Order != m_Order.m_Id)
     return;
   auto Which = std::find_if(m_Asked.begin(), m_Asked.end(), [&](const auto &E) {
--- a/Libraries/LibRollout/Member.h
+++ b/Libraries/LibRollout/Member.h
@@ -28,7 +28,7 @@
   /// Whether a request on \p Route is to try the new version now.
   bool isSampleDue(std::uint32_t Route, core::TimePoint Now) const;
 
-  void take(const Permit &Given, core::TimePoint Now);
+  void applyPermit(const Permit &Given, core::TimePoint Now);
   void sent(std::uint32_t Route, bool IsNew, core::TimePoint Now);
   void answered(const CellKey &Where, AnswerQuality How, core::Duration Time,
                 core::TimePoint Now);
--- a/Tests/LibGateway/TargetTermsServiceTest.cpp
+++ b/Tests/LibGateway/BackpressureServiceTest.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/TargetTermsService.h"
+#include "LibGateway/BackpressureService.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <limits>
@@ -8,13 +8,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class TargetTermsServiceTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(TargetTermsServiceTest);
-  CPPUNIT_TEST(testTellsAllThatWorkWithTheTarget);
-  CPPUNIT_TEST(testTellsAgainEverySecond);
-  CPPUNIT_TEST(testSaysNothingWhereNothingIsStated);
-  CPPUNIT_TEST(testManyTermsGoInSeveralDatagrams);
-  CPPUNIT_TEST(testUnreadableNewsIsNoNews);
+class BackpressureServiceTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(BackpressureServiceTest);
+  CPPUNIT_TEST(testSendsToAllInstancesOfTheTarget);
+  CPPUNIT_TEST(testResendsEverySecond);
+  CPPUNIT_TEST(testSendsNothingWithoutBackpressure);
+  CPPUNIT_TEST(testSplitsUpdatesIntoDatagrams);
+  CPPUNIT_TEST(testIgnoresUnreadableUpdates);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -22,7 +22,7 @@
   config::Endpoint m_Other{"10.1.0.2", 7600};
   routing::TargetDirectory m_Targets;
   std::vector<std::pair<config::Endpoint, peer::TargetNews>> m_Sent;
-  TargetTermsService m_Service{
+  BackpressureService m_Service{
       m_Self, m_Targets,
       [this](const config::Endpoint &To, const peer::PeerBody &Body) {
         m_Sent.emplace_back(To, std::get<peer::TargetNews>(Body));
@@ -44,7 +44,7 @@
     peer::ToldTerms Told{"a", 0, true, PerSecond, AgeUs, false};
     peer::PeerMessage Message;
     Message.m_Body = peer::TargetNews{{Told}};
-    m_Service.take(Message, m_Now);
+    m_Service.handle(Message, m_Now);
   }
 
 public:
@@ -54,8 +54,8 @@
         routing::FleetSubset(m_Self, {{m_Self, Hall}, {m_Other, Hall}}));
   }
 
-  void testTellsAllThatWorkWithTheTarget() {
-    m_Service.said(announce("a"), limited(2), m_Now);
+  void testSendsToAllInstancesOfTheTarget() {
+    m_Service.noteStated(announce("a"), limited(2), m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Sent.size());
     CPPUNIT_ASSERT(m_Sent[0].first == m_Other);
     const peer::ToldTerms &Told = m_Sent[0].second.m_Terms.at(0);
@@ -63,12 +63,12 @@
     CPPUNIT_ASSERT(Told.m_IsLimited && Told.m_PerSecond == 2);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), Told.m_LimitAgeUs);
     // The same again is no news.
-    m_Service.said(announce("a"), limited(2), m_Now + seconds(1));
+    m_Service.noteStated(announce("a"), limited(2), m_Now + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Sent.size());
   }
 
-  void testTellsAgainEverySecond() {
-    m_Service.said(announce("a"), limited(2), m_Now);
+  void testResendsEverySecond() {
+    m_Service.noteStated(announce("a"), limited(2), m_Now);
     for (int I = 0; I < 40; ++I) {
       m_Now += milliseconds(250);
       m_Service.upkeep(m_Now);
@@ -78,24 +78,25 @@
                          m_Sent.back().second.m_Terms.at(0).m_LimitAgeUs);
   }
 
-  void testSaysNothingWhereNothingIsStated() {
+  void testSendsNothingWithoutBackpressure() {
     routing::Target Which = announce("a");
     for (int I = 0; I < 100; ++I) {
       m_Now += milliseconds(250);
-      m_Service.said(Which, {}, m_Now);
+      m_Service.noteStated(Which, {}, m_Now);
       m_Service.upkeep(m_Now);
     }
     // A rest is for this instance alone.
     routing::TargetBackpressure Tired;
     Tired.m_Backoff = seconds(3);
-    m_Service.said(Which, Tired, m_Now);
+    m_Service.noteStated(Which, Tired, m_Now);
     m_Service.upkeep(m_Now);
     CPPUNIT_ASSERT(m_Sent.empty());
   }
 
-  void testManyTermsGoInSeveralDatagrams() {
+  void testSplitsUpdatesIntoDatagrams() {
     for (std::size_t I = 0; I < 2 * peer::TargetNews::Most + 1; ++I)
-      m_Service.said(announce("t" + std::to_string(I)), limited(2), m_Now);
+      m_Service.noteStated(announce("t" + std::to_string(I)), limited(2),
+                           m_Now);
     m_Sent.clear();
     m_Service.upkeep(m_Now + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), m_Sent.size());
@@ -103,7 +104,7 @@
       CPPUNIT_ASSERT(News.m_Terms.size() <= peer::TargetNews::Most);
   }
 
-  void testUnreadableNewsIsNoNews() {
+  void testIgnoresUnreadableUpdates() {
     announce("a");
     for (double Bad : {std::numeric_limits<double>::quiet_NaN(),
                        std::numeric_limits<double>::infinity(), -1.0})
@@ -119,4 +120,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TargetTermsServiceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(BackpressureServiceTest);
--- a/Tests/LibGateway/EventSplitterTest.cpp
+++ b/Tests/LibGateway/EventSplitterTest.cpp
@@ -10,13 +10,13 @@
 
 class EventSplitterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventSplitterTest);
-  CPPUNIT_TEST(testAnyCutOfTheBytesGivesTheSameEvents);
-  CPPUNIT_TEST(testPartialEventIsKeptBack);
+  CPPUNIT_TEST(testEventsDoNotDependOnHowBytesAreSplit);
+  CPPUNIT_TEST(testPartialEventIsHeldBack);
   CPPUNIT_TEST(testStoreTransferReadsBack);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testAnyCutOfTheBytesGivesTheSameEvents() {
+  void testEventsDoNotDependOnHowBytesAreSplit() {
     const std::string Text = "id: 1\ndata: a\n\nweight-versions: 2\nid:2\n"
                              "data: b\n\nid: 3\r\ndata: c\n\n";
     for (std::size_t Cut = 0; Cut <= Text.size(); ++Cut) {
@@ -30,7 +30,7 @@
     }
   }
 
-  void testPartialEventIsKeptBack() {
+  void testPartialEventIsHeldBack() {
     EventSplitter Splitter;
     auto Got = Splitter.push("id: 1\ndata: a\n\nid: 2\ndata: ");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"), Got.m_Bytes);
--- a/Tests/LibGateway/GatewayTest.cpp
+++ b/Tests/LibGateway/GatewayTest.cpp
@@ -13,28 +13,28 @@
 
 class GatewayTest : public GatewayFixture {
   CPPUNIT_TEST_SUITE(GatewayTest);
-  CPPUNIT_TEST(testPassesRequestAndAnswerOn);
+  CPPUNIT_TEST(testForwardsRequestAndResponse);
   CPPUNIT_TEST(testIsNotReadyWithoutAConfiguration);
-  CPPUNIT_TEST(testRequestBeforeTheConfigurationWaitsForIt);
-  CPPUNIT_TEST(testRefusesWhatIsNotAllowed);
-  CPPUNIT_TEST(testRunsOnceWhatMayRunOnce);
-  CPPUNIT_TEST(testGoesOnAfterATargetsOwnRefusal);
-  CPPUNIT_TEST(testTargetThatWasReplacedIsLeftAlone);
-  CPPUNIT_TEST(testRestartedTargetIsCalledOnNewConnections);
-  CPPUNIT_TEST(testUnreadableAnnouncementsNameNoTarget);
-  CPPUNIT_TEST(testRepeatsWhatMayBeRepeated);
-  CPPUNIT_TEST(testSkipsASurplusAnswer);
-  CPPUNIT_TEST(testUnsignedSuccessIsNoAnswer);
-  CPPUNIT_TEST(testResumesAStreamElsewhere);
-  CPPUNIT_TEST(testBrokenStreamNeverLooksWhole);
-  CPPUNIT_TEST(testAnswerThatEndsWithItsConnection);
-  CPPUNIT_TEST(testCallerGoneEndsTheWork);
-  CPPUNIT_TEST(testStopEndsWhatIsUnderWay);
-  CPPUNIT_TEST(testEndsWithRequestsUnderWay);
+  CPPUNIT_TEST(testEarlyRequestWaitsForConfiguration);
+  CPPUNIT_TEST(testRejectsInvalidRequests);
+  CPPUNIT_TEST(testNonIdempotentRequestRunsOnce);
+  CPPUNIT_TEST(testRetriesAfterTargetRefusal);
+  CPPUNIT_TEST(testReplacedTargetIsNotUsed);
+  CPPUNIT_TEST(testRestartedTargetGetsNewConnections);
+  CPPUNIT_TEST(testUnreadableAnnouncementRemovesTarget);
+  CPPUNIT_TEST(testIdempotentRequestIsRetried);
+  CPPUNIT_TEST(testSkipsUnmatchedResponse);
+  CPPUNIT_TEST(testUnsignedSuccessIsRejected);
+  CPPUNIT_TEST(testResumesStreamAtAnotherTarget);
+  CPPUNIT_TEST(testBrokenStreamIsAborted);
+  CPPUNIT_TEST(testResponseDelimitedByConnectionClose);
+  CPPUNIT_TEST(testCallerDisconnectCancelsRequest);
+  CPPUNIT_TEST(testStopDrainsOpenRequests);
+  CPPUNIT_TEST(testDestructionWithOpenRequests);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testPassesRequestAndAnswerOn() {
+  void testForwardsRequestAndResponse() {
     addTarget([](const Request &Read) { return whole(Read, "answer"); });
     start();
     http::RequestMessage Asked = request("/once/x?y=%2f");
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT(!Got.header("Retry-After").empty());
   }
 
-  void testRequestBeforeTheConfigurationWaitsForIt() {
+  void testEarlyRequestWaitsForConfiguration() {
     addTarget([](const Request &Read) { return whole(Read, "answer"); });
     m_Store.m_ReadDelay = std::chrono::milliseconds(100);
     start(true, false);
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
   }
 
-  void testRefusesWhatIsNotAllowed() {
+  void testRejectsInvalidRequests() {
     addTarget([](const Request &Read) { return whole(Read, ""); });
     start();
     CPPUNIT_ASSERT_EQUAL(404U, send(request("/none/x")).m_Status);
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(std::stod(Over.header("Retry-After")) > 1);
   }
 
-  void testRunsOnceWhatMayRunOnce() {
+  void testNonIdempotentRequestRunsOnce() {
     addTarget([](const Request &) { return ""; });
     addTarget([](const Request &) { return ""; });
     start();
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), allRequests());
   }
 
-  void testGoesOnAfterATargetsOwnRefusal() {
+  void testRetriesAfterTargetRefusal() {
     // Whichever target a request comes to first refuses it.
     std::set<std::string> Seen;
     auto Make = [&Seen](const Request &Read) {
@@ -114,7 +114,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(12), allRequests());
   }
 
-  void testTargetThatWasReplacedIsLeftAlone() {
+  void testReplacedTargetIsNotUsed() {
     addTarget([](const Request &Read) {
       return whole(Read, "", "421 Misdirected Request", "");
     });
@@ -130,7 +130,7 @@
 
   /// A call that may run once was lost with a connection that the target's
   /// earlier run had left behind.
-  void testRestartedTargetIsCalledOnNewConnections() {
+  void testRestartedTargetGetsNewConnections() {
     addTarget([](const Request &Read) { return whole(Read, "answer"); });
     start();
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
@@ -149,7 +149,7 @@
 
   /// An entry is overwritten by somebody who is no target, and others are added
   /// beside it: the sound target serves on, alone.
-  void testUnreadableAnnouncementsNameNoTarget() {
+  void testUnreadableAnnouncementRemovesTarget() {
     addTarget([](const Request &Read) { return whole(Read, "one"); });
     addTarget([](const Request &Read) { return whole(Read, "two"); });
     start();
@@ -164,7 +164,7 @@
     CPPUNIT_ASSERT_EQUAL(Before, m_Targets[0]->requests().size());
   }
 
-  void testRepeatsWhatMayBeRepeated() {
+  void testIdempotentRequestIsRetried() {
     addTarget([](const Request &Read) {
       return whole(Read, "broken", "500 Internal Server Error");
     });
@@ -177,7 +177,7 @@
       CPPUNIT_ASSERT_EQUAL(std::string("broken"), Got.m_Body);
   }
 
-  void testSkipsASurplusAnswer() {
+  void testSkipsUnmatchedResponse() {
     addTarget([](const Request &Read) {
       return "HTTP/1.1 200 OK\r\nAttempt-Id: old\r\nReplica-Seal: s\r\n"
              "Content-Length: 3\r\n\r\nold" +
@@ -189,14 +189,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string("own"), Got.m_Body);
   }
 
-  void testUnsignedSuccessIsNoAnswer() {
+  void testUnsignedSuccessIsRejected() {
     addTarget(
         [](const Request &Read) { return whole(Read, "x", "200 OK", ""); });
     start();
     CPPUNIT_ASSERT_EQUAL(502U, send(request("/once/x")).m_Status);
   }
 
-  void testResumesAStreamElsewhere() {
+  void testResumesStreamAtAnotherTarget() {
     auto Make = [](const Request &Read) {
       if (!Read["Last-Event-Id"].empty())
         return streamHead(Read) + chunk("id: 2\ndata: b\n\n") +
@@ -215,7 +215,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), allRequests());
   }
 
-  void testBrokenStreamNeverLooksWhole() {
+  void testBrokenStreamIsAborted() {
     addTarget([](const Request &Read) {
       return streamHead(Read) + chunk("id: 1\ndata: a\n\n") + "!";
     });
@@ -225,7 +225,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), allRequests());
   }
 
-  void testAnswerThatEndsWithItsConnection() {
+  void testResponseDelimitedByConnectionClose() {
     addTarget([](const Request &Read) {
       return "HTTP/1.1 200 OK\r\nAttempt-Id: " + idOf(Read) +
              "\r\nReplica-Seal: s\r\n\r\nuntil the end!";
@@ -236,7 +236,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("until the end"), Got.m_Body);
   }
 
-  void testCallerGoneEndsTheWork() {
+  void testCallerDisconnectCancelsRequest() {
     addTarget([](const Request &) { return "wait"; });
     start();
     {
@@ -254,7 +254,7 @@
     CPPUNIT_ASSERT(core::steadyNow() - LeftAt < std::chrono::milliseconds(500));
   }
 
-  void testStopEndsWhatIsUnderWay() {
+  void testStopDrainsOpenRequests() {
     std::atomic<bool> MayAnswer{false};
     addTarget([&](const Request &Read) {
       return MayAnswer ? whole(Read, "late") : notExecuted(Read);
@@ -271,7 +271,7 @@
     CPPUNIT_ASSERT(eventually([&] { return IsFinished.load(); }));
   }
 
-  void testEndsWithRequestsUnderWay() {
+  void testDestructionWithOpenRequests() {
     addTarget([](const Request &) { return "wait"; });
     start();
     asio::io_context Own;
--- a/Tests/LibGateway/RotationTest.cpp
+++ b/Tests/LibGateway/RotationTest.cpp
@@ -13,13 +13,13 @@
 
 class RotationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RotationTest);
-  CPPUNIT_TEST(testMeetsAllBeforeAnyComesAgain);
-  CPPUNIT_TEST(testEarlyOnesLieOverTheWholeList);
+  CPPUNIT_TEST(testVisitsAllBeforeRepeating);
+  CPPUNIT_TEST(testFirstIndexesSpreadOverTheList);
   CPPUNIT_TEST(testSizeMayChange);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testMeetsAllBeforeAnyComesAgain() {
+  void testVisitsAllBeforeRepeating() {
     for (std::size_t Size = 1; Size <= 450; ++Size) {
       Rotation Turns;
       Turns.setSize(Size);
@@ -30,7 +30,7 @@
     }
   }
 
-  void testEarlyOnesLieOverTheWholeList() {
+  void testFirstIndexesSpreadOverTheList() {
     for (std::size_t Size : {80, 264, 281, 440}) {
       Rotation Turns;
       Turns.setSize(Size);
--- a/Tests/LibGateway/TargetRestTest.cpp
+++ b/Tests/LibGateway/TargetBackoffTest.cpp
@@ -1,4 +1,5 @@
-//===-- TargetRestTest.cpp - A target that asks for rest, or leaves -------===//
+//===-- TargetBackoffTest.cpp - A target that asks for rest, or leaves
+//-------===//
 //
 // What users saw: a target turned an instance away and said for how long it
 // wanted nothing from it; that instance sent it request after request in that
@@ -21,21 +22,21 @@
 using namespace yardrill::tests;
 using std::chrono::milliseconds;
 
-class TargetRestTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(TargetRestTest);
-  CPPUNIT_TEST(testRestIsKeptWhileAllRest);
-  CPPUNIT_TEST(testRestIsKeptThroughANewAnnouncement);
-  CPPUNIT_TEST(testIsUsedAgainAfterItsRest);
-  CPPUNIT_TEST(testTargetThatSaysItLeavesIsLeftAlone);
+class TargetBackoffTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(TargetBackoffTest);
+  CPPUNIT_TEST(testBackoffHoldsWhileAllTargetsBackOff);
+  CPPUNIT_TEST(testBackoffSurvivesReannouncement);
+  CPPUNIT_TEST(testTargetIsUsedAfterBackoff);
+  CPPUNIT_TEST(testLeavingTargetGetsNoRequests);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t Targets = 3;
   static constexpr milliseconds Rest{2000};
   /// Requests that are on their way when the answer comes.
-  static constexpr milliseconds UnderWay{500};
-  static constexpr std::size_t MostInRest = 2;
+  static constexpr milliseconds InFlightTime{500};
+  static constexpr std::size_t MaxInBackoff = 2;
 
-  static void turnAway(GatewayFleet &Fleet, std::size_t Target) {
+  static void refuseRequests(GatewayFleet &Fleet, std::size_t Target) {
     Fleet.withTargets([&] {
       Fleet.target(Target).state({"Retry-After: 2\r\n", true});
     });
@@ -61,7 +62,7 @@
     return Out;
   }
   /// More requests than one target has places; all are served.
-  static void sendAtOnce(GatewayFleet &Fleet, std::size_t Gateway) {
+  static void sendConcurrently(GatewayFleet &Fleet, std::size_t Gateway) {
     std::vector<std::future<Reply>> Calls;
     for (int I = 0; I < 12; ++I)
       Calls.push_back(std::async(std::launch::async, [&Fleet, Gateway] {
@@ -72,7 +73,8 @@
   }
   /// When the first of all targets, which all turn everything away, has rested
   /// by what it asked for until \p Now.
-  static core::TimePoint firstRested(GatewayFleet &Fleet, core::TimePoint Now) {
+  static core::TimePoint firstBackoffEnd(GatewayFleet &Fleet,
+                                         core::TimePoint Now) {
     core::TimePoint First = core::TimePoint::max();
     for (std::size_t I = 0; I < Targets; ++I) {
       std::vector<core::TimePoint> Asked = Fleet.arrivalsAt(I);
@@ -84,28 +86,29 @@
     return First;
   }
   /// Arrivals in each rest of a target that turns everything away.
-  static std::size_t mostInRest(const std::vector<core::TimePoint> &Arrivals) {
+  static std::size_t
+  maxInBackoff(const std::vector<core::TimePoint> &Arrivals) {
     std::size_t Most = 0;
     for (const core::TimePoint &Asked : Arrivals)
       Most = std::max(Most, static_cast<std::size_t>(std::count_if(
                                 Arrivals.begin(), Arrivals.end(),
                                 [&](const core::TimePoint &Each) {
-                                  return Each > Asked + UnderWay &&
+                                  return Each > Asked + InFlightTime &&
                                          Each < Asked + Rest;
                                 })));
     return Most;
   }
 
 public:
-  void testRestIsKeptWhileAllRest() {
+  void testBackoffHoldsWhileAllTargetsBackOff() {
     GatewayFleet Fleet(1, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
     for (std::size_t I = 0; I < Targets; ++I)
-      turnAway(Fleet, I);
+      refuseRequests(Fleet, I);
     std::vector<Answered> Got = sendFor(Fleet, milliseconds(4500));
     for (std::size_t I = 0; I < Targets; ++I)
-      CPPUNIT_ASSERT(mostInRest(Fleet.arrivalsAt(I)) <= MostInRest);
+      CPPUNIT_ASSERT(maxInBackoff(Fleet.arrivalsAt(I)) <= MaxInBackoff);
     // Those who are refused come back when the first rest is over, and not all
     // at once.
     std::set<std::string> Times;
@@ -114,19 +117,20 @@
       std::string Text = Each.m_Reply.header("Retry-After");
       Times.insert(Text);
       double After = std::stod(Text);
-      double Left = core::toSeconds(firstRested(Fleet, Each.m_At) - Each.m_At);
+      double Left =
+          core::toSeconds(firstBackoffEnd(Fleet, Each.m_At) - Each.m_At);
       CPPUNIT_ASSERT(After >= Left);
       CPPUNIT_ASSERT(After <= std::max(Left, 0.0) * 1.25 + 0.6);
     }
     CPPUNIT_ASSERT(Times.size() > Got.size() / 2);
   }
 
-  void testRestIsKeptThroughANewAnnouncement() {
+  void testBackoffSurvivesReannouncement() {
     GatewayFleet Fleet(1, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
     for (std::size_t I = 0; I < Targets; ++I)
-      turnAway(Fleet, I);
+      refuseRequests(Fleet, I);
     for (std::size_t I = 0; I < Targets; ++I)
       Fleet.send(0, "/again/x", "");
     // Long enough to be forgotten.
@@ -136,14 +140,14 @@
     std::this_thread::sleep_for(milliseconds(100));
     // 1.6 s of the 2 s have passed.
     sendFor(Fleet, milliseconds(200));
-    CPPUNIT_ASSERT(mostInRest(Fleet.arrivalsAt(0)) <= MostInRest);
+    CPPUNIT_ASSERT(maxInBackoff(Fleet.arrivalsAt(0)) <= MaxInBackoff);
   }
 
-  void testIsUsedAgainAfterItsRest() {
+  void testTargetIsUsedAfterBackoff() {
     GatewayFleet Fleet(1, 1);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
-    turnAway(Fleet, 0);
+    refuseRequests(Fleet, 0);
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", "").m_Status);
     Fleet.withTargets([&] { Fleet.target(0).state({}); });
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", "").m_Status);
@@ -152,13 +156,13 @@
   }
 
   /// Before the store says so, and whatever the store says later.
-  void testTargetThatSaysItLeavesIsLeftAlone() {
+  void testLeavingTargetGetsNoRequests() {
     GatewayFleet Fleet(2, 2);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
     Fleet.withTargets(
         [&] { Fleet.target(0).state({"Server-Leaving: 1\r\n"}); });
-    sendAtOnce(Fleet, 0);
+    sendConcurrently(Fleet, 0);
     CPPUNIT_ASSERT(!Fleet.arrivalsAt(0).empty());
     sendFor(Fleet, milliseconds(1000));
     core::TimePoint Since = core::steadyNow();
@@ -168,10 +172,10 @@
     std::this_thread::sleep_for(milliseconds(100));
     sendFor(Fleet, milliseconds(500));
     // The other instance was told.
-    sendAtOnce(Fleet, 1);
+    sendConcurrently(Fleet, 1);
     for (const core::TimePoint &Each : Fleet.arrivalsAt(0))
       CPPUNIT_ASSERT(Each < Since);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TargetRestTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(TargetBackoffTest);
--- a/Tests/LibGateway/TargetLimitTest.cpp
+++ b/Tests/LibGateway/TargetLimitTest.cpp
@@ -65,10 +65,10 @@
   /// Until then a process is not sure that it has found the others.
   static constexpr milliseconds SettleTime{3200};
   /// From the first naming until the limit must hold.
-  static constexpr milliseconds ContactTime{3000};
+  static constexpr milliseconds PropagationTime{3000};
   static constexpr milliseconds Pause{60};
 
-  static std::size_t mostAllowed() {
+  static std::size_t maxAllowed() {
     return static_cast<std::size_t>(1.5 * Limit * 4 + 5);
   }
   /// Most arrivals within the window, of those after \p Since.
@@ -97,7 +97,7 @@
     std::this_thread::sleep_for(SettleTime);
     return Out;
   }
-  static void nameLimit(GatewayFleet &Fleet, std::size_t Target) {
+  static void stateLimit(GatewayFleet &Fleet, std::size_t Target) {
     Fleet.withTargets([&] {
       Fleet.target(Target).state(
           {"Server-Limit: " + std::to_string(Limit) + "\r\n"});
@@ -110,12 +110,12 @@
     GatewayFleet &Fleet = *Settled;
     SteadyCallers Callers(Fleet, Pause);
     std::this_thread::sleep_for(milliseconds(500));
-    nameLimit(Fleet, 0);
-    std::this_thread::sleep_for(ContactTime);
+    stateLimit(Fleet, 0);
+    std::this_thread::sleep_for(PropagationTime);
     core::TimePoint Since = core::steadyNow();
     std::this_thread::sleep_for(2 * Window);
     std::vector<core::TimePoint> Arrivals = Fleet.arrivalsAt(0);
-    CPPUNIT_ASSERT(worstWindow(Arrivals, Since) <= mostAllowed());
+    CPPUNIT_ASSERT(worstWindow(Arrivals, Since) <= maxAllowed());
     // It is in need, not closed: half of what it takes in 8 s, at least.
     CPPUNIT_ASSERT(countSince(Arrivals, Since) >= 5);
     // The others have room for what it does not take.
@@ -127,13 +127,13 @@
     GatewayFleet &Fleet = *Settled;
     SteadyCallers Callers(Fleet, Pause);
     for (std::size_t I = 0; I < Targets; ++I)
-      nameLimit(Fleet, I);
-    std::this_thread::sleep_for(ContactTime);
+      stateLimit(Fleet, I);
+    std::this_thread::sleep_for(PropagationTime);
     core::TimePoint Since = core::steadyNow();
     Callers.m_Served = 0;
     std::this_thread::sleep_for(2 * Window);
     for (std::size_t I = 0; I < Targets; ++I)
-      CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(I), Since) <= mostAllowed());
+      CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(I), Since) <= maxAllowed());
     // Three targets of 1.2 a second over 8 s: half of 28.
     CPPUNIT_ASSERT(Callers.m_Served >= 14);
   }
@@ -141,9 +141,9 @@
   void testLimitHoldsWhileInstancesRestart() {
     auto Settled = settledFleet();
     GatewayFleet &Fleet = *Settled;
-    nameLimit(Fleet, 0);
+    stateLimit(Fleet, 0);
     SteadyCallers Callers(Fleet, Pause);
-    std::this_thread::sleep_for(ContactTime);
+    std::this_thread::sleep_for(PropagationTime);
     core::TimePoint Since = core::steadyNow();
     // One after the other; each is excused for a while, their sum is not.
     for (std::size_t I = 0; I < 4; ++I) {
@@ -153,29 +153,28 @@
     }
     std::this_thread::sleep_for(Window);
     // One arrival more for each restart: what it had not heard yet.
-    CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(0), Since) <=
-                   mostAllowed() + 4);
+    CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(0), Since) <= maxAllowed() + 4);
   }
 
   void testLimitEndsWhenItIsNotNamedAnyMore() {
     auto Settled = settledFleet();
     GatewayFleet &Fleet = *Settled;
     SteadyCallers Callers(Fleet, Pause);
-    nameLimit(Fleet, 0);
+    stateLimit(Fleet, 0);
     std::this_thread::sleep_for(Window);
     Fleet.withTargets([&] { Fleet.target(0).state({}); });
     // One request finds out, 1.2 come in a second; then all are told.
     std::this_thread::sleep_for(milliseconds(5000));
     core::TimePoint Since = core::steadyNow();
     std::this_thread::sleep_for(milliseconds(2000));
-    CPPUNIT_ASSERT(countSince(Fleet.arrivalsAt(0), Since) > 2 * mostAllowed());
+    CPPUNIT_ASSERT(countSince(Fleet.arrivalsAt(0), Since) > 2 * maxAllowed());
   }
 
   void testNewRunStartsWithoutALimit() {
     auto Settled = settledFleet();
     GatewayFleet &Fleet = *Settled;
     SteadyCallers Callers(Fleet, Pause);
-    nameLimit(Fleet, 0);
+    stateLimit(Fleet, 0);
     std::this_thread::sleep_for(Window);
     Fleet.withTargets([&] {
       Fleet.target(0).state({});
@@ -184,7 +183,7 @@
     std::this_thread::sleep_for(milliseconds(2000));
     core::TimePoint Since = core::steadyNow();
     std::this_thread::sleep_for(milliseconds(2000));
-    CPPUNIT_ASSERT(countSince(Fleet.arrivalsAt(0), Since) > 2 * mostAllowed());
+    CPPUNIT_ASSERT(countSince(Fleet.arrivalsAt(0), Since) > 2 * maxAllowed());
   }
 
   /// The store forgets a target for a while; the run is the same.
@@ -192,14 +191,14 @@
     auto Settled = settledFleet();
     GatewayFleet &Fleet = *Settled;
     SteadyCallers Callers(Fleet, Pause);
-    nameLimit(Fleet, 0);
-    std::this_thread::sleep_for(ContactTime);
+    stateLimit(Fleet, 0);
+    std::this_thread::sleep_for(PropagationTime);
     core::TimePoint Since = core::steadyNow();
     Fleet.withTargets([&] { Fleet.target(0).withdrawAnnouncement(); });
     std::this_thread::sleep_for(milliseconds(2000));
     Fleet.withTargets([&] { Fleet.target(0).announceAgain(); });
     std::this_thread::sleep_for(Window);
-    CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(0), Since) <= mostAllowed());
+    CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(0), Since) <= maxAllowed());
   }
 };
 
--- a/Tests/LibGateway/UploadBudgetTest.cpp
+++ b/Tests/LibGateway/UploadBudgetTest.cpp
@@ -8,8 +8,8 @@
 
 class UploadBudgetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UploadBudgetTest);
-  CPPUNIT_TEST(testLargeOnesGoOneAfterTheOther);
-  CPPUNIT_TEST(testSmallOnesPassTogether);
+  CPPUNIT_TEST(testLargeUploadsAreSerialized);
+  CPPUNIT_TEST(testSmallUploadsPassTogether);
   CPPUNIT_TEST(testPartOfTheLinkIsLeft);
   CPPUNIT_TEST_SUITE_END();
 
@@ -19,7 +19,7 @@
   UploadBudget m_Budget{Link};
 
 public:
-  void testLargeOnesGoOneAfterTheOther() {
+  void testLargeUploadsAreSerialized() {
     CPPUNIT_ASSERT(m_Budget.tryTake(Large, m_Now));
     CPPUNIT_ASSERT(!m_Budget.tryTake(Large, m_Now));
     CPPUNIT_ASSERT(!m_Budget.tryTake(1, m_Now + 400ms));
@@ -30,7 +30,7 @@
     CPPUNIT_ASSERT(!m_Budget.tryTake(Large, m_Now + 10s));
   }
 
-  void testSmallOnesPassTogether() {
+  void testSmallUploadsPassTogether() {
     for (int I = 0; I < 400; ++I)
       CPPUNIT_ASSERT(m_Budget.tryTake(150, m_Now));
   }
--- a/Tests/LibQuarantine/MemberTest.cpp
+++ b/Tests/LibQuarantine/MemberTest.cpp
@@ -48,9 +48,9 @@
     Member A(Hooks);
     Member B(Hooks);
     Member C(counting());
-    A.noteEnded(m_Content, 10, m_Now);
-    B.noteEnded(m_Content, 11, m_Now);
-    C.noteEnded(m_Content, 12, m_Now);
+    A.noteTargetExit(m_Content, 10, m_Now);
+    B.noteTargetExit(m_Content, 11, m_Now);
+    C.noteTargetExit(m_Content, 12, m_Now);
     C.merge(Told, m_Now);
     CPPUNIT_ASSERT(C.book().isQuarantined(m_Content));
     CPPUNIT_ASSERT(!A.book().isQuarantined(m_Content));
@@ -58,7 +58,7 @@
 
   void testTellsSeveralTimes() {
     Member Which(counting());
-    Which.noteEnded(m_Content, 10, m_Now);
+    Which.noteTargetExit(m_Content, 10, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_ToldAll);
     pass(Which, milliseconds(2000));
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_ToldAll);
@@ -70,8 +70,8 @@
 
   void testTellsSomeUntilTheStoreHasIt() {
     Member Which(counting());
-    Which.noteEnded(m_Content, 10, m_Now);
-    Which.noteEnded(m_Content, 11, m_Now);
+    Which.noteTargetExit(m_Content, 10, m_Now);
+    Which.noteTargetExit(m_Content, 11, m_Now);
     pass(Which, seconds(5));
     CPPUNIT_ASSERT(m_ToldSome >= 4);
     CPPUNIT_ASSERT(Which.takeRecord(Which.recordText(), m_Now));
@@ -79,7 +79,7 @@
     pass(Which, seconds(5));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_ToldSome);
     // The third one is not there yet.
-    Which.noteEnded(m_Content, 12, m_Now);
+    Which.noteTargetExit(m_Content, 12, m_Now);
     pass(Which, seconds(3));
     CPPUNIT_ASSERT(m_ToldSome >= 2);
   }
@@ -87,8 +87,8 @@
   void testStoreOutlastsAllInstances() {
     Member Before(counting());
     for (RunHash Run : {10, 11, 12})
-      Before.noteEnded(m_Content, Run, m_Now);
-    Before.noteEnded({3, 4}, 10, m_Now);
+      Before.noteTargetExit(m_Content, Run, m_Now);
+    Before.noteTargetExit({3, 4}, 10, m_Now);
     Member After(counting());
     CPPUNIT_ASSERT(After.takeRecord(Before.recordText(), m_Now));
     CPPUNIT_ASSERT(After.book().isQuarantined(m_Content));
@@ -99,7 +99,7 @@
   void testLiftedHoldsForThoseWhoMissedIt() {
     Member Which(counting());
     for (RunHash Run : {10, 11, 12})
-      Which.noteEnded(m_Content, Run, m_Now);
+      Which.noteTargetExit(m_Content, Run, m_Now);
     auto Lifted = lifted(Which.recordText(), m_Content);
     CPPUNIT_ASSERT(Lifted);
     Member Missed = Which;
@@ -114,14 +114,14 @@
 
   void testPopularContentIsNotWrittenAgainAndAgain() {
     Member Which(counting());
-    Which.noteEnded(m_Content, 10, m_Now);
-    Which.noteEnded(m_Content, 11, m_Now);
+    Which.noteTargetExit(m_Content, 10, m_Now);
+    Which.noteTargetExit(m_Content, 11, m_Now);
     Which.takeRecord(Which.recordText(), m_Now);
     Which.noteWhole(m_Content, m_Now);
     std::string Excused = Which.recordText();
     Which.takeRecord(Excused, m_Now);
     for (RunHash Run = 20; Run < 40; ++Run) {
-      Which.noteEnded(m_Content, Run, m_Now);
+      Which.noteTargetExit(m_Content, Run, m_Now);
       Which.noteWhole(m_Content, m_Now);
       CPPUNIT_ASSERT_EQUAL(Excused, Which.recordText());
     }
--- a/Tests/LibQuarantine/QuarantineBookTest.cpp
+++ b/Tests/LibQuarantine/QuarantineBookTest.cpp
@@ -35,16 +35,16 @@
     std::vector<bool> Changes;
     QuarantineBook Book(
         [&](const ContentDigest &, bool Is) { Changes.push_back(Is); });
-    Book.noteEnded(content(1), 10, m_Now);
-    Book.noteEnded(content(1), 11, m_Now);
+    Book.noteTargetExit(content(1), 10, m_Now);
+    Book.noteTargetExit(content(1), 11, m_Now);
     CPPUNIT_ASSERT(!Book.isQuarantined(content(1)));
-    Book.noteEnded(content(1), 12, m_Now);
+    Book.noteTargetExit(content(1), 12, m_Now);
     CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
     CPPUNIT_ASSERT(!Book.isQuarantined(content(2)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Book.quarantined());
     CPPUNIT_ASSERT(Changes == std::vector<bool>{true});
     // It holds, however long.
-    Book.noteEnded(content(2), 10, m_Now + std::chrono::hours(100));
+    Book.noteTargetExit(content(2), 10, m_Now + std::chrono::hours(100));
     CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
   }
 
@@ -53,7 +53,7 @@
   void testOneRunCountsOnceWhoeverTells() {
     QuarantineBook Book;
     for (int I = 0; I < 5; ++I)
-      Book.noteEnded(content(1), 10, m_Now);
+      Book.noteTargetExit(content(1), 10, m_Now);
     Book.merge({content(1), 10, false}, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Book.standing(content(1)));
   }
@@ -63,7 +63,7 @@
     QuarantineBook Book(
         [&](const ContentDigest &, bool Is) { Changes.push_back(Is); });
     for (RunHash Run : {10, 11, 12})
-      Book.noteEnded(content(1), Run, m_Now);
+      Book.noteTargetExit(content(1), Run, m_Now);
     Book.noteWhole(content(1), m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Book.standing(content(1)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Book.quarantined());
@@ -91,14 +91,14 @@
     Book.noteWhole(content(1), m_Now);
     m_Now += seconds(31);
     for (RunHash Run : {10, 11, 12})
-      Book.noteEnded(content(1), Run, m_Now);
+      Book.noteTargetExit(content(1), Run, m_Now);
     CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
   }
 
   void testExcusedIsForGood() {
     QuarantineBook Book;
     Book.merge({content(1), 10, true}, m_Now);
-    Book.noteEnded(content(1), 10, m_Now);
+    Book.noteTargetExit(content(1), 10, m_Now);
     Book.merge({content(1), 10, false}, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Book.standing(content(1)));
     CPPUNIT_ASSERT(Book.isExcused(content(1), 10));
@@ -127,9 +127,9 @@
     QuarantineBook Book;
     Book.merge({content(1), 10, false}, m_Now);
     CPPUNIT_ASSERT(Book.takeNews().empty());
-    Book.noteEnded(content(1), 10, m_Now);
+    Book.noteTargetExit(content(1), 10, m_Now);
     CPPUNIT_ASSERT(Book.takeNews().empty());
-    Book.noteEnded(content(1), 11, m_Now);
+    Book.noteTargetExit(content(1), 11, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Book.takeNews().size());
     CPPUNIT_ASSERT(Book.takeNews().empty());
   }
@@ -139,9 +139,9 @@
   void testManyContentsPushOutTheLeastSuspected() {
     QuarantineBook Book;
     for (RunHash Run : {10, 11, 12})
-      Book.noteEnded(content(1), Run, m_Now);
+      Book.noteTargetExit(content(1), Run, m_Now);
     for (std::uint64_t I = 2; I < 5000; ++I)
-      Book.noteEnded(content(I), 10, m_Now + milliseconds(I));
+      Book.noteTargetExit(content(I), 10, m_Now + milliseconds(I));
     CPPUNIT_ASSERT_EQUAL(QuarantineBook::MostContents, Book.size());
     CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Book.standing(content(4999)));
@@ -151,14 +151,14 @@
   void testManyRunsAreBounded() {
     QuarantineBook Book;
     for (RunHash Run = 0; Run < 100; ++Run)
-      Book.noteEnded(content(1), Run, m_Now);
+      Book.noteTargetExit(content(1), Run, m_Now);
     CPPUNIT_ASSERT_EQUAL(QuarantineBook::MostRuns,
                          Book.observations(content(1)).size());
     // Excused ones give way.
     Book.noteWhole(content(1), m_Now);
     m_Now += seconds(60);
     for (RunHash Run : {200, 201, 202})
-      Book.noteEnded(content(1), Run, m_Now);
+      Book.noteTargetExit(content(1), Run, m_Now);
     CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
   }
 };
--- a/Tests/LibRollout/MemberTest.cpp
+++ b/Tests/LibRollout/MemberTest.cpp
@@ -34,7 +34,7 @@
     return {OrderId(7), Told.m_Number, How, Share};
   }
   void give(Member &To, Traffic How, double Share = 0.1) {
-    To.take(permit(To.report(0, m_Now), How, Share), m_Now);
+    To.applyPermit(permit(To.report(0, m_Now), How, Share), m_Now);
   }
   static CellKey key(Side Which, std::uint32_t Target) {
     CellKey Out;
@@ -58,7 +58,7 @@
     Member Own(order(), core::Duration::zero(), m_Now);
     Report Told = Own.report(0, m_Now);
     m_Now += milliseconds(1000);
-    Own.take(permit(Told, Traffic::New), m_Now);
+    Own.applyPermit(permit(Told, Traffic::New), m_Now);
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::New);
     m_Now += milliseconds(499);
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::New);
@@ -70,19 +70,19 @@
     Member Own(order(), core::Duration::zero(), m_Now);
     Report First = Own.report(0, m_Now);
     Report Second = Own.report(0, m_Now);
-    Own.take(permit(Second, Traffic::Old), m_Now);
-    Own.take(permit(First, Traffic::New), m_Now);
+    Own.applyPermit(permit(Second, Traffic::Old), m_Now);
+    Own.applyPermit(permit(First, Traffic::New), m_Now);
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
     Permit Foreign = permit(Second, Traffic::New);
     Foreign.m_Order = OrderId(8);
-    Own.take(Foreign, m_Now);
+    Own.applyPermit(Foreign, m_Now);
     Permit Unasked = permit(Second, Traffic::New);
     Unasked.m_Report = 99;
-    Own.take(Unasked, m_Now);
+    Own.applyPermit(Unasked, m_Now);
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
     m_Now += seconds(3);
     Own.report(0, m_Now);
-    Own.take(permit(Second, Traffic::New), m_Now);
+    Own.applyPermit(permit(Second, Traffic::New), m_Now);
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
   }
 
@@ -139,7 +139,7 @@
     }
     Report Told = Own.report(0, m_Now);
     for (int I = 0; I < 5; ++I)
-      Leads.take(core::IncarnationId(1), Told, m_Now);
+      Leads.handleReport(core::IncarnationId(1), Told, m_Now);
     m_Now += milliseconds(200);
     Leads.decide({16, 16}, seconds(1), m_Now);
     CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_NewAnswers);
@@ -156,7 +156,7 @@
     for (int I = 0; I < 8; ++I) {
       Report Told = Own.report(0, m_Now);
       CPPUNIT_ASSERT(Told.m_Cells.size() <= 9);
-      Leads.take(core::IncarnationId(1), Told, m_Now);
+      Leads.handleReport(core::IncarnationId(1), Told, m_Now);
     }
     Leads.decide({16, 16}, seconds(1), m_Now);
     CPPUNIT_ASSERT_EQUAL(60U, Leads.judgement().m_OldAnswers);
@@ -166,9 +166,9 @@
     Member Own(order(), core::Duration::zero(), m_Now);
     Coordinator Leads(order(), ExposureLimits(), m_Now);
     auto Tell = [&](std::uint32_t RunningOld) {
-      Own.take(Leads.take(core::IncarnationId(1), Own.report(RunningOld, m_Now),
-                          m_Now),
-               m_Now);
+      Own.applyPermit(Leads.handleReport(core::IncarnationId(1),
+                                         Own.report(RunningOld, m_Now), m_Now),
+                      m_Now);
     };
     for (std::uint32_t I = 0; I < 100; ++I) {
       Own.answered(key(Side::Old, I % 4), AnswerQuality::Whole,
@@ -191,7 +191,7 @@
     CPPUNIT_ASSERT(End && End->m_State == State::Completed);
     // Those that come late still hear where to send.
     CPPUNIT_ASSERT(
-        Leads.take(core::IncarnationId(2), Own.report(0, m_Now), m_Now)
+        Leads.handleReport(core::IncarnationId(2), Own.report(0, m_Now), m_Now)
             .m_Traffic == Traffic::New);
   }
 };
--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("/lohu930/2f"), Said.m_Path);
     CPPUNIT_ASSERT_EQUAL(std::string("secret"), Said.m_Key.value());
     CPPUNIT_ASSERT(Said.m_Deadline == std::chrono::seconds(12));
-    CPPUNIT_ASSERT(Said.m_HasSize);
+    CPPUNIT_ASSERT(Said.m_HasTokenCounts);
     CPPUNIT_ASSERT_EQUAL(1460U, Said.m_PromptTokens);
     CPPUNIT_ASSERT_EQUAL(80U, Said.m_OutputTokens);
     CPPUNIT_ASSERT(!Said.m_LastEvent);
@@ -63,7 +63,7 @@
       Bad.m_Headers.set("Token-Counts", std::string(Text) + ",4");
       auto Said = m_Dialect.describe(Bad);
       CPPUNIT_ASSERT(!Said.m_Deadline);
-      CPPUNIT_ASSERT(!Said.m_HasSize);
+      CPPUNIT_ASSERT(!Said.m_HasTokenCounts);
     }
   }
 
@@ -210,16 +210,16 @@
                      "coldLeftMs":0,"seq":4})",
                  Revision(1)};
     auto News = m_Dialect.read(Change);
-    const auto &Seen = std::get<gateway::TargetSeen>(News).m_Target;
+    const auto &Seen = std::get<gateway::TargetUpdate>(News).m_Target;
     CPPUNIT_ASSERT(Seen.m_Name == core::TargetName("i-7f"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(6), Seen.m_Slots);
     CPPUNIT_ASSERT(!Seen.m_IsLeaving);
     Change.m_Value.replace(Change.m_Value.find("ready"), 5, "draining");
     News = m_Dialect.read(Change);
-    CPPUNIT_ASSERT(std::get<gateway::TargetSeen>(News).m_Target.m_IsLeaving);
+    CPPUNIT_ASSERT(std::get<gateway::TargetUpdate>(News).m_Target.m_IsLeaving);
     Change.m_IsDeleted = true;
     News = m_Dialect.read(Change);
-    CPPUNIT_ASSERT(std::holds_alternative<gateway::TargetGone>(News));
+    CPPUNIT_ASSERT(std::holds_alternative<gateway::TargetRemoval>(News));
     Change.m_Key = "status/x";
     News = m_Dialect.read(Change);
     CPPUNIT_ASSERT(std::holds_alternative<std::monostate>(News));
--- a/Tests/Platform/ForeignEntryTest.cpp
+++ b/Tests/Platform/ForeignEntryTest.cpp
@@ -49,11 +49,11 @@
     return entry(json::serialize(Content));
   }
   routing::Target read(const Entry &Change) const {
-    return std::get<gateway::TargetSeen>(m_Dialect.read(Change)).m_Target;
+    return std::get<gateway::TargetUpdate>(m_Dialect.read(Change)).m_Target;
   }
   bool isTarget(const Entry &Change) const {
     try {
-      return std::holds_alternative<gateway::TargetSeen>(
+      return std::holds_alternative<gateway::TargetUpdate>(
           m_Dialect.read(Change));
     } catch (const core::Error &) {
       return false;
--- a/Tests/Support/QuarantineFleet.cpp
+++ b/Tests/Support/QuarantineFleet.cpp
@@ -351,7 +351,7 @@
   Instance &At = m_Instances[What->m_Instance];
   bool IsGone = !At.m_IsUp || At.m_Life != What->m_Life;
   if (!IsGone) {
-    At.m_Member->noteEnded(What->m_Content, Run, m_Now);
+    At.m_Member->noteTargetExit(What->m_Content, Run, m_Now);
     bool IsSentOn = m_Day.m_IsSuspectSentOn ||
                     !At.m_Member->book().isSuspect(What->m_Content);
     if (What->m_Runs < MostRuns && IsSentOn)
--- a/Tests/Support/RolloutFleet.cpp
+++ b/Tests/Support/RolloutFleet.cpp
@@ -232,10 +232,10 @@
       bool IsLost = m_Now < Each.m_CutUntil || draw() < LossyShare;
       if (IsLost)
         continue;
-      Permit Given = m_Coordinator->take(
+      Permit Given = m_Coordinator->handleReport(
           core::IncarnationId(Each.m_Incarnation), Told, m_Now + LinkDelay);
       if (draw() >= LossyShare)
-        Each.m_Member->take(Given, m_Now + 2 * LinkDelay);
+        Each.m_Member->applyPermit(Given, m_Now + 2 * LinkDelay);
     }
   }
 
