--- a/Bench/MembershipProgram.cpp
+++ b/Bench/MembershipProgram.cpp
@@ -45,7 +45,7 @@
       for (std::size_t J = 0; J < NearInBeat; ++J)
         report(m_NearIndexes[m_Next++ % m_NearIndexes.size()], false);
       m_Table.expire(m_Now);
-      m_Sum += m_Table.nearPeers().size() + m_Table.followersBefore();
+      m_Sum += m_Table.groupPeers().size() + m_Table.followersBefore();
       if (I % 6 == 0)
         recut();
     }
@@ -65,11 +65,11 @@
     peer::LoadReport Report;
     Report.m_IsFull = IsFull;
     Report.m_IsStoreConnected = From % 50 == 0;
-    m_Table.take(Message, Report, m_Now, 0);
+    m_Table.handle(Message, Report, m_Now, 0);
   }
 
   void recut() {
-    if (!m_Table.takeFleetChange())
+    if (!m_Table.consumeFleetChange())
       return;
     routing::FleetSubset::Fleet All;
     for (std::size_t I = 0; I < m_Fleet; ++I)
--- a/Libraries/LibGateway/BackpressureService.cpp
+++ b/Libraries/LibGateway/BackpressureService.cpp
@@ -12,9 +12,9 @@
 
 static constexpr std::chrono::seconds ResendPeriod{1};
 
-static peer::ToldTerms toMessage(const BackpressureReport &What,
-                                 core::TimePoint Now) {
-  peer::ToldTerms Out;
+static peer::BackpressureEntry toMessage(const BackpressureReport &What,
+                                         core::TimePoint Now) {
+  peer::BackpressureEntry Out;
   Out.m_Target = What.m_Incarnation.m_Name.value();
   Out.m_StartTime = What.m_Incarnation.m_StartTime.value();
   Out.m_IsLimited = What.m_Limit.m_PerSecond.has_value();
@@ -27,7 +27,7 @@
 
 /// \returns none for what no instance says.
 static std::optional<BackpressureReport>
-fromMessage(const peer::ToldTerms &Told, core::TimePoint Now) {
+fromMessage(const peer::BackpressureEntry &Told, core::TimePoint Now) {
   if (!std::isfinite(Told.m_PerSecond) || Told.m_PerSecond < 0)
     return std::nullopt;
   BackpressureReport Out;
@@ -61,10 +61,10 @@
 
 void BackpressureService::handle(const peer::PeerMessage &Message,
                                  core::TimePoint Now) {
-  const auto *News = std::get_if<peer::TargetNews>(&Message.m_Body);
+  const auto *News = std::get_if<peer::BackpressureUpdate>(&Message.m_Body);
   if (!News)
     return;
-  for (const peer::ToldTerms &Each : News->m_Terms) {
+  for (const peer::BackpressureEntry &Each : News->m_Entries) {
     std::optional<BackpressureReport> Told = fromMessage(Each, Now);
     if (Told && m_Targets.throttles().update(*Told, Now))
       logChange(Told->m_Incarnation, {});
@@ -86,11 +86,12 @@
 void BackpressureService::send(const UpdatesByPeer &To) {
   for (const auto &[Address, Terms] : To)
     for (std::size_t First = 0; First < Terms.size();
-         First += peer::TargetNews::Most) {
-      std::size_t End = std::min(Terms.size(), First + peer::TargetNews::Most);
-      m_Send(Address,
-             peer::TargetNews{{Terms.begin() + static_cast<long>(First),
-                               Terms.begin() + static_cast<long>(End)}});
+         First += peer::BackpressureUpdate::MaxEntries) {
+      std::size_t End =
+          std::min(Terms.size(), First + peer::BackpressureUpdate::MaxEntries);
+      m_Send(Address, peer::BackpressureUpdate{
+                          {Terms.begin() + static_cast<long>(First),
+                           Terms.begin() + static_cast<long>(End)}});
     }
 }
 
--- a/Libraries/LibGateway/BackpressureService.h
+++ b/Libraries/LibGateway/BackpressureService.h
@@ -39,7 +39,7 @@
 
 private:
   using UpdatesByPeer =
-      std::map<config::Endpoint, std::vector<peer::ToldTerms>>;
+      std::map<config::Endpoint, std::vector<peer::BackpressureEntry>>;
 
   /// Adds what is known of a run to the news for all that work with it.
   void add(const routing::BackpressureReport &What, core::TimePoint Now,
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -54,7 +54,7 @@
   bool m_IsEncoded = false; ///< The body is not as the target made it.
   /// How long the connection may rest before the target closes it.
   std::optional<core::Duration> m_KeepAlive;
-  routing::TargetBackpressure m_Terms;
+  routing::TargetBackpressure m_Backpressure;
 };
 
 /// Something that the store said.
--- a/Libraries/LibGateway/FleetRoster.cpp
+++ b/Libraries/LibGateway/FleetMembership.cpp
@@ -1,23 +1,23 @@
-#include "LibGateway/FleetRoster.h"
+#include "LibGateway/FleetMembership.h"
 
 namespace yardrill::gateway {
 
 /// Longer than a restart, and than a window of the quotas (8 s): an instance
 /// that comes back finds the quotas that it kept, and one that is cut off keeps
 /// its part. Until it is left out its accounts have two thirds of their limit.
-static constexpr std::chrono::seconds GoneTime{12};
+static constexpr std::chrono::seconds RemovalDelay{12};
 
-std::optional<FleetList> FleetRoster::correction(const FleetList &Live,
-                                                 core::TimePoint Now) {
+std::optional<FleetMembers>
+FleetMembership::proposeUpdate(const FleetMembers &Live, core::TimePoint Now) {
   std::map<config::Endpoint, core::TimePoint> Silent;
-  FleetList Next = Live;
+  FleetMembers Next = Live;
   for (const auto &[Address, Hall] : m_Recorded) {
     if (Live.count(Address) != 0)
       continue;
     auto Known = m_SilentSince.find(Address);
     core::TimePoint Since = Known == m_SilentSince.end() ? Now : Known->second;
     Silent.emplace(Address, Since);
-    if (Now - Since < GoneTime)
+    if (Now - Since < RemovalDelay)
       Next.emplace(Address, Hall);
   }
   if (Silent.size() * 2 >= m_Recorded.size())
--- a/Libraries/LibGateway/FollowerDuty.h
+++ b/Libraries/LibGateway/FollowerSelection.h
@@ -1,4 +1,5 @@
-//===-- FollowerDuty.h - Which instances follow the store -----------------===//
+//===-- FollowerSelection.h - Which instances follow the store
+//-----------------===//
 //
 // Pure. In a large fleet a few instances follow the store and tell the others:
 // each call is paid for. Nothing is agreed on; by the order of a hash of their
@@ -8,8 +9,8 @@
 // a store that is away for all of them.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBGATEWAY_FOLLOWERDUTY_H
-#define YARDRILL_LIBGATEWAY_FOLLOWERDUTY_H
+#ifndef YARDRILL_LIBGATEWAY_FOLLOWERSELECTION_H
+#define YARDRILL_LIBGATEWAY_FOLLOWERSELECTION_H
 
 #include "LibCore/Time.h"
 
@@ -18,10 +19,10 @@
 
 namespace yardrill::gateway {
 
-class FollowerDuty {
+class FollowerSelection {
 public:
   /// A third may be cut off at once without leaving none (0.35^6 = 0.002).
-  static constexpr std::size_t Wanted = 6;
+  static constexpr std::size_t DesiredFollowers = 6;
 
   /// \param Rank how many instances of the fleet come before this one, heard or
   /// not.
@@ -29,13 +30,13 @@
   /// \param Before of these, how many are heard to follow. To be called several
   /// times a second.
   void update(std::size_t Before, core::TimePoint Now);
-  bool isNeeded() const { return m_IsNeeded; }
+  bool isSelected() const { return m_IsSelected; }
 
 private:
   std::size_t m_Rank = 0;
   /// Since when too few are heard.
-  std::optional<core::TimePoint> m_ShortSince;
-  bool m_IsNeeded = true;
+  std::optional<core::TimePoint> m_TooFewSince;
+  bool m_IsSelected = true;
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -62,7 +62,7 @@
              GatewayRequest &Sent = *m_OpenRequests.at(Request);
              m_Rollouts.sent(Sent.routeHash(), Where);
              Sent.assignTarget(Where);
-             m_Peers->reportSoon();
+             m_Peers->scheduleReport();
            },
            [this](core::RequestId Request) {
              m_OpenRequests.at(Request)->refuse();
@@ -75,10 +75,11 @@
                 // Nothing was spent before a deployment's first start.
                 m_Settings.m_IsFirstStart ? core::TimePoint() : m_StartedAt),
       m_ExitDetector(Context, exitDetectorHooks()),
-      m_Terms(m_Settings.m_PeerAddress, m_Targets,
-              [this](const config::Endpoint &To, const peer::PeerBody &Body) {
-                m_Peers->send(To, Body);
-              }),
+      m_Backpressure(
+          m_Settings.m_PeerAddress, m_Targets,
+          [this](const config::Endpoint &To, const peer::PeerBody &Body) {
+            m_Peers->send(To, Body);
+          }),
       m_Quarantine(Context, Store, quarantineHooks()),
       m_Quotas(Context, m_Settings, m_Metrics,
                [this](const config::Endpoint &To, const peer::PeerBody &Body) {
@@ -141,21 +142,21 @@
           Call.sendWhole(std::move(Answer), Yield);
         },
         http::bareAnswer);
-  m_Peers = std::make_unique<PeerLink>(
+  m_Peers = std::make_unique<PeerService>(
       m_Context, m_Settings, m_Mirror, m_Metrics,
-      PeerLinkHooks{[this](peer::LoadReport &Report) { describeLoad(Report); },
-                    [this] { updatePeerLoads(); },
-                    [this] { return largestPoolSize(); },
-                    [this](const routing::FleetSubset &Share) {
-                      m_Targets.setSubset(Share);
-                      updateQuotaOwners();
-                    },
-                    [this](const peer::PeerMessage &Message) {
-                      m_Quotas.handle(Message);
-                      m_Rollouts.handle(Message);
-                      m_Quarantine.handle(Message);
-                      m_Terms.handle(Message, core::steadyNow());
-                    }});
+      PeerServiceHooks{
+          [this](peer::LoadReport &Report) { describeLoad(Report); },
+          [this] { updatePeerLoads(); }, [this] { return largestPoolSize(); },
+          [this](const routing::FleetSubset &Share) {
+            m_Targets.setSubset(Share);
+            updateQuotaOwners();
+          },
+          [this](const peer::PeerMessage &Message) {
+            m_Quotas.handle(Message);
+            m_Rollouts.handle(Message);
+            m_Quarantine.handle(Message);
+            m_Backpressure.handle(Message, core::steadyNow());
+          }});
 }
 
 void Gateway::start() {
@@ -165,10 +166,10 @@
   m_Peers->start(m_Timers);
   m_Timers.subscribe(UpkeepPeriod, [this](core::TimePoint Now) {
     m_Targets.removeExpired(Now);
-    m_Follower.setNeeded(m_Peers->mustFollowStore());
+    m_Follower.setEnabled(m_Peers->mustFollowStore());
     m_Connections.closeExpired();
     m_ExitDetector.upkeep(Now);
-    m_Terms.upkeep(Now);
+    m_Backpressure.upkeep(Now);
     m_Quarantine.upkeep(Now);
     m_Quotas.upkeep(m_Peers->isListConfirmed(), Now);
     // A process that has found the others does without a record.
@@ -209,7 +210,7 @@
   if (IsTold || SinceStart < Least)
     return SinceStart < Least;
   return SinceStart < m_StartDelay + PeerTransferTimeout &&
-         m_Peers->hasWhoKnows();
+         m_Peers->hasPeerWithState();
 }
 
 void Gateway::reload(const GatewaySettings &Settings) {
@@ -247,7 +248,7 @@
 void Gateway::describeLoad(peer::LoadReport &Report) const {
   for (const routing::KnownTarget *Known : m_Targets.busyTargets()) {
     const routing::TargetLoad &Own = Known->m_LocalLoad;
-    peer::TargetUse Use;
+    peer::TargetLoadEntry Use;
     Use.m_Target = Known->m_Hash;
     Use.m_Running = static_cast<std::uint16_t>(Own.m_Running);
     Use.m_PendingPromptTokens =
@@ -255,14 +256,14 @@
     Report.m_Targets.push_back(Use);
   }
   Report.m_IsStoreConnected = m_Follower.isConnected();
-  Report.m_HasWaiting = m_Dispatcher.waiting() > 0;
+  Report.m_HasWaitingRequests = m_Dispatcher.waiting() > 0;
 }
 
 void Gateway::updateQuotaOwners() {
-  FleetList Owners = m_Roster.recorded();
+  FleetMembers Owners = m_Roster.recorded();
   // Nothing is recorded before a fleet has started for the first time. A
   // process that starts in another fleet waits until it has found the others.
-  bool IsFound = m_Settings.m_IsFirstStart || m_Peers->isSettled();
+  bool IsFound = m_Settings.m_IsFirstStart || m_Peers->isDiscoveryDone();
   if (Owners.empty() && IsFound)
     Owners = m_Peers->heard();
   if (!m_Quotas.setOwners(Owners))
@@ -273,9 +274,9 @@
 }
 
 void Gateway::updateMembershipRecord(core::TimePoint Now) {
-  if (!m_Follower.isConnected() || !m_Peers->keepsRecord())
+  if (!m_Follower.isConnected() || !m_Peers->isRecordWriter())
     return;
-  if (auto List = m_Roster.correction(m_Peers->heard(), Now))
+  if (auto List = m_Roster.proposeUpdate(m_Peers->heard(), Now))
     m_MembershipRecord.write(*List, Now);
 }
 
@@ -301,9 +302,9 @@
   Out.m_Send = [this](const config::Endpoint &To, const peer::PeerBody &Body) {
     m_Peers->send(To, Body);
   };
-  Out.m_Others = [this] { return m_Peers->others(); };
-  Out.m_IsKeeper = [this] {
-    return m_Follower.isConnected() && m_Peers->keepsRecord();
+  Out.m_Others = [this] { return m_Peers->otherInstances(); };
+  Out.m_IsRecordWriter = [this] {
+    return m_Follower.isConnected() && m_Peers->isRecordWriter();
   };
   return Out;
 }
@@ -333,11 +334,11 @@
   // The one that keeps the list of instances, too. Others may think otherwise
   // for a while.
   Out.m_Coordinator = [this]() -> std::optional<config::Endpoint> {
-    if (m_Follower.isConnected() && m_Peers->keepsRecord())
+    if (m_Follower.isConnected() && m_Peers->isRecordWriter())
       return m_Settings.m_PeerAddress;
     return m_Peers->peers().firstFollower();
   };
-  Out.m_FleetSize = [this] { return m_Peers->sharers(); };
+  Out.m_FleetSize = [this] { return m_Peers->activeInstanceCount(); };
   Out.m_Write = [this](const RolloutWrite &What) {
     m_RolloutWriter.write(What);
   };
@@ -358,10 +359,10 @@
 void Gateway::updatePeerLoads() {
   std::unordered_map<std::uint32_t, routing::TargetLoad> Sums;
   m_HasWaitingPeers = false;
-  for (const LivePeer *Peer : m_Peers->peers().nearPeers()) {
+  for (const LivePeer *Peer : m_Peers->peers().groupPeers()) {
     const peer::LoadReport &Report = Peer->m_Report;
-    m_HasWaitingPeers = m_HasWaitingPeers || Report.m_HasWaiting;
-    for (const peer::TargetUse &Use : Report.m_Targets) {
+    m_HasWaitingPeers = m_HasWaitingPeers || Report.m_HasWaitingRequests;
+    for (const peer::TargetLoadEntry &Use : Report.m_Targets) {
       routing::TargetLoad &Sum = Sums[Use.m_Target];
       Sum.m_Running += Use.m_Running;
       Sum.m_PendingPromptTokens += Use.m_PendingPromptTokens;
@@ -421,7 +422,7 @@
 }
 
 void Gateway::place(const routing::PlacementRequest &What) {
-  m_Peers->tellChange();
+  m_Peers->notifyIfChanged();
   m_Dispatcher.place(What, core::steadyNow());
   scheduleTick();
 }
@@ -441,7 +442,7 @@
 void Gateway::dispatchWaiting(core::TimePoint Now) {
   if (m_Dispatcher.waiting() == 0)
     return;
-  m_Peers->tellChange();
+  m_Peers->notifyIfChanged();
   m_Dispatcher.dispatchWaiting(Now);
 }
 
@@ -455,7 +456,7 @@
 void Gateway::handleFreedSlot() {
   dispatchWaiting(core::steadyNow());
   if (m_HasWaitingPeers)
-    m_Peers->reportSoon();
+    m_Peers->scheduleReport();
 }
 
 void Gateway::tick(core::TimePoint Now) {
@@ -469,7 +470,8 @@
 //===----------------------------------------------------------------------===//
 
 bool Gateway::tryReserveRetry(const core::PoolName &Pool) {
-  return m_Retries.of(Pool).tryTake(core::steadyNow(), m_Peers->sharers());
+  return m_Retries.of(Pool).tryTake(core::steadyNow(),
+                                    m_Peers->activeInstanceCount());
 }
 
 void Gateway::updateGauges() {
@@ -481,7 +483,7 @@
   Set("yardrill_waiting_requests", m_Dispatcher.waiting());
   Set("yardrill_targets", m_Targets.all().size());
   Set("yardrill_peers", m_Peers->peers().all().size());
-  Set("yardrill_peers_missing", m_Peers->missing());
+  Set("yardrill_peers_missing", m_Peers->missingCount());
   Set("yardrill_target_connections_opened", m_Connections.opened());
   Set("yardrill_quarantined_contents", m_Quarantine.book().quarantined());
   Set("yardrill_limited_targets", m_Targets.throttles().limited());
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -11,16 +11,16 @@
 #include "LibCore/TimerService.h"
 #include "LibGateway/BackpressureService.h"
 #include "LibGateway/Dialect.h"
-#include "LibGateway/FleetRecord.h"
-#include "LibGateway/FleetRoster.h"
+#include "LibGateway/FleetMembership.h"
 #include "LibGateway/GatewaySettings.h"
-#include "LibGateway/PeerLink.h"
+#include "LibGateway/MembershipRecord.h"
+#include "LibGateway/PeerService.h"
 #include "LibGateway/QuarantineService.h"
 #include "LibGateway/QuotaService.h"
 #include "LibGateway/RetryBudgets.h"
-#include "LibGateway/RolloutDesk.h"
+#include "LibGateway/RolloutService.h"
 #include "LibGateway/RolloutWriter.h"
-#include "LibGateway/StateFollower.h"
+#include "LibGateway/StoreFollower.h"
 #include "LibGateway/TargetExitDetector.h"
 #include "LibHTTP/ConnectionPool.h"
 #include "LibHTTP/Server.h"
@@ -113,22 +113,22 @@
   platform::KeyValueService &m_Store;
   core::SteadyTimerService m_Timers;
   metrics::MetricsRegistry m_Metrics;
-  FleetRecord m_MembershipRecord;
-  FleetRoster m_Roster;
+  MembershipRecord m_MembershipRecord;
+  FleetMembership m_Roster;
   platform::StoreMirror m_Mirror;
-  StateFollower m_Follower;
+  StoreFollower m_Follower;
   routing::RoutingTableHandle m_Table;
   routing::TargetDirectory m_Targets;
   routing::Dispatcher m_Dispatcher;
   http::ConnectionPool m_Connections;
   RetryBudgets m_Retries;
   TargetExitDetector m_ExitDetector;
-  BackpressureService m_Terms;
+  BackpressureService m_Backpressure;
   QuarantineService m_Quarantine;
-  std::unique_ptr<PeerLink> m_Peers;
+  std::unique_ptr<PeerService> m_Peers;
   QuotaService m_Quotas;
   RolloutWriter m_RolloutWriter;
-  RolloutDesk m_Rollouts;
+  RolloutService m_Rollouts;
   std::unique_ptr<http::Server> m_CallerServer;
   std::unique_ptr<http::Server> m_ReadinessServer;
   std::unique_ptr<http::Server> m_MetricsServer;
--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -131,7 +131,8 @@
   http::ResponseHead Head = readMatchingHead(Connection, Yield);
   m_HasResponseStarted = true;
   ResponseDescription Says = m_Owner.m_Wire.describe(Head);
-  m_Owner.m_Terms.noteStated(*m_Target, Says.m_Terms, core::steadyNow());
+  m_Owner.m_Backpressure.noteStated(*m_Target, Says.m_Backpressure,
+                                    core::steadyNow());
   AttemptOutcome Result = AttemptOutcome::Failed;
   bool IsSuccess = Head.m_Status >= 200 && Head.m_Status < 300;
   if (Says.m_IsNotRun) {
--- a/Libraries/LibGateway/GatewayStoreUpdates.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -10,12 +10,12 @@
 using core::Error;
 
 void Gateway::applyEntry(const platform::Entry &Change) {
-  if (m_MembershipRecord.isItsKey(Change.m_Key)) {
+  if (m_MembershipRecord.isRecordKey(Change.m_Key)) {
     m_Roster.setRecorded(m_MembershipRecord.read(Change));
     m_Peers->setRecorded(m_Roster.recorded());
     return updateQuotaOwners();
   }
-  if (m_Quarantine.isItsKey(Change.m_Key))
+  if (m_Quarantine.isRecordKey(Change.m_Key))
     return m_Quarantine.applyEntry(Change);
   if (m_Rollouts.takeRecord(Change))
     return scheduleRolloutUpkeep();
--- a/Libraries/LibGateway/FleetRecord.cpp
+++ b/Libraries/LibGateway/MembershipRecord.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/FleetRecord.h"
+#include "LibGateway/MembershipRecord.h"
 
 #include <sstream>
 
@@ -7,20 +7,20 @@
 static const char Name[] = "instances";
 static constexpr std::chrono::seconds WritePeriod{10};
 
-FleetRecord::FleetRecord(boost::asio::io_context &Context,
-                         platform::KeyValueService &Store)
+MembershipRecord::MembershipRecord(boost::asio::io_context &Context,
+                                   platform::KeyValueService &Store)
     : m_Record(Context, Store, Name, WritePeriod) {}
 
 /// On each line an address, and after a blank the data hall.
-static std::string toText(const FleetList &Instances) {
+static std::string toText(const FleetMembers &Instances) {
   std::string Out;
   for (const auto &[Address, Hall] : Instances)
     Out += Address.toString() + " " + Hall.value() + "\n";
   return Out;
 }
 
-FleetList FleetRecord::read(const platform::Entry &Change) {
-  FleetList Out;
+FleetMembers MembershipRecord::read(const platform::Entry &Change) {
+  FleetMembers Out;
   std::istringstream Lines(m_Record.read(Change));
   for (std::string Line; std::getline(Lines, Line);) {
     std::size_t Blank = Line.find(' ');
@@ -34,7 +34,8 @@
   return Out;
 }
 
-void FleetRecord::write(const FleetList &Instances, core::TimePoint Now) {
+void MembershipRecord::write(const FleetMembers &Instances,
+                             core::TimePoint Now) {
   m_Record.write(toText(Instances), Now);
 }
 
--- a/Libraries/LibGateway/FleetRecord.h
+++ b/Libraries/LibGateway/MembershipRecord.h
@@ -1,11 +1,12 @@
-//===-- FleetRecord.h - The list of instances, as the store keeps it ------===//
+//===-- MembershipRecord.h - The list of instances, as the store keeps it
+//------===//
 //
 // Whoever reads it knows which instances keep which quotas, also a process that
 // has just started and has heard of nobody. One instance writes it, rarely.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBGATEWAY_FLEETRECORD_H
-#define YARDRILL_LIBGATEWAY_FLEETRECORD_H
+#ifndef YARDRILL_LIBGATEWAY_MEMBERSHIPRECORD_H
+#define YARDRILL_LIBGATEWAY_MEMBERSHIPRECORD_H
 
 #include "LibGateway/StoreRecord.h"
 #include "LibRouting/FleetSubset.h"
@@ -13,20 +14,22 @@
 namespace yardrill::gateway {
 
 /// The data hall of each instance, by its peer address.
-using FleetList = routing::FleetSubset::Fleet;
+using FleetMembers = routing::FleetSubset::Fleet;
 
-class FleetRecord {
+class MembershipRecord {
 public:
-  FleetRecord(boost::asio::io_context &Context,
-              platform::KeyValueService &Store);
+  MembershipRecord(boost::asio::io_context &Context,
+                   platform::KeyValueService &Store);
 
-  bool isItsKey(const std::string &Key) const { return m_Record.isItsKey(Key); }
+  bool isRecordKey(const std::string &Key) const {
+    return m_Record.isRecordKey(Key);
+  }
   /// Takes in what the store says. \returns the list; empty: none, or
   /// unreadable.
-  FleetList read(const platform::Entry &Change);
+  FleetMembers read(const platform::Entry &Change);
   /// Writes the list, unless a write was tried lately. A failure is logged and
   /// tried again later.
-  void write(const FleetList &Instances, core::TimePoint Now);
+  void write(const FleetMembers &Instances, core::TimePoint Now);
 
 private:
   StoreRecord m_Record;
--- a/Libraries/LibGateway/StoreFetcher.cpp
+++ b/Libraries/LibGateway/MirrorFetcher.cpp
@@ -1,9 +1,9 @@
-#include "LibGateway/StoreFetcher.h"
+#include "LibGateway/MirrorFetcher.h"
 
 #include "LibCore/Digest.h"
 #include "LibCore/Error.h"
 #include "LibCore/Log.h"
-#include "LibGateway/StoreTransfer.h"
+#include "LibGateway/MirrorUpdate.h"
 #include "LibGateway/ValuePatch.h"
 #include "LibHTTP/ClientConnection.h"
 
@@ -19,75 +19,77 @@
 using core::ErrorKind;
 
 /// How far behind the store's own word may be before a peer is asked.
-static constexpr std::chrono::milliseconds BehindPatience{250};
+static constexpr std::chrono::milliseconds StoreGracePeriod{250};
 /// For each step: to connect, to send, and from one piece to the next.
 static constexpr std::chrono::milliseconds FetchTimeout{1000};
 /// Before another peer is asked after one that refused; drawn, so that those
 /// who ask together do not do so again. The longest is the backlog at which
 /// peers refuse.
-static constexpr std::chrono::milliseconds LeastRefusedPause{20};
-static constexpr std::chrono::milliseconds MostRefusedPause{100};
+static constexpr std::chrono::milliseconds MinRefusalBackoff{20};
+static constexpr std::chrono::milliseconds MaxRefusalBackoff{100};
 /// A configuration is at most a megabyte, a target's entry under a kilobyte.
-static constexpr std::size_t MostTransferBytes = 16UL * 1024 * 1024;
-
-StoreFetcher::StoreFetcher(asio::io_context &Context,
-                           const config::Endpoint &Address,
-                           const peer::PeerCodec &Codec,
-                           platform::StoreMirror &Mirror,
-                           metrics::MetricsRegistry &Metrics,
-                           double LinkBytesPerSecond)
+static constexpr std::size_t MaxTransferBytes = 16UL * 1024 * 1024;
+
+MirrorFetcher::MirrorFetcher(asio::io_context &Context,
+                             const config::Endpoint &Address,
+                             const peer::PeerCodec &Codec,
+                             platform::StoreMirror &Mirror,
+                             metrics::MetricsRegistry &Metrics,
+                             double LinkBytesPerSecond)
     : m_Context(Context), m_Codec(Codec), m_Mirror(Mirror), m_Metrics(Metrics),
       m_Server(Context, Address, Codec, Mirror, Metrics, LinkBytesPerSecond),
       m_Random(core::randomBits()) {}
 
 template <class Condition>
-static std::vector<StoreHolder> those(const std::vector<StoreHolder> &Of,
-                                      const Condition &Fulfil) {
-  std::vector<StoreHolder> Out;
+static std::vector<FetchCandidate> those(const std::vector<FetchCandidate> &Of,
+                                         const Condition &Fulfil) {
+  std::vector<FetchCandidate> Out;
   std::copy_if(Of.begin(), Of.end(), std::back_inserter(Out), Fulfil);
   return Out;
 }
 
-static std::vector<StoreHolder>
-withNewestValues(const std::vector<StoreHolder> &Of) {
+static std::vector<FetchCandidate>
+withNewestValues(const std::vector<FetchCandidate> &Of) {
   platform::Revision Newest;
-  for (const StoreHolder &Each : Of)
-    Newest = std::max(Newest, Each.m_Whole);
-  return those(
-      Of, [Newest](const StoreHolder &Each) { return Each.m_Whole == Newest; });
+  for (const FetchCandidate &Each : Of)
+    Newest = std::max(Newest, Each.m_CompleteRevision);
+  return those(Of, [Newest](const FetchCandidate &Each) {
+    return Each.m_CompleteRevision == Newest;
+  });
 }
 
 //===----------------------------------------------------------------------===//
 // When to ask whom
 //===----------------------------------------------------------------------===//
 
-void StoreFetcher::consider(const Holders &Ahead, bool IsPatient,
-                            core::TimePoint Now) {
-  considerChanges(Ahead, IsPatient, Now);
-  considerValues(Ahead, IsPatient, Now);
+void MirrorFetcher::fetchIfDue(const Candidates &Ahead, bool IsPatient,
+                               core::TimePoint Now) {
+  fetchChangesIfDue(Ahead, IsPatient, Now);
+  fetchValueIfDue(Ahead, IsPatient, Now);
 }
 
-void StoreFetcher::considerChanges(const Holders &Ahead, bool IsPatient,
-                                   core::TimePoint Now) {
+void MirrorFetcher::fetchChangesIfDue(const Candidates &Ahead, bool IsPatient,
+                                      core::TimePoint Now) {
   platform::Revision Newest;
-  for (const StoreHolder &Each : Ahead)
+  for (const FetchCandidate &Each : Ahead)
     Newest = std::max(Newest, Each.m_Revision);
   if (!(m_Mirror.revision() < Newest)) {
     m_Changes.m_BehindSince = core::TimePoint();
     return;
   }
-  if (!mustAsk(m_Changes, IsPatient, Now))
+  if (!isFetchDue(m_Changes, IsPatient, Now))
     return;
-  Holders Newer = those(Ahead, [Newest](const StoreHolder &Each) {
+  Candidates Newer = those(Ahead, [Newest](const FetchCandidate &Each) {
     return Each.m_Revision == Newest;
   });
-  config::Endpoint From = choose(Newer).m_Address;
-  ask(m_Changes, From,
-      [this, From](asio::yield_context Yield) { fetchChanges(From, Yield); });
+  config::Endpoint From = chooseSource(Newer).m_Address;
+  startFetch(m_Changes, From, [this, From](asio::yield_context Yield) {
+    fetchChanges(From, Yield);
+  });
 }
 
-void StoreFetcher::considerValues(const Holders &Ahead, bool IsPatient,
-                                  core::TimePoint Now) {
+void MirrorFetcher::fetchValueIfDue(const Candidates &Ahead, bool IsPatient,
+                                    core::TimePoint Now) {
   if (m_Mirror.wanted().empty()) {
     m_Values.m_BehindSince = core::TimePoint();
     return;
@@ -95,50 +97,53 @@
   const auto &[Key, Wanted] = *m_Mirror.wanted().begin();
   // Any that is further on helps, while values change faster than they arrive;
   // the newest are asked first.
-  Holders Have = those(Ahead, [At = Wanted.m_First](const StoreHolder &Each) {
-    return !(Each.m_Whole < At);
-  });
+  Candidates Have =
+      those(Ahead, [At = Wanted.m_First](const FetchCandidate &Each) {
+        return !(Each.m_CompleteRevision < At);
+      });
   if (!m_WasRefused)
     Have = withNewestValues(Have);
-  if (!mustAsk(m_Values, IsPatient, Now) || Have.empty())
+  if (!isFetchDue(m_Values, IsPatient, Now) || Have.empty())
     return;
-  config::Endpoint From = choose(Have).m_Address;
-  ask(m_Values, From, [this, From, Key = Key](asio::yield_context Yield) {
-    fetchValue(From, Key, Yield);
-  });
+  config::Endpoint From = chooseSource(Have).m_Address;
+  startFetch(m_Values, From,
+             [this, From, Key = Key](asio::yield_context Yield) {
+               fetchValue(From, Key, Yield);
+             });
 }
 
-const StoreHolder &StoreFetcher::choose(const Holders &From) {
+const FetchCandidate &MirrorFetcher::chooseSource(const Candidates &From) {
   assert(!From.empty());
-  std::vector<const StoreHolder *> Choice;
-  for (const StoreHolder &Each : From)
+  std::vector<const FetchCandidate *> Choice;
+  for (const FetchCandidate &Each : From)
     if (Each.m_IsInSameHall && !m_WasRefused)
       Choice.push_back(&Each);
   if (Choice.empty())
-    for (const StoreHolder &Each : From)
+    for (const FetchCandidate &Each : From)
       Choice.push_back(&Each);
   std::uniform_int_distribution<std::size_t> Draw(0, Choice.size() - 1);
   return *Choice[Draw(m_Random)];
 }
 
-bool StoreFetcher::mustAsk(Lane &Which, bool IsPatient,
-                           core::TimePoint Now) const {
+bool MirrorFetcher::isFetchDue(FetchState &Which, bool IsPatient,
+                               core::TimePoint Now) const {
   if (Which.m_BehindSince == core::TimePoint())
     Which.m_BehindSince = Now;
-  if (Which.m_IsAsking || Now < Which.m_PausesUntil)
+  if (Which.m_IsFetching || Now < Which.m_RetryAt)
     return false;
   // One that knows nothing yet does not wait either.
   bool MayWait = IsPatient && m_Mirror.revision() != platform::Revision();
-  return !MayWait || Now - Which.m_BehindSince >= BehindPatience;
+  return !MayWait || Now - Which.m_BehindSince >= StoreGracePeriod;
 }
 
 //===----------------------------------------------------------------------===//
 // Questions
 //===----------------------------------------------------------------------===//
 
-void StoreFetcher::ask(Lane &Which, const config::Endpoint &From,
-                       std::function<void(asio::yield_context)> Question) {
-  Which.m_IsAsking = true;
+void MirrorFetcher::startFetch(
+    FetchState &Which, const config::Endpoint &From,
+    std::function<void(asio::yield_context)> Question) {
+  Which.m_IsFetching = true;
   auto Run = [&Which, From,
               Question = std::move(Question)](asio::yield_context Yield) {
     try {
@@ -148,52 +153,52 @@
           .add("peer", From.toString())
           .add("reason", Failure.what());
     }
-    Which.m_IsAsking = false;
+    Which.m_IsFetching = false;
     Which.m_BehindSince = core::steadyNow();
   };
   asio::spawn(m_Context, std::move(Run), asio::detached);
 }
 
-void StoreFetcher::fetchChanges(const config::Endpoint &From,
-                                asio::yield_context Yield) {
+void MirrorFetcher::fetchChanges(const config::Endpoint &From,
+                                 asio::yield_context Yield) {
   core::TimePoint Begin = core::steadyNow();
   http::RequestMessage Request;
   Request.m_Method = "GET";
   Request.m_Target =
-      StoreServer::ChangesPath + std::to_string(m_Mirror.revision().value());
+      MirrorServer::ChangesPath + std::to_string(m_Mirror.revision().value());
   auto Answer = exchange(From, std::move(Request), Yield);
   if (!Answer)
-    return pauseRefused(m_Changes);
-  auto Transfer = StoreTransfer::decode(*Answer);
+    return backOff(m_Changes);
+  auto Transfer = MirrorUpdate::decode(*Answer);
   Transfer.applyTo(m_Mirror);
   core::LogLine("store-heard-from-peer")
       .add("peer", From.toString())
       .add("revision", m_Mirror.revision())
       .add("entries", Transfer.m_Entries.size())
-      .add("is_whole", Transfer.m_IsWhole)
+      .add("is_whole", Transfer.m_IsSnapshot)
       .add("values_wanted", m_Mirror.wanted().size())
       .add("bytes", Answer->size())
       .add("took_us", core::steadyNow() - Begin);
 }
 
-void StoreFetcher::fetchValue(const config::Endpoint &From,
-                              const std::string &Key,
-                              asio::yield_context Yield) {
+void MirrorFetcher::fetchValue(const config::Endpoint &From,
+                               const std::string &Key,
+                               asio::yield_context Yield) {
   core::TimePoint Begin = core::steadyNow();
   ValueQuery Query{Key, {}};
   if (const platform::Entry *Known = m_Mirror.find(Key))
-    Query.m_Held = Known->m_Modified;
+    Query.m_HeldRevision = Known->m_Modified;
   http::RequestMessage Request;
   Request.m_Method = "POST";
-  Request.m_Target = StoreServer::ValuePath;
-  Request.m_Body = m_Codec.seal(Query.encode());
+  Request.m_Target = MirrorServer::ValuePath;
+  Request.m_Body = m_Codec.encodeSigned(Query.encode());
   auto Answer = exchange(From, std::move(Request), Yield);
   m_WasRefused = !Answer;
   if (!Answer)
-    return pauseRefused(m_Values);
+    return backOff(m_Values);
   auto Transfer = ValueTransfer::decode(*Answer);
   core::Duration Took = core::steadyNow() - Begin;
-  m_Mirror.supply({Key, patched(Key, Transfer), Transfer.m_Modified});
+  m_Mirror.supply({Key, applyTransfer(Key, Transfer), Transfer.m_Modified});
   core::LogLine("store-value-from-peer")
       .add("peer", From.toString())
       .add("key", Key)
@@ -203,8 +208,8 @@
       .add("took_us", Took);
 }
 
-std::string StoreFetcher::patched(const std::string &Key,
-                                  const ValueTransfer &Transfer) const {
+std::string MirrorFetcher::applyTransfer(const std::string &Key,
+                                         const ValueTransfer &Transfer) const {
   std::string_view Base;
   if (Transfer.m_Base != platform::Revision()) {
     const platform::Entry *Known = m_Mirror.find(Key);
@@ -213,25 +218,25 @@
       throw Error(ErrorKind::Conflict, "the patch is for another value");
     Base = Known->m_Value;
   }
-  return applyPatch(Base, Transfer.m_Patch, MostTransferBytes);
+  return applyPatch(Base, Transfer.m_Patch, MaxTransferBytes);
 }
 
-void StoreFetcher::pauseRefused(Lane &Which) {
+void MirrorFetcher::backOff(FetchState &Which) {
   m_Metrics.count("yardrill_peer_fetches_refused_total");
   std::uniform_int_distribution<std::int64_t> Pause(
-      core::Duration(LeastRefusedPause).count(),
-      core::Duration(MostRefusedPause).count());
-  Which.m_PausesUntil = core::steadyNow() + core::Duration(Pause(m_Random));
+      core::Duration(MinRefusalBackoff).count(),
+      core::Duration(MaxRefusalBackoff).count());
+  Which.m_RetryAt = core::steadyNow() + core::Duration(Pause(m_Random));
 }
 
-std::optional<std::string> StoreFetcher::exchange(const config::Endpoint &From,
-                                                  http::RequestMessage Request,
-                                                  asio::yield_context Yield) {
+std::optional<std::string> MirrorFetcher::exchange(const config::Endpoint &From,
+                                                   http::RequestMessage Request,
+                                                   asio::yield_context Yield) {
   auto Connection = http::ClientConnection::connect(m_Context, From.toTcp(),
                                                     FetchTimeout, Yield);
   Request.m_Headers.set("Host", From.toString());
   Connection->sendRequest(Request, FetchTimeout, Yield);
-  auto Answer = Connection->readWhole(FetchTimeout, MostTransferBytes, Yield);
+  auto Answer = Connection->readWhole(FetchTimeout, MaxTransferBytes, Yield);
   m_Metrics.count("yardrill_peer_transfer_bytes_received_total",
                   Answer.m_Body.size());
   // It is busy with others, or has not what its report will soon deny.
@@ -240,7 +245,7 @@
   if (Answer.m_Head.m_Status != 200)
     throw Error(ErrorKind::Unavailable,
                 "the peer answered " + std::to_string(Answer.m_Head.m_Status));
-  auto Payload = m_Codec.unseal(Answer.m_Body);
+  auto Payload = m_Codec.decodeSigned(Answer.m_Body);
   if (const auto *Reason = std::get_if<peer::DropReason>(&Payload))
     throw Error(ErrorKind::Protocol, peer::toString(*Reason));
   return std::string(std::get<std::string_view>(Payload));
--- a/Libraries/LibGateway/StoreFetcher.h
+++ b/Libraries/LibGateway/MirrorFetcher.h
@@ -1,10 +1,11 @@
-//===-- StoreFetcher.h - What the store said, from one instance to another ===//
-#ifndef YARDRILL_LIBGATEWAY_STOREFETCHER_H
-#define YARDRILL_LIBGATEWAY_STOREFETCHER_H
+//===-- MirrorFetcher.h - What the store said, from one instance to another
+//===//
+#ifndef YARDRILL_LIBGATEWAY_MIRRORFETCHER_H
+#define YARDRILL_LIBGATEWAY_MIRRORFETCHER_H
 
 #include "LibConfig/Endpoint.h"
 #include "LibCore/Time.h"
-#include "LibGateway/StoreServer.h"
+#include "LibGateway/MirrorServer.h"
 #include "LibHTTP/Message.h"
 #include "LibMetrics/MetricsRegistry.h"
 #include "LibPeer/PeerCodec.h"
@@ -21,10 +22,11 @@
 namespace yardrill::gateway {
 
 /// A peer that may be asked, as its last report described it.
-struct StoreHolder {
+struct FetchCandidate {
   config::Endpoint m_Address;
   platform::Revision m_Revision; ///< Of its mirror.
-  platform::Revision m_Whole;    ///< Up to which it has all values, too.
+  platform::Revision
+      m_CompleteRevision; ///< Up to which it has all values, too.
   /// In this instance's data hall.
   bool m_IsInSameHall = false;
 };
@@ -33,63 +35,63 @@
 /// behind: it is turned away by the store, does not follow it, or has just
 /// started. News of changes and large values are asked for apart, so that
 /// neither waits for the other.
-class StoreFetcher {
+class MirrorFetcher {
 public:
   /// Listens for TCP on \p Address.
   /// \param LinkBytesPerSecond of this instance's link.
   /// \throws core::Error of kind AddressInUse.
-  StoreFetcher(boost::asio::io_context &Context,
-               const config::Endpoint &Address, const peer::PeerCodec &Codec,
-               platform::StoreMirror &Mirror, metrics::MetricsRegistry &Metrics,
-               double LinkBytesPerSecond);
+  MirrorFetcher(boost::asio::io_context &Context,
+                const config::Endpoint &Address, const peer::PeerCodec &Codec,
+                platform::StoreMirror &Mirror,
+                metrics::MetricsRegistry &Metrics, double LinkBytesPerSecond);
 
   /// Asks some of those that are further on, if it is time to.
   /// \param Ahead peers that have what this instance has not.
   /// \param IsPatient the store itself will probably say the same soon.
-  void consider(const std::vector<StoreHolder> &Ahead, bool IsPatient,
-                core::TimePoint Now);
+  void fetchIfDue(const std::vector<FetchCandidate> &Ahead, bool IsPatient,
+                  core::TimePoint Now);
 
 private:
   /// Questions of one kind: one at a time.
-  struct Lane {
-    bool m_IsAsking = false;
+  struct FetchState {
+    bool m_IsFetching = false;
     core::TimePoint m_BehindSince{}; ///< Zero: is not behind.
-    core::TimePoint m_PausesUntil{}; ///< After a refusal.
+    core::TimePoint m_RetryAt{};     ///< After a refusal.
   };
-  using Holders = std::vector<StoreHolder>;
+  using Candidates = std::vector<FetchCandidate>;
 
-  void considerChanges(const Holders &Ahead, bool IsPatient,
+  void fetchChangesIfDue(const Candidates &Ahead, bool IsPatient,
+                         core::TimePoint Now);
+  void fetchValueIfDue(const Candidates &Ahead, bool IsPatient,
                        core::TimePoint Now);
-  void considerValues(const Holders &Ahead, bool IsPatient,
-                      core::TimePoint Now);
   /// One of \p From at random, of the own data hall if there is one. Not empty.
-  const StoreHolder &choose(const Holders &From);
+  const FetchCandidate &chooseSource(const Candidates &From);
   /// Notes that it is behind. \returns whether to ask now.
-  bool mustAsk(Lane &Which, bool IsPatient, core::TimePoint Now) const;
+  bool isFetchDue(FetchState &Which, bool IsPatient, core::TimePoint Now) const;
   /// Runs \p Question; a failure is logged and may be tried again.
-  void ask(Lane &Which, const config::Endpoint &From,
-           std::function<void(boost::asio::yield_context)> Question);
+  void startFetch(FetchState &Which, const config::Endpoint &From,
+                  std::function<void(boost::asio::yield_context)> Question);
   void fetchChanges(const config::Endpoint &From,
                     boost::asio::yield_context Yield);
   void fetchValue(const config::Endpoint &From, const std::string &Key,
                   boost::asio::yield_context Yield);
   /// \throws core::Error of kind Conflict when its base is not here any more.
-  std::string patched(const std::string &Key,
-                      const ValueTransfer &Transfer) const;
+  std::string applyTransfer(const std::string &Key,
+                            const ValueTransfer &Transfer) const;
   /// \returns what the peer answered, unsealed; none when it has not got it or
   /// is busy.
   std::optional<std::string> exchange(const config::Endpoint &From,
                                       http::RequestMessage Request,
                                       boost::asio::yield_context Yield);
-  void pauseRefused(Lane &Which);
+  void backOff(FetchState &Which);
 
   boost::asio::io_context &m_Context;
   const peer::PeerCodec &m_Codec;
   platform::StoreMirror &m_Mirror;
   metrics::MetricsRegistry &m_Metrics;
-  StoreServer m_Server;
-  Lane m_Changes;
-  Lane m_Values;
+  MirrorServer m_Server;
+  FetchState m_Changes;
+  FetchState m_Values;
   /// The last peer asked for a value refused: those that are nearest, and those
   /// that have the newest, may all be busy.
   bool m_WasRefused = false;
--- a/Libraries/LibGateway/StoreServer.cpp
+++ b/Libraries/LibGateway/MirrorServer.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/StoreServer.h"
+#include "LibGateway/MirrorServer.h"
 
 #include "LibCore/Error.h"
 
@@ -9,12 +9,12 @@
 
 namespace asio = boost::asio;
 
-StoreServer::StoreServer(asio::io_context &Context,
-                         const config::Endpoint &Address,
-                         const peer::PeerCodec &Codec,
-                         platform::StoreMirror &Mirror,
-                         metrics::MetricsRegistry &Metrics,
-                         double LinkBytesPerSecond)
+MirrorServer::MirrorServer(asio::io_context &Context,
+                           const config::Endpoint &Address,
+                           const peer::PeerCodec &Codec,
+                           platform::StoreMirror &Mirror,
+                           metrics::MetricsRegistry &Metrics,
+                           double LinkBytesPerSecond)
     : m_Codec(Codec), m_Mirror(Mirror), m_Metrics(Metrics),
       m_Uploads(LinkBytesPerSecond),
       m_Server(http::Server::create(
@@ -24,10 +24,11 @@
           },
           http::bareAnswer)) {
   m_Mirror.setReplacedHook(
-      [this](platform::Entry Old) { m_History.replaced(std::move(Old)); });
+      [this](platform::Entry Old) { m_History.addReplaced(std::move(Old)); });
 }
 
-http::ResponseMessage StoreServer::answer(const http::RequestMessage &Request) {
+http::ResponseMessage
+MirrorServer::answer(const http::RequestMessage &Request) {
   static const std::string Prefix = ChangesPath;
   const std::string &Target = Request.m_Target;
   if (Target == ValuePath)
@@ -46,38 +47,40 @@
   return platform::Revision(Value);
 }
 
-http::ResponseMessage StoreServer::answerChanges(const std::string &Since) {
+http::ResponseMessage MirrorServer::answerChanges(const std::string &Since) {
   auto After = toRevision(Since);
   if (!After)
     return http::bareAnswer(404);
-  StoreTransfer News = StoreTransfer::since(m_Mirror, *After);
+  MirrorUpdate News = MirrorUpdate::since(m_Mirror, *After);
   http::ResponseMessage Out = http::bareAnswer(200);
-  Out.m_Body = News.m_IsWhole ? wholeAnswer() : m_Codec.seal(News.encode());
-  if (Out.m_Body.size() > LargeValueBytes && !tryUpload(Out.m_Body.size()))
+  Out.m_Body =
+      News.m_IsSnapshot ? snapshotBody() : m_Codec.encodeSigned(News.encode());
+  if (Out.m_Body.size() > MaxInlineValueBytes && !tryUpload(Out.m_Body.size()))
     return http::bareAnswer(503);
   return Out;
 }
 
-const std::string &StoreServer::wholeAnswer() {
-  bool IsNewest = m_WholeAt == m_Mirror.revision() &&
-                  m_WholeUpTo == m_Mirror.wholeRevision();
-  if (!m_Whole.empty() && IsNewest)
-    return m_Whole;
-  m_Whole = m_Codec.seal(StoreTransfer::whole(m_Mirror).encode());
-  m_WholeAt = m_Mirror.revision();
-  m_WholeUpTo = m_Mirror.wholeRevision();
-  return m_Whole;
+const std::string &MirrorServer::snapshotBody() {
+  bool IsNewest = m_SnapshotRevision == m_Mirror.revision() &&
+                  m_SnapshotCompleteRevision == m_Mirror.wholeRevision();
+  if (!m_SnapshotBody.empty() && IsNewest)
+    return m_SnapshotBody;
+  m_SnapshotBody =
+      m_Codec.encodeSigned(MirrorUpdate::snapshot(m_Mirror).encode());
+  m_SnapshotRevision = m_Mirror.revision();
+  m_SnapshotCompleteRevision = m_Mirror.wholeRevision();
+  return m_SnapshotBody;
 }
 
-bool StoreServer::tryUpload(std::size_t Bytes) {
+bool MirrorServer::tryUpload(std::size_t Bytes) {
   if (m_Uploads.tryTake(Bytes, core::steadyNow()))
     return true;
   m_Metrics.count("yardrill_peer_uploads_refused_total");
   return false;
 }
 
-http::ResponseMessage StoreServer::answerValue(const std::string &Body) {
-  auto Payload = m_Codec.unseal(Body);
+http::ResponseMessage MirrorServer::answerValue(const std::string &Body) {
+  auto Payload = m_Codec.decodeSigned(Body);
   if (std::holds_alternative<peer::DropReason>(Payload))
     return http::bareAnswer(403);
   ValueQuery Query;
@@ -87,29 +90,30 @@
     return http::bareAnswer(400);
   }
   const platform::Entry *Known = m_Mirror.find(Query.m_Key);
-  if (!Known || !(Query.m_Held < Known->m_Modified))
+  if (!Known || !(Query.m_HeldRevision < Known->m_Modified))
     return http::bareAnswer(404);
-  PatchHandle Found = m_History.patch(*Known, Query.m_Held);
+  CachedPatch Found = m_History.patch(*Known, Query.m_HeldRevision);
   if (!tryUpload(Found.m_Patch->size()))
     return http::bareAnswer(503);
-  return sealed(
+  return signedResponse(
       ValueTransfer{Known->m_Modified, Found.m_Base, *Found.m_Patch}.encode());
 }
 
-http::ResponseMessage StoreServer::sealed(std::string_view Payload) const {
+http::ResponseMessage
+MirrorServer::signedResponse(std::string_view Payload) const {
   http::ResponseMessage Out = http::bareAnswer(200);
-  Out.m_Body = m_Codec.seal(Payload);
+  Out.m_Body = m_Codec.encodeSigned(Payload);
   return Out;
 }
 
-void StoreServer::setOpen(std::size_t Value) {
+void MirrorServer::setOpen(std::size_t Value) {
   m_Open = Value;
   m_Metrics.setGauge("yardrill_peer_transfers_open",
                      static_cast<double>(Value));
 }
 
-void StoreServer::send(http::Exchange &Call, http::ResponseMessage Answer,
-                       asio::yield_context Yield) {
+void MirrorServer::send(http::Exchange &Call, http::ResponseMessage Answer,
+                        asio::yield_context Yield) {
   m_Metrics.count("yardrill_peer_transfer_bytes_sent_total",
                   Answer.m_Body.size());
   setOpen(m_Open + 1);
--- a/Libraries/LibGateway/StoreServer.h
+++ b/Libraries/LibGateway/MirrorServer.h
@@ -1,14 +1,15 @@
-//===-- StoreServer.h - Tells other instances what the store said ---------===//
+//===-- MirrorServer.h - Tells other instances what the store said
+//---------===//
 //
 // Two questions, by HTTP: what changed since a revision, and what a large value
 // is now. Answers, and questions for values, are sealed with the peers' key.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBGATEWAY_STORESERVER_H
-#define YARDRILL_LIBGATEWAY_STORESERVER_H
+#ifndef YARDRILL_LIBGATEWAY_MIRRORSERVER_H
+#define YARDRILL_LIBGATEWAY_MIRRORSERVER_H
 
 #include "LibConfig/Endpoint.h"
-#include "LibGateway/StoreTransfer.h"
+#include "LibGateway/MirrorUpdate.h"
 #include "LibGateway/UploadBudget.h"
 #include "LibGateway/ValueHistory.h"
 #include "LibHTTP/Server.h"
@@ -21,7 +22,7 @@
 
 namespace yardrill::gateway {
 
-class StoreServer {
+class MirrorServer {
 public:
   /// Followed by the revision that the asking instance has. Answered 503 when
   /// the answer is large and others are being sent theirs.
@@ -34,18 +35,19 @@
   /// Listens for TCP on \p Address.
   /// \param LinkBytesPerSecond of this instance's link.
   /// \throws core::Error of kind AddressInUse.
-  StoreServer(boost::asio::io_context &Context, const config::Endpoint &Address,
-              const peer::PeerCodec &Codec, platform::StoreMirror &Mirror,
-              metrics::MetricsRegistry &Metrics, double LinkBytesPerSecond);
+  MirrorServer(boost::asio::io_context &Context,
+               const config::Endpoint &Address, const peer::PeerCodec &Codec,
+               platform::StoreMirror &Mirror, metrics::MetricsRegistry &Metrics,
+               double LinkBytesPerSecond);
 
 private:
   http::ResponseMessage answer(const http::RequestMessage &Request);
   http::ResponseMessage answerChanges(const std::string &Since);
   /// The answer to whoever needs everything; made once for each revision. All
   /// instances of a fleet that starts ask for it within a second.
-  const std::string &wholeAnswer();
+  const std::string &snapshotBody();
   http::ResponseMessage answerValue(const std::string &Body);
-  http::ResponseMessage sealed(std::string_view Payload) const;
+  http::ResponseMessage signedResponse(std::string_view Payload) const;
   /// Whether the link bears \p Bytes more now; counts a refusal.
   bool tryUpload(std::size_t Bytes);
   /// Counts what a peer is sent. \throws core::Error when the peer is gone.
@@ -58,9 +60,10 @@
   metrics::MetricsRegistry &m_Metrics;
   ValueHistory m_History;
   UploadBudget m_Uploads;
-  std::string m_Whole;            ///< See wholeAnswer(); empty: none yet.
-  platform::Revision m_WholeAt;   ///< Of the mirror, when it was made.
-  platform::Revision m_WholeUpTo; ///< The mirror's wholeRevision() then.
+  std::string m_SnapshotBody; ///< See snapshotBody(); empty: none yet.
+  platform::Revision m_SnapshotRevision; ///< Of the mirror, when it was made.
+  platform::Revision
+      m_SnapshotCompleteRevision; ///< The mirror's wholeRevision() then.
   std::size_t m_Open = 0;         ///< Answers under way.
   std::unique_ptr<http::Server> m_Server;
 };
--- a/Libraries/LibGateway/StoreTransfer.cpp
+++ b/Libraries/LibGateway/MirrorUpdate.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/StoreTransfer.h"
+#include "LibGateway/MirrorUpdate.h"
 
 #include "LibCore/Error.h"
 #include "LibGateway/ValuePatch.h"
@@ -20,7 +20,7 @@
 
 namespace yardrill::gateway {
 
-static void detachLarge(std::vector<platform::Entry> &Entries) {
+static void detachLargeValues(std::vector<platform::Entry> &Entries) {
   for (platform::Entry &Each : Entries) {
     if (!isLargeValue(Each.m_Value))
       continue;
@@ -29,29 +29,29 @@
   }
 }
 
-StoreTransfer StoreTransfer::since(const platform::StoreMirror &Mirror,
-                                   platform::Revision After) {
-  StoreTransfer Out;
+MirrorUpdate MirrorUpdate::since(const platform::StoreMirror &Mirror,
+                                 platform::Revision After) {
+  MirrorUpdate Out;
   Out.m_At = Mirror.revision();
   auto Changes = Mirror.changesSince(After);
-  Out.m_IsWhole = !Changes;
+  Out.m_IsSnapshot = !Changes;
   if (Changes)
     Out.m_Entries = std::move(*Changes);
-  detachLarge(Out.m_Entries);
+  detachLargeValues(Out.m_Entries);
   return Out;
 }
 
-StoreTransfer StoreTransfer::whole(const platform::StoreMirror &Mirror) {
-  StoreTransfer Out;
+MirrorUpdate MirrorUpdate::snapshot(const platform::StoreMirror &Mirror) {
+  MirrorUpdate Out;
   Out.m_At = Mirror.revision();
-  Out.m_IsWhole = true;
+  Out.m_IsSnapshot = true;
   Out.m_Entries = Mirror.content();
-  detachLarge(Out.m_Entries);
+  detachLargeValues(Out.m_Entries);
   return Out;
 }
 
-void StoreTransfer::applyTo(platform::StoreMirror &Mirror) const {
-  if (m_IsWhole)
+void MirrorUpdate::applyTo(platform::StoreMirror &Mirror) const {
+  if (m_IsSnapshot)
     Mirror.replaceAll(m_At, m_Entries);
   else
     Mirror.apply(m_At, m_Entries);
@@ -78,12 +78,12 @@
   return Out;
 }
 
-template <class Archive> static void serialize(Archive &Ar, StoreTransfer &M) {
-  Ar(M.m_At, M.m_IsWhole, M.m_Entries);
+template <class Archive> static void serialize(Archive &Ar, MirrorUpdate &M) {
+  Ar(M.m_At, M.m_IsSnapshot, M.m_Entries);
 }
 
 template <class Archive> static void serialize(Archive &Ar, ValueQuery &M) {
-  Ar(M.m_Key, M.m_Held);
+  Ar(M.m_Key, M.m_HeldRevision);
 }
 
 template <class Archive> static void serialize(Archive &Ar, ValueTransfer &M) {
@@ -94,25 +94,25 @@
 static constexpr char Plain = 'p';
 static constexpr char Compressed = 'z';
 /// Below this a compressed text is hardly shorter, and costs some 20 us.
-static constexpr std::size_t LeastCompressed = 1024;
-static constexpr std::size_t MostDecodedBytes = 64UL * 1024 * 1024;
+static constexpr std::size_t MinCompressedBytes = 1024;
+static constexpr std::size_t MaxDecodedBytes = 64UL * 1024 * 1024;
 
-std::string StoreTransfer::encode() const {
+std::string MirrorUpdate::encode() const {
   std::string Text = encoded(*this);
   // The announcements of 3,000 targets: 0.9 MB, compressed 0.1 MB.
-  if (Text.size() >= LeastCompressed)
+  if (Text.size() >= MinCompressedBytes)
     return Compressed + makePatch({}, Text);
   return Plain + Text;
 }
 
-StoreTransfer StoreTransfer::decode(std::string_view Text) {
+MirrorUpdate MirrorUpdate::decode(std::string_view Text) {
   if (Text.empty() || (Text.front() != Plain && Text.front() != Compressed))
     throw core::Error(core::ErrorKind::Protocol, "not a transfer");
   bool IsCompressed = Text.front() == Compressed;
   Text.remove_prefix(1);
   if (!IsCompressed)
-    return decoded<StoreTransfer>(Text);
-  return decoded<StoreTransfer>(applyPatch({}, Text, MostDecodedBytes));
+    return decoded<MirrorUpdate>(Text);
+  return decoded<MirrorUpdate>(applyPatch({}, Text, MaxDecodedBytes));
 }
 
 std::string ValueQuery::encode() const { return encoded(*this); }
--- a/Libraries/LibGateway/StoreTransfer.h
+++ b/Libraries/LibGateway/MirrorUpdate.h
@@ -1,6 +1,6 @@
-//===-- StoreTransfer.h - What one instance's mirror tells another's ------===//
-#ifndef YARDRILL_LIBGATEWAY_STORETRANSFER_H
-#define YARDRILL_LIBGATEWAY_STORETRANSFER_H
+//===-- MirrorUpdate.h - What one instance's mirror tells another's ------===//
+#ifndef YARDRILL_LIBGATEWAY_MIRRORUPDATE_H
+#define YARDRILL_LIBGATEWAY_MIRRORUPDATE_H
 
 #include "LibPlatform/StoreMirror.h"
 
@@ -13,35 +13,37 @@
 /// Values above this size are not sent with the news of their change, but on
 /// request and apart from it: news of a target, under a kilobyte, must not wait
 /// behind half a megabyte (5 s over a link of 0.1 MB/s; 0.1 s since).
-constexpr std::size_t LargeValueBytes = 16384;
+constexpr std::size_t MaxInlineValueBytes = 16384;
 
 inline bool isLargeValue(const std::string &Value) {
-  return Value.size() > LargeValueBytes;
+  return Value.size() > MaxInlineValueBytes;
 }
 
 /// What changed, with all values that are not large.
-struct StoreTransfer {
+struct MirrorUpdate {
   platform::Revision m_At;
-  bool m_IsWhole = false; ///< All entries; otherwise changes since one asked.
+  bool m_IsSnapshot =
+      false; ///< All entries; otherwise changes since one asked.
   std::vector<platform::Entry> m_Entries;
 
   /// What changed in \p Mirror after \p After. Where that is not kept any more
   /// the transfer must be whole(): it says so and has no entries.
-  static StoreTransfer since(const platform::StoreMirror &Mirror,
-                             platform::Revision After);
-  static StoreTransfer whole(const platform::StoreMirror &Mirror);
+  static MirrorUpdate since(const platform::StoreMirror &Mirror,
+                            platform::Revision After);
+  static MirrorUpdate snapshot(const platform::StoreMirror &Mirror);
   void applyTo(platform::StoreMirror &Mirror) const;
 
   /// cereal's portable binary form, compressed where that is worth it.
   std::string encode() const;
   /// \throws core::Error of kind Protocol, or LimitExceeded.
-  static StoreTransfer decode(std::string_view Text);
+  static MirrorUpdate decode(std::string_view Text);
 };
 
 /// Asks for a large value.
 struct ValueQuery {
   std::string m_Key;
-  platform::Revision m_Held; ///< Of the older value that is here; 0: none.
+  platform::Revision
+      m_HeldRevision; ///< Of the older value that is here; 0: none.
 
   std::string encode() const;
   /// \throws core::Error of kind Protocol.
--- a/Libraries/LibGateway/PeerTable.cpp
+++ b/Libraries/LibGateway/PeerTable.cpp
@@ -9,25 +9,26 @@
 
 /// Silence after which a near peer counts as gone: several lost reports in a
 /// row.
-static constexpr std::chrono::milliseconds NearSilence{700};
+static constexpr std::chrono::milliseconds GroupPeerTimeout{700};
 /// Far peers report rarely; several reports may be lost.
-static constexpr std::chrono::seconds FarSilence{10};
-static constexpr std::chrono::seconds LookPeriod{1};
+static constexpr std::chrono::seconds OtherGroupPeerTimeout{10};
+static constexpr std::chrono::seconds ScanPeriod{1};
 /// A far peer that follows the store reports every second.
-static constexpr std::chrono::milliseconds FollowerSilence{2500};
-static constexpr std::size_t MostPeers = 1024;
+static constexpr std::chrono::milliseconds FollowerTimeout{2500};
+static constexpr std::size_t MaxPeers = 1024;
 
 PeerTable::PeerTable(const config::Endpoint &Self)
-    : m_SelfHash(orderOf(Self)), m_Directory(MostPeers, FarSilence) {}
+    : m_SelfHash(followerOrder(Self)),
+      m_Directory(MaxPeers, OtherGroupPeerTimeout) {}
 
-std::uint64_t PeerTable::orderOf(const config::Endpoint &Address) {
+std::uint64_t PeerTable::followerOrder(const config::Endpoint &Address) {
   return core::stableHash(Address.toString());
 }
 
 std::optional<config::Endpoint> PeerTable::firstFollower() const {
   if (m_Followers.empty())
     return std::nullopt;
-  return m_Peers.at(m_Followers.begin()->second).m_Home.m_Peer;
+  return m_Peers.at(m_Followers.begin()->second).m_Instance.m_Peer;
 }
 
 const LivePeer *PeerTable::find(core::IncarnationId Peer) const {
@@ -35,16 +36,16 @@
   return Found == m_Peers.end() ? nullptr : &Found->second;
 }
 
-PeerTable::Taken PeerTable::take(const peer::PeerMessage &Message,
-                                 const peer::LoadReport &Report,
-                                 core::TimePoint Now,
-                                 std::int64_t NowWallSeconds) {
+PeerTable::ReportResult PeerTable::handle(const peer::PeerMessage &Message,
+                                          const peer::LoadReport &Report,
+                                          core::TimePoint Now,
+                                          std::int64_t NowWallSeconds) {
   core::IncarnationId From = Message.m_From.m_Incarnation;
   auto Known = m_Peers.find(From);
   bool IsNew = Known == m_Peers.end() || Known->second.m_IsSilent;
   if (IsNew && !Report.m_IsFull)
     return {}; // A full one comes soon.
-  auto Dropped = m_Directory.heard(Message, Now, NowWallSeconds);
+  auto Dropped = m_Directory.accept(Message, Now, NowWallSeconds);
   if (Dropped)
     return {Dropped, false};
   if (Known == m_Peers.end()) {
@@ -54,21 +55,21 @@
       remove(Earlier->second);
     Known = m_Peers.emplace(From, LivePeer()).first;
     LivePeer &Added = Known->second;
-    Added.m_Home = Message.m_From;
-    Added.m_AddressHash = orderOf(Message.m_From.m_Peer);
+    Added.m_Instance = Message.m_From;
+    Added.m_AddressHash = followerOrder(Message.m_From.m_Peer);
     m_ByAddress[Message.m_From.m_Peer] = From;
     m_IsFleetChanged = true;
-    rebuildNear();
+    rebuildGroupPeers();
   }
   Known->second.m_HeardAt = Now;
   Known->second.m_IsSilent = false;
-  adopt(Known->second, Report);
+  applyReport(Known->second, Report);
   return {std::nullopt, IsNew};
 }
 
-void PeerTable::adopt(LivePeer &Which, const peer::LoadReport &Report) {
+void PeerTable::applyReport(LivePeer &Which, const peer::LoadReport &Report) {
   std::pair<std::uint64_t, core::IncarnationId> Place(
-      Which.m_AddressHash, Which.m_Home.m_Incarnation);
+      Which.m_AddressHash, Which.m_Instance.m_Incarnation);
   if (Report.m_IsFull) {
     m_IsFleetChanged =
         m_IsFleetChanged || Which.m_Report.m_DataHall != Report.m_DataHall;
@@ -81,7 +82,8 @@
   else
     m_Followers.erase(Place);
   m_NewestRevision = std::max(m_NewestRevision, Report.m_StoreRevision);
-  m_NewestWhole = std::max(m_NewestWhole, Report.m_WholeRevision);
+  m_NewestCompleteRevision =
+      std::max(m_NewestCompleteRevision, Report.m_CompleteRevision);
 }
 
 std::optional<peer::DropReason>
@@ -89,7 +91,7 @@
                  std::int64_t NowWallSeconds) {
   if (m_Peers.count(Message.m_From.m_Incarnation) == 0)
     return std::nullopt;
-  return m_Directory.heard(Message, Now, NowWallSeconds);
+  return m_Directory.accept(Message, Now, NowWallSeconds);
 }
 
 void PeerTable::remove(core::IncarnationId Peer) {
@@ -97,7 +99,7 @@
   if (Found == m_Peers.end())
     return;
   m_Followers.erase({Found->second.m_AddressHash, Peer});
-  auto Named = m_ByAddress.find(Found->second.m_Home.m_Peer);
+  auto Named = m_ByAddress.find(Found->second.m_Instance.m_Peer);
   if (Named != m_ByAddress.end() && Named->second == Peer)
     m_ByAddress.erase(Named);
   m_Peers.erase(Found);
@@ -106,50 +108,50 @@
 
 std::vector<LivePeer> PeerTable::expire(core::TimePoint Now) {
   std::vector<LivePeer> Silent;
-  for (core::IncarnationId Near : m_NearPeers) {
+  for (core::IncarnationId Near : m_GroupPeers) {
     LivePeer &Each = m_Peers.at(Near);
-    if (Each.m_IsSilent || Now - Each.m_HeardAt <= NearSilence)
+    if (Each.m_IsSilent || Now - Each.m_HeardAt <= GroupPeerTimeout)
       continue;
     Silent.push_back(Each);
     Each.m_IsSilent = true;
     m_Followers.erase({Each.m_AddressHash, Near});
   }
   for (auto Each = m_Followers.begin(); Each != m_Followers.end();) {
-    bool IsHeard = Now - m_Peers.at(Each->second).m_HeardAt <= FollowerSilence;
+    bool IsHeard = Now - m_Peers.at(Each->second).m_HeardAt <= FollowerTimeout;
     Each = IsHeard ? std::next(Each) : m_Followers.erase(Each);
   }
-  if (Now - m_LookedAt <= LookPeriod)
+  if (Now - m_LastScanAt <= ScanPeriod)
     return Silent;
-  m_LookedAt = Now;
+  m_LastScanAt = Now;
   for (const peer::KnownPeer &Each : m_Directory.expire(Now)) {
-    auto Gone = m_Peers.find(Each.m_Home.m_Incarnation);
+    auto Gone = m_Peers.find(Each.m_Instance.m_Incarnation);
     if (Gone == m_Peers.end())
       continue;
     if (!Gone->second.m_IsSilent)
       Silent.push_back(Gone->second);
-    remove(Each.m_Home.m_Incarnation);
-    rebuildNear();
+    remove(Each.m_Instance.m_Incarnation);
+    rebuildGroupPeers();
   }
   return Silent;
 }
 
 void PeerTable::setSubset(const routing::FleetSubset &Share) {
   m_Subset = Share;
-  rebuildNear();
+  rebuildGroupPeers();
 }
 
-void PeerTable::rebuildNear() {
-  m_NearPeers.clear();
+void PeerTable::rebuildGroupPeers() {
+  m_GroupPeers.clear();
   for (auto &[Incarnation, Each] : m_Peers) {
-    Each.m_IsNear = m_Subset.isGroupPeer(Each.m_Home.m_Peer);
-    if (Each.m_IsNear)
-      m_NearPeers.push_back(Incarnation);
+    Each.m_IsGroupPeer = m_Subset.isGroupPeer(Each.m_Instance.m_Peer);
+    if (Each.m_IsGroupPeer)
+      m_GroupPeers.push_back(Incarnation);
   }
 }
 
-std::vector<const LivePeer *> PeerTable::nearPeers() const {
+std::vector<const LivePeer *> PeerTable::groupPeers() const {
   std::vector<const LivePeer *> Out;
-  for (core::IncarnationId Near : m_NearPeers) {
+  for (core::IncarnationId Near : m_GroupPeers) {
     const LivePeer &Each = m_Peers.at(Near);
     if (!Each.m_IsSilent)
       Out.push_back(&Each);
@@ -157,7 +159,7 @@
   return Out;
 }
 
-bool PeerTable::takeFleetChange() {
+bool PeerTable::consumeFleetChange() {
   bool Out = m_IsFleetChanged;
   m_IsFleetChanged = false;
   return Out;
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -22,11 +22,11 @@
 namespace yardrill::gateway {
 
 struct LivePeer {
-  decision::Home m_Home;
+  decision::Home m_Instance;
   peer::LoadReport m_Report; ///< The newest, complete.
   core::TimePoint m_HeardAt{};
   std::uint64_t m_AddressHash = 0;
-  bool m_IsNear = false; ///< Of this instance's group.
+  bool m_IsGroupPeer = false; ///< Of this instance's group.
   /// A near one whose last reports are missing; what it said does not hold any
   /// more. It stays a member of its group for as long as the others know it.
   bool m_IsSilent = false;
@@ -40,13 +40,14 @@
   explicit PeerTable(const config::Endpoint &Self);
 
   /// What became of a report.
-  struct Taken {
+  struct ReportResult {
     std::optional<peer::DropReason> m_Dropped;
     bool m_IsNew = false; ///< Of a peer that was not live until now.
   };
   /// A short report of a peer that is not live is passed over.
-  Taken take(const peer::PeerMessage &Message, const peer::LoadReport &Report,
-             core::TimePoint Now, std::int64_t NowWallSeconds);
+  ReportResult handle(const peer::PeerMessage &Message,
+                      const peer::LoadReport &Report, core::TimePoint Now,
+                      std::int64_t NowWallSeconds);
   /// Checks a message that is no report; one of an unknown peer is let through.
   std::optional<peer::DropReason> check(const peer::PeerMessage &Message,
                                         core::TimePoint Now,
@@ -62,14 +63,14 @@
     return m_ByAddress.count(Address) != 0;
   }
   /// Place of an address in the order by which instances follow the store.
-  static std::uint64_t orderOf(const config::Endpoint &Address);
+  static std::uint64_t followerOrder(const config::Endpoint &Address);
   /// The peer that comes first in that duty, of those that are heard to do it.
   std::optional<config::Endpoint> firstFollower() const;
   /// What the group's others said last; silent ones are left out.
-  std::vector<const LivePeer *> nearPeers() const;
+  std::vector<const LivePeer *> groupPeers() const;
   /// \returns whether a peer came, went or changed its data hall since the last
   /// call.
-  bool takeFleetChange();
+  bool consumeFleetChange();
 
   /// Peers that follow the store, and how many of them come before this
   /// instance in that duty.
@@ -77,25 +78,27 @@
   std::size_t followersBefore() const;
   /// The furthest that any peer may have come with the store.
   std::int64_t newestRevision() const { return m_NewestRevision; }
-  std::int64_t newestWholeRevision() const { return m_NewestWhole; }
+  std::int64_t newestCompleteRevision() const {
+    return m_NewestCompleteRevision;
+  }
 
 private:
-  void adopt(LivePeer &Which, const peer::LoadReport &Report);
+  void applyReport(LivePeer &Which, const peer::LoadReport &Report);
   void remove(core::IncarnationId Peer);
-  void rebuildNear();
+  void rebuildGroupPeers();
 
   /// By a hash, so that followers lie in several data halls.
   std::uint64_t m_SelfHash;
   peer::PeerDirectory m_Directory;
   Peers m_Peers;
   std::map<config::Endpoint, core::IncarnationId> m_ByAddress;
-  std::vector<core::IncarnationId> m_NearPeers;
+  std::vector<core::IncarnationId> m_GroupPeers;
   routing::FleetSubset m_Subset;
   std::set<std::pair<std::uint64_t, core::IncarnationId>> m_Followers;
   std::int64_t m_NewestRevision = 0;
-  std::int64_t m_NewestWhole = 0;
+  std::int64_t m_NewestCompleteRevision = 0;
   bool m_IsFleetChanged = true;
-  core::TimePoint m_LookedAt{}; ///< At all of them.
+  core::TimePoint m_LastScanAt{}; ///< At all of them.
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/PoolRollout.cpp
+++ b/Libraries/LibGateway/PoolRollout.cpp
@@ -7,7 +7,7 @@
 
 /// How long one part of the targets is tried. Longer turns leave versions that
 /// are slow as a whole unnoticed for longer: few targets were seen.
-static constexpr std::chrono::seconds TurnTime{1};
+static constexpr std::chrono::seconds CanaryTurnPeriod{1};
 /// The clock of who wrote a record may differ by some seconds; only a process
 /// that started after the order learns its age from there.
 static constexpr std::chrono::seconds WallTolerance{3};
@@ -40,7 +40,7 @@
     m_Member->learnAge(Age, Now);
 }
 
-bool PoolRollout::isOfOrder() const {
+bool PoolRollout::isStatusCurrent() const {
   return m_Order && m_Status && m_Record &&
          m_Record->m_Order == m_Order->m_Id &&
          m_Status->m_Version == m_Order->m_Version;
@@ -49,12 +49,12 @@
 bool PoolRollout::isActive() const {
   if (!m_Order)
     return false;
-  return !isOfOrder() || m_Status->m_State == State::InProgress;
+  return !isStatusCurrent() || m_Status->m_State == State::InProgress;
 }
 
 bool PoolRollout::mustWrite() const {
   if (m_Order)
-    return !isOfOrder();
+    return !isStatusCurrent();
   return m_Status && m_Status->m_State == State::InProgress;
 }
 
@@ -79,8 +79,8 @@
 }
 
 rollout::Record
-PoolRollout::endRecord(const rollout::Decision &End,
-                       std::set<core::TargetVersion> OldVersions) const {
+PoolRollout::finalRecord(const rollout::Decision &End,
+                         std::set<core::TargetVersion> OldVersions) const {
   rollout::Record Out = *m_Record;
   if (End.m_State == State::RolledBack)
     Out.m_Excluded.insert(m_Order->m_Version);
@@ -123,7 +123,7 @@
 }
 
 std::size_t PoolRollout::canaryTurn(core::TimePoint Now) const {
-  return static_cast<std::size_t>(m_Member->age(Now) / TurnTime);
+  return static_cast<std::size_t>(m_Member->age(Now) / CanaryTurnPeriod);
 }
 
 double PoolRollout::canaryShare() const { return m_Member->share(); }
--- a/Libraries/LibGateway/PoolRollout.h
+++ b/Libraries/LibGateway/PoolRollout.h
@@ -37,8 +37,8 @@
   rollout::Status nextStatus() const;
   rollout::Record nextRecord(std::int64_t WallSeconds) const;
   /// The record of an order that ends so. \param OldVersions of targets there.
-  rollout::Record endRecord(const rollout::Decision &End,
-                            std::set<core::TargetVersion> OldVersions) const;
+  rollout::Record finalRecord(const rollout::Decision &End,
+                              std::set<core::TargetVersion> OldVersions) const;
 
   const core::PoolName &pool() const { return m_Pool; }
   const std::optional<rollout::Order> &order() const { return m_Order; }
@@ -57,7 +57,7 @@
 
 private:
   const std::set<core::TargetVersion> &excluded() const;
-  bool isOfOrder() const;
+  bool isStatusCurrent() const;
 
   core::PoolName m_Pool;
   std::optional<rollout::Order> m_Order;
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -14,7 +14,7 @@
 static constexpr std::chrono::milliseconds WritePeriod{500};
 /// Other instances that are told at a time of what the store does not hold:
 /// after as many rounds as the fleet's size has digits, all have heard it.
-static constexpr std::size_t SomeOthers = 2;
+static constexpr std::size_t GossipFanout = 2;
 
 QuarantineService::QuarantineService(boost::asio::io_context &Context,
                                      platform::KeyValueService &Store,
@@ -26,10 +26,10 @@
 quarantine::MemberHooks QuarantineService::memberHooks() {
   quarantine::MemberHooks Out;
   Out.m_TellAll = [this](const std::vector<Observation> &Seen) {
-    tell(Seen, m_Hooks.m_Others());
+    sendTo(Seen, m_Hooks.m_Others());
   };
   Out.m_TellSome = [this](const std::vector<Observation> &Seen) {
-    tellSome(Seen);
+    sendToSample(Seen);
   };
   Out.m_Changed = [this](const ContentDigest &Content, bool IsQuarantined) {
     core::LogLine(IsQuarantined ? "content-quarantined" : "content-released",
@@ -56,37 +56,39 @@
 }
 
 void QuarantineService::handle(const peer::PeerMessage &Message) {
-  const auto *Told = std::get_if<peer::SeenEnds>(&Message.m_Body);
+  const auto *Told = std::get_if<peer::QuarantineUpdate>(&Message.m_Body);
   if (!Told)
     return;
   std::vector<Observation> Seen;
-  for (const peer::SeenEnd &Each : Told->m_Ends)
+  for (const peer::QuarantineObservation &Each : Told->m_Observations)
     Seen.push_back({{Each.m_ContentHigh, Each.m_ContentLow},
                     Each.m_Incarnation,
                     Each.m_IsExcused});
   m_Member.merge(Seen, core::steadyNow());
 }
 
-void QuarantineService::tell(const std::vector<Observation> &Seen,
-                             const std::vector<config::Endpoint> &To) {
+void QuarantineService::sendTo(const std::vector<Observation> &Seen,
+                               const std::vector<config::Endpoint> &To) {
   for (std::size_t First = 0; First < Seen.size();
-       First += peer::SeenEnds::Most) {
-    peer::SeenEnds Body;
-    std::size_t End = std::min(Seen.size(), First + peer::SeenEnds::Most);
+       First += peer::QuarantineUpdate::MaxObservations) {
+    peer::QuarantineUpdate Body;
+    std::size_t End =
+        std::min(Seen.size(), First + peer::QuarantineUpdate::MaxObservations);
     for (std::size_t I = First; I < End; ++I)
-      Body.m_Ends.push_back({Seen[I].m_Content.m_High, Seen[I].m_Content.m_Low,
-                             Seen[I].m_Incarnation, Seen[I].m_IsExcused});
+      Body.m_Observations.push_back(
+          {Seen[I].m_Content.m_High, Seen[I].m_Content.m_Low,
+           Seen[I].m_Incarnation, Seen[I].m_IsExcused});
     for (const config::Endpoint &Each : To)
       m_Hooks.m_Send(Each, Body);
   }
 }
 
-void QuarantineService::tellSome(const std::vector<Observation> &Seen) {
+void QuarantineService::sendToSample(const std::vector<Observation> &Seen) {
   std::vector<config::Endpoint> Others = m_Hooks.m_Others();
   std::vector<config::Endpoint> Drawn;
   std::sample(Others.begin(), Others.end(), std::back_inserter(Drawn),
-              SomeOthers, m_Random);
-  tell(Seen, Drawn);
+              GossipFanout, m_Random);
+  sendTo(Seen, Drawn);
 }
 
 void QuarantineService::applyEntry(const platform::Entry &Change) {
@@ -96,7 +98,7 @@
 
 void QuarantineService::upkeep(core::TimePoint Now) {
   m_Member.upkeep(Now);
-  if (!m_Hooks.m_IsKeeper())
+  if (!m_Hooks.m_IsRecordWriter())
     return;
   std::string Text = m_Member.recordText();
   if (Text != m_Record.text())
--- a/Libraries/LibGateway/QuarantineService.h
+++ b/Libraries/LibGateway/QuarantineService.h
@@ -19,7 +19,7 @@
   /// Peer addresses of all other instances.
   std::function<std::vector<config::Endpoint>()> m_Others;
   /// Whether it is this instance's to write to the store.
-  std::function<bool()> m_IsKeeper;
+  std::function<bool()> m_IsRecordWriter;
 };
 
 /// The quarantine's member of this process, with its messages, its entry in the
@@ -49,7 +49,9 @@
 
   /// Takes a message of another instance.
   void handle(const peer::PeerMessage &Message);
-  bool isItsKey(const std::string &Key) const { return m_Record.isItsKey(Key); }
+  bool isRecordKey(const std::string &Key) const {
+    return m_Record.isRecordKey(Key);
+  }
   /// Takes in what the store says.
   void applyEntry(const platform::Entry &Change);
   /// Sends and writes what is due. To be called a few times a second.
@@ -57,9 +59,9 @@
 
 private:
   quarantine::MemberHooks memberHooks();
-  void tell(const std::vector<quarantine::Observation> &Seen,
-            const std::vector<config::Endpoint> &To);
-  void tellSome(const std::vector<quarantine::Observation> &Seen);
+  void sendTo(const std::vector<quarantine::Observation> &Seen,
+              const std::vector<config::Endpoint> &To);
+  void sendToSample(const std::vector<quarantine::Observation> &Seen);
 
   QuarantineHooks m_Hooks;
   quarantine::Member m_Member;
--- a/Libraries/LibGateway/QuotaDesk.cpp
+++ b/Libraries/LibGateway/QuotaProtocol.cpp
@@ -1,21 +1,22 @@
-#include "LibGateway/QuotaDesk.h"
+#include "LibGateway/QuotaProtocol.h"
 
 namespace yardrill::gateway {
 
 using routing::QuotaVerdict;
 
 /// An answer that has not come by then never comes.
-static constexpr std::chrono::seconds LongestWay{2};
+static constexpr std::chrono::seconds MaxResponseDelay{2};
 
-std::uint64_t QuotaDesk::expect(const config::Endpoint &Owner,
-                                routing::AccountHash Account, Receiver Answered,
-                                core::TimePoint Now) {
-  std::uint64_t Number = m_Next++;
+std::uint64_t QuotaProtocol::expect(const config::Endpoint &Owner,
+                                    routing::AccountHash Account,
+                                    ResponseHandler Answered,
+                                    core::TimePoint Now) {
+  std::uint64_t Number = m_NextRequestId++;
   m_Pending[Number] = {Owner, Account, Now, std::move(Answered)};
   return Number;
 }
 
-void QuotaDesk::sendCharges(core::TimePoint Now) {
+void QuotaProtocol::sendCharges(core::TimePoint Now) {
   for (const routing::QuotaCharge &Each : m_Book.takeCharges()) {
     auto Taken = [this, Each](const routing::QuotaResponse &Answer) {
       if (Answer.m_Verdict == QuotaVerdict::Granted)
@@ -29,8 +30,8 @@
   }
 }
 
-void QuotaDesk::ask(const routing::QuotaAcquisition &Draw, Receiver Answered,
-                    core::TimePoint Now) {
+void QuotaProtocol::ask(const routing::QuotaAcquisition &Draw,
+                        ResponseHandler Answered, core::TimePoint Now) {
   const config::Endpoint &Owner = Draw.m_RemainingOwners.back();
   std::uint64_t Number =
       expect(Owner, Draw.m_Account, std::move(Answered), Now);
@@ -39,8 +40,8 @@
          peer::QuotaRequest{Number, Draw.m_Account, Draw.m_Tokens, 0, false});
 }
 
-routing::QuotaResponse QuotaDesk::answerTo(const peer::QuotaRequest &Ask,
-                                           core::TimePoint Now) {
+routing::QuotaResponse QuotaProtocol::answerTo(const peer::QuotaRequest &Ask,
+                                               core::TimePoint Now) {
   if (!Ask.m_IsCharge)
     return m_Book.handleRequest({Ask.m_Account, Ask.m_Tokens, Ask.m_Returned},
                                 Now);
@@ -50,8 +51,8 @@
   return Out;
 }
 
-void QuotaDesk::handle(const config::Endpoint &From,
-                       const peer::QuotaRequest &Ask, core::TimePoint Now) {
+void QuotaProtocol::handle(const config::Endpoint &From,
+                           const peer::QuotaRequest &Ask, core::TimePoint Now) {
   routing::QuotaResponse Says = answerTo(Ask, Now);
   sendCharges(Now);
   if (Ask.m_Tokens == 0)
@@ -59,16 +60,17 @@
   if (Says.m_Verdict == QuotaVerdict::Refused)
     m_Metrics.count("yardrill_quota_refused_as_owner_total");
   peer::QuotaResponse Answer;
-  Answer.m_Ask = Ask.m_Ask;
+  Answer.m_RequestId = Ask.m_RequestId;
   Answer.m_Verdict = static_cast<std::uint8_t>(Says.m_Verdict);
   Answer.m_Tokens = Says.m_Tokens;
   Answer.m_RetryAfterUs = static_cast<std::uint64_t>(Says.m_RetryAfter.count());
   m_Send(From, Answer);
 }
 
-void QuotaDesk::handle(const config::Endpoint &From,
-                       const peer::QuotaResponse &Answer, core::TimePoint Now) {
-  auto Found = m_Pending.find(Answer.m_Ask);
+void QuotaProtocol::handle(const config::Endpoint &From,
+                           const peer::QuotaResponse &Answer,
+                           core::TimePoint Now) {
+  auto Found = m_Pending.find(Answer.m_RequestId);
   // An owner that has started anew may still be asked by its address.
   if (Found == m_Pending.end() || !(Found->second.m_Owner == From))
     return;
@@ -84,12 +86,12 @@
     m_Book.cacheGrant(From, Asked.m_Account, Says.m_Tokens, Now);
 }
 
-void QuotaDesk::upkeep(core::TimePoint Now) {
+void QuotaProtocol::upkeep(core::TimePoint Now) {
   for (const routing::QuotaReturn &Each : m_Book.takeUnusedGrants(Now))
     m_Send(Each.m_Owner,
            peer::QuotaRequest{0, Each.m_Account, 0, Each.m_Tokens, false});
   for (auto Each = m_Pending.begin(); Each != m_Pending.end();) {
-    if (Now - Each->second.m_AskedAt <= LongestWay) {
+    if (Now - Each->second.m_AskedAt <= MaxResponseDelay) {
       ++Each;
       continue;
     }
--- a/Libraries/LibGateway/QuotaDesk.h
+++ b/Libraries/LibGateway/QuotaProtocol.h
@@ -1,6 +1,7 @@
-//===-- QuotaDesk.h - Asks owners of quotas, and answers for this one -----===//
-#ifndef YARDRILL_LIBGATEWAY_QUOTADESK_H
-#define YARDRILL_LIBGATEWAY_QUOTADESK_H
+//===-- QuotaProtocol.h - Asks owners of quotas, and answers for this one
+//-----===//
+#ifndef YARDRILL_LIBGATEWAY_QUOTAPROTOCOL_H
+#define YARDRILL_LIBGATEWAY_QUOTAPROTOCOL_H
 
 #include "LibCore/Time.h"
 #include "LibMetrics/MetricsRegistry.h"
@@ -13,20 +14,20 @@
 
 namespace yardrill::gateway {
 
-class QuotaDesk {
+class QuotaProtocol {
 public:
   using Sender =
       std::function<void(const config::Endpoint &, const peer::PeerBody &)>;
   /// \returns false when the answer is not waited for any more.
-  using Receiver = std::function<bool(const routing::QuotaResponse &)>;
+  using ResponseHandler = std::function<bool(const routing::QuotaResponse &)>;
 
-  QuotaDesk(routing::DistributedQuota &Book, metrics::MetricsRegistry &Metrics,
-            Sender Send)
+  QuotaProtocol(routing::DistributedQuota &Book,
+                metrics::MetricsRegistry &Metrics, Sender Send)
       : m_Book(Book), m_Metrics(Metrics), m_Send(std::move(Send)) {}
 
   /// Asks the owner that \p Draw has to ask next. Tokens of an answer that is
   /// not waited for any more are kept for others.
-  void ask(const routing::QuotaAcquisition &Draw, Receiver Answered,
+  void ask(const routing::QuotaAcquisition &Draw, ResponseHandler Answered,
            core::TimePoint Now);
   /// Takes a message of another instance.
   void handle(const config::Endpoint &From, const peer::QuotaRequest &Ask,
@@ -44,20 +45,20 @@
                                   core::TimePoint Now);
   /// \returns its number.
   std::uint64_t expect(const config::Endpoint &Owner,
-                       routing::AccountHash Account, Receiver Answered,
+                       routing::AccountHash Account, ResponseHandler Answered,
                        core::TimePoint Now);
 
   struct Pending {
     config::Endpoint m_Owner;
     routing::AccountHash m_Account = 0;
     core::TimePoint m_AskedAt{};
-    Receiver m_Answered;
+    ResponseHandler m_Answered;
   };
 
   routing::DistributedQuota &m_Book;
   metrics::MetricsRegistry &m_Metrics;
   Sender m_Send;
-  std::uint64_t m_Next = 1;
+  std::uint64_t m_NextRequestId = 1;
   std::unordered_map<std::uint64_t, Pending> m_Pending;
 };
 
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -14,7 +14,7 @@
 QuotaService::QuotaService(asio::io_context &Context,
                            const GatewaySettings &Settings,
                            metrics::MetricsRegistry &Metrics,
-                           QuotaDesk::Sender Send)
+                           QuotaProtocol::Sender Send)
     : m_Context(Context),
       m_Book(Settings.m_PeerAddress, Settings.m_QuotaTolerance,
              Settings.m_IsFirstStart, core::randomBits()),
@@ -24,7 +24,7 @@
   m_Book.setAccounts(Accounts, core::steadyNow());
 }
 
-bool QuotaService::setOwners(const FleetList &Instances) {
+bool QuotaService::setOwners(const FleetMembers &Instances) {
   if (Instances == m_Owners)
     return false;
   m_Owners = Instances;
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -2,9 +2,9 @@
 #ifndef YARDRILL_LIBGATEWAY_QUOTASERVICE_H
 #define YARDRILL_LIBGATEWAY_QUOTASERVICE_H
 
-#include "LibGateway/FleetRecord.h"
 #include "LibGateway/GatewaySettings.h"
-#include "LibGateway/QuotaDesk.h"
+#include "LibGateway/MembershipRecord.h"
+#include "LibGateway/QuotaProtocol.h"
 #include "LibMetrics/MetricsRegistry.h"
 #include "LibPeer/PeerMessage.h"
 #include "LibRouting/DistributedQuota.h"
@@ -18,12 +18,12 @@
 public:
   QuotaService(boost::asio::io_context &Context,
                const GatewaySettings &Settings,
-               metrics::MetricsRegistry &Metrics, QuotaDesk::Sender Send);
+               metrics::MetricsRegistry &Metrics, QuotaProtocol::Sender Send);
 
   void setAccounts(const std::vector<routing::Account> &Accounts);
   /// \param Instances that may own quotas. \returns whether they are others
   /// than before.
-  bool setOwners(const FleetList &Instances);
+  bool setOwners(const FleetMembers &Instances);
   /// Takes a message of a peer, if it is about quotas.
   void handle(const peer::PeerMessage &Message);
   /// To be called a few times a second.
@@ -40,8 +40,8 @@
 
   boost::asio::io_context &m_Context;
   routing::DistributedQuota m_Book;
-  QuotaDesk m_Desk;
-  FleetList m_Owners;
+  QuotaProtocol m_Desk;
+  FleetMembers m_Owners;
   bool m_IsListConfirmed = true;
 };
 
--- a/Libraries/LibGateway/RolloutDesk.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/RolloutDesk.h"
+#include "LibGateway/RolloutService.h"
 
 #include "LibCore/Log.h"
 #include "LibPeer/RolloutMessages.h"
@@ -12,17 +12,18 @@
 static const std::string RecordPrefix = "yardrill/rollout/";
 /// Between two tries to write: the store's word of the first one takes some
 /// tens of milliseconds.
-static constexpr std::chrono::milliseconds WritePause{400};
+static constexpr std::chrono::milliseconds WriteRetryPeriod{400};
 static constexpr std::chrono::seconds LogPeriod{1};
 
-RolloutDesk::RolloutDesk(config::Endpoint Self, core::IncarnationId Incarnation,
-                         rollout::ExposureLimits Limits,
-                         const routing::TargetDirectory &Targets,
-                         RolloutHooks Hooks)
+RolloutService::RolloutService(config::Endpoint Self,
+                               core::IncarnationId Incarnation,
+                               rollout::ExposureLimits Limits,
+                               const routing::TargetDirectory &Targets,
+                               RolloutHooks Hooks)
     : m_Self(std::move(Self)), m_Incarnation(Incarnation), m_Limits(Limits),
       m_Targets(Targets), m_Hooks(std::move(Hooks)) {}
 
-RolloutDesk::Pool &RolloutDesk::poolOf(const core::PoolName &Name) {
+RolloutService::Pool &RolloutService::poolOf(const core::PoolName &Name) {
   return m_Pools.try_emplace(Name, Name).first->second;
 }
 
@@ -30,8 +31,8 @@
 // What the store says
 //===----------------------------------------------------------------------===//
 
-void RolloutDesk::setOrder(const core::PoolName &Name,
-                           std::optional<rollout::Order> Order) {
+void RolloutService::setOrder(const core::PoolName &Name,
+                              std::optional<rollout::Order> Order) {
   core::LogLine Line("rollout-ordered");
   Line.add("pool", Name).add("is_withdrawn", !Order);
   if (Order)
@@ -55,9 +56,9 @@
   return "unknown";
 }
 
-void RolloutDesk::setStatus(const core::PoolName &Name,
-                            std::optional<rollout::Status> Status,
-                            platform::Revision At) {
+void RolloutService::setStatus(const core::PoolName &Name,
+                               std::optional<rollout::Status> Status,
+                               platform::Revision At) {
   core::LogLine Line("rollout-status");
   Line.add("pool", Name).add("revision", At);
   if (Status)
@@ -66,11 +67,11 @@
   poolOf(Name).m_State.setStatus(std::move(Status), At);
 }
 
-std::string RolloutDesk::recordKey(const core::PoolName &Pool) {
+std::string RolloutService::recordKey(const core::PoolName &Pool) {
   return RecordPrefix + Pool.value();
 }
 
-bool RolloutDesk::takeRecord(const platform::Entry &Change) {
+bool RolloutService::takeRecord(const platform::Entry &Change) {
   if (Change.m_Key.compare(0, RecordPrefix.size(), RecordPrefix) != 0)
     return false;
   std::optional<rollout::Record> Record;
@@ -91,7 +92,7 @@
 //===----------------------------------------------------------------------===//
 
 const routing::VersionGate *
-RolloutDesk::gateOf(const core::PoolName &Name) const {
+RolloutService::gateOf(const core::PoolName &Name) const {
   if (m_Pools.empty())
     return nullptr;
   auto Found = m_Pools.find(Name);
@@ -99,13 +100,13 @@
   return IsOpen ? &Found->second.m_State : nullptr;
 }
 
-RolloutDesk::Pool *RolloutDesk::findActive(const core::PoolName &Name) {
+RolloutService::Pool *RolloutService::findActive(const core::PoolName &Name) {
   auto Found = m_Pools.find(Name);
   bool IsActive = Found != m_Pools.end() && Found->second.m_State.isActive();
   return IsActive ? &Found->second : nullptr;
 }
 
-void RolloutDesk::sent(std::uint32_t Route, const routing::Target &Where) {
+void RolloutService::sent(std::uint32_t Route, const routing::Target &Where) {
   Pool *Which = findActive(Where.m_Pool);
   if (!Which)
     return;
@@ -113,8 +114,8 @@
   State.member().sent(Route, State.isCanary(Where), core::steadyNow());
 }
 
-void RolloutDesk::answered(std::uint32_t Route, const routing::Target &Where,
-                           rollout::AnswerQuality How, core::Duration Time) {
+void RolloutService::answered(std::uint32_t Route, const routing::Target &Where,
+                              rollout::AnswerQuality How, core::Duration Time) {
   Pool *Which = findActive(Where.m_Pool);
   if (!Which)
     return;
@@ -130,20 +131,20 @@
 // With the others
 //===----------------------------------------------------------------------===//
 
-bool RolloutDesk::isCoordinator() const {
+bool RolloutService::isCoordinator() const {
   auto Who = m_Hooks.m_Coordinator();
   return Who && *Who == m_Self;
 }
 
-rollout::Coordinator &RolloutDesk::coordinatorOf(Pool &Which,
-                                                 core::TimePoint Now) {
+rollout::Coordinator &RolloutService::coordinatorOf(Pool &Which,
+                                                    core::TimePoint Now) {
   if (!Which.m_Coordinator)
     Which.m_Coordinator = std::make_unique<rollout::Coordinator>(
         *Which.m_State.order(), m_Limits, Now);
   return *Which.m_Coordinator;
 }
 
-void RolloutDesk::handle(const peer::PeerMessage &Message) {
+void RolloutService::handle(const peer::PeerMessage &Message) {
   core::TimePoint Now = core::steadyNow();
   if (const auto *Told = std::get_if<peer::RolloutReport>(&Message.m_Body)) {
     Pool *Active = findActive(Told->m_Pool);
@@ -167,13 +168,13 @@
   }
 }
 
-bool RolloutDesk::isBusy() const {
+bool RolloutService::isBusy() const {
   return std::any_of(m_Pools.begin(), m_Pools.end(), [](const auto &Each) {
     return Each.second.m_State.isActive() || Each.second.m_State.mustWrite();
   });
 }
 
-void RolloutDesk::upkeep(core::TimePoint Now) {
+void RolloutService::upkeep(core::TimePoint Now) {
   bool IsOwn = isCoordinator();
   for (auto &[Name, Which] : m_Pools) {
     if (IsOwn)
@@ -185,7 +186,7 @@
   }
 }
 
-void RolloutDesk::report(Pool &Which, core::TimePoint Now) {
+void RolloutService::report(Pool &Which, core::TimePoint Now) {
   core::Duration Period = rollout::reportPeriod(m_Hooks.m_FleetSize());
   if (Now - Which.m_ReportedAt < Period)
     return;
@@ -208,24 +209,24 @@
 // As coordinator
 //===----------------------------------------------------------------------===//
 
-void RolloutDesk::write(Pool &Which, const RolloutWrite &What,
-                        core::TimePoint Now) {
-  if (Now - Which.m_WroteAt < WritePause)
+void RolloutService::write(Pool &Which, const RolloutWrite &What,
+                           core::TimePoint Now) {
+  if (Now - Which.m_WroteAt < WriteRetryPeriod)
     return;
   Which.m_WroteAt = Now;
   m_Hooks.m_Write(What);
 }
 
-void RolloutDesk::coordinate(Pool &Which, core::TimePoint Now) {
+void RolloutService::coordinate(Pool &Which, core::TimePoint Now) {
   const PoolRollout &State = Which.m_State;
   if (State.mustWrite())
     return write(Which,
                  {State.pool(), State.statusRevision(), State.nextStatus(),
                   State.nextRecord(core::wallSeconds().count())},
                  Now);
-  if (!State.isActive() || Now - Which.m_LookedAt < rollout::LookPeriod)
+  if (!State.isActive() || Now - Which.m_EvaluatedAt < rollout::LookPeriod)
     return;
-  Which.m_LookedAt = Now;
+  Which.m_EvaluatedAt = Now;
   rollout::Census Targets = census(Which);
   auto End = coordinatorOf(Which, Now)
                  .decide(Targets, Which.m_State.member().age(Now), Now);
@@ -242,12 +243,12 @@
         {State.pool(),
          State.statusRevision(),
          {End->m_State, State.order()->m_Version},
-         State.endRecord(*End, oldVersions(Which))},
+         State.finalRecord(*End, oldVersions(Which))},
         Now);
 }
 
-void RolloutDesk::logJudgement(Pool &Which, const rollout::Census &Targets,
-                               core::TimePoint Now) const {
+void RolloutService::logJudgement(Pool &Which, const rollout::Census &Targets,
+                                  core::TimePoint Now) const {
   if (Now - Which.m_LoggedAt < LogPeriod)
     return;
   Which.m_LoggedAt = Now;
@@ -271,7 +272,7 @@
       .add("reporters", Which.m_Coordinator->reporters());
 }
 
-rollout::Census RolloutDesk::census(const Pool &Which) const {
+rollout::Census RolloutService::census(const Pool &Which) const {
   rollout::Census Out;
   for (const routing::KnownTarget *Known :
        m_Targets.allTargetsOf(Which.m_State.pool())) {
@@ -287,7 +288,7 @@
 }
 
 std::set<core::TargetVersion>
-RolloutDesk::oldVersions(const Pool &Which) const {
+RolloutService::oldVersions(const Pool &Which) const {
   std::set<core::TargetVersion> Out;
   for (const routing::KnownTarget *Each :
        m_Targets.allTargetsOf(Which.m_State.pool()))
@@ -296,7 +297,7 @@
   return Out;
 }
 
-std::uint32_t RolloutDesk::runningOld(const Pool &Which) const {
+std::uint32_t RolloutService::runningOld(const Pool &Which) const {
   std::size_t Out = 0;
   for (const routing::KnownTarget *Each : m_Targets.busyTargets())
     if (Each->m_Target.m_Pool == Which.m_State.pool() &&
--- a/Libraries/LibGateway/RolloutDesk.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -1,6 +1,7 @@
-//===-- RolloutDesk.h - Roll-outs of all pools, with the other instances --===//
-#ifndef YARDRILL_LIBGATEWAY_ROLLOUTDESK_H
-#define YARDRILL_LIBGATEWAY_ROLLOUTDESK_H
+//===-- RolloutService.h - Roll-outs of all pools, with the other instances
+//--===//
+#ifndef YARDRILL_LIBGATEWAY_ROLLOUTSERVICE_H
+#define YARDRILL_LIBGATEWAY_ROLLOUTSERVICE_H
 
 #include "LibGateway/PoolRollout.h"
 #include "LibPeer/PeerMessage.h"
@@ -31,11 +32,11 @@
   std::function<void(const RolloutWrite &)> m_Write;
 };
 
-class RolloutDesk {
+class RolloutService {
 public:
-  RolloutDesk(config::Endpoint Self, core::IncarnationId Incarnation,
-              rollout::ExposureLimits Limits,
-              const routing::TargetDirectory &Targets, RolloutHooks Hooks);
+  RolloutService(config::Endpoint Self, core::IncarnationId Incarnation,
+                 rollout::ExposureLimits Limits,
+                 const routing::TargetDirectory &Targets, RolloutHooks Hooks);
 
   // What the store says.
   void setOrder(const core::PoolName &Pool,
@@ -68,7 +69,7 @@
     PoolRollout m_State;
     std::unique_ptr<rollout::Coordinator> m_Coordinator;
     core::TimePoint m_ReportedAt{};
-    core::TimePoint m_LookedAt{};
+    core::TimePoint m_EvaluatedAt{};
     core::TimePoint m_WroteAt{};
     core::TimePoint m_LoggedAt{};
   };
--- a/Libraries/LibGateway/RolloutWriter.cpp
+++ b/Libraries/LibGateway/RolloutWriter.cpp
@@ -16,7 +16,7 @@
       m_Context,
       [this, What](asio::yield_context Yield) {
         platform::Put Status = m_Wire.write(What.m_Pool, What.m_Status);
-        platform::Put Record{RolloutDesk::recordKey(What.m_Pool),
+        platform::Put Record{RolloutService::recordKey(What.m_Pool),
                              What.m_Record.toText(), std::nullopt};
         platform::CompareAndSwap Swap{
             Status.m_Key, What.m_Expected, {Status, Record}};
--- a/Libraries/LibGateway/RolloutWriter.h
+++ b/Libraries/LibGateway/RolloutWriter.h
@@ -3,7 +3,7 @@
 #define YARDRILL_LIBGATEWAY_ROLLOUTWRITER_H
 
 #include "LibGateway/Dialect.h"
-#include "LibGateway/RolloutDesk.h"
+#include "LibGateway/RolloutService.h"
 
 #include <boost/asio/io_context.hpp>
 
--- a/Libraries/LibGateway/StateFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/StateFollower.h"
+#include "LibGateway/StoreFollower.h"
 
 #include "LibCore/Digest.h"
 #include "LibCore/Error.h"
@@ -17,40 +17,40 @@
 static const char EverythingPrefix[] = "";
 /// Pauses after failures: the first is about a call's own time, the longest
 /// keeps the return of the store within the time a configuration may take.
-static constexpr std::chrono::milliseconds FirstPause{100};
-static constexpr std::chrono::milliseconds LongestPause{800};
+static constexpr std::chrono::milliseconds MinBackoff{100};
+static constexpr std::chrono::milliseconds MaxBackoff{800};
 
 /// How often it is asked whether to wait for peers.
 static constexpr std::chrono::milliseconds WaitPeriod{10};
 /// How often an instance that leaves the store to others asks whether it may.
-static constexpr std::chrono::milliseconds NeededPeriod{250};
+static constexpr std::chrono::milliseconds EnabledPollPeriod{250};
 
-void StateFollower::start(std::function<bool(core::Duration)> MustWait) {
+void StoreFollower::start(std::function<bool(core::Duration)> MustWait) {
   asio::spawn(
       m_Context,
       [this, MustWait = std::move(MustWait)](asio::yield_context Yield) {
         core::TimePoint Begin = core::steadyNow();
         while (MustWait(core::steadyNow() - Begin))
           pause(WaitPeriod, Yield);
-        follow(Yield);
+        run(Yield);
       },
       asio::detached);
 }
 
-void StateFollower::pause(core::Duration Length, asio::yield_context Yield) {
+void StoreFollower::pause(core::Duration Length, asio::yield_context Yield) {
   core::Timer Timer(m_Context, Length);
   boost::system::error_code Ignored;
   Timer.async_wait(Yield[Ignored]);
 }
 
-void StateFollower::noteConnected() {
+void StoreFollower::noteConnected() {
   if (m_IsConnected)
     return;
   m_IsConnected = true;
   core::LogLine("store-connected").add("revision", m_Mirror.revision());
 }
 
-void StateFollower::noteLost(const std::exception &Failure) {
+void StoreFollower::noteLost(const std::exception &Failure) {
   if (!m_IsConnected)
     return;
   m_IsConnected = false;
@@ -59,17 +59,17 @@
       .add("reason", Failure.what());
 }
 
-void StateFollower::follow(asio::yield_context Yield) {
-  platform::Backoff Pauses(FirstPause, LongestPause, core::randomBits());
+void StoreFollower::run(asio::yield_context Yield) {
+  platform::Backoff Pauses(MinBackoff, MaxBackoff, core::randomBits());
   while (true) {
-    if (!m_IsNeeded) {
+    if (!m_IsEnabled) {
       m_IsConnected = false;
-      pause(NeededPeriod, Yield);
+      pause(EnabledPollPeriod, Yield);
       continue;
     }
     bool WasConnected = m_IsConnected;
     try {
-      followOnce(Yield);
+      readAndWatch(Yield);
     } catch (const core::Error &Failure) {
       if (Failure.kind() == core::ErrorKind::Conflict)
         m_MustReadAll = true;
@@ -81,7 +81,7 @@
   }
 }
 
-void StateFollower::followOnce(asio::yield_context Yield) {
+void StoreFollower::readAndWatch(asio::yield_context Yield) {
   if (m_MustReadAll || m_Mirror.revision() == platform::Revision()) {
     auto Content =
         m_Store.readPrefix(EverythingPrefix, CallClass::Control, Yield);
@@ -96,7 +96,7 @@
       [this](const std::vector<platform::Entry> &Changes) {
         m_Mirror.apply(m_Store.lastRevision(), Changes);
         noteConnected();
-        return m_IsNeeded;
+        return m_IsEnabled;
       },
       Yield);
 }
--- a/Libraries/LibGateway/StateFollower.h
+++ b/Libraries/LibGateway/StoreFollower.h
@@ -1,6 +1,6 @@
-//===-- StateFollower.h - Keeps the mirror close behind the store ---------===//
-#ifndef YARDRILL_LIBGATEWAY_STATEFOLLOWER_H
-#define YARDRILL_LIBGATEWAY_STATEFOLLOWER_H
+//===-- StoreFollower.h - Keeps the mirror close behind the store ---------===//
+#ifndef YARDRILL_LIBGATEWAY_STOREFOLLOWER_H
+#define YARDRILL_LIBGATEWAY_STOREFOLLOWER_H
 
 #include "LibCore/Time.h"
 #include "LibPlatform/KeyValueService.h"
@@ -14,9 +14,9 @@
 
 /// Watches the whole store and copies it into the mirror, for as long as the
 /// process runs. Loss and return of the store are logged.
-class StateFollower {
+class StoreFollower {
 public:
-  StateFollower(boost::asio::io_context &Context,
+  StoreFollower(boost::asio::io_context &Context,
                 platform::KeyValueService &Store, platform::StoreMirror &Mirror)
       : m_Context(Context), m_Store(Store), m_Mirror(Mirror) {}
 
@@ -25,14 +25,14 @@
   void start(std::function<bool(core::Duration)> MustWait);
   /// Whether this instance has to follow the store itself, or hears from
   /// another that does. Takes effect after the call under way.
-  void setNeeded(bool IsNeeded) { m_IsNeeded = IsNeeded; }
+  void setEnabled(bool IsNeeded) { m_IsEnabled = IsNeeded; }
   bool isConnected() const { return m_IsConnected; }
 
 private:
   void pause(core::Duration Length, boost::asio::yield_context Yield);
-  void follow(boost::asio::yield_context Yield);
+  void run(boost::asio::yield_context Yield);
   /// Reads and watches until something fails. \throws core::Error.
-  void followOnce(boost::asio::yield_context Yield);
+  void readAndWatch(boost::asio::yield_context Yield);
   void noteConnected();
   void noteLost(const std::exception &Failure);
 
@@ -40,7 +40,7 @@
   platform::KeyValueService &m_Store;
   platform::StoreMirror &m_Mirror;
   bool m_IsConnected = false;
-  bool m_IsNeeded = true;
+  bool m_IsEnabled = true;
   bool m_MustReadAll = false; ///< What peers told does not suffice.
 };
 
--- a/Libraries/LibGateway/StoreRecord.cpp
+++ b/Libraries/LibGateway/StoreRecord.cpp
@@ -23,9 +23,9 @@
 }
 
 void StoreRecord::write(const std::string &Text, core::TimePoint Now) {
-  if (Now - m_TriedAt <= m_WritePeriod)
+  if (Now - m_LastAttemptAt <= m_WritePeriod)
     return;
-  m_TriedAt = Now;
+  m_LastAttemptAt = Now;
   asio::spawn(
       m_Context,
       [this, Text](asio::yield_context Yield) { writeNow(Text, Yield); },
--- a/Libraries/LibGateway/StoreRecord.h
+++ b/Libraries/LibGateway/StoreRecord.h
@@ -28,7 +28,9 @@
   static std::string keyOf(const std::string &Name) {
     return "yardrill/" + Name;
   }
-  bool isItsKey(const std::string &Key) const { return Key == keyOf(m_Name); }
+  bool isRecordKey(const std::string &Key) const {
+    return Key == keyOf(m_Name);
+  }
   /// Takes in what the store says. \returns the text; empty: none.
   std::string read(const platform::Entry &Change);
   /// What the store held when it was last heard of.
@@ -48,7 +50,7 @@
   core::Duration m_WritePeriod;
   platform::Revision m_Revision; ///< Of its entry; 0: none.
   std::string m_Text;
-  core::TimePoint m_TriedAt{};
+  core::TimePoint m_LastAttemptAt{};
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/ValueHistory.cpp
+++ b/Libraries/LibGateway/ValueHistory.cpp
@@ -1,6 +1,6 @@
 #include "LibGateway/ValueHistory.h"
 
-#include "LibGateway/StoreTransfer.h"
+#include "LibGateway/MirrorUpdate.h"
 #include "LibGateway/ValuePatch.h"
 
 #include <algorithm>
@@ -17,27 +17,27 @@
                          });
 }
 
-void ValueHistory::replaced(Entry Old) {
+void ValueHistory::addReplaced(Entry Old) {
   if (!isLargeValue(Old.m_Value))
     return;
-  Key &Known = m_Keys[Old.m_Key];
+  KeyHistory &Known = m_Keys[Old.m_Key];
   Known.m_Patches.clear();
   Known.m_Older.push_back(std::move(Old));
-  while (Known.m_Older.size() > MostVersions ||
-         bytesOf(Known.m_Older) > MostBytes)
+  while (Known.m_Older.size() > MaxVersions ||
+         bytesOf(Known.m_Older) > MaxBytes)
     Known.m_Older.pop_front();
 }
 
-PatchHandle ValueHistory::patch(const Entry &Newest, platform::Revision Held) {
-  Key &Known = m_Keys[Newest.m_Key];
-  if (Known.m_Newest != Newest.m_Modified)
+CachedPatch ValueHistory::patch(const Entry &Newest, platform::Revision Held) {
+  KeyHistory &Known = m_Keys[Newest.m_Key];
+  if (Known.m_NewestRevision != Newest.m_Modified)
     Known.m_Patches.clear();
-  Known.m_Newest = Newest.m_Modified;
+  Known.m_NewestRevision = Newest.m_Modified;
   auto Base = std::find_if(
       Known.m_Older.begin(), Known.m_Older.end(),
       [Held](const Entry &Each) { return Each.m_Modified == Held; });
   bool HasBase = Base != Known.m_Older.end();
-  PatchHandle &Out =
+  CachedPatch &Out =
       Known.m_Patches[HasBase ? Base->m_Modified : platform::Revision()];
   if (Out.m_Patch)
     return Out;
--- a/Libraries/LibGateway/ValueHistory.h
+++ b/Libraries/LibGateway/ValueHistory.h
@@ -17,7 +17,7 @@
 namespace yardrill::gateway {
 
 /// How to make the newest value of a key.
-struct PatchHandle {
+struct CachedPatch {
   platform::Revision m_Base; ///< What it is to be applied to; 0: nothing.
   std::shared_ptr<const std::string> m_Patch;
 };
@@ -26,25 +26,25 @@
 public:
   /// Older values of a key, of all sizes together. Changes a third of a second
   /// apart reach all within 1 s; some more cover those that are late.
-  static constexpr std::size_t MostVersions = 6;
-  static constexpr std::size_t MostBytes = 4UL * 1024 * 1024;
+  static constexpr std::size_t MaxVersions = 6;
+  static constexpr std::size_t MaxBytes = 4UL * 1024 * 1024;
 
   /// \p Old was just replaced or removed. Values that are not large are not
   /// kept.
-  void replaced(platform::Entry Old);
+  void addReplaced(platform::Entry Old);
   /// The patch to \p Newest from what the asking peer has, or from nothing if
   /// that is not known here. Made once for each base.
   /// \param Held revision of the peer's value; 0: it has none.
-  PatchHandle patch(const platform::Entry &Newest, platform::Revision Held);
+  CachedPatch patch(const platform::Entry &Newest, platform::Revision Held);
 
 private:
-  struct Key {
+  struct KeyHistory {
     std::deque<platform::Entry> m_Older;
-    platform::Revision m_Newest; ///< That the patches make.
-    std::map<platform::Revision, PatchHandle> m_Patches; ///< By their base.
+    platform::Revision m_NewestRevision; ///< That the patches make.
+    std::map<platform::Revision, CachedPatch> m_Patches; ///< By their base.
   };
 
-  std::map<std::string, Key> m_Keys;
+  std::map<std::string, KeyHistory> m_Keys;
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/ValuePatch.cpp
+++ b/Libraries/LibGateway/ValuePatch.cpp
@@ -17,8 +17,8 @@
 static constexpr int Level = 1;
 /// The window reaches over base and value: from 64 KB, the library's usual, to
 /// 32 MB, two of the largest values that are taken.
-static constexpr int LeastWindowBits = 16;
-static constexpr int MostWindowBits = 25;
+static constexpr int MinWindowBits = 16;
+static constexpr int MaxWindowBits = 25;
 
 static void check(std::size_t Result, ErrorKind Kind) {
   if (ZSTD_isError(Result))
@@ -26,8 +26,8 @@
 }
 
 static int windowBits(std::size_t Bytes) {
-  int Bits = LeastWindowBits;
-  while (Bits < MostWindowBits && (std::size_t(1) << Bits) < Bytes)
+  int Bits = MinWindowBits;
+  while (Bits < MaxWindowBits && (std::size_t(1) << Bits) < Bytes)
     ++Bits;
   return Bits;
 }
@@ -57,18 +57,18 @@
 }
 
 std::string applyPatch(std::string_view Base, std::string_view Patch,
-                       std::size_t MostBytes) {
+                       std::size_t MaxBytes) {
   unsigned long long Bytes =
       ZSTD_getFrameContentSize(Patch.data(), Patch.size());
   if (Bytes == ZSTD_CONTENTSIZE_ERROR || Bytes == ZSTD_CONTENTSIZE_UNKNOWN)
     throw Error(ErrorKind::Protocol, "not a patch");
-  if (Bytes > MostBytes)
+  if (Bytes > MaxBytes)
     throw Error(ErrorKind::LimitExceeded, "the patched value is too large");
   std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> Context(
       ZSTD_createDCtx(), &ZSTD_freeDCtx);
-  check(ZSTD_DCtx_setParameter(Context.get(), ZSTD_d_windowLogMax,
-                               MostWindowBits),
-        ErrorKind::Protocol);
+  check(
+      ZSTD_DCtx_setParameter(Context.get(), ZSTD_d_windowLogMax, MaxWindowBits),
+      ErrorKind::Protocol);
   check(ZSTD_DCtx_refPrefix(Context.get(), Base.data(), Base.size()),
         ErrorKind::Protocol);
   std::string Out(Bytes, '\0');
--- a/Libraries/LibGateway/ValuePatch.h
+++ b/Libraries/LibGateway/ValuePatch.h
@@ -19,9 +19,9 @@
 /// \returns the value that makePatch() was given, with the same \p Base.
 /// \throws core::Error of kind Protocol when the patch is damaged or was made
 /// from another base, and of kind LimitExceeded when the value would be larger
-/// than \p MostBytes.
+/// than \p MaxBytes.
 std::string applyPatch(std::string_view Base, std::string_view Patch,
-                       std::size_t MostBytes);
+                       std::size_t MaxBytes);
 
 } // namespace yardrill::gateway
 
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerDuty.cpp
@@ -73,17 +73,17 @@
 //===----------------------------------------------------------------------===//
 
 void PeerDuty::drop(peer::DropReason Reason) {
-  m_Metrics.count(peer::dropCounter(Reason));
+  m_Metrics.count(peer::droppedCounterName(Reason));
 }
 
 void PeerDuty::take(const peer::PeerMessage &Message) {
   if (Message.m_From == m_Self)
     return;
   core::TimePoint Now = core::steadyNow();
-  auto Reason = m_Directory.heard(Message, Now, core::wallSeconds().count());
+  auto Reason = m_Directory.accept(Message, Now, core::wallSeconds().count());
   if (Reason)
     return drop(*Reason);
-  m_Hinted.erase(Message.m_From.m_Peer);
+  m_HintedPeers.erase(Message.m_From.m_Peer);
   countInstances();
   if (const auto *Beat = std::get_if<peer::Heartbeat>(&Message.m_Body))
     return takeHeartbeat(Message, *Beat);
@@ -95,10 +95,10 @@
 
 void PeerDuty::takeHeartbeat(const peer::PeerMessage &Message,
                              const peer::Heartbeat &Beat) {
-  for (const decision::Home &Other : Beat.m_Others)
-    if (!(Other == m_Self) && m_Hinted.size() < MostHinted &&
+  for (const decision::Home &Other : Beat.m_RecentPeers)
+    if (!(Other == m_Self) && m_HintedPeers.size() < MostHinted &&
         m_Directory.all().count(Other.m_Incarnation) == 0)
-      m_Hinted.insert(Other.m_Peer);
+      m_HintedPeers.insert(Other.m_Peer);
   if (!(m_Configuration.version() < Beat.m_Version) || m_IsFetching)
     return;
   m_IsFetching = true;
@@ -168,7 +168,7 @@
   std::vector<decision::Home> Known;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     Known.push_back(Peer.m_Home);
-  std::sample(Known.begin(), Known.end(), std::back_inserter(Out.m_Others),
+  std::sample(Known.begin(), Known.end(), std::back_inserter(Out.m_RecentPeers),
               OthersInHeartbeat, m_Random);
   return Out;
 }
@@ -177,7 +177,7 @@
   std::set<config::Endpoint> All(m_Listed.begin(), m_Listed.end());
   All.insert(m_Settings.m_Peers.m_Seeds.begin(),
              m_Settings.m_Peers.m_Seeds.end());
-  All.insert(m_Hinted.begin(), m_Hinted.end());
+  All.insert(m_HintedPeers.begin(), m_HintedPeers.end());
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     All.insert(Peer.m_Home.m_Peer);
   All.erase(m_Self.m_Peer);
@@ -194,7 +194,7 @@
     send(To, Beat);
   for (const peer::KnownPeer &Gone : m_Directory.expire(Now))
     core::LogLine("peer-silent", core::LogLevel::Warning)
-        .add("instance", Gone.m_Last.m_Name)
+        .add("instance", Gone.m_LastHeartbeat.m_Name)
         .add("peer", Gone.m_Home.m_Peer.toString());
   countInstances();
   publishStatus(Now);
@@ -238,8 +238,9 @@
 void PeerDuty::publishStatus(core::TimePoint Now) {
   std::vector<PeerStatus> Next;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
-    Next.push_back({Peer.m_Last.m_Name, Peer.m_Home, Peer.m_Last.m_Version,
-                    Now - Peer.m_HeardAt, Peer.m_Last.m_IsStopping});
+    Next.push_back({Peer.m_LastHeartbeat.m_Name, Peer.m_Home,
+                    Peer.m_LastHeartbeat.m_Version, Now - Peer.m_HeardAt,
+                    Peer.m_LastHeartbeat.m_IsStopping});
   m_Metrics.setGauge("yardrill_peers", static_cast<double>(Next.size()));
   std::lock_guard<std::mutex> Lock(m_StatusMutex);
   m_Status = std::move(Next);
--- a/Libraries/LibInstance/PeerDuty.h
+++ b/Libraries/LibInstance/PeerDuty.h
@@ -83,7 +83,7 @@
   peer::PeerSocket m_Socket;
   std::mt19937_64 m_Random;
   std::vector<config::Endpoint> m_Listed;
-  std::set<config::Endpoint> m_Hinted; ///< Heard of, not heard from.
+  std::set<config::Endpoint> m_HintedPeers; ///< Heard of, not heard from.
   std::map<core::IncarnationId, core::TimePoint> m_FirstOrderAt;
   std::uint64_t m_NextSequence = 1;
   std::size_t m_LastCount = 0;
--- a/Libraries/LibPeer/PeerCodec.cpp
+++ b/Libraries/LibPeer/PeerCodec.cpp
@@ -10,10 +10,10 @@
 namespace yardrill::peer {
 
 static const std::string_view Magic = "YD";
-static const std::size_t VersionAt = 2;
-static const std::size_t SignatureAt = 3;
+static const std::size_t VersionOffset = 2;
+static const std::size_t SignatureOffset = 3;
 static const std::size_t SignatureBytes = 32;
-static const std::size_t PayloadAt = SignatureAt + SignatureBytes;
+static const std::size_t PayloadOffset = SignatureOffset + SignatureBytes;
 
 const char *toString(DropReason Reason) {
   switch (Reason) {
@@ -35,7 +35,7 @@
   return "unknown";
 }
 
-std::string dropCounter(DropReason Reason) {
+std::string droppedCounterName(DropReason Reason) {
   std::string Name = toString(Reason);
   std::replace(Name.begin(), Name.end(), '-', '_');
   return "yardrill_peer_datagrams_dropped_" + Name + "_total";
@@ -47,7 +47,7 @@
   return core::hmacSha256(Key, Signed);
 }
 
-std::string PeerCodec::seal(std::string_view Payload) const {
+std::string PeerCodec::encodeSigned(std::string_view Payload) const {
   std::string Sealed(Magic);
   Sealed += ProtocolVersion;
   Sealed += sign(m_Key, Payload);
@@ -56,13 +56,13 @@
 }
 
 std::variant<std::string_view, DropReason>
-PeerCodec::unseal(std::string_view Sealed) const {
-  if (Sealed.size() < PayloadAt || Sealed.substr(0, VersionAt) != Magic)
+PeerCodec::decodeSigned(std::string_view Sealed) const {
+  if (Sealed.size() < PayloadOffset || Sealed.substr(0, VersionOffset) != Magic)
     return DropReason::Garbage;
-  if (Sealed[VersionAt] != ProtocolVersion)
+  if (Sealed[VersionOffset] != ProtocolVersion)
     return DropReason::OtherVersion;
-  std::string_view Payload = Sealed.substr(PayloadAt);
-  if (!core::isEqualConstantTime(Sealed.substr(SignatureAt, SignatureBytes),
+  std::string_view Payload = Sealed.substr(PayloadOffset);
+  if (!core::isEqualConstantTime(Sealed.substr(SignatureOffset, SignatureBytes),
                                  sign(m_Key, Payload)))
     return DropReason::WrongKey;
   return Payload;
@@ -74,17 +74,17 @@
     cereal::PortableBinaryOutputArchive Archive(Out);
     Archive(Message);
   }
-  std::string Datagram = seal(Out.str());
-  if (Datagram.size() > MostDatagramBytes)
+  std::string Datagram = encodeSigned(Out.str());
+  if (Datagram.size() > MaxDatagramBytes)
     throw core::Error(core::ErrorKind::LimitExceeded, "datagram is too large");
   return Datagram;
 }
 
 std::variant<PeerMessage, DropReason>
 PeerCodec::decode(std::string_view Datagram) const {
-  if (Datagram.size() > MostDatagramBytes)
+  if (Datagram.size() > MaxDatagramBytes)
     return DropReason::TooLarge;
-  auto Payload = unseal(Datagram);
+  auto Payload = decodeSigned(Datagram);
   if (const auto *Reason = std::get_if<DropReason>(&Payload))
     return *Reason;
   try {
--- a/Libraries/LibPeer/PeerCodec.h
+++ b/Libraries/LibPeer/PeerCodec.h
@@ -17,7 +17,7 @@
 namespace yardrill::peer {
 
 /// Fits one Ethernet frame, so that no datagram is fragmented.
-inline constexpr std::size_t MostDatagramBytes = 1400;
+inline constexpr std::size_t MaxDatagramBytes = 1400;
 
 /// Of everything that peers send each other; instances of other versions are
 /// not heard.
@@ -36,7 +36,7 @@
 
 const char *toString(DropReason Reason);
 /// The name of the counter of datagrams dropped for that reason.
-std::string dropCounter(DropReason Reason);
+std::string droppedCounterName(DropReason Reason);
 
 class PeerCodec {
 public:
@@ -45,10 +45,10 @@
   /// \throws core::Error of kind LimitExceeded when it does not fit.
   std::string encode(const PeerMessage &Message) const;
   /// Any payload with magic, version and signature before it.
-  std::string seal(std::string_view Payload) const;
+  std::string encodeSigned(std::string_view Payload) const;
   /// \returns the payload of a sealed text whose signature is right.
   std::variant<std::string_view, DropReason>
-  unseal(std::string_view Sealed) const;
+  decodeSigned(std::string_view Sealed) const;
   /// Reads nothing of a payload before its authentication has passed.
   std::variant<PeerMessage, DropReason> decode(std::string_view Datagram) const;
 
--- a/Libraries/LibPeer/PeerDirectory.cpp
+++ b/Libraries/LibPeer/PeerDirectory.cpp
@@ -5,14 +5,14 @@
 namespace yardrill::peer {
 
 /// How far apart the clocks of two instances may be, delay included.
-static const std::int64_t MostClockDifferenceSeconds = 30;
+static const std::int64_t MaxClockDifferenceSeconds = 30;
 
-std::optional<DropReason> PeerDirectory::heard(const PeerMessage &Message,
-                                               core::TimePoint Now,
-                                               std::int64_t NowWallSeconds) {
+std::optional<DropReason> PeerDirectory::accept(const PeerMessage &Message,
+                                                core::TimePoint Now,
+                                                std::int64_t NowWallSeconds) {
   // Keeps a recorded message of a process long gone from bringing it back.
   if (std::abs(NowWallSeconds - Message.m_WallSeconds) >
-      MostClockDifferenceSeconds)
+      MaxClockDifferenceSeconds)
     return DropReason::Stale;
   auto Found = m_Peers.find(Message.m_From.m_Incarnation);
   if (Found == m_Peers.end()) {
@@ -23,18 +23,18 @@
     return DropReason::Replayed;
   }
   KnownPeer &Peer = Found->second;
-  Peer.m_Home = Message.m_From;
+  Peer.m_Instance = Message.m_From;
   Peer.m_HeardAt = Now;
   Peer.m_Sequence = Message.m_Sequence;
   if (const auto *Beat = std::get_if<Heartbeat>(&Message.m_Body))
-    Peer.m_Last = *Beat;
+    Peer.m_LastHeartbeat = *Beat;
   return std::nullopt;
 }
 
 std::vector<KnownPeer> PeerDirectory::expire(core::TimePoint Now) {
   std::vector<KnownPeer> Gone;
   for (auto Peer = m_Peers.begin(); Peer != m_Peers.end();) {
-    if (Now - Peer->second.m_HeardAt <= m_Silence) {
+    if (Now - Peer->second.m_HeardAt <= m_SilenceTimeout) {
       ++Peer;
       continue;
     }
--- a/Libraries/LibPeer/PeerDirectory.h
+++ b/Libraries/LibPeer/PeerDirectory.h
@@ -14,23 +14,23 @@
 namespace yardrill::peer {
 
 struct KnownPeer {
-  decision::Home m_Home;
+  decision::Home m_Instance;
   core::TimePoint m_HeardAt{};
   std::uint64_t m_Sequence = 0;
-  Heartbeat m_Last; ///< Empty until a heartbeat came.
+  Heartbeat m_LastHeartbeat; ///< Empty until a heartbeat came.
 };
 
 /// A bounded table of live instances. Not thread-safe.
 class PeerDirectory {
 public:
   PeerDirectory(std::size_t Capacity, core::Duration Silence)
-      : m_Capacity(Capacity), m_Silence(Silence) {}
+      : m_Capacity(Capacity), m_SilenceTimeout(Silence) {}
 
   /// Takes note of an authenticated message.
   /// \returns why it has to be dropped, if it has.
-  std::optional<DropReason> heard(const PeerMessage &Message,
-                                  core::TimePoint Now,
-                                  std::int64_t NowWallSeconds);
+  std::optional<DropReason> accept(const PeerMessage &Message,
+                                   core::TimePoint Now,
+                                   std::int64_t NowWallSeconds);
   /// Removes those that were silent for too long, and \returns them.
   std::vector<KnownPeer> expire(core::TimePoint Now);
 
@@ -40,7 +40,7 @@
 
 private:
   std::size_t m_Capacity;
-  core::Duration m_Silence;
+  core::Duration m_SilenceTimeout;
   std::map<core::IncarnationId, KnownPeer> m_Peers;
 };
 
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -25,21 +25,21 @@
   std::uint64_t m_Digest = 0;           ///< Of the configuration's text.
   bool m_IsStopping = false;
   /// Some other instances that the sender heard from lately.
-  std::vector<decision::Home> m_Others;
+  std::vector<decision::Home> m_RecentPeers;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Name, m_Version, m_Digest, m_IsStopping, m_Others);
+    Ar(m_Name, m_Version, m_Digest, m_IsStopping, m_RecentPeers);
   }
 };
 
 /// Work under way at one target, sent by the reporting instance.
-struct TargetUse {
+struct TargetLoadEntry {
   std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash().
   std::uint16_t m_Running = 0;
   std::uint32_t m_PendingPromptTokens =
       0; ///< Prompt tokens without a first event.
 
-  bool operator==(const TargetUse &Other) const {
+  bool operator==(const TargetLoadEntry &Other) const {
     return m_Target == Other.m_Target && m_Running == Other.m_Running &&
            m_PendingPromptTokens == Other.m_PendingPromptTokens;
   }
@@ -58,18 +58,19 @@
   core::DataHallName m_DataHall;
   std::int64_t m_StoreRevision = 0; ///< 0: knows nothing yet.
   /// Up to which the sender also has all values.
-  std::int64_t m_WholeRevision = 0;
+  std::int64_t m_CompleteRevision = 0;
   bool m_IsStoreConnected = false; ///< Follows the store itself, and hears it.
   bool m_IsStopping = false;
   /// Whether requests wait there for a free place.
-  bool m_HasWaiting = false;
-  std::vector<TargetUse> m_Targets; ///< Only those with work.
+  bool m_HasWaitingRequests = false;
+  std::vector<TargetLoadEntry> m_Targets; ///< Only those with work.
   /// Some other instances that the sender heard from lately.
-  std::vector<decision::Home> m_Others;
+  std::vector<decision::Home> m_RecentPeers;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_IsFull, m_Name, m_DataHall, m_StoreRevision, m_WholeRevision,
-       m_IsStoreConnected, m_IsStopping, m_HasWaiting, m_Targets, m_Others);
+    Ar(m_IsFull, m_Name, m_DataHall, m_StoreRevision, m_CompleteRevision,
+       m_IsStoreConnected, m_IsStopping, m_HasWaitingRequests, m_Targets,
+       m_RecentPeers);
   }
 };
 
@@ -80,33 +81,33 @@
 
 /// Asks an owner of an account's quota for tokens, or gives some back.
 struct QuotaRequest {
-  std::uint64_t m_Ask = 0;     ///< The asker's number for it.
-  std::uint32_t m_Account = 0; ///< Low half of stableHash() of its name.
-  std::uint32_t m_Tokens = 0;  ///< 0: no answer is wanted.
+  std::uint64_t m_RequestId = 0; ///< The asker's number for it.
+  std::uint32_t m_Account = 0;   ///< Low half of stableHash() of its name.
+  std::uint32_t m_Tokens = 0;    ///< 0: no answer is wanted.
   std::uint32_t m_Returned = 0;
   /// The tokens are a part of the asker's debt, to be taken over.
   bool m_IsCharge = false;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Ask, m_Account, m_Tokens, m_Returned, m_IsCharge);
+    Ar(m_RequestId, m_Account, m_Tokens, m_Returned, m_IsCharge);
   }
 };
 
 struct QuotaResponse {
-  std::uint64_t m_Ask = 0;
+  std::uint64_t m_RequestId = 0;
   std::uint8_t m_Verdict = 0; ///< A routing::QuotaVerdict.
   std::uint32_t m_Tokens = 0; ///< Granted.
   std::uint64_t m_RetryAfterUs = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Ask, m_Verdict, m_Tokens, m_RetryAfterUs);
+    Ar(m_RequestId, m_Verdict, m_Tokens, m_RetryAfterUs);
   }
 };
 
 using PeerBody =
     std::variant<Heartbeat, decision::FloorOrder, decision::FloorReport,
                  LoadReport, QuotaRequest, QuotaResponse, RolloutReport,
-                 RolloutPermit, SeenEnds, TargetNews>;
+                 RolloutPermit, QuarantineUpdate, BackpressureUpdate>;
 
 struct PeerMessage {
   decision::Home m_From;
--- a/Libraries/LibPeer/PeerSocket.cpp
+++ b/Libraries/LibPeer/PeerSocket.cpp
@@ -38,7 +38,7 @@
 
 void PeerSocket::receive(asio::yield_context Yield) {
   // One byte more than allowed, so that a longer datagram is seen as such.
-  std::vector<char> Buffer(MostDatagramBytes + 1);
+  std::vector<char> Buffer(MaxDatagramBytes + 1);
   while (true) {
     udp::endpoint From;
     boost::system::error_code Failure;
--- a/Libraries/LibPeer/QuarantineMessages.h
+++ b/Libraries/LibPeer/QuarantineMessages.h
@@ -9,7 +9,7 @@
 namespace yardrill::peer {
 
 /// A quarantine::Observation.
-struct SeenEnd {
+struct QuarantineObservation {
   std::uint64_t m_ContentHigh = 0;
   std::uint64_t m_ContentLow = 0;
   std::uint32_t m_Incarnation = 0; ///< routing::TargetIncarnation::hash().
@@ -21,13 +21,13 @@
 };
 
 /// Merged by whoever hears it; told several times, since datagrams are lost.
-struct SeenEnds {
+struct QuarantineUpdate {
   /// Within one datagram.
-  static constexpr std::size_t Most = 48;
+  static constexpr std::size_t MaxObservations = 48;
 
-  std::vector<SeenEnd> m_Ends;
+  std::vector<QuarantineObservation> m_Observations;
 
-  template <class Archive> void serialize(Archive &Ar) { Ar(m_Ends); }
+  template <class Archive> void serialize(Archive &Ar) { Ar(m_Observations); }
 };
 
 } // namespace yardrill::peer
--- a/Libraries/LibPeer/RolloutMessages.cpp
+++ b/Libraries/LibPeer/RolloutMessages.cpp
@@ -3,7 +3,7 @@
 namespace yardrill::peer {
 
 /// A cell takes some 55 bytes with the usual six bins; the most, 140.
-static constexpr std::size_t CellsInPart = 9;
+static constexpr std::size_t MaxCellsInPart = 9;
 
 static RolloutCell toCell(const rollout::CellKey &Key,
                           const rollout::Cell &Counts) {
@@ -32,7 +32,7 @@
   std::vector<RolloutReport> Out{Empty};
   Empty.m_WantsPermit = false;
   for (const auto &[Key, Counts] : Told.m_Cells) {
-    if (Out.back().m_Cells.size() == CellsInPart)
+    if (Out.back().m_Cells.size() == MaxCellsInPart)
       Out.push_back(Empty);
     Out.back().m_Cells.push_back(toCell(Key, Counts));
   }
--- a/Libraries/LibPeer/TargetMessages.h
+++ b/Libraries/LibPeer/TargetMessages.h
@@ -12,7 +12,7 @@
 
 /// A routing::BackpressureReport. Its time is told as an age, since clocks
 /// differ.
-struct ToldTerms {
+struct BackpressureEntry {
   std::string m_Target;
   std::int64_t m_StartTime = 0;
   bool m_IsLimited = false;
@@ -27,13 +27,13 @@
 };
 
 /// The newest word of each run counts, in whatever order they come.
-struct TargetNews {
+struct BackpressureUpdate {
   /// Within one datagram.
-  static constexpr std::size_t Most = 16;
+  static constexpr std::size_t MaxEntries = 16;
 
-  std::vector<ToldTerms> m_Terms;
+  std::vector<BackpressureEntry> m_Entries;
 
-  template <class Archive> void serialize(Archive &Ar) { Ar(m_Terms); }
+  template <class Archive> void serialize(Archive &Ar) { Ar(m_Entries); }
 };
 
 } // namespace yardrill::peer
--- a/Tests/LibGateway/BackpressureServiceTest.cpp
+++ b/Tests/LibGateway/BackpressureServiceTest.cpp
@@ -21,11 +21,11 @@
   config::Endpoint m_Self{"10.1.0.1", 7600};
   config::Endpoint m_Other{"10.1.0.2", 7600};
   routing::TargetDirectory m_Targets;
-  std::vector<std::pair<config::Endpoint, peer::TargetNews>> m_Sent;
+  std::vector<std::pair<config::Endpoint, peer::BackpressureUpdate>> m_Sent;
   BackpressureService m_Service{
       m_Self, m_Targets,
       [this](const config::Endpoint &To, const peer::PeerBody &Body) {
-        m_Sent.emplace_back(To, std::get<peer::TargetNews>(Body));
+        m_Sent.emplace_back(To, std::get<peer::BackpressureUpdate>(Body));
       }};
 
   routing::Target announce(const std::string &Name) {
@@ -41,9 +41,9 @@
     return Out;
   }
   void hear(double PerSecond, std::uint64_t AgeUs) {
-    peer::ToldTerms Told{"a", 0, true, PerSecond, AgeUs, false};
+    peer::BackpressureEntry Told{"a", 0, true, PerSecond, AgeUs, false};
     peer::PeerMessage Message;
-    Message.m_Body = peer::TargetNews{{Told}};
+    Message.m_Body = peer::BackpressureUpdate{{Told}};
     m_Service.handle(Message, m_Now);
   }
 
@@ -58,7 +58,7 @@
     m_Service.noteStated(announce("a"), limited(2), m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Sent.size());
     CPPUNIT_ASSERT(m_Sent[0].first == m_Other);
-    const peer::ToldTerms &Told = m_Sent[0].second.m_Terms.at(0);
+    const peer::BackpressureEntry &Told = m_Sent[0].second.m_Entries.at(0);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), Told.m_Target);
     CPPUNIT_ASSERT(Told.m_IsLimited && Told.m_PerSecond == 2);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), Told.m_LimitAgeUs);
@@ -75,7 +75,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(11), m_Sent.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(9250000),
-                         m_Sent.back().second.m_Terms.at(0).m_LimitAgeUs);
+                         m_Sent.back().second.m_Entries.at(0).m_LimitAgeUs);
   }
 
   void testSendsNothingWithoutBackpressure() {
@@ -94,14 +94,16 @@
   }
 
   void testSplitsUpdatesIntoDatagrams() {
-    for (std::size_t I = 0; I < 2 * peer::TargetNews::Most + 1; ++I)
+    for (std::size_t I = 0; I < 2 * peer::BackpressureUpdate::MaxEntries + 1;
+         ++I)
       m_Service.noteStated(announce("t" + std::to_string(I)), limited(2),
                            m_Now);
     m_Sent.clear();
     m_Service.upkeep(m_Now + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), m_Sent.size());
     for (const auto &[To, News] : m_Sent)
-      CPPUNIT_ASSERT(News.m_Terms.size() <= peer::TargetNews::Most);
+      CPPUNIT_ASSERT(News.m_Entries.size() <=
+                     peer::BackpressureUpdate::MaxEntries);
   }
 
   void testIgnoresUnreadableUpdates() {
--- a/Tests/LibGateway/EventSplitterTest.cpp
+++ b/Tests/LibGateway/EventSplitterTest.cpp
@@ -1,7 +1,7 @@
 #include "LibGateway/EventSplitter.h"
 
 #include "LibCore/Error.h"
-#include "LibGateway/StoreTransfer.h"
+#include "LibGateway/MirrorUpdate.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -47,7 +47,7 @@
     platform::StoreMirror Mirror(10);
     Mirror.replaceAll(platform::Revision(5),
                       {{"k", std::string("v\0w", 3), platform::Revision(4)}});
-    auto Whole = StoreTransfer::decode(StoreTransfer::whole(Mirror).encode());
+    auto Whole = MirrorUpdate::decode(MirrorUpdate::whole(Mirror).encode());
     CPPUNIT_ASSERT(Whole.m_IsWhole);
     platform::StoreMirror Other(10);
     Whole.applyTo(Other);
@@ -55,12 +55,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("v\0w", 3), Other.content()[0].m_Value);
     Mirror.apply(platform::Revision(6),
                  {{"k", "", platform::Revision(6), true}});
-    auto Part = StoreTransfer::decode(
-        StoreTransfer::since(Mirror, Other.revision()).encode());
+    auto Part = MirrorUpdate::decode(
+        MirrorUpdate::since(Mirror, Other.revision()).encode());
     CPPUNIT_ASSERT(!Part.m_IsWhole);
     Part.applyTo(Other);
     CPPUNIT_ASSERT(Other.content().empty());
-    CPPUNIT_ASSERT_THROW(StoreTransfer::decode("nonsense"), core::Error);
+    CPPUNIT_ASSERT_THROW(MirrorUpdate::decode("nonsense"), core::Error);
   }
 };
 
--- a/Tests/LibGateway/FleetRosterTest.cpp
+++ b/Tests/LibGateway/FleetMembershipTest.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/FleetRoster.h"
+#include "LibGateway/FleetMembership.h"
 
 #include "EmptyStore.h"
 
@@ -10,19 +10,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class FleetRosterTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FleetRosterTest);
-  CPPUNIT_TEST(testFirstListIsWhoIsHeard);
+class FleetMembershipTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(FleetMembershipTest);
+  CPPUNIT_TEST(testFirstListHoldsLiveInstances);
   CPPUNIT_TEST(testNewInstanceIsAddedAtOnce);
   CPPUNIT_TEST(testShortSilenceChangesNothing);
-  CPPUNIT_TEST(testLongSilenceLeavesOut);
-  CPPUNIT_TEST(testMinorityLeavesNobodyOut);
-  CPPUNIT_TEST(testRecordIsReadAsItWasWritten);
-  CPPUNIT_TEST(testUnreadableRecordIsNone);
+  CPPUNIT_TEST(testLongSilenceRemovesInstance);
+  CPPUNIT_TEST(testMinorityRemovesNoInstance);
+  CPPUNIT_TEST(testRecordRoundTrip);
+  CPPUNIT_TEST(testUnreadableRecordIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
-  using Instance = FleetList::value_type;
+  using Instance = FleetMembers::value_type;
   const Instance m_A{{"10.1.0.1", 7600}, core::DataHallName("hall a")};
   const Instance m_B{{"10.1.0.2", 7600}, core::DataHallName("hall b")};
   const Instance m_C{{"10.1.0.3", 7600}, core::DataHallName("hall a")};
@@ -41,67 +41,67 @@
   };
 
 public:
-  void testFirstListIsWhoIsHeard() {
-    FleetRoster Roster;
-    CPPUNIT_ASSERT(*Roster.correction({m_A, m_B}, m_Now) ==
-                   FleetList({m_A, m_B}));
+  void testFirstListHoldsLiveInstances() {
+    FleetMembership Roster;
+    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_B}, m_Now) ==
+                   FleetMembers({m_A, m_B}));
   }
 
   void testNewInstanceIsAddedAtOnce() {
-    FleetRoster Roster;
+    FleetMembership Roster;
     Roster.setRecorded({m_A, m_C});
-    CPPUNIT_ASSERT(!Roster.correction({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(*Roster.correction({m_A, m_B, m_C}, m_Now) ==
-                   FleetList({m_A, m_B, m_C}));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_B, m_C}, m_Now) ==
+                   FleetMembers({m_A, m_B, m_C}));
   }
 
   void testShortSilenceChangesNothing() {
-    FleetRoster Roster;
+    FleetMembership Roster;
     Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.correction({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(!Roster.correction({m_A, m_C}, m_Now + seconds(10)));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(10)));
     // It came back; the next silence is another one.
-    CPPUNIT_ASSERT(!Roster.correction({m_A, m_B, m_C}, m_Now + seconds(11)));
-    CPPUNIT_ASSERT(!Roster.correction({m_A, m_C}, m_Now + seconds(12)));
-    CPPUNIT_ASSERT(!Roster.correction({m_A, m_C}, m_Now + seconds(22)));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_B, m_C}, m_Now + seconds(11)));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(12)));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(22)));
   }
 
-  void testLongSilenceLeavesOut() {
-    FleetRoster Roster;
+  void testLongSilenceRemovesInstance() {
+    FleetMembership Roster;
     Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.correction({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(*Roster.correction({m_A, m_C}, m_Now + seconds(13)) ==
-                   FleetList({m_A, m_C}));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(13)) ==
+                   FleetMembers({m_A, m_C}));
   }
 
-  void testMinorityLeavesNobodyOut() {
+  void testMinorityRemovesNoInstance() {
     // It is cut off from the others, and not from the store.
-    FleetRoster Roster;
+    FleetMembership Roster;
     Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.correction({m_A}, m_Now));
-    CPPUNIT_ASSERT(!Roster.correction({m_A}, m_Now + seconds(60)));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A}, m_Now));
+    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A}, m_Now + seconds(60)));
   }
 
-  void testRecordIsReadAsItWasWritten() {
+  void testRecordRoundTrip() {
     boost::asio::io_context Context;
     WritableStore Store;
-    FleetRecord Record(Context, Store);
+    MembershipRecord Record(Context, Store);
     Record.write({m_A, m_B}, m_Now);
     // Not twice within a short time.
     Record.write({m_A, m_B, m_C}, m_Now + seconds(1));
     Context.run();
     CPPUNIT_ASSERT(Store.m_Written);
-    CPPUNIT_ASSERT(Record.isItsKey(Store.m_Written->m_Key));
+    CPPUNIT_ASSERT(Record.isRecordKey(Store.m_Written->m_Key));
     platform::Entry Change;
     Change.m_Key = Store.m_Written->m_Key;
     Change.m_Value = Store.m_Written->m_Puts.at(0).m_Value;
-    CPPUNIT_ASSERT(Record.read(Change) == FleetList({m_A, m_B}));
+    CPPUNIT_ASSERT(Record.read(Change) == FleetMembers({m_A, m_B}));
   }
 
-  void testUnreadableRecordIsNone() {
+  void testUnreadableRecordIsIgnored() {
     boost::asio::io_context Context;
     WritableStore Store;
-    FleetRecord Record(Context, Store);
+    MembershipRecord Record(Context, Store);
     platform::Entry Change;
     Change.m_Value = "10.1.0.1:7600 hall\nnot an address\n";
     CPPUNIT_ASSERT(Record.read(Change).empty());
@@ -111,4 +111,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FleetRosterTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FleetMembershipTest);
--- a/Tests/LibGateway/FollowerDutyTest.cpp
+++ b/Tests/LibGateway/FollowerSelectionTest.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/FollowerDuty.h"
+#include "LibGateway/FollowerSelection.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <vector>
@@ -28,7 +28,7 @@
       std::vector<std::size_t> Heard;
       for (std::size_t I = 0; I < m_Duties.size(); ++I) {
         Heard.push_back(Before);
-        Before += m_Duties[I].isNeeded() && m_IsServed[I] ? 1 : 0;
+        Before += m_Duties[I].isSelected() && m_IsServed[I] ? 1 : 0;
       }
       for (std::size_t I = 0; I < m_Duties.size(); ++I)
         m_Duties[I].update(Heard[I], m_Now);
@@ -37,64 +37,64 @@
   /// Who asks the store; who of them is served.
   std::size_t asking() const {
     std::size_t Out = 0;
-    for (const FollowerDuty &Each : m_Duties)
-      Out += Each.isNeeded() ? 1 : 0;
+    for (const FollowerSelection &Each : m_Duties)
+      Out += Each.isSelected() ? 1 : 0;
     return Out;
   }
   std::size_t following() const {
     std::size_t Out = 0;
     for (std::size_t I = 0; I < m_Duties.size(); ++I)
-      Out += m_Duties[I].isNeeded() && m_IsServed[I] ? 1 : 0;
+      Out += m_Duties[I].isSelected() && m_IsServed[I] ? 1 : 0;
     return Out;
   }
 
 private:
-  std::vector<FollowerDuty> m_Duties;
+  std::vector<FollowerSelection> m_Duties;
   std::vector<bool> m_IsServed;
   core::TimePoint m_Now{std::chrono::hours(1)};
 };
 
 } // namespace
 
-class FollowerDutyTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FollowerDutyTest);
-  CPPUNIT_TEST(testAFewFollow);
-  CPPUNIT_TEST(testTheNextOnesTakeOver);
-  CPPUNIT_TEST(testAThirdIsTurnedAway);
-  CPPUNIT_TEST(testAStoreThatIsAwayIsAskedByFew);
-  CPPUNIT_TEST(testTheFirstOnesTakeItBack);
+class FollowerSelectionTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(FollowerSelectionTest);
+  CPPUNIT_TEST(testFewInstancesFollow);
+  CPPUNIT_TEST(testNextRanksReplaceLostFollowers);
+  CPPUNIT_TEST(testFollowersWhenAThirdIsRejected);
+  CPPUNIT_TEST(testUnavailableStoreIsTriedByFew);
+  CPPUNIT_TEST(testFirstRanksResumeFollowing);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testAFewFollow() {
+  void testFewInstancesFollow() {
     for (std::size_t Size : {9, 89, 295, 440}) {
       Fleet All(Size);
       All.pass(seconds(5));
-      CPPUNIT_ASSERT_EQUAL(FollowerDuty::Wanted, All.asking());
+      CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers, All.asking());
     }
   }
 
-  void testTheNextOnesTakeOver() {
+  void testNextRanksReplaceLostFollowers() {
     Fleet All(295);
     All.pass(seconds(5));
     for (std::size_t I = 0; I < 6; ++I)
       All.served()[I] = false;
     All.pass(seconds(2));
-    CPPUNIT_ASSERT(All.following() >= FollowerDuty::Wanted);
+    CPPUNIT_ASSERT(All.following() >= FollowerSelection::DesiredFollowers);
     // Those that are turned away keep trying.
     CPPUNIT_ASSERT(All.asking() <= 18);
   }
 
-  void testAThirdIsTurnedAway() {
+  void testFollowersWhenAThirdIsRejected() {
     Fleet All(295);
     All.pass(seconds(5));
     for (std::size_t I = 0; I < 295; I += 3)
       All.served()[I] = false;
     All.pass(seconds(3));
-    CPPUNIT_ASSERT_EQUAL(FollowerDuty::Wanted, All.following());
+    CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers, All.following());
   }
 
-  void testAStoreThatIsAwayIsAskedByFew() {
+  void testUnavailableStoreIsTriedByFew() {
     Fleet All(295);
     All.pass(seconds(5));
     All.served().assign(295, false);
@@ -104,14 +104,14 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(48), All.asking());
   }
 
-  void testTheFirstOnesTakeItBack() {
+  void testFirstRanksResumeFollowing() {
     Fleet All(295);
     All.served().assign(295, false);
     All.pass(seconds(10));
     All.served().assign(295, true);
     All.pass(seconds(2));
-    CPPUNIT_ASSERT_EQUAL(FollowerDuty::Wanted, All.asking());
+    CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers, All.asking());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FollowerDutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FollowerSelectionTest);
--- a/Tests/LibGateway/PeerTableTest.cpp
+++ b/Tests/LibGateway/PeerTableTest.cpp
@@ -11,13 +11,13 @@
   CPPUNIT_TEST_SUITE(PeerTableTest);
   CPPUNIT_TEST(testFirstReportMustBeFull);
   CPPUNIT_TEST(testReplayedReportIsDropped);
-  CPPUNIT_TEST(testNearPeerFallsSilentAndReturns);
-  CPPUNIT_TEST(testFarPeerStaysForLonger);
-  CPPUNIT_TEST(testSuccessorTakesTheAddress);
+  CPPUNIT_TEST(testGroupPeerExpiresAndReturns);
+  CPPUNIT_TEST(testOtherGroupPeerExpiresLater);
+  CPPUNIT_TEST(testNewIncarnationReplacesOldOne);
   CPPUNIT_TEST(testFollowersBefore);
-  CPPUNIT_TEST(testSilentFollowerIsNoFollower);
-  CPPUNIT_TEST(testFleetChangesAreToldOnce);
-  CPPUNIT_TEST(testOtherMessagesOfUnknownPeersPass);
+  CPPUNIT_TEST(testSilentFollowerIsNotCounted);
+  CPPUNIT_TEST(testFleetChangeIsReportedOnce);
+  CPPUNIT_TEST(testMessagesOfUnknownPeersAreAccepted);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::int64_t WallSeconds = 1000;
@@ -36,17 +36,17 @@
     Out.m_WallSeconds = WallSeconds;
     return Out;
   }
-  PeerTable::Taken take(std::uint64_t Incarnation, std::size_t Index,
-                        bool IsFull = true, bool IsFollower = false) {
+  PeerTable::ReportResult handle(std::uint64_t Incarnation, std::size_t Index,
+                                 bool IsFull = true, bool IsFollower = false) {
     peer::LoadReport Report;
     Report.m_IsFull = IsFull;
     Report.m_DataHall = core::DataHallName("hall");
     Report.m_IsStoreConnected = IsFollower;
-    return m_Table.take(message(Incarnation, Index), Report, m_Now,
-                        WallSeconds);
+    return m_Table.handle(message(Incarnation, Index), Report, m_Now,
+                          WallSeconds);
   }
   /// Everyone in one group.
-  void cutInOne(std::size_t Count) {
+  void useOneGroup(std::size_t Count) {
     routing::FleetSubset::Fleet Fleet{{m_Self, core::DataHallName("hall")}};
     for (std::size_t I = 0; I < Count; ++I)
       Fleet[address(I)] = core::DataHallName("hall");
@@ -55,39 +55,39 @@
 
 public:
   void testFirstReportMustBeFull() {
-    CPPUNIT_ASSERT(!take(1, 0, false).m_IsNew);
+    CPPUNIT_ASSERT(!handle(1, 0, false).m_IsNew);
     CPPUNIT_ASSERT(m_Table.all().empty());
-    CPPUNIT_ASSERT(take(1, 0).m_IsNew);
-    CPPUNIT_ASSERT(!take(1, 0, false).m_IsNew);
+    CPPUNIT_ASSERT(handle(1, 0).m_IsNew);
+    CPPUNIT_ASSERT(!handle(1, 0, false).m_IsNew);
     const LivePeer *Peer = m_Table.find(core::IncarnationId(1));
     CPPUNIT_ASSERT(Peer->m_Report.m_DataHall.value() == "hall");
   }
 
   void testReplayedReportIsDropped() {
-    take(1, 0);
+    handle(1, 0);
     --m_Sequence;
-    CPPUNIT_ASSERT(*take(1, 0).m_Dropped == peer::DropReason::Replayed);
+    CPPUNIT_ASSERT(*handle(1, 0).m_Dropped == peer::DropReason::Replayed);
   }
 
-  void testNearPeerFallsSilentAndReturns() {
-    take(1, 0, true, true);
-    cutInOne(1);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.nearPeers().size());
+  void testGroupPeerExpiresAndReturns() {
+    handle(1, 0, true, true);
+    useOneGroup(1);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.groupPeers().size());
     m_Now += milliseconds(800);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.expire(m_Now).size());
     CPPUNIT_ASSERT(m_Table.expire(m_Now).empty());
     // What it said holds no more, yet it belongs to the fleet.
-    CPPUNIT_ASSERT(m_Table.nearPeers().empty());
+    CPPUNIT_ASSERT(m_Table.groupPeers().empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
     CPPUNIT_ASSERT(m_Table.isLive(address(0)));
-    CPPUNIT_ASSERT(!take(1, 0, false).m_IsNew);
-    CPPUNIT_ASSERT(m_Table.nearPeers().empty());
-    CPPUNIT_ASSERT(take(1, 0).m_IsNew);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.nearPeers().size());
+    CPPUNIT_ASSERT(!handle(1, 0, false).m_IsNew);
+    CPPUNIT_ASSERT(m_Table.groupPeers().empty());
+    CPPUNIT_ASSERT(handle(1, 0).m_IsNew);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.groupPeers().size());
   }
 
-  void testFarPeerStaysForLonger() {
-    take(1, 0);
+  void testOtherGroupPeerExpiresLater() {
+    handle(1, 0);
     m_Now += seconds(9);
     CPPUNIT_ASSERT(m_Table.expire(m_Now).empty());
     CPPUNIT_ASSERT(m_Table.isLive(address(0)));
@@ -97,9 +97,9 @@
     CPPUNIT_ASSERT(!m_Table.isLive(address(0)));
   }
 
-  void testSuccessorTakesTheAddress() {
-    take(1, 0);
-    take(2, 0);
+  void testNewIncarnationReplacesOldOne() {
+    handle(1, 0);
+    handle(2, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.all().size());
     CPPUNIT_ASSERT(m_Table.find(core::IncarnationId(2)));
     CPPUNIT_ASSERT(m_Table.isLive(address(0)));
@@ -108,18 +108,18 @@
   void testFollowersBefore() {
     // Whoever follows the store, about half come before this instance.
     for (std::size_t I = 0; I < 40; ++I)
-      take(I + 1, I, true, true);
+      handle(I + 1, I, true, true);
     CPPUNIT_ASSERT_EQUAL(std::size_t(40), m_Table.followers());
     std::size_t Before = m_Table.followersBefore();
     CPPUNIT_ASSERT(Before > 5 && Before < 35);
     for (std::size_t I = 0; I < 40; ++I)
-      take(I + 1, I, false, false);
+      handle(I + 1, I, false, false);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followersBefore());
   }
 
-  void testSilentFollowerIsNoFollower() {
-    take(1, 0, true, true);
+  void testSilentFollowerIsNotCounted() {
+    handle(1, 0, true, true);
     CPPUNIT_ASSERT(*m_Table.firstFollower() == address(0));
     m_Now += seconds(2);
     m_Table.expire(m_Now);
@@ -129,25 +129,25 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
     CPPUNIT_ASSERT(!m_Table.firstFollower());
     // It is still known, and a word of it brings it back.
-    take(1, 0, true, true);
+    handle(1, 0, true, true);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.followers());
   }
 
-  void testFleetChangesAreToldOnce() {
-    m_Table.takeFleetChange();
-    take(1, 0);
-    CPPUNIT_ASSERT(m_Table.takeFleetChange());
-    take(1, 0);
-    CPPUNIT_ASSERT(!m_Table.takeFleetChange());
+  void testFleetChangeIsReportedOnce() {
+    m_Table.consumeFleetChange();
+    handle(1, 0);
+    CPPUNIT_ASSERT(m_Table.consumeFleetChange());
+    handle(1, 0);
+    CPPUNIT_ASSERT(!m_Table.consumeFleetChange());
     m_Now += seconds(11);
     m_Table.expire(m_Now);
-    CPPUNIT_ASSERT(m_Table.takeFleetChange());
+    CPPUNIT_ASSERT(m_Table.consumeFleetChange());
   }
 
-  void testOtherMessagesOfUnknownPeersPass() {
+  void testMessagesOfUnknownPeersAreAccepted() {
     peer::PeerMessage Ask = message(1, 0);
     CPPUNIT_ASSERT(!m_Table.check(Ask, m_Now, WallSeconds));
-    take(1, 0);
+    handle(1, 0);
     CPPUNIT_ASSERT(*m_Table.check(Ask, m_Now, WallSeconds) ==
                    peer::DropReason::Replayed);
     CPPUNIT_ASSERT(!m_Table.check(message(1, 0), m_Now, WallSeconds));
--- a/Tests/LibGateway/QuarantineTest.cpp
+++ b/Tests/LibGateway/QuarantineTest.cpp
@@ -21,17 +21,17 @@
 
 class QuarantineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuarantineTest);
-  CPPUNIT_TEST(testEndsFewTargetsWhereverItComes);
+  CPPUNIT_TEST(testRepeatedRequestStopsFewTargets);
   CPPUNIT_TEST(testPopularRequestIsServedThroughout);
-  CPPUNIT_TEST(testIsKnownAgainAfterAllRestarted);
-  CPPUNIT_TEST(testStreamThatEndsItsTargetMidwayIsTheSame);
-  CPPUNIT_TEST(testLiftedIsSentAgainEverywhere);
-  CPPUNIT_TEST(testResetConnectionsAreNoEnds);
-  CPPUNIT_TEST(testRestartedInstanceIsToldWhileTheStoreIsAway);
+  CPPUNIT_TEST(testQuarantineSurvivesRestartOfAll);
+  CPPUNIT_TEST(testStreamThatEndsItsTargetIsQuarantined);
+  CPPUNIT_TEST(testLiftedContentIsServedByAll);
+  CPPUNIT_TEST(testResetConnectionsDoNotCountAsExits);
+  CPPUNIT_TEST(testRestartedInstanceLearnsFromPeers);
   CPPUNIT_TEST_SUITE_END();
 
   /// Sent on after three targets ended, in all.
-  static constexpr std::size_t MostAfterThird = 3;
+  static constexpr std::size_t MaxArrivalsAfterThirdExit = 3;
   static constexpr std::size_t Gateways = 3;
   static constexpr std::size_t Targets = 6;
   /// Until then a process is not sure that it has found the others.
@@ -40,8 +40,8 @@
       gateway::StoreRecord::keyOf(gateway::QuarantineService::RecordName);
 
   /// Comes again \p Times, each time at the next gateway.
-  static void sendAgainAndAgain(GatewayFleet &Fleet, const std::string &Path,
-                                const std::string &Body, std::size_t Times) {
+  static void sendRepeatedly(GatewayFleet &Fleet, const std::string &Path,
+                             const std::string &Body, std::size_t Times) {
     for (std::size_t I = 0; I < Times; ++I) {
       Fleet.send(I % Fleet.size(), Path, Body);
       std::this_thread::sleep_for(milliseconds(100));
@@ -49,14 +49,15 @@
   }
 
 public:
-  void testEndsFewTargetsWhereverItComes() {
+  void testRepeatedRequestStopsFewTargets() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
-    sendAgainAndAgain(Fleet, "/again/x", EndingBody, 20);
+    sendRepeatedly(Fleet, "/again/x", EndingBody, 20);
     CPPUNIT_ASSERT(Fleet.ends() >= 3);
-    CPPUNIT_ASSERT(Fleet.arrivalsAfterThirdEnd(
-                       EndingBody, core::Duration::zero()) <= MostAfterThird);
+    CPPUNIT_ASSERT(
+        Fleet.arrivalsAfterThirdEnd(EndingBody, core::Duration::zero()) <=
+        MaxArrivalsAfterThirdExit);
     // It was not sent, and is told so.
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", EndingBody).m_Status);
     // One with another body is another request.
@@ -94,41 +95,42 @@
     CPPUNIT_ASSERT(Served > 10);
   }
 
-  void testIsKnownAgainAfterAllRestarted() {
+  void testQuarantineSurvivesRestartOfAll() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
     std::this_thread::sleep_for(SettleTime);
-    sendAgainAndAgain(Fleet, "/again/x", EndingBody, 4);
+    sendRepeatedly(Fleet, "/again/x", EndingBody, 4);
     std::this_thread::sleep_for(milliseconds(1500));
     Fleet.killAll();
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
     // Learned anew, it would end three more.
     std::size_t Before = Fleet.arrivalsOf(EndingBody);
-    sendAgainAndAgain(Fleet, "/again/x", EndingBody, 6);
+    sendRepeatedly(Fleet, "/again/x", EndingBody, 6);
     CPPUNIT_ASSERT_EQUAL(Before, Fleet.arrivalsOf(EndingBody));
-    CPPUNIT_ASSERT(Fleet.arrivalsAfterThirdEnd(
-                       EndingBody, core::Duration::zero()) <= MostAfterThird);
+    CPPUNIT_ASSERT(
+        Fleet.arrivalsAfterThirdEnd(EndingBody, core::Duration::zero()) <=
+        MaxArrivalsAfterThirdExit);
   }
 
-  void testStreamThatEndsItsTargetMidwayIsTheSame() {
+  void testStreamThatEndsItsTargetIsQuarantined() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
-    sendAgainAndAgain(Fleet, "/stream/x", EndingMidwayBody, 12);
+    sendRepeatedly(Fleet, "/stream/x", EndingMidwayBody, 12);
     CPPUNIT_ASSERT(Fleet.ends() >= 3);
     CPPUNIT_ASSERT(
         Fleet.arrivalsAfterThirdEnd(EndingMidwayBody, core::Duration::zero()) <=
-        MostAfterThird);
+        MaxArrivalsAfterThirdExit);
   }
 
-  void testLiftedIsSentAgainEverywhere() {
+  void testLiftedContentIsServedByAll() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
     std::this_thread::sleep_for(SettleTime);
-    sendAgainAndAgain(Fleet, "/again/x", EndingBody, 6);
+    sendRepeatedly(Fleet, "/again/x", EndingBody, 6);
     std::string Record;
     CPPUNIT_ASSERT(eventually([&] {
       Record = Fleet.store().valueOf(m_RecordKey);
@@ -150,7 +152,7 @@
   }
 
   /// A target that still listens has not ended, whatever broke off.
-  void testResetConnectionsAreNoEnds() {
+  void testResetConnectionsDoNotCountAsExits() {
     GatewayFleet Fleet(1, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
@@ -169,19 +171,20 @@
     CPPUNIT_ASSERT_EQUAL(200U, Fleet.send(0, "/once/x", "long").m_Status);
   }
 
-  void testRestartedInstanceIsToldWhileTheStoreIsAway() {
+  void testRestartedInstanceLearnsFromPeers() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
     Fleet.store().setDown(true);
-    sendAgainAndAgain(Fleet, "/again/x", EndingBody, 4);
+    sendRepeatedly(Fleet, "/again/x", EndingBody, 4);
     Fleet.kill(0);
     Fleet.start(0);
     CPPUNIT_ASSERT(eventually(
         [&] { return Fleet.metric(0, "yardrill_quarantined_contents") == 1; }));
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", EndingBody).m_Status);
-    CPPUNIT_ASSERT(Fleet.arrivalsAfterThirdEnd(
-                       EndingBody, core::Duration::zero()) <= MostAfterThird);
+    CPPUNIT_ASSERT(
+        Fleet.arrivalsAfterThirdEnd(EndingBody, core::Duration::zero()) <=
+        MaxArrivalsAfterThirdExit);
     CPPUNIT_ASSERT(Fleet.store().valueOf(m_RecordKey).empty());
   }
 };
--- a/Tests/LibGateway/RolloutTest.cpp
+++ b/Tests/LibGateway/RolloutTest.cpp
@@ -12,13 +12,13 @@
 /// Two targets of version v1 and two of v2, and callers that never stop.
 class RolloutTest : public GatewayFixture {
   CPPUNIT_TEST_SUITE(RolloutTest);
-  CPPUNIT_TEST(testGoodVersionIsCompletedAndTakesAll);
-  CPPUNIT_TEST(testBadVersionIsRolledBackAndGetsNothingMore);
+  CPPUNIT_TEST(testHealthyVersionIsCompleted);
+  CPPUNIT_TEST(testFailingVersionIsRolledBack);
   CPPUNIT_TEST(testSampleStaysWithinItsShare);
   CPPUNIT_TEST(testWithdrawnOrderIsRolledBack);
-  CPPUNIT_TEST(testOrderWithoutTargetsEnds);
-  CPPUNIT_TEST(testUnreadableOrdersAreNone);
-  CPPUNIT_TEST(testReleaseWithoutAnOrderIsServed);
+  CPPUNIT_TEST(testOrderWithoutTargetsIsRolledBack);
+  CPPUNIT_TEST(testInvalidOrdersAreIgnored);
+  CPPUNIT_TEST(testNewVersionWithoutOrderIsServed);
   CPPUNIT_TEST(testRecordSurvivesARestart);
   CPPUNIT_TEST_SUITE_END();
 
@@ -93,7 +93,7 @@
     GatewayFixture::tearDown();
   }
 
-  void testGoodVersionIsCompletedAndTakesAll() {
+  void testHealthyVersionIsCompleted() {
     startWithTwoVersions();
     auto Begin = core::steadyNow();
     order(5);
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(0, m_Refused.load());
   }
 
-  void testBadVersionIsRolledBackAndGetsNothingMore() {
+  void testFailingVersionIsRolledBack() {
     m_IsBad = true;
     startWithTwoVersions();
     std::size_t Before = requestsOf(1, 4);
@@ -160,7 +160,7 @@
     CPPUNIT_ASSERT_EQUAL(New, requestsOf(3, 4));
   }
 
-  void testOrderWithoutTargetsEnds() {
+  void testOrderWithoutTargetsIsRolledBack() {
     startWithTwoVersions();
     order(2);
     CPPUNIT_ASSERT(eventually([this] { return is("in_progress"); }));
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT(eventually([this] { return is("in_progress"); }));
   }
 
-  void testUnreadableOrdersAreNone() {
+  void testInvalidOrdersAreIgnored() {
     startWithTwoVersions();
     for (const char *Text :
          {"", "{}", R"({"service":"other","targetVersion":"v2","bakeS":5})",
@@ -185,7 +185,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), state());
   }
 
-  void testReleaseWithoutAnOrderIsServed() {
+  void testNewVersionWithoutOrderIsServed() {
     startWithTwoVersions();
     announceNew();
     CPPUNIT_ASSERT(eventually([this] { return requestsOf(3, 4) > 20; },
@@ -208,7 +208,7 @@
     Record.m_Order = rollout::OrderId(3);
     Record.m_Excluded.insert(core::TargetVersion("v2"));
     m_Store.m_Content.push_back(
-        {gateway::RolloutDesk::recordKey(core::PoolName("app")),
+        {gateway::RolloutService::recordKey(core::PoolName("app")),
          Record.toText(), platform::Revision(5)});
     for (const char *Version : {"v1", "v1", "v2", "v2"})
       addVersion(Version);
--- a/Tests/LibGateway/StateFollowerTest.cpp
+++ b/Tests/LibGateway/StoreFollowerTest.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/StateFollower.h"
+#include "LibGateway/StoreFollower.h"
 
 #include "EmptyStore.h"
 #include "LibCore/Error.h"
@@ -42,14 +42,14 @@
 
 } // namespace
 
-class StateFollowerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StateFollowerTest);
-  CPPUNIT_TEST(testWatchBeginsBeforeWhatIsWanted);
+class StoreFollowerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StoreFollowerTest);
+  CPPUNIT_TEST(testWatchStartsBeforeMissingValues);
   CPPUNIT_TEST_SUITE_END();
 
 public:
   /// Peers may have told of a value that none of them has any more.
-  void testWatchBeginsBeforeWhatIsWanted() {
+  void testWatchStartsBeforeMissingValues() {
     asio::io_context Context{1};
     platform::StoreMirror Mirror(16);
     BreakingStore Store([&] {
@@ -58,7 +58,7 @@
       Mirror.apply(Revision(9), {{"large", "", Revision(7), false, true},
                                  {"small", "new", Revision(9)}});
     });
-    StateFollower Follower(Context, Store, Mirror);
+    StoreFollower Follower(Context, Store, Mirror);
     Follower.start([](core::Duration) { return false; });
     Context.run_for(std::chrono::seconds(5));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), Store.m_WatchedFrom.size());
@@ -68,4 +68,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StateFollowerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StoreFollowerTest);
--- a/Tests/LibGateway/StoreSpreadTest.cpp
+++ b/Tests/LibGateway/StoreSpreadTest.cpp
@@ -53,11 +53,11 @@
 class StoreSpreadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreSpreadTest);
   CPPUNIT_TEST(testLargeValueReachesAllInTime);
-  CPPUNIT_TEST(testSmallNewsPassesALargeValue);
+  CPPUNIT_TEST(testSmallChangeOvertakesLargeValue);
   CPPUNIT_TEST(testSmallChangeOfALargeValueCostsLittle);
   CPPUNIT_TEST(testSupersededValuesAreNotSent);
   CPPUNIT_TEST(testChangesInQuickSuccessionReachAll);
-  CPPUNIT_TEST(testNewInstanceHearsAllFromPeers);
+  CPPUNIT_TEST(testNewInstanceLoadsFromPeers);
   CPPUNIT_TEST_SUITE_END();
 
   SpreadFleet m_Fleet;
@@ -102,7 +102,7 @@
   }
 
   /// The large value alone takes five seconds.
-  void testSmallNewsPassesALargeValue() {
+  void testSmallChangeOvertakesLargeValue() {
     start(2, "");
     m_Fleet.member(0).link().limitAnswers(LargeBytes / 5.0);
     change(0, put(ConfigurationKey, randomText(LargeBytes, 2), 11));
@@ -147,7 +147,7 @@
     assertShorter(timeUntilAllHold(ConfigurationKey, 22, 8s), 3000ms);
   }
 
-  void testNewInstanceHearsAllFromPeers() {
+  void testNewInstanceLoadsFromPeers() {
     start(2, randomText(LargeBytes, 5));
     m_Fleet.add(Revision(), {});
     assertShorter(timeUntilAllHold(ConfigurationKey, 9, 5s), 2000ms);
--- a/Tests/LibGateway/ValuePatchTest.cpp
+++ b/Tests/LibGateway/ValuePatchTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t MostBytes = 4UL * 1024 * 1024;
+constexpr std::size_t MaxBytes = 4UL * 1024 * 1024;
 
 /// As an operator writes them; no two routes are alike.
 std::string configuration(std::size_t Routes, std::size_t ChangedRoute = 0) {
@@ -39,18 +39,18 @@
 
 class ValuePatchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ValuePatchTest);
-  CPPUNIT_TEST(testPatchGivesTheValueBack);
+  CPPUNIT_TEST(testPatchRestoresValue);
   CPPUNIT_TEST(testSmallChangeIsSmall);
-  CPPUNIT_TEST(testGrownConfigurationCostsWhatIsNew);
-  CPPUNIT_TEST(testOtherBaseIsNoticed);
-  CPPUNIT_TEST(testDamageAndExcessAreTyped);
-  CPPUNIT_TEST(testHistoryKnowsSomeBases);
+  CPPUNIT_TEST(testPatchSizeFollowsAddedRoutes);
+  CPPUNIT_TEST(testWrongBaseIsRejected);
+  CPPUNIT_TEST(testInvalidPatchesAreRejected);
+  CPPUNIT_TEST(testHistoryPatchesFromKnownBases);
   CPPUNIT_TEST(testHistoryIsBounded);
   CPPUNIT_TEST_SUITE_END();
 
   static std::optional<ErrorKind> failureOf(std::string_view Base,
                                             std::string_view Patch,
-                                            std::size_t Most = MostBytes) {
+                                            std::size_t Most = MaxBytes) {
     try {
       applyPatch(Base, Patch, Most);
     } catch (const Error &Failure) {
@@ -60,13 +60,13 @@
   }
 
 public:
-  void testPatchGivesTheValueBack() {
+  void testPatchRestoresValue() {
     std::string Large = configuration(2840);
     for (const std::string &Base : {std::string(), configuration(40), Large})
       for (const std::string &Value :
            {std::string(), std::string("x"), Large, configuration(2840, 9)})
         CPPUNIT_ASSERT_EQUAL(
-            Value, applyPatch(Base, makePatch(Base, Value), MostBytes));
+            Value, applyPatch(Base, makePatch(Base, Value), MaxBytes));
   }
 
   void testSmallChangeIsSmall() {
@@ -76,13 +76,13 @@
   }
 
   /// 1,400 routes more are 0.22 MB of text.
-  void testGrownConfigurationCostsWhatIsNew() {
+  void testPatchSizeFollowsAddedRoutes() {
     std::string Base = configuration(1440);
     std::string Patch = makePatch(Base, configuration(2840));
     CPPUNIT_ASSERT_MESSAGE(std::to_string(Patch.size()), Patch.size() < 40000);
   }
 
-  void testOtherBaseIsNoticed() {
+  void testWrongBaseIsRejected() {
     std::string Patch =
         makePatch(configuration(2840), configuration(2840, 2000));
     CPPUNIT_ASSERT(failureOf(configuration(2840, 100), Patch) ==
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(failureOf("", Patch) == ErrorKind::Protocol);
   }
 
-  void testDamageAndExcessAreTyped() {
+  void testInvalidPatchesAreRejected() {
     std::string Patch = makePatch("", configuration(40));
     CPPUNIT_ASSERT(failureOf("", "no patch") == ErrorKind::Protocol);
     CPPUNIT_ASSERT(failureOf("", "") == ErrorKind::Protocol);
@@ -99,43 +99,44 @@
     CPPUNIT_ASSERT(failureOf("", Patch, 100) == ErrorKind::LimitExceeded);
   }
 
-  void testHistoryKnowsSomeBases() {
+  void testHistoryPatchesFromKnownBases() {
     ValueHistory History;
-    History.replaced(at(3, configuration(1400)));
+    History.addReplaced(at(3, configuration(1400)));
     Entry Newest = at(5, configuration(1400, 700));
-    PatchHandle Small = History.patch(Newest, Revision(3));
+    CachedPatch Small = History.patch(Newest, Revision(3));
     CPPUNIT_ASSERT(Small.m_Base == Revision(3));
     CPPUNIT_ASSERT(Small.m_Patch->size() < 512);
     CPPUNIT_ASSERT_EQUAL(Newest.m_Value, applyPatch(configuration(1400),
-                                                    *Small.m_Patch, MostBytes));
+                                                    *Small.m_Patch, MaxBytes));
     // One that has another value, or none.
     for (Revision Held : {Revision(4), Revision()}) {
-      PatchHandle Whole = History.patch(Newest, Held);
+      CachedPatch Whole = History.patch(Newest, Held);
       CPPUNIT_ASSERT(Whole.m_Base == Revision());
       CPPUNIT_ASSERT_EQUAL(Newest.m_Value,
-                           applyPatch("", *Whole.m_Patch, MostBytes));
+                           applyPatch("", *Whole.m_Patch, MaxBytes));
     }
     // Made once; anew for another newest value.
     CPPUNIT_ASSERT(History.patch(Newest, Revision(3)).m_Patch == Small.m_Patch);
-    History.replaced(Newest);
+    History.addReplaced(Newest);
     Entry Next = at(6, configuration(1400, 800));
-    PatchHandle Anew = History.patch(Next, Revision(3));
-    CPPUNIT_ASSERT_EQUAL(Next.m_Value, applyPatch(configuration(1400),
-                                                  *Anew.m_Patch, MostBytes));
+    CachedPatch Anew = History.patch(Next, Revision(3));
+    CPPUNIT_ASSERT_EQUAL(
+        Next.m_Value, applyPatch(configuration(1400), *Anew.m_Patch, MaxBytes));
   }
 
   void testHistoryIsBounded() {
     ValueHistory History;
     for (int I = 1; I <= 100; ++I)
-      History.replaced(at(I, configuration(5500, static_cast<std::size_t>(I))));
+      History.addReplaced(
+          at(I, configuration(5500, static_cast<std::size_t>(I))));
     Entry Newest = at(101, configuration(5500, 101));
     std::size_t Known = 0;
     for (int I = 1; I <= 100; ++I)
       if (History.patch(Newest, Revision(I)).m_Base == Revision(I))
         ++Known;
     CPPUNIT_ASSERT(Known >= 1);
-    CPPUNIT_ASSERT(Known <= ValueHistory::MostVersions);
-    CPPUNIT_ASSERT(Known * Newest.m_Value.size() <= ValueHistory::MostBytes);
+    CPPUNIT_ASSERT(Known <= ValueHistory::MaxVersions);
+    CPPUNIT_ASSERT(Known * Newest.m_Value.size() <= ValueHistory::MaxBytes);
   }
 };
 
--- a/Tests/LibPeer/PeerCodecTest.cpp
+++ b/Tests/LibPeer/PeerCodecTest.cpp
@@ -26,8 +26,8 @@
 class PeerCodecTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerCodecTest);
   CPPUNIT_TEST(testRoundTrip);
-  CPPUNIT_TEST(testNothingForeignComesIn);
-  CPPUNIT_TEST(testEveryChangedByteIsNoticed);
+  CPPUNIT_TEST(testForeignDatagramsAreDropped);
+  CPPUNIT_TEST(testModifiedDatagramsAreDropped);
   CPPUNIT_TEST(testTooLarge);
   CPPUNIT_TEST(testReplayAndAge);
   CPPUNIT_TEST(testBoundedPeers);
@@ -51,7 +51,7 @@
                    core::ConfigurationVersion(4));
   }
 
-  void testNothingForeignComesIn() {
+  void testForeignDatagramsAreDropped() {
     std::string Datagram = m_Codec.encode(message(7, 9));
     CPPUNIT_ASSERT(reasonOf(PeerCodec("another key").decode(Datagram)) ==
                    DropReason::WrongKey);
@@ -61,14 +61,14 @@
     CPPUNIT_ASSERT(reasonOf(m_Codec.decode("")) == DropReason::Garbage);
     std::mt19937 Random(1);
     for (int I = 0; I < 2000; ++I) {
-      std::string Noise(Random() % MostDatagramBytes, '\0');
+      std::string Noise(Random() % MaxDatagramBytes, '\0');
       for (char &C : Noise)
         C = static_cast<char>(Random());
       reasonOf(m_Codec.decode(Noise));
     }
   }
 
-  void testEveryChangedByteIsNoticed() {
+  void testModifiedDatagramsAreDropped() {
     std::string Datagram = m_Codec.encode(message(7, 9));
     for (std::size_t I = 0; I < Datagram.size(); ++I) {
       std::string Changed = Datagram;
@@ -80,26 +80,26 @@
 
   void testTooLarge() {
     CPPUNIT_ASSERT(reasonOf(m_Codec.decode(std::string(
-                       MostDatagramBytes + 1, 'Y'))) == DropReason::TooLarge);
+                       MaxDatagramBytes + 1, 'Y'))) == DropReason::TooLarge);
     PeerMessage Large = message(1, 1);
     std::get<Heartbeat>(Large.m_Body).m_Name =
-        core::InstanceName(std::string(MostDatagramBytes, 'x'));
+        core::InstanceName(std::string(MaxDatagramBytes, 'x'));
     CPPUNIT_ASSERT_THROW(m_Codec.encode(Large), core::Error);
   }
 
   void testReplayAndAge() {
     PeerDirectory Known(8, std::chrono::seconds(5));
     core::TimePoint Now{std::chrono::seconds(1)};
-    CPPUNIT_ASSERT(!Known.heard(message(7, 9), Now, 1000));
-    CPPUNIT_ASSERT(*Known.heard(message(7, 9), Now, 1000) ==
+    CPPUNIT_ASSERT(!Known.accept(message(7, 9), Now, 1000));
+    CPPUNIT_ASSERT(*Known.accept(message(7, 9), Now, 1000) ==
                    DropReason::Replayed);
-    CPPUNIT_ASSERT(*Known.heard(message(7, 8), Now, 1000) ==
+    CPPUNIT_ASSERT(*Known.accept(message(7, 8), Now, 1000) ==
                    DropReason::Replayed);
-    CPPUNIT_ASSERT(!Known.heard(message(7, 10), Now, 1000));
+    CPPUNIT_ASSERT(!Known.accept(message(7, 10), Now, 1000));
     // A recorded message can't bring a process back that is gone.
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
                          Known.expire(Now + std::chrono::seconds(6)).size());
-    CPPUNIT_ASSERT(*Known.heard(message(7, 10), Now, 1031) ==
+    CPPUNIT_ASSERT(*Known.accept(message(7, 10), Now, 1031) ==
                    DropReason::Stale);
     CPPUNIT_ASSERT(Known.all().empty());
   }
@@ -107,11 +107,11 @@
   void testBoundedPeers() {
     PeerDirectory Known(2, std::chrono::seconds(5));
     core::TimePoint Now{std::chrono::seconds(1)};
-    CPPUNIT_ASSERT(!Known.heard(message(1, 1), Now, 1000));
-    CPPUNIT_ASSERT(!Known.heard(message(2, 1), Now, 1000));
-    CPPUNIT_ASSERT(*Known.heard(message(3, 1), Now, 1000) ==
+    CPPUNIT_ASSERT(!Known.accept(message(1, 1), Now, 1000));
+    CPPUNIT_ASSERT(!Known.accept(message(2, 1), Now, 1000));
+    CPPUNIT_ASSERT(*Known.accept(message(3, 1), Now, 1000) ==
                    DropReason::TooManyPeers);
-    CPPUNIT_ASSERT(!Known.heard(message(1, 2), Now, 1000));
+    CPPUNIT_ASSERT(!Known.accept(message(1, 2), Now, 1000));
   }
 
   void testShortReportIsCompleted() {
--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -116,34 +116,38 @@
   void testReadsTheTermsOfATarget() {
     http::ResponseHead Head;
     Head.m_Status = 200;
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.isEmpty());
+    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
     Head.m_Headers = {{"server-limit", " 1.4 "},
                       {"Server-Leaving", "1"},
                       {"Retry-After", "3"}};
-    routing::TargetBackpressure Terms = m_Dialect.describe(Head).m_Terms;
+    routing::TargetBackpressure Terms = m_Dialect.describe(Head).m_Backpressure;
     CPPUNIT_ASSERT_EQUAL(1.4, Terms.m_RequestsPerSecond.value());
     CPPUNIT_ASSERT(Terms.m_IsLeaving);
     // Only one that turns a request away asks for rest.
     CPPUNIT_ASSERT(!Terms.m_Backoff);
     Head.m_Status = 503;
     Head.m_Headers = {{"Retry-After", "2.5"}, {"Server-Limit", "0"}};
-    Terms = m_Dialect.describe(Head).m_Terms;
+    Terms = m_Dialect.describe(Head).m_Backpressure;
     CPPUNIT_ASSERT(Terms.m_Backoff == std::chrono::milliseconds(2500));
     CPPUNIT_ASSERT_EQUAL(0.0, Terms.m_RequestsPerSecond.value());
     CPPUNIT_ASSERT(!Terms.m_IsLimitUnspecified);
     // Another target has the address.
     Head.m_Status = 421;
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.isEmpty());
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
+    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
+    CPPUNIT_ASSERT(
+        m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnspecified);
     // A signed answer of a run that names no limit says that there is none.
     Head.m_Status = 200;
     Head.m_Headers = {{"Replica-Seal", "s"}};
-    CPPUNIT_ASSERT(!m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
+    CPPUNIT_ASSERT(
+        !m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnspecified);
     Head.m_Headers = {};
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
+    CPPUNIT_ASSERT(
+        m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnspecified);
     Head.m_Status = 503;
     Head.m_Headers = {{"Replica-Seal", "s"}, {"Not-Executed", "1"}};
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnspecified);
+    CPPUNIT_ASSERT(
+        m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnspecified);
   }
 
   void testUnreadableTerms() {
@@ -152,18 +156,19 @@
     for (const char *Text : {"", "-1", "-0.0", "nan", "inf", "1e300", "many",
                              "1,4", "0x10", "1.4 a second"}) {
       Head.m_Headers = {{"Server-Limit", Text}, {"Retry-After", Text}};
-      routing::TargetBackpressure Terms = m_Dialect.describe(Head).m_Terms;
+      routing::TargetBackpressure Terms =
+          m_Dialect.describe(Head).m_Backpressure;
       CPPUNIT_ASSERT(!Terms.m_RequestsPerSecond && Terms.m_IsLimitUnreadable);
       CPPUNIT_ASSERT(!Terms.m_Backoff);
     }
     Head.m_Headers = {{"Server-Limit", "2"}, {"server-limit", "3"}};
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.m_IsLimitUnreadable);
+    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnreadable);
     // A date, as HTTP allows, says nothing here.
     Head.m_Headers = {{"Retry-After", "Wed, 21 Oct 2015 07:28:00 GMT"},
                       {"Server-Leaving", "0"}};
-    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Terms.isEmpty());
+    CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
     Head.m_Headers = {{"Retry-After", std::string(300, '9')}};
-    auto Rest = m_Dialect.describe(Head).m_Terms.m_Backoff;
+    auto Rest = m_Dialect.describe(Head).m_Backpressure.m_Backoff;
     CPPUNIT_ASSERT(!Rest || *Rest <= std::chrono::hours(1));
   }
 
--- a/Tests/Support/EndingTarget.h
+++ b/Tests/Support/EndingTarget.h
@@ -28,7 +28,7 @@
 };
 
 /// What a target says in its answers beside the usual.
-struct BackpressureReport {
+struct ScriptedBackpressure {
   std::string m_Headers; ///< Whole lines, in each answer.
   /// Answers 503 and does not run what comes.
   bool m_TurnsAway = false;
@@ -54,7 +54,7 @@
   }
 
   /// From now on, in answers that begin then.
-  void state(BackpressureReport Terms) { m_Terms = std::move(Terms); }
+  void state(ScriptedBackpressure Terms) { m_Backpressure = std::move(Terms); }
   /// Announces itself once more, under the same name.
   void announceAgain() { announce(); }
   void withdrawAnnouncement() { m_Store.remove(key()); }
@@ -154,13 +154,14 @@
         std::lock_guard<std::mutex> Lock(m_Book.m_Mutex);
         m_Book.m_Arrivals.push_back({core::steadyNow(), Read.body(), m_Number});
       }
-      std::string Answer = whole(Read, "answer", "200 OK",
-                                 "Replica-Seal: s\r\n" + m_Terms.m_Headers);
+      std::string Answer =
+          whole(Read, "answer", "200 OK",
+                "Replica-Seal: s\r\n" + m_Backpressure.m_Headers);
       if (Read["Expect-Replica"] != name())
         Answer = whole(Read, "", "421 Misdirected Request", "");
-      else if (m_Terms.m_TurnsAway)
+      else if (m_Backpressure.m_TurnsAway)
         Answer = whole(Read, "", "503 Service Unavailable",
-                       "Not-Executed: 1\r\n" + m_Terms.m_Headers);
+                       "Not-Executed: 1\r\n" + m_Backpressure.m_Headers);
       else if (Read.target().starts_with("/stream/")) {
         std::string First = streamHead(Read) + chunk("id: 1\ndata: a\n\n");
         if (Read["Last-Event-Id"].empty())
@@ -169,7 +170,7 @@
         if (!Read["Last-Event-Id"].empty())
           Answer = streamHead(Read) + Answer;
       }
-      if (!m_Terms.m_TurnsAway)
+      if (!m_Backpressure.m_TurnsAway)
         work(Yield);
       if (!Socket->is_open())
         return;
@@ -186,7 +187,7 @@
   ArrivalBook &m_Book;
   std::size_t m_Number;
   std::size_t m_Life = 1;
-  BackpressureReport m_Terms;
+  ScriptedBackpressure m_Backpressure;
   tcp::acceptor m_Acceptor;
   int m_Port;
   std::list<std::weak_ptr<tcp::socket>> m_Sockets;
--- a/Tests/Support/LimitFleet.cpp
+++ b/Tests/Support/LimitFleet.cpp
@@ -56,7 +56,7 @@
 struct Datagram {
   TimePoint m_At;
   std::size_t m_To = 0;
-  routing::BackpressureReport m_Terms;
+  routing::BackpressureReport m_Backpressure;
   TimePoint m_SentAt;
 };
 
@@ -262,8 +262,8 @@
       continue;
     ++To.m_Heard;
     // Told as an age.
-    Each.m_Terms.m_Limit.m_At += m_Now - Each.m_SentAt;
-    To.m_Book->update(Each.m_Terms, m_Now);
+    Each.m_Backpressure.m_Limit.m_At += m_Now - Each.m_SentAt;
+    To.m_Book->update(Each.m_Backpressure, m_Now);
   }
   m_Datagrams = std::move(Left);
 }
--- a/Tests/Support/SpreadFleet.cpp
+++ b/Tests/Support/SpreadFleet.cpp
@@ -33,7 +33,7 @@
   });
 }
 
-gateway::StoreHolder SpreadMember::asHolder() const {
+gateway::FetchCandidate SpreadMember::asFetchCandidate() const {
   return {m_Linked, m_Mirror.revision(), m_Mirror.wholeRevision()};
 }
 
@@ -70,12 +70,12 @@
 
 void SpreadFleet::considerPeers(SpreadMember &Which) {
   const platform::StoreMirror &Own = Which.mirror();
-  std::vector<gateway::StoreHolder> Ahead;
+  std::vector<gateway::FetchCandidate> Ahead;
   for (const auto &Other : m_Members)
     if (Own.revision() < Other->mirror().revision() ||
         Own.wholeRevision() < Other->mirror().wholeRevision())
-      Ahead.push_back(Other->asHolder());
-  Which.fetcher().consider(Ahead, false, core::steadyNow());
+      Ahead.push_back(Other->asFetchCandidate());
+  Which.fetcher().fetchIfDue(Ahead, false, core::steadyNow());
 }
 
 bool SpreadFleet::doAllHold(const std::string &Key, Revision At) const {
--- a/Tests/Support/SpreadFleet.h
+++ b/Tests/Support/SpreadFleet.h
@@ -7,7 +7,7 @@
 #ifndef YARDRILL_TESTS_SUPPORT_SPREADFLEET_H
 #define YARDRILL_TESTS_SUPPORT_SPREADFLEET_H
 
-#include "LibGateway/StoreFetcher.h"
+#include "LibGateway/MirrorFetcher.h"
 #include "LoopbackProxy.h"
 
 #include <boost/asio/io_context.hpp>
@@ -29,13 +29,13 @@
   explicit SpreadMember(boost::asio::io_context &Context);
 
   /// What its reports tell the others.
-  gateway::StoreHolder asHolder() const;
+  gateway::FetchCandidate asFetchCandidate() const;
   /// Whether its subscribers were told of the key's value at that revision, or
   /// of a newer one.
   bool holds(const std::string &Key, platform::Revision At) const;
   std::size_t bytesSent() const;
   platform::StoreMirror &mirror() { return m_Mirror; }
-  gateway::StoreFetcher &fetcher() { return m_Fetcher; }
+  gateway::MirrorFetcher &fetcher() { return m_Fetcher; }
   LoopbackProxy &link() { return m_Link; }
 
 private:
@@ -44,7 +44,7 @@
   peer::PeerCodec m_Codec{"key"};
   metrics::MetricsRegistry m_Metrics;
   platform::StoreMirror m_Mirror;
-  gateway::StoreFetcher m_Fetcher;
+  gateway::MirrorFetcher m_Fetcher;
   LoopbackProxy m_Link;
   std::map<std::string, platform::Revision> m_Told;
 };
