--- a/Bench/Cores.cpp
+++ b/Bench/Cores.cpp
@@ -28,7 +28,7 @@
       First.m_Seed = m_Seed * 100UL + I;
       tell(I, First);
       tell(I, decision::ConfigurationAccepted{Configuration});
-      tell(I, decision::InstancesCounted{
+      tell(I, decision::InstanceCountChanged{
                   static_cast<std::uint32_t>(m_Cores.size())});
       tick(I);
     }
@@ -53,14 +53,14 @@
   }
 
   void began(std::size_t Index) override {
-    tellOwner(Index, decision::AnswerBegan{core::RequestId(Index + 1)});
+    tellOwner(Index, decision::ResponseStarted{core::RequestId(Index + 1)});
   }
 
   void ended(std::size_t Index, bool IsEvicted) override {
-    tellOwner(Index, decision::AnswerEnded{
+    tellOwner(Index, decision::ResponseEnded{
                          core::RequestId(Index + 1),
-                         IsEvicted ? decision::AnswerOutcome::Evicted
-                                   : decision::AnswerOutcome::Complete,
+                         IsEvicted ? decision::ResponseOutcome::Evicted
+                                   : decision::ResponseOutcome::Complete,
                          false, m_Owner.requests()[Index].m_Output});
   }
 
@@ -75,7 +75,7 @@
         if (m_IsLost[I])
           continue;
         tell(I, decision::MemberGone{home(Instance).m_Incarnation});
-        tell(I, decision::InstancesCounted{
+        tell(I, decision::InstanceCountChanged{
                     static_cast<std::uint32_t>(m_Cores.size() - 1)});
       }
     });
@@ -90,7 +90,7 @@
         "  - {name: c, tier: 3, deadline_ms: 80000}\n"
         "pools:\n  - name: p\n    kind: model\n    models: [m]\n"
         "    queue_limit: 10000\n    kept_places: " +
-        std::to_string(m_Settings.m_KeptPlaces) +
+        std::to_string(m_Settings.m_ReservedSlots) +
         "\n    prefill_weight: " + std::to_string(m_Settings.m_PrefillWeight) +
         "\n    targets:\n";
     for (std::size_t I = 0; I < EngineCount; ++I)
@@ -100,7 +100,7 @@
     return Text;
   }
 
-  static decision::Home home(std::size_t Instance) {
+  static decision::InstanceRef home(std::size_t Instance) {
     return {core::IncarnationId(Instance + 1),
             {"127.0.0.1", static_cast<std::uint16_t>(Instance + 1)}};
   }
@@ -125,11 +125,11 @@
     for (const decision::Action &Next :
          m_Cores[Instance].handle(What, m_Owner.steady()))
       act(Instance, Next);
-    if (const auto *End = std::get_if<decision::AnswerEnded>(&What))
+    if (const auto *End = std::get_if<decision::ResponseEnded>(&What))
       m_Dispatched.erase(End->m_Request.value() - 1);
   }
 
-  void send(const decision::Home &To, const decision::Event &What) {
+  void send(const decision::InstanceRef &To, const decision::Event &What) {
     m_Owner.at(m_Owner.now() + MessageDelay,
                [this, To, What] { tell(To.m_Incarnation.value() - 1, What); });
   }
@@ -147,24 +147,25 @@
     }
     if (const auto *Cut = std::get_if<decision::Cancel>(&What))
       m_Owner.cancel(Cut->m_Request.value() - 1);
-    if (const auto *Order = std::get_if<decision::SendFloorOrder>(&What))
-      send(Order->m_To, Order->m_Order);
-    if (const auto *Report = std::get_if<decision::SendFloorReport>(&What))
+    if (const auto *Order = std::get_if<decision::SendThresholdCommand>(&What))
+      send(Order->m_To, Order->m_Command);
+    if (const auto *Report = std::get_if<decision::SendThresholdReport>(&What))
       send(Report->m_To, Report->m_Report);
-    if (std::get_if<decision::ReadFloorRecord>(&What))
+    if (std::get_if<decision::ReadThresholdRecord>(&What))
       send(home(Instance),
-           decision::FloorRecordRead{
+           decision::ThresholdRecordRead{
                Pool, m_Revision, m_Record,
                m_Revision != 0 &&
                    !m_IsLost[m_Record.m_Leader.m_Incarnation.value() - 1]});
-    if (const auto *Write = std::get_if<decision::WriteFloorRecord>(&What)) {
+    if (const auto *Write =
+            std::get_if<decision::WriteThresholdRecord>(&What)) {
       bool IsWritten = Write->m_Revision == m_Revision;
       if (IsWritten) {
         m_Record = Write->m_Record;
         ++m_Revision;
       }
       send(home(Instance),
-           decision::FloorRecordWritten{Pool, IsWritten, m_Revision});
+           decision::ThresholdRecordWritten{Pool, IsWritten, m_Revision});
     }
   }
 
@@ -174,7 +175,7 @@
   unsigned m_Seed;
   std::map<std::size_t, std::size_t> m_InstanceOf;
   std::set<std::size_t> m_Dispatched;
-  decision::FloorRecord m_Record;
+  decision::ThresholdRecord m_Record;
   std::int64_t m_Revision = 0;
 };
 
--- a/Bench/Cores.h
+++ b/Bench/Cores.h
@@ -9,7 +9,7 @@
 
 struct CoreSettings {
   std::size_t m_Instances = 1;
-  unsigned m_KeptPlaces = 0; ///< Of each engine, for tier 1.
+  unsigned m_ReservedSlots = 0; ///< Of each engine, for tier 1.
   double m_PrefillWeight = 0;
 };
 
--- a/Bench/DecisionCostProgram.cpp
+++ b/Bench/DecisionCostProgram.cpp
@@ -61,7 +61,7 @@
   std::int64_t end() {
     core::RequestId Id = m_Running.front();
     m_Running.pop_front();
-    return tell(AnswerEnded{Id, AnswerOutcome::Complete, false, 100});
+    return tell(ResponseEnded{Id, ResponseOutcome::Complete, false, 100});
   }
 
 private:
--- a/Libraries/LibConfig/FleetConfiguration.cpp
+++ b/Libraries/LibConfig/FleetConfiguration.cpp
@@ -122,7 +122,7 @@
   Out.m_Models = Reader.texts("models");
   Out.m_QueueLimit =
       static_cast<std::size_t>(Reader.integer("queue_limit", Counts, 1000));
-  Out.m_KeptPlaces = static_cast<std::size_t>(
+  Out.m_ReservedSlots = static_cast<std::size_t>(
       Reader.integer("kept_places", CountsFromNone, 0));
   Out.m_PrefillWeight = Reader.number("prefill_weight", 0, 1000, 25);
   Reader.list("routes",
@@ -134,7 +134,7 @@
   if (Out.m_Kind == PoolKind::Application && !Out.m_Models.empty())
     Reader.fault("models", "stands in an application pool", "nothing");
   for (const Target &T : Out.m_Targets)
-    if (T.m_Slots <= Out.m_KeptPlaces)
+    if (T.m_Slots <= Out.m_ReservedSlots)
       Reader.fault("kept_places", "leaves no place at " + T.m_Name.value(),
                    "fewer than each target's places");
   return Out;
--- a/Libraries/LibConfig/FleetConfiguration.h
+++ b/Libraries/LibConfig/FleetConfiguration.h
@@ -52,7 +52,7 @@
   std::vector<std::string> m_Models;
   std::size_t m_QueueLimit = 0; ///< Waiting requests at one instance.
   /// Places of each target, on average, that only the highest tier may take.
-  std::size_t m_KeptPlaces = 0;
+  std::size_t m_ReservedSlots = 0;
   /// Weight of a prefill token that was already read elsewhere.
   double m_PrefillWeight = 25;
   std::vector<Route> m_Routes;
--- a/Libraries/LibDecision/Action.h
+++ b/Libraries/LibDecision/Action.h
@@ -4,9 +4,9 @@
 
 #include "LibConfig/Endpoint.h"
 #include "LibCore/StrongType.h"
-#include "LibDecision/FloorMessages.h"
 #include "LibDecision/Identity.h"
 #include "LibDecision/Refusal.h"
+#include "LibDecision/ThresholdMessages.h"
 
 #include <cereal/types/string.hpp>
 #include <cereal/types/variant.hpp>
@@ -22,10 +22,10 @@
   core::RequestId m_Request;
   core::TargetName m_Target;
   config::Endpoint m_Address;
-  bool m_KeepAnswer = false; ///< Store it for a repeated identity.
+  bool m_StoreResponse = false; ///< Store it for a repeated identity.
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Request, m_Target, m_Address, m_KeepAnswer);
+    Ar(m_Request, m_Target, m_Address, m_StoreResponse);
   }
 };
 
@@ -48,7 +48,7 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
 
-/// Stop a dispatched request at its target; AnswerEnded follows.
+/// Stop a dispatched request at its target; ResponseEnded follows.
 struct Cancel {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
@@ -67,14 +67,14 @@
 /// Pass the request on to its home and its answer back.
 struct Forward {
   core::RequestId m_Request;
-  Home m_Home;
+  InstanceRef m_Owner;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Request, m_Home);
+    Ar(m_Request, m_Owner);
   }
 };
 
 /// Answer with the stored answer of an earlier request.
-struct SendKept {
+struct SendStoredResponse {
   core::RequestId m_Request;
   core::RequestId m_Original;
   template <class Archive> void serialize(Archive &Ar) {
@@ -83,48 +83,49 @@
 };
 
 /// The stored answer is no longer needed.
-struct ForgetKept {
+struct DiscardStoredResponse {
   core::RequestId m_Original;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Original); }
 };
 
-struct ReadFloorRecord {
+struct ReadThresholdRecord {
   core::PoolName m_Pool;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Pool); }
 };
 
 /// Compare-and-swap of the pool's record, with this instance as its leader.
-struct WriteFloorRecord {
+struct WriteThresholdRecord {
   core::PoolName m_Pool;
   std::int64_t m_Revision = 0; ///< The record's, as read; 0: must be absent.
-  FloorRecord m_Record;
+  ThresholdRecord m_Record;
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Pool, m_Revision, m_Record);
   }
 };
 
 /// Give the pool's leadership up, so that another instance may take it.
-struct ResignFloor {
+struct ResignLeadership {
   core::PoolName m_Pool;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Pool); }
 };
 
-struct SendFloorOrder {
-  Home m_To;
-  FloorOrder m_Order;
-  template <class Archive> void serialize(Archive &Ar) { Ar(m_To, m_Order); }
+struct SendThresholdCommand {
+  InstanceRef m_To;
+  ThresholdCommand m_Command;
+  template <class Archive> void serialize(Archive &Ar) { Ar(m_To, m_Command); }
 };
 
-struct SendFloorReport {
-  Home m_To;
-  FloorReport m_Report;
+struct SendThresholdReport {
+  InstanceRef m_To;
+  ThresholdReport m_Report;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_To, m_Report); }
 };
 
 using Action =
-    std::variant<Dispatch, Refuse, Drop, Cancel, Claim, Forward, SendKept,
-                 ForgetKept, ReadFloorRecord, WriteFloorRecord, ResignFloor,
-                 SendFloorOrder, SendFloorReport>;
+    std::variant<Dispatch, Refuse, Drop, Cancel, Claim, Forward,
+                 SendStoredResponse, DiscardStoredResponse, ReadThresholdRecord,
+                 WriteThresholdRecord, ResignLeadership, SendThresholdCommand,
+                 SendThresholdReport>;
 
 } // namespace yardrill::decision
 
--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -82,9 +82,9 @@
 //===----------------------------------------------------------------------===//
 
 void DecisionCore::on(const RequestArrived &What, core::TimePoint Now) {
-  auto [Place, IsNew] = m_Requests.emplace(What.m_Request, RequestState());
+  auto [Location, IsNew] = m_Requests.emplace(What.m_Request, RequestState());
   assert(IsNew && "request ids are never used again");
-  RequestState &Request = Place->second;
+  RequestState &Request = Location->second;
   Request.m_Arrival = What;
   Request.m_ArrivedAt = Now;
   ++m_OpenByAccount[What.m_Account];
@@ -101,7 +101,7 @@
     return refuse(Request, RefusalKind::AccountLimit);
   Request.m_Weight = Account ? Account->m_Weight : 1;
   if (What.m_Identity)
-    return arriveWithIdentity(Request, Now);
+    return admitWithIdentity(Request, Now);
   if (What.m_IsIdentityRequired)
     return refuse(Request, RefusalKind::IdentityRequired);
   admit(Request, Now);
@@ -111,11 +111,12 @@
   PoolScheduler *Pool = findPool(Request.m_Arrival.m_Pool);
   if (!Pool)
     return refuse(Request, RefusalKind::UnknownPool);
-  askPolicy(Request, *Pool);
+  applyPolicy(Request, *Pool);
   Pool->admit(Request, Now);
 }
 
-void DecisionCore::askPolicy(RequestState &Request, const PoolScheduler &Pool) {
+void DecisionCore::applyPolicy(RequestState &Request,
+                               const PoolScheduler &Pool) {
   if (!m_Policy)
     return;
   const RequestArrived &Arrival = Request.m_Arrival;
@@ -146,7 +147,7 @@
     Request.m_Phase = RequestPhase::Refusing;
     return;
   }
-  dropRunner(Request, Kind);
+  abandonRunner(Request, Kind);
   forget(Request.id());
 }
 
@@ -167,20 +168,20 @@
     return;
   RequestState &Request = Found->second;
   if (What.m_IsSent) {
-    dropRunner(Request, RefusalKind::TierShed);
+    abandonRunner(Request, RefusalKind::TierShed);
     return forget(What.m_Request);
   }
   findPool(Request.m_Arrival.m_Pool)->readmit(Request, Now);
 }
 
-void DecisionCore::on(const CallerLeft &What, core::TimePoint Now) {
+void DecisionCore::on(const CallerDisconnected &What, core::TimePoint Now) {
   auto Found = m_Requests.find(What.m_Request);
   if (Found == m_Requests.end())
     return;
   RequestState &Request = Found->second;
   switch (Request.m_Phase) {
   case RequestPhase::Dispatched:
-    // Too late: AnswerEnded says how it ends.
+    // Too late: ResponseEnded says how it ends.
     return;
   case RequestPhase::Queued:
     findPool(Request.m_Arrival.m_Pool)->withdraw(Request);
@@ -202,55 +203,55 @@
   Pool->connectFailed(Request, Now);
 }
 
-void DecisionCore::on(const AnswerBegan &What, core::TimePoint Now) {
+void DecisionCore::on(const ResponseStarted &What, core::TimePoint Now) {
   m_Requests.at(What.m_Request).m_BeganAt = Now;
 }
 
-void DecisionCore::on(const AnswerEnded &What, core::TimePoint Now) {
+void DecisionCore::on(const ResponseEnded &What, core::TimePoint Now) {
   RequestState Request = m_Requests.at(What.m_Request);
-  endIdentity(Request, What);
+  finishIdentity(Request, What);
   forget(What.m_Request);
-  findPool(Request.m_Arrival.m_Pool)->ended(Request, What, Now);
+  findPool(Request.m_Arrival.m_Pool)->requestEnded(Request, What, Now);
 }
 
 //===----------------------------------------------------------------------===//
 // Requests with an identity: at most once over a caller's retries
 //===----------------------------------------------------------------------===//
 
-IdentityRecord *DecisionCore::recordOf(const RequestState &Request) {
+IdentityRecord *DecisionCore::findRecord(const RequestState &Request) {
   if (!Request.m_Arrival.m_Identity)
     return nullptr;
   return m_Identities.find(Request.m_Arrival.m_Identity->m_Name);
 }
 
-void DecisionCore::arriveWithIdentity(RequestState &Request,
-                                      core::TimePoint Now) {
+void DecisionCore::admitWithIdentity(RequestState &Request,
+                                     core::TimePoint Now) {
   const Identity &Id = *Request.m_Arrival.m_Identity;
   bool IsTicket = Id.m_Kind == IdentityKind::Ticket;
-  if (IsTicket && !(Id.m_Home == m_Self)) {
+  if (IsTicket && !(Id.m_Owner == m_Self)) {
     // Forwarded to us, but meant for an earlier process at this address.
     if (Request.m_Arrival.m_IsForwarded)
-      return refuse(Request, RefusalKind::HomeLost);
-    emit(Forward{Request.id(), Id.m_Home});
+      return refuse(Request, RefusalKind::OwnerLost);
+    emit(Forward{Request.id(), Id.m_Owner});
     return forget(Request.id());
   }
   if (IsTicket && Id.m_ExpiresAt <= Now.time_since_epoch().count())
     return refuse(Request, RefusalKind::IdentityExpired);
-  if (IdentityRecord *Record = recordOf(Request))
-    return repeatIdentity(Request, *Record, Now);
+  if (IdentityRecord *Record = findRecord(Request))
+    return handleRepeat(Request, *Record, Now);
   // Its home is here, says the claim, but nothing is known of it here.
   if (!IsTicket && Request.m_Arrival.m_IsForwarded)
-    return refuse(Request, RefusalKind::HomeLost);
+    return refuse(Request, RefusalKind::OwnerLost);
   if (m_Identities.isFull())
     return refuse(Request, RefusalKind::IdentitiesFull);
   core::TimePoint ForgetAt = Now + m_Retention;
   if (IsTicket)
     ForgetAt = core::TimePoint(core::Duration(Id.m_ExpiresAt));
-  startIdentity(Request, m_Identities.insert(Id, Request.id(), ForgetAt), Now);
+  startRunner(Request, m_Identities.insert(Id, Request.id(), ForgetAt), Now);
 }
 
-void DecisionCore::startIdentity(RequestState &Request, IdentityRecord &Record,
-                                 core::TimePoint Now) {
+void DecisionCore::startRunner(RequestState &Request, IdentityRecord &Record,
+                               core::TimePoint Now) {
   Record.m_Runner = Request.id();
   if (Record.m_Kind == IdentityKind::Key &&
       Record.m_State == IdentityState::Claiming) {
@@ -261,8 +262,8 @@
   admit(Request, Now);
 }
 
-void DecisionCore::repeatIdentity(RequestState &Request, IdentityRecord &Record,
-                                  core::TimePoint Now) {
+void DecisionCore::handleRepeat(RequestState &Request, IdentityRecord &Record,
+                                core::TimePoint Now) {
   if (Record.m_BodyDigest != Request.m_Arrival.m_Identity->m_BodyDigest)
     return refuse(Request, RefusalKind::IdentityMismatch);
   switch (Record.m_State) {
@@ -271,16 +272,16 @@
     Request.m_Phase = RequestPhase::Joined;
     Record.m_Waiting.push_back(Request.id());
     return;
-  case IdentityState::Kept:
-    emit(SendKept{Request.id(), Record.m_Runner});
+  case IdentityState::Stored:
+    emit(SendStoredResponse{Request.id(), Record.m_Runner});
     return forget(Request.id());
   case IdentityState::Ended:
-    return refuse(Request, Record.m_End);
+    return refuse(Request, Record.m_FinalRefusal);
   case IdentityState::NotRun:
     // A claim that was never confirmed has to be confirmed first.
     Record.m_State = Record.m_MayHoldClaim ? IdentityState::Claiming
                                            : IdentityState::Running;
-    return startIdentity(Request, Record, Now);
+    return startRunner(Request, Record, Now);
   }
 }
 
@@ -291,10 +292,10 @@
   RequestState &Request = Found->second;
   if (Request.m_Phase != RequestPhase::Claiming)
     return;
-  IdentityRecord &Record = *recordOf(Request);
-  bool IsOurs = What.m_Outcome == ClaimOutcome::Held && What.m_Home == m_Self &&
-                Record.m_MayHoldClaim;
-  Record.m_MayHoldClaim = Record.m_MayHoldClaim || What.m_MayStand;
+  IdentityRecord &Record = *findRecord(Request);
+  bool IsOurs = What.m_Outcome == ClaimOutcome::Held &&
+                What.m_Owner == m_Self && Record.m_MayHoldClaim;
+  Record.m_MayHoldClaim = Record.m_MayHoldClaim || What.m_MayTakeEffect;
   if (What.m_Outcome == ClaimOutcome::Won || IsOurs) {
     Record.m_State = IdentityState::Running;
     Record.m_MayHoldClaim = false;
@@ -303,41 +304,42 @@
   if (What.m_Outcome == ClaimOutcome::Unavailable)
     return refuse(Request, RefusalKind::ClaimUnavailable);
   // The claim is of our own process, yet its record is gone: it may have run.
-  if (What.m_Home == m_Self)
-    return refuse(Request, RefusalKind::HomeLost);
+  if (What.m_Owner == m_Self)
+    return refuse(Request, RefusalKind::OwnerLost);
   std::vector<core::RequestId> All = Record.m_Waiting;
   All.push_back(Request.id());
   m_Identities.erase(Request.m_Arrival.m_Identity->m_Name);
   for (core::RequestId Id : All) {
-    emit(Forward{Id, What.m_Home});
+    emit(Forward{Id, What.m_Owner});
     forget(Id);
   }
 }
 
-void DecisionCore::endIdentity(const RequestState &Request,
-                               const AnswerEnded &End) {
-  IdentityRecord *Record = recordOf(Request);
+void DecisionCore::finishIdentity(const RequestState &Request,
+                                  const ResponseEnded &End) {
+  IdentityRecord *Record = findRecord(Request);
   if (!Record)
     return;
-  bool IsComplete = End.m_Outcome == AnswerOutcome::Complete;
-  Record->m_State =
-      IsComplete && End.m_IsKept ? IdentityState::Kept : IdentityState::Ended;
-  Record->m_End =
-      IsComplete ? RefusalKind::AnswerNotKept : RefusalKind::TargetBroke;
+  bool IsComplete = End.m_Outcome == ResponseOutcome::Complete;
+  Record->m_State = IsComplete && End.m_IsStored ? IdentityState::Stored
+                                                 : IdentityState::Ended;
+  Record->m_FinalRefusal = IsComplete ? RefusalKind::ResponseNotStored
+                                      : RefusalKind::TargetDisconnected;
   std::vector<core::RequestId> Waiting;
   Waiting.swap(Record->m_Waiting);
   for (core::RequestId Id : Waiting) {
-    if (Record->m_State != IdentityState::Kept) {
-      refuse(m_Requests.at(Id), Record->m_End);
+    if (Record->m_State != IdentityState::Stored) {
+      refuse(m_Requests.at(Id), Record->m_FinalRefusal);
       continue;
     }
-    emit(SendKept{Id, Request.id()});
+    emit(SendStoredResponse{Id, Request.id()});
     forget(Id);
   }
 }
 
-void DecisionCore::dropRunner(const RequestState &Request, RefusalKind Kind) {
-  IdentityRecord *Record = recordOf(Request);
+void DecisionCore::abandonRunner(const RequestState &Request,
+                                 RefusalKind Kind) {
+  IdentityRecord *Record = findRecord(Request);
   if (!Record || Record->m_Runner != Request.id() ||
       Request.m_Phase == RequestPhase::Joined)
     return;
@@ -347,7 +349,7 @@
     return;
   bool IsNotRun = describe(Kind).m_RunState == RunState::NotRun;
   Record->m_State = IsNotRun ? IdentityState::NotRun : IdentityState::Ended;
-  Record->m_End = Kind;
+  Record->m_FinalRefusal = Kind;
   std::vector<core::RequestId> Waiting;
   Waiting.swap(Record->m_Waiting);
   for (core::RequestId Id : Waiting)
@@ -356,7 +358,7 @@
 
 void DecisionCore::promoteWaiting(const RequestState &Request,
                                   core::TimePoint Now) {
-  IdentityRecord *Record = recordOf(Request);
+  IdentityRecord *Record = findRecord(Request);
   if (!Record)
     return;
   auto &Waiting = Record->m_Waiting;
@@ -375,7 +377,7 @@
     return;
   RequestState &Next = m_Requests.at(Waiting.front());
   Waiting.erase(Waiting.begin());
-  repeatIdentity(Next, *Record, Now);
+  handleRepeat(Next, *Record, Now);
 }
 
 //===----------------------------------------------------------------------===//
@@ -383,13 +385,13 @@
 //===----------------------------------------------------------------------===//
 
 void DecisionCore::on(const TimePassed &, core::TimePoint Now) {
-  for (core::RequestId Kept : m_Identities.expire(Now))
-    emit(ForgetKept{Kept});
+  for (core::RequestId Stored : m_Identities.expire(Now))
+    emit(DiscardStoredResponse{Stored});
   for (auto &[Name, Pool] : m_Pools)
     Pool->timePassed(Now);
 }
 
-void DecisionCore::on(const TargetStateSeen &What, core::TimePoint Now) {
+void DecisionCore::on(const TargetStateChanged &What, core::TimePoint Now) {
   if (What.m_IsLeaving)
     m_LeavingTargets.insert(What.m_Target);
   else
@@ -402,7 +404,7 @@
     Pool->targetsReturned(Now);
 }
 
-void DecisionCore::on(const InstancesCounted &What, core::TimePoint Now) {
+void DecisionCore::on(const InstanceCountChanged &What, core::TimePoint Now) {
   m_Instances = What.m_Count;
   for (auto &[Name, Pool] : m_Pools)
     Pool->setInstances(What.m_Count, Now);
@@ -414,22 +416,22 @@
     Pool->setStopping();
 }
 
-void DecisionCore::on(const FloorOrder &What, core::TimePoint Now) {
+void DecisionCore::on(const ThresholdCommand &What, core::TimePoint Now) {
   if (PoolScheduler *Pool = findPool(What.m_Pool))
-    Pool->obey(What, Now);
+    Pool->applyCommand(What, Now);
 }
 
-void DecisionCore::on(const FloorReport &What, core::TimePoint Now) {
+void DecisionCore::on(const ThresholdReport &What, core::TimePoint Now) {
   if (PoolScheduler *Pool = findPool(What.m_Pool))
-    Pool->heard(What, Now);
+    Pool->handleReport(What, Now);
 }
 
-void DecisionCore::on(const FloorRecordRead &What, core::TimePoint Now) {
+void DecisionCore::on(const ThresholdRecordRead &What, core::TimePoint Now) {
   if (PoolScheduler *Pool = findPool(What.m_Pool))
     Pool->recordRead(What, Now);
 }
 
-void DecisionCore::on(const FloorRecordWritten &What, core::TimePoint Now) {
+void DecisionCore::on(const ThresholdRecordWritten &What, core::TimePoint Now) {
   if (PoolScheduler *Pool = findPool(What.m_Pool))
     Pool->recordWritten(What, Now);
 }
--- a/Libraries/LibDecision/DecisionCore.h
+++ b/Libraries/LibDecision/DecisionCore.h
@@ -43,20 +43,20 @@
   void on(const InstanceStarted &What, core::TimePoint Now);
   void on(const ConfigurationAccepted &What, core::TimePoint Now);
   void on(const RequestArrived &What, core::TimePoint Now);
-  void on(const CallerLeft &What, core::TimePoint Now);
+  void on(const CallerDisconnected &What, core::TimePoint Now);
   void on(const ConnectFailed &What, core::TimePoint Now);
-  void on(const AnswerBegan &What, core::TimePoint Now);
-  void on(const AnswerEnded &What, core::TimePoint Now);
+  void on(const ResponseStarted &What, core::TimePoint Now);
+  void on(const ResponseEnded &What, core::TimePoint Now);
   void on(const RefusalSettled &What, core::TimePoint Now);
   void on(const ClaimAnswered &What, core::TimePoint Now);
-  void on(const TargetStateSeen &What, core::TimePoint Now);
-  void on(const InstancesCounted &What, core::TimePoint Now);
+  void on(const TargetStateChanged &What, core::TimePoint Now);
+  void on(const InstanceCountChanged &What, core::TimePoint Now);
   void on(const TimePassed &What, core::TimePoint Now);
   void on(const StopRequested &What, core::TimePoint Now);
-  void on(const FloorOrder &What, core::TimePoint Now);
-  void on(const FloorReport &What, core::TimePoint Now);
-  void on(const FloorRecordRead &What, core::TimePoint Now);
-  void on(const FloorRecordWritten &What, core::TimePoint Now);
+  void on(const ThresholdCommand &What, core::TimePoint Now);
+  void on(const ThresholdReport &What, core::TimePoint Now);
+  void on(const ThresholdRecordRead &What, core::TimePoint Now);
+  void on(const ThresholdRecordWritten &What, core::TimePoint Now);
   void on(const MemberGone &What, core::TimePoint Now);
 
   void emit(Action What) { m_Actions.push_back(std::move(What)); }
@@ -65,7 +65,7 @@
   void admit(RequestState &Request, core::TimePoint Now);
   /// Asks the operators' program; a failing one is counted and the default
   /// used, so that it never loses a request.
-  void askPolicy(RequestState &Request, const PoolScheduler &Pool);
+  void applyPolicy(RequestState &Request, const PoolScheduler &Pool);
   /// Answers the caller and forgets the request; with a \p ValidUntil the
   /// request is kept until RefusalSettled.
   void refuse(RequestState &Request, RefusalKind Kind,
@@ -73,20 +73,20 @@
   void forget(core::RequestId Id);
 
   // Requests with an identity.
-  void arriveWithIdentity(RequestState &Request, core::TimePoint Now);
-  void repeatIdentity(RequestState &Request, IdentityRecord &Record,
-                      core::TimePoint Now);
-  void startIdentity(RequestState &Request, IdentityRecord &Record,
-                     core::TimePoint Now);
-  void endIdentity(const RequestState &Request, const AnswerEnded &End);
+  void admitWithIdentity(RequestState &Request, core::TimePoint Now);
+  void handleRepeat(RequestState &Request, IdentityRecord &Record,
+                    core::TimePoint Now);
+  void startRunner(RequestState &Request, IdentityRecord &Record,
+                   core::TimePoint Now);
+  void finishIdentity(const RequestState &Request, const ResponseEnded &End);
   /// The runner was given up before dispatch: \p Kind answers those who wait.
-  void dropRunner(const RequestState &Request, RefusalKind Kind);
+  void abandonRunner(const RequestState &Request, RefusalKind Kind);
   /// The runner's caller left: the next who waits runs instead.
   void promoteWaiting(const RequestState &Request, core::TimePoint Now);
-  IdentityRecord *recordOf(const RequestState &Request);
+  IdentityRecord *findRecord(const RequestState &Request);
 
   std::vector<Action> m_Actions;
-  Home m_Self;
+  InstanceRef m_Self;
   std::uint64_t m_Seed = 0;
   core::Duration m_Retention{};
   bool m_IsStopping = false;
--- a/Libraries/LibDecision/Event.h
+++ b/Libraries/LibDecision/Event.h
@@ -10,8 +10,8 @@
 #include "LibConfig/FleetConfiguration.h"
 #include "LibCore/StrongType.h"
 #include "LibCore/Time.h"
-#include "LibDecision/FloorMessages.h"
 #include "LibDecision/Identity.h"
+#include "LibDecision/ThresholdMessages.h"
 
 #include <cereal/types/optional.hpp>
 #include <cereal/types/string.hpp>
@@ -26,7 +26,7 @@
 
 /// The first event of a process.
 struct InstanceStarted {
-  Home m_Self;
+  InstanceRef m_Self;
   std::uint64_t m_Seed = 0; ///< Of the core's random numbers.
   std::uint64_t m_Identities = 0;
   std::int64_t m_RetentionMicros = 0;
@@ -61,18 +61,18 @@
   std::uint64_t m_PrefixHash = 0;    ///< 0: no prefix to share.
   bool m_IsIdentityRequired = false;
   bool m_IsForwarded = false; ///< By another instance, to this home.
-  bool m_MayBeCut = true;     ///< False: never evicted once dispatched.
+  bool m_IsEvictable = true;  ///< False: never evicted once dispatched.
   std::optional<Identity> m_Identity;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Request, m_Account, m_Tier, m_Pool, m_PrefillTokens, m_OutputTokens,
-       m_PrefixHash, m_IsIdentityRequired, m_IsForwarded, m_MayBeCut,
+       m_PrefixHash, m_IsIdentityRequired, m_IsForwarded, m_IsEvictable,
        m_Identity);
   }
 };
 
 /// The caller hung up before its answer began.
-struct CallerLeft {
+struct CallerDisconnected {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
@@ -84,26 +84,26 @@
 };
 
 /// First byte of the answer's body.
-struct AnswerBegan {
+struct ResponseStarted {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
 
-enum class AnswerOutcome : std::uint8_t {
-  Complete,   ///< The whole answer came.
-  Broken,     ///< The target broke off after bytes were sent.
-  CallerLeft, ///< Cancelled because the caller hung up.
-  Evicted,    ///< Cancelled by Cancel.
+enum class ResponseOutcome : std::uint8_t {
+  Complete,           ///< The whole answer came.
+  Broken,             ///< The target broke off after bytes were sent.
+  CallerDisconnected, ///< Cancelled because the caller hung up.
+  Evicted,            ///< Cancelled by Cancel.
 };
 
-struct AnswerEnded {
+struct ResponseEnded {
   core::RequestId m_Request;
-  AnswerOutcome m_Outcome = AnswerOutcome::Complete;
-  bool m_IsKept = false; ///< The answer is stored for a repeated identity.
+  ResponseOutcome m_Outcome = ResponseOutcome::Complete;
+  bool m_IsStored = false; ///< The answer is stored for a repeated identity.
   std::uint32_t m_OutputTokens = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Request, m_Outcome, m_IsKept, m_OutputTokens);
+    Ar(m_Request, m_Outcome, m_IsStored, m_OutputTokens);
   }
 };
 
@@ -125,17 +125,17 @@
 struct ClaimAnswered {
   core::RequestId m_Request;
   ClaimOutcome m_Outcome = ClaimOutcome::Unavailable;
-  Home m_Home; ///< Of a held claim.
+  InstanceRef m_Owner; ///< Of a held claim.
   /// The claim may yet take effect at the platform.
-  bool m_MayStand = false;
+  bool m_MayTakeEffect = false;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Request, m_Outcome, m_Home, m_MayStand);
+    Ar(m_Request, m_Outcome, m_Owner, m_MayTakeEffect);
   }
 };
 
 /// The instance list or the target itself says whether it takes new work.
-struct TargetStateSeen {
+struct TargetStateChanged {
   core::TargetName m_Target;
   bool m_IsLeaving = false;
   template <class Archive> void serialize(Archive &Ar) {
@@ -144,7 +144,7 @@
 };
 
 /// How many live instances share the targets, this one included.
-struct InstancesCounted {
+struct InstanceCountChanged {
   std::uint32_t m_Count = 1;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Count); }
 };
@@ -159,10 +159,11 @@
 
 using Event =
     std::variant<InstanceStarted, ConfigurationAccepted, RequestArrived,
-                 CallerLeft, ConnectFailed, AnswerBegan, AnswerEnded,
-                 RefusalSettled, ClaimAnswered, TargetStateSeen,
-                 InstancesCounted, TimePassed, StopRequested, FloorOrder,
-                 FloorReport, FloorRecordRead, FloorRecordWritten, MemberGone>;
+                 CallerDisconnected, ConnectFailed, ResponseStarted,
+                 ResponseEnded, RefusalSettled, ClaimAnswered,
+                 TargetStateChanged, InstanceCountChanged, TimePassed,
+                 StopRequested, ThresholdCommand, ThresholdReport,
+                 ThresholdRecordRead, ThresholdRecordWritten, MemberGone>;
 
 } // namespace yardrill::decision
 
--- a/Libraries/LibDecision/Identity.h
+++ b/Libraries/LibDecision/Identity.h
@@ -16,11 +16,11 @@
 };
 
 /// The instance that alone may run the requests of an identity.
-struct Home {
+struct InstanceRef {
   core::IncarnationId m_Incarnation;
   config::Endpoint m_Peer; ///< Its peer address, TCP.
 
-  bool operator==(const Home &Other) const {
+  bool operator==(const InstanceRef &Other) const {
     return m_Incarnation == Other.m_Incarnation;
   }
   template <class Archive> void serialize(Archive &Ar) {
@@ -34,13 +34,13 @@
   std::string m_Name;
   /// Of method, path and body; the same identity must come with the same.
   std::uint64_t m_BodyDigest = 0;
-  Home m_Home; ///< Of a ticket; unused for a key.
+  InstanceRef m_Owner; ///< Of a ticket; unused for a key.
   /// Of a ticket: microseconds on its home's steady clock, which nobody else
   /// needs to read.
   std::int64_t m_ExpiresAt = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_Kind, m_Name, m_BodyDigest, m_Home, m_ExpiresAt);
+    Ar(m_Kind, m_Name, m_BodyDigest, m_Owner, m_ExpiresAt);
   }
 };
 
--- a/Libraries/LibDecision/IdentityTable.cpp
+++ b/Libraries/LibDecision/IdentityTable.cpp
@@ -34,7 +34,7 @@
 }
 
 std::vector<core::RequestId> IdentityTable::expire(core::TimePoint Now) {
-  std::vector<core::RequestId> Kept;
+  std::vector<core::RequestId> Stored;
   while (!m_Expiries.empty() && m_Expiries.begin()->first <= Now) {
     std::string Name = m_Expiries.begin()->second;
     IdentityRecord &Record = m_Records.at(Name);
@@ -46,11 +46,11 @@
       m_Expiries.emplace(Record.m_ForgetAt, Name);
       continue;
     }
-    if (Record.m_State == IdentityState::Kept)
-      Kept.push_back(Record.m_Runner);
+    if (Record.m_State == IdentityState::Stored)
+      Stored.push_back(Record.m_Runner);
     erase(Name);
   }
-  return Kept;
+  return Stored;
 }
 
 } // namespace yardrill::decision
--- a/Libraries/LibDecision/IdentityTable.h
+++ b/Libraries/LibDecision/IdentityTable.h
@@ -18,7 +18,7 @@
 enum class IdentityState : std::uint8_t {
   Claiming, ///< The platform is being asked; nothing was dispatched.
   Running,  ///< Waiting here or dispatched.
-  Kept,     ///< Ran; the answer is stored under the runner's id.
+  Stored,   ///< Ran; the answer is stored under the runner's id.
   Ended,    ///< Ran, or may have; no answer to give.
   NotRun,   ///< Never dispatched; this home may still run it.
 };
@@ -29,7 +29,8 @@
   IdentityState m_State = IdentityState::Claiming;
   core::RequestId m_Runner;
   std::vector<core::RequestId> m_Waiting; ///< Repeats that joined the runner.
-  RefusalKind m_End = RefusalKind::AnswerNotKept; ///< Answer when Ended.
+  RefusalKind m_FinalRefusal =
+      RefusalKind::ResponseNotStored; ///< Answer when Ended.
   /// A claim of ours may stand at the platform although we never heard so.
   bool m_MayHoldClaim = false;
   core::TimePoint m_ForgetAt{};
--- a/Libraries/LibDecision/PoolQueue.cpp
+++ b/Libraries/LibDecision/PoolQueue.cpp
@@ -10,22 +10,22 @@
 void PoolQueue::pushFront(const Entry &Item) { insert(Item, true); }
 
 void PoolQueue::insert(const Entry &Item, bool IsFront) {
-  assert(m_Places.count(Item.m_Request) == 0);
+  assert(m_Locations.count(Item.m_Request) == 0);
   TierQueue &Tier = m_Tiers[Item.m_Tier];
   AccountQueue &Account = Tier.m_Accounts[Item.m_Account];
   if (Account.m_Waiting.empty()) {
     // An account that was away gets no credit for the time it did not use.
-    Account.m_Start = std::max(Account.m_Start, Tier.m_VirtualTime);
-    Tier.m_Order.emplace(Account.m_Start, Item.m_Account);
+    Account.m_StartTag = std::max(Account.m_StartTag, Tier.m_VirtualTime);
+    Tier.m_Order.emplace(Account.m_StartTag, Item.m_Account);
   }
-  Position At{Item.m_Order, IsFront ? m_NextFirst-- : m_NextLast++};
-  Place Where{Item.m_Tier, Item.m_Account,
-              Account.m_Waiting.emplace(At, Item).first, std::nullopt};
+  Position At{Item.m_Order, IsFront ? m_NextFront-- : m_NextBack++};
+  Location Where{Item.m_Tier, Item.m_Account,
+                 Account.m_Waiting.emplace(At, Item).first, std::nullopt};
   if (Item.m_IsSheddable) {
-    auto End = IsFront ? Tier.m_Arrivals.begin() : Tier.m_Arrivals.end();
-    Where.m_Arrival = Tier.m_Arrivals.insert(End, Item.m_Request);
+    auto End = IsFront ? Tier.m_Sheddable.begin() : Tier.m_Sheddable.end();
+    Where.m_Arrival = Tier.m_Sheddable.insert(End, Item.m_Request);
   }
-  m_Places.emplace(Item.m_Request, Where);
+  m_Locations.emplace(Item.m_Request, Where);
   ++Tier.m_Size;
 }
 
@@ -42,43 +42,45 @@
   return std::nullopt;
 }
 
-std::optional<PoolQueue::Entry> PoolQueue::lastToServe() const {
+std::optional<PoolQueue::Entry> PoolQueue::shedCandidate() const {
   for (auto Tier = m_Tiers.rbegin(); Tier != m_Tiers.rend(); ++Tier) {
-    if (Tier->second.m_Arrivals.empty())
+    if (Tier->second.m_Sheddable.empty())
       continue;
-    return m_Places.at(Tier->second.m_Arrivals.back()).m_Entry->second;
+    return m_Locations.at(Tier->second.m_Sheddable.back()).m_Entry->second;
   }
   return std::nullopt;
 }
 
-bool PoolQueue::take(core::RequestId Request) { return erase(Request, true); }
+bool PoolQueue::dequeue(core::RequestId Request) {
+  return erase(Request, true);
+}
 
 bool PoolQueue::remove(core::RequestId Request) {
   return erase(Request, false);
 }
 
 bool PoolQueue::erase(core::RequestId Request, bool IsServed) {
-  auto Found = m_Places.find(Request);
-  if (Found == m_Places.end())
+  auto Found = m_Locations.find(Request);
+  if (Found == m_Locations.end())
     return false;
-  Place At = Found->second;
-  m_Places.erase(Found);
+  Location At = Found->second;
+  m_Locations.erase(Found);
   TierQueue &Tier = m_Tiers[At.m_Tier];
   auto Owner = Tier.m_Accounts.find(At.m_Account);
   AccountQueue &Account = Owner->second;
   const Entry &Item = At.m_Entry->second;
   double Share = Item.m_Cost / Item.m_Weight;
-  Tier.m_Order.erase({Account.m_Start, At.m_Account});
+  Tier.m_Order.erase({Account.m_StartTag, At.m_Account});
   if (At.m_Arrival)
-    Tier.m_Arrivals.erase(*At.m_Arrival);
+    Tier.m_Sheddable.erase(*At.m_Arrival);
   Account.m_Waiting.erase(At.m_Entry);
   --Tier.m_Size;
   if (IsServed) {
-    Tier.m_VirtualTime = std::max(Tier.m_VirtualTime, Account.m_Start);
-    Account.m_Start += Share;
+    Tier.m_VirtualTime = std::max(Tier.m_VirtualTime, Account.m_StartTag);
+    Account.m_StartTag += Share;
   }
   if (!Account.m_Waiting.empty())
-    Tier.m_Order.emplace(Account.m_Start, At.m_Account);
+    Tier.m_Order.emplace(Account.m_StartTag, At.m_Account);
   else if (Tier.m_Order.empty())
     // Nobody waits: the accounts' past turns no longer matter.
     Tier.m_Accounts.clear();
--- a/Libraries/LibDecision/PoolQueue.h
+++ b/Libraries/LibDecision/PoolQueue.h
@@ -38,31 +38,31 @@
   std::optional<core::RequestId> front(core::TierNumber LowestTier) const;
   /// The request that is refused first: lowest tier, latest arrival there,
   /// among those that may be shed.
-  std::optional<Entry> lastToServe() const;
+  std::optional<Entry> shedCandidate() const;
   /// Takes out a request that runs now: its account's turn is used.
   /// \returns false when it does not wait here.
-  bool take(core::RequestId Request);
+  bool dequeue(core::RequestId Request);
   /// Takes out a request that does not run: its account keeps its turn.
   bool remove(core::RequestId Request);
 
-  std::size_t size() const { return m_Places.size(); }
-  bool isEmpty() const { return m_Places.empty(); }
+  std::size_t size() const { return m_Locations.size(); }
+  bool isEmpty() const { return m_Locations.empty(); }
 
 private:
   /// The policy's order, then the arrival.
   using Position = std::pair<double, std::int64_t>;
   struct AccountQueue {
     std::map<Position, Entry> m_Waiting;
-    double m_Start = 0; ///< Virtual time at which its first may start.
+    double m_StartTag = 0; ///< Virtual time at which its first may start.
   };
   struct TierQueue {
     std::unordered_map<core::AccountName, AccountQueue> m_Accounts;
     std::set<std::pair<double, core::AccountName>> m_Order;
-    std::list<core::RequestId> m_Arrivals;
+    std::list<core::RequestId> m_Sheddable;
     double m_VirtualTime = 0;
     std::size_t m_Size = 0;
   };
-  struct Place {
+  struct Location {
     core::TierNumber m_Tier;
     core::AccountName m_Account;
     std::map<Position, Entry>::iterator m_Entry;
@@ -74,9 +74,9 @@
   bool erase(core::RequestId Request, bool IsServed);
 
   std::map<core::TierNumber, TierQueue> m_Tiers;
-  std::unordered_map<core::RequestId, Place> m_Places;
-  std::int64_t m_NextLast = 1;
-  std::int64_t m_NextFirst = -1;
+  std::unordered_map<core::RequestId, Location> m_Locations;
+  std::int64_t m_NextBack = 1;
+  std::int64_t m_NextFront = -1;
 };
 
 } // namespace yardrill::decision
--- a/Libraries/LibDecision/PoolScheduler.cpp
+++ b/Libraries/LibDecision/PoolScheduler.cpp
@@ -10,18 +10,19 @@
 /// the place of a running one of the lowest tier.
 static const int PreemptNumerator = 1;
 static const int PreemptDenominator = 2;
-static const double MostRetrySeconds = 120;
-static const double LeastSpread = 0.75;
-static const double MostSpread = 1.75;
-static const double PaceStep = 0.1;
+static const double MaxRetrySeconds = 120;
+static const double MinRetrySpread = 0.75;
+static const double MaxRetrySpread = 1.75;
+static const double CompletionRateWeight = 0.1;
 /// Requests that one pass over the queue may step over.
-static const std::size_t MostSetAside = 16;
+static const std::size_t MaxSkippedRequests = 16;
 static const double ExpectedCostPerToken = 1.0 / 256;
 
-PoolScheduler::PoolScheduler(const core::PoolName &Name, const Home &Self,
-                             std::uint64_t Seed, PoolHooks Hooks)
+PoolScheduler::PoolScheduler(const core::PoolName &Name,
+                             const InstanceRef &Self, std::uint64_t Seed,
+                             PoolHooks Hooks)
     : m_Name(Name), m_Self(Self), m_Hooks(std::move(Hooks)), m_Random(Seed),
-      m_Member(Name, Self, m_FloorTimes) {}
+      m_Member(Name, Self, m_ThresholdTimings) {}
 
 void PoolScheduler::configure(const config::FleetConfiguration &Configuration,
                               const config::Pool &Pool, core::TimePoint Now) {
@@ -62,7 +63,7 @@
     return m_Hooks.m_Refuse(Request, RefusalKind::NoTarget, {});
   bool IsAdmitted = m_Member.mayAdmit(Request.tier());
   // Before a leader's first word a lower tier waits: the floor is not known.
-  if (!IsAdmitted && m_Member.isCommanded() &&
+  if (!IsAdmitted && m_Member.hasThreshold() &&
       m_Member.mayShed(Request.tier(), Now))
     return m_Hooks.m_Refuse(Request, RefusalKind::TierShed,
                             validUntil(Request.tier()));
@@ -90,10 +91,10 @@
   Request.m_DispatchedAt = Now;
   m_Targets.started(*Target, Request.tier());
   m_Running[Request.tier()].insert(Request.id());
-  bool KeepAnswer = Request.m_Arrival.m_Identity.has_value();
+  bool StoreResponse = Request.m_Arrival.m_Identity.has_value();
   m_Hooks.m_Emit(Dispatch{Request.id(), *Target,
                           m_Targets.find(*Target)->m_Target.m_Address,
-                          KeepAnswer});
+                          StoreResponse});
   return true;
 }
 
@@ -119,29 +120,29 @@
 bool PoolScheduler::withdraw(RequestState &Request) {
   if (!m_Queue.remove(Request.id()))
     return false;
-  forgetDeadline(Request);
+  removeDeadline(Request);
   return true;
 }
 
-void PoolScheduler::forgetDeadline(const RequestState &Request) {
+void PoolScheduler::removeDeadline(const RequestState &Request) {
   m_Deadlines[Request.tier()].erase({Request.m_Deadline, Request.id()});
 }
 
 void PoolScheduler::dispatchWaiting(core::TimePoint Now) {
   // Set aside: those whose policy names targets that have no place now.
   std::vector<core::RequestId> Restricted;
-  while (auto Next = m_Queue.front(m_Member.floor())) {
+  while (auto Next = m_Queue.front(m_Member.threshold())) {
     RequestState &Request = m_Hooks.m_Find(*Next);
     if (tryDispatch(Request, Now)) {
-      m_Queue.take(*Next);
-      forgetDeadline(Request);
+      m_Queue.dequeue(*Next);
+      removeDeadline(Request);
       continue;
     }
     const auto &Policy = Request.m_Policy;
     bool IsRestricted =
         !Policy.m_DataHalls.empty() || !Policy.m_Targets.empty();
     // A lower tier has no place where a higher one has none.
-    if (!IsRestricted || Restricted.size() >= MostSetAside)
+    if (!IsRestricted || Restricted.size() >= MaxSkippedRequests)
       break;
     withdraw(Request);
     Restricted.push_back(*Next);
@@ -151,12 +152,12 @@
 }
 
 core::TimePoint PoolScheduler::validUntil(core::TierNumber Tier) const {
-  return Tier < m_Lowest ? m_Member.permissionUntil() : core::TimePoint();
+  return Tier < m_Lowest ? m_Member.shedPermitUntil() : core::TimePoint();
 }
 
 void PoolScheduler::enforceQueueLimit(core::TimePoint Now) {
   while (m_Queue.size() > m_QueueLimit) {
-    auto Last = m_Queue.lastToServe();
+    auto Last = m_Queue.shedCandidate();
     if (!Last)
       return;
     // Not the lowest tier and no permission: it keeps waiting. What may pile
@@ -195,18 +196,19 @@
   dispatchWaiting(Now);
 }
 
-void PoolScheduler::ended(RequestState &Request, const AnswerEnded &End,
-                          core::TimePoint Now) {
+void PoolScheduler::requestEnded(RequestState &Request,
+                                 const ResponseEnded &End,
+                                 core::TimePoint Now) {
   assert(Request.m_Phase == RequestPhase::Dispatched);
   m_Running[Request.tier()].erase(Request.id());
   m_Targets.finished(Request.m_Target, Request.tier());
-  notePace(Now);
-  if (End.m_Outcome == AnswerOutcome::Complete && Request.m_BeganAt) {
+  updateCompletionRate(Now);
+  if (End.m_Outcome == ResponseOutcome::Complete && Request.m_BeganAt) {
     ExpectedWork Work{Request.m_Arrival.m_PrefillTokens,
                       Request.m_Arrival.m_OutputTokens, 0, nullptr};
-    m_Targets.learn(Request.m_Target, Work,
-                    *Request.m_BeganAt - Request.m_DispatchedAt,
-                    Now - *Request.m_BeganAt, End.m_OutputTokens);
+    m_Targets.updateRates(Request.m_Target, Work,
+                          *Request.m_BeganAt - Request.m_DispatchedAt,
+                          Now - *Request.m_BeganAt, End.m_OutputTokens);
   }
   dispatchWaiting(Now);
 }
@@ -216,23 +218,23 @@
   dispatchWaiting(Now);
 }
 
-void PoolScheduler::notePace(core::TimePoint Now) {
-  if (m_LastEndAt != core::TimePoint()) {
-    double Gap = std::max(core::toSeconds(Now - m_LastEndAt), 1e-4);
-    m_Pace += PaceStep * (1 / Gap - m_Pace);
+void PoolScheduler::updateCompletionRate(core::TimePoint Now) {
+  if (m_LastCompletionAt != core::TimePoint()) {
+    double Gap = std::max(core::toSeconds(Now - m_LastCompletionAt), 1e-4);
+    m_CompletionRate += CompletionRateWeight * (1 / Gap - m_CompletionRate);
   }
-  m_LastEndAt = Now;
+  m_LastCompletionAt = Now;
 }
 
 std::uint32_t PoolScheduler::retryAfterSeconds() {
   double Waiting = static_cast<double>(m_Queue.size() + 1);
-  double Seconds = m_Pace > 0 ? Waiting / m_Pace : 1;
-  std::uniform_real_distribution<double> Spread(LeastSpread, MostSpread);
-  Seconds = std::min(std::max(Seconds, 1.0), MostRetrySeconds);
+  double Seconds = m_CompletionRate > 0 ? Waiting / m_CompletionRate : 1;
+  std::uniform_real_distribution<double> Spread(MinRetrySpread, MaxRetrySpread);
+  Seconds = std::min(std::max(Seconds, 1.0), MaxRetrySeconds);
   return static_cast<std::uint32_t>(std::ceil(Seconds * Spread(m_Random)));
 }
 
-std::size_t PoolScheduler::countPressing(core::TimePoint Now) const {
+std::size_t PoolScheduler::countUrgent(core::TimePoint Now) const {
   std::size_t Count = 0;
   for (const auto &[Tier, Waiting] : m_Deadlines) {
     if (!(Tier < m_Lowest))
@@ -249,16 +251,16 @@
   return Count;
 }
 
-void PoolScheduler::preemptLowest(core::TimePoint Now) {
+void PoolScheduler::preemptLowestTier(core::TimePoint Now) {
   auto Lowest = m_Running.find(m_Lowest);
   if (Lowest == m_Running.end() || Lowest->second.empty())
     return;
-  std::size_t Wanted = countPressing(Now);
+  std::size_t Wanted = countUrgent(Now);
   // The youngest first: least of their work is lost.
   for (auto Id = Lowest->second.rbegin();
        Id != Lowest->second.rend() && Wanted > 0; ++Id) {
     RequestState &Request = m_Hooks.m_Find(*Id);
-    if (!Request.m_Arrival.m_MayBeCut)
+    if (!Request.m_Arrival.m_IsEvictable)
       continue;
     --Wanted;
     if (Request.m_IsCancelled)
@@ -270,11 +272,11 @@
 
 void PoolScheduler::timePassed(core::TimePoint Now) {
   refuseOverdue(Now);
-  preemptLowest(Now);
+  preemptLowestTier(Now);
   enforceQueueLimit(Now);
   // A paused target's pause may have ended.
   dispatchWaiting(Now);
-  keepOrder(Now);
+  maintainTierOrder(Now);
 }
 
 //===----------------------------------------------------------------------===//
@@ -283,28 +285,28 @@
 
 /// Between reports and orders while something is going on, and while all is
 /// quiet; a change is told at once.
-static const std::chrono::milliseconds BusyPeriod(200);
-static const std::chrono::milliseconds QuietPeriod(1500);
-static const std::chrono::seconds LeaderSilence(5);
+static const std::chrono::milliseconds ActiveReportPeriod(200);
+static const std::chrono::milliseconds IdleReportPeriod(1500);
+static const std::chrono::seconds LeaderTimeout(5);
 static const std::chrono::seconds RecordReadPeriod(1);
-static const std::chrono::milliseconds LongestCampaignDelay(500);
+static const std::chrono::milliseconds MaxCampaignDelay(500);
 
 const char *PoolScheduler::leaderPhase() const {
   if (!m_Leader)
     return "";
   switch (m_Leader->phase()) {
-  case FloorPhase::Adopt:
+  case ThresholdPhase::Adopt:
     return "adopt";
-  case FloorPhase::Hold:
+  case ThresholdPhase::Hold:
     return "hold";
-  case FloorPhase::Shed:
+  case ThresholdPhase::Shed:
     return "shed";
   }
   return "";
 }
 
-bool PoolScheduler::runsBelowFloor() const {
-  auto Below = m_Running.upper_bound(m_Member.floor());
+bool PoolScheduler::runsBelowThreshold() const {
+  auto Below = m_Running.upper_bound(m_Member.threshold());
   return std::any_of(Below, m_Running.end(),
                      [](const auto &Tier) { return !Tier.second.empty(); });
 }
@@ -314,7 +316,7 @@
   for (const auto &[Tier, Waiting] : m_Deadlines) {
     if (Waiting.empty() || !(Tier < m_Lowest))
       continue;
-    auto Last = m_Queue.lastToServe();
+    auto Last = m_Queue.shedCandidate();
     bool IsLast = Last && Last->m_Tier == Tier;
     if (Waiting.begin()->first <= Now || (IsQueueFull && IsLast))
       return Tier;
@@ -322,13 +324,13 @@
   return core::TierNumber(0);
 }
 
-void PoolScheduler::evictBelowFloor() {
-  auto Below = m_Running.upper_bound(m_Member.floor());
+void PoolScheduler::evictBelowThreshold() {
+  auto Below = m_Running.upper_bound(m_Member.threshold());
   for (; Below != m_Running.end(); ++Below) {
     for (core::RequestId Id : Below->second) {
       RequestState &Request = m_Hooks.m_Find(Id);
       // A call that may not be cut is waited for.
-      if (Request.m_IsCancelled || !Request.m_Arrival.m_MayBeCut)
+      if (Request.m_IsCancelled || !Request.m_Arrival.m_IsEvictable)
         continue;
       Request.m_IsCancelled = true;
       m_Hooks.m_Emit(Cancel{Id});
@@ -337,15 +339,15 @@
 }
 
 bool PoolScheduler::isQuiet(core::TimePoint Now) const {
-  bool IsMemberQuiet = m_Member.leader() && !m_IsStopping &&
-                       m_ReportedStamp == m_Member.stamp() &&
-                       m_Member.permissionUntil() < Now && !runsBelowFloor() &&
-                       tierUnderPressure(Now).value() == 0;
+  bool IsMemberQuiet =
+      m_Member.leader() && !m_IsStopping &&
+      m_ReportedStamp == m_Member.stamp() && m_Member.shedPermitUntil() < Now &&
+      !runsBelowThreshold() && tierUnderPressure(Now).value() == 0;
   return IsMemberQuiet && (!m_Leader || m_Leader->isQuiet());
 }
 
-void PoolScheduler::keepOrder(core::TimePoint Now) {
-  core::Duration Period = isQuiet(Now) ? QuietPeriod : BusyPeriod;
+void PoolScheduler::maintainTierOrder(core::TimePoint Now) {
+  core::Duration Period = isQuiet(Now) ? IdleReportPeriod : ActiveReportPeriod;
   if (Now < m_LastReportAt + Period)
     return;
   m_LastReportAt = Now;
@@ -359,38 +361,40 @@
 void PoolScheduler::sendReport(core::TimePoint Now) {
   if (!m_Member.leader())
     return;
-  FloorReport Report =
-      m_Member.report(!runsBelowFloor(), tierUnderPressure(Now), Now);
+  ThresholdReport Report =
+      m_Member.report(!runsBelowThreshold(), tierUnderPressure(Now), Now);
   Report.m_IsLeaving = m_IsStopping && m_Queue.isEmpty() && running() == 0;
   if (m_Leader && *m_Member.leader() == m_Self)
-    heard(Report, Now);
+    handleReport(Report, Now);
   else
-    m_Hooks.m_Emit(SendFloorReport{*m_Member.leader(), Report});
+    m_Hooks.m_Emit(SendThresholdReport{*m_Member.leader(), Report});
 }
 
 void PoolScheduler::leadPool(core::TimePoint Now) {
   if (auto Record = m_Leader->recordToWrite())
-    m_Hooks.m_Emit(WriteFloorRecord{m_Name, m_Leader->revision(), *Record});
+    m_Hooks.m_Emit(WriteThresholdRecord{m_Name, m_Leader->revision(), *Record});
   for (auto &[Member, Order] : m_Leader->step(Now)) {
     if (Member == m_Self)
-      obey(Order, Now);
+      applyCommand(Order, Now);
     else
-      m_Hooks.m_Emit(SendFloorOrder{Member, Order});
+      m_Hooks.m_Emit(SendThresholdCommand{Member, Order});
   }
 }
 
-void PoolScheduler::obey(const FloorOrder &Order, core::TimePoint Now) {
+void PoolScheduler::applyCommand(const ThresholdCommand &Order,
+                                 core::TimePoint Now) {
   if (m_Leader && m_Leader->epoch() < Order.m_Stamp.m_Epoch)
     m_Leader.reset();
-  if (!m_Member.obey(Order, Now))
+  if (!m_Member.applyCommand(Order, Now))
     return;
   m_CampaignAt = core::TimePoint();
-  evictBelowFloor();
+  evictBelowThreshold();
   dispatchWaiting(Now);
 }
 
-void PoolScheduler::heard(const FloorReport &Report, core::TimePoint Now) {
-  if (m_Leader && !m_Leader->heard(Report, Now))
+void PoolScheduler::handleReport(const ThresholdReport &Report,
+                                 core::TimePoint Now) {
+  if (m_Leader && !m_Leader->handleReport(Report, Now))
     m_Leader.reset();
 }
 
@@ -399,24 +403,25 @@
     return;
   if (m_CampaignAt != core::TimePoint() && m_CampaignAt <= Now) {
     m_CampaignAt = core::TimePoint();
-    FloorRecord Next = m_LastRecord->m_Record;
+    ThresholdRecord Next = m_LastRecord->m_Record;
     ++Next.m_Epoch;
     Next.m_Leader = m_Self;
     auto &Members = Next.m_Members;
     if (std::find(Members.begin(), Members.end(), m_Self) == Members.end())
       Members.push_back(m_Self);
     m_LastRecord->m_Record = Next;
-    m_Hooks.m_Emit(WriteFloorRecord{m_Name, m_LastRecord->m_Revision, Next});
+    m_Hooks.m_Emit(
+        WriteThresholdRecord{m_Name, m_LastRecord->m_Revision, Next});
     return;
   }
-  bool IsSilent = Now - m_Member.lastOrderAt() > LeaderSilence;
+  bool IsSilent = Now - m_Member.lastCommandAt() > LeaderTimeout;
   if (!IsSilent || Now < m_NextRecordReadAt)
     return;
   m_NextRecordReadAt = Now + RecordReadPeriod;
-  m_Hooks.m_Emit(ReadFloorRecord{m_Name});
+  m_Hooks.m_Emit(ReadThresholdRecord{m_Name});
 }
 
-void PoolScheduler::recordRead(const FloorRecordRead &Read,
+void PoolScheduler::recordRead(const ThresholdRecordRead &Read,
                                core::TimePoint Now) {
   m_LastRecord = Read;
   if (Read.m_IsLeaderLive && !(Read.m_Record.m_Leader == m_Self))
@@ -425,11 +430,11 @@
     return;
   // Candidates wait for different times, so that one of them is first.
   std::uniform_int_distribution<std::int64_t> Delay(
-      0, core::Duration(LongestCampaignDelay).count());
+      0, core::Duration(MaxCampaignDelay).count());
   m_CampaignAt = Now + core::Duration(Delay(m_Random));
 }
 
-void PoolScheduler::recordWritten(const FloorRecordWritten &Written,
+void PoolScheduler::recordWritten(const ThresholdRecordWritten &Written,
                                   core::TimePoint Now) {
   if (m_Leader) {
     if (!m_Leader->recordWritten(Written.m_IsWritten, Written.m_Revision))
@@ -437,15 +442,15 @@
     // Our own farewell is in the record: nobody has to wait for us.
     else if (m_IsStopping && !m_Leader->hasMember(m_Self)) {
       m_Leader.reset();
-      m_Hooks.m_Emit(ResignFloor{m_Name});
+      m_Hooks.m_Emit(ResignLeadership{m_Name});
     }
     return;
   }
   if (!Written.m_IsWritten || !m_LastRecord || m_IsStopping)
     return;
-  m_Leader =
-      std::make_unique<FloorLeader>(m_Name, m_Self, m_LastRecord->m_Record,
-                                    Written.m_Revision, m_FloorTimes, Now);
+  m_Leader = std::make_unique<ThresholdLeader>(
+      m_Name, m_Self, m_LastRecord->m_Record, Written.m_Revision,
+      m_ThresholdTimings, Now);
   m_Leader->setTiers(m_Highest, m_Lowest);
   m_Member.setLeader(m_Self, m_Leader->epoch());
 }
--- a/Libraries/LibDecision/PoolScheduler.h
+++ b/Libraries/LibDecision/PoolScheduler.h
@@ -3,11 +3,11 @@
 #define YARDRILL_LIBDECISION_POOLSCHEDULER_H
 
 #include "LibDecision/Action.h"
-#include "LibDecision/FloorLeader.h"
-#include "LibDecision/FloorMember.h"
 #include "LibDecision/PoolQueue.h"
 #include "LibDecision/RequestState.h"
 #include "LibDecision/TargetTable.h"
+#include "LibDecision/ThresholdLeader.h"
+#include "LibDecision/ThresholdMember.h"
 
 #include <functional>
 #include <map>
@@ -30,7 +30,7 @@
 /// One pool at this instance: its queue, its targets and its tier order.
 class PoolScheduler {
 public:
-  PoolScheduler(const core::PoolName &Name, const Home &Self,
+  PoolScheduler(const core::PoolName &Name, const InstanceRef &Self,
                 std::uint64_t Seed, PoolHooks Hooks);
 
   void configure(const config::FleetConfiguration &Configuration,
@@ -50,16 +50,17 @@
   bool withdraw(RequestState &Request);
   void connectFailed(RequestState &Request, core::TimePoint Now);
   /// The dispatched request no longer runs at its target.
-  void ended(RequestState &Request, const AnswerEnded &End,
-             core::TimePoint Now);
+  void requestEnded(RequestState &Request, const ResponseEnded &End,
+                    core::TimePoint Now);
   /// Puts a request back whose refusal came too late to be sent.
   void readmit(RequestState &Request, core::TimePoint Now);
   void timePassed(core::TimePoint Now);
 
-  void obey(const FloorOrder &Order, core::TimePoint Now);
-  void heard(const FloorReport &Report, core::TimePoint Now);
-  void recordRead(const FloorRecordRead &Read, core::TimePoint Now);
-  void recordWritten(const FloorRecordWritten &Written, core::TimePoint Now);
+  void applyCommand(const ThresholdCommand &Order, core::TimePoint Now);
+  void handleReport(const ThresholdReport &Report, core::TimePoint Now);
+  void recordRead(const ThresholdRecordRead &Read, core::TimePoint Now);
+  void recordWritten(const ThresholdRecordWritten &Written,
+                     core::TimePoint Now);
   void memberGone(core::IncarnationId Incarnation);
 
   /// When to come back, from the queue and the pace at which it empties, with
@@ -69,7 +70,7 @@
   std::size_t queued() const { return m_Queue.size(); }
   std::size_t running() const;
   const TargetTable &targets() const { return m_Targets; }
-  const FloorMember &member() const { return m_Member; }
+  const ThresholdMember &member() const { return m_Member; }
   bool isLeader() const { return m_Leader != nullptr; }
   /// "adopt", "hold" or "shed" at the leader; "" elsewhere.
   const char *leaderPhase() const;
@@ -77,21 +78,21 @@
 private:
   bool tryDispatch(RequestState &Request, core::TimePoint Now);
   void enqueue(RequestState &Request, bool IsFront);
-  void forgetDeadline(const RequestState &Request);
+  void removeDeadline(const RequestState &Request);
   void dispatchWaiting(core::TimePoint Now);
   void enforceQueueLimit(core::TimePoint Now);
   void refuseOverdue(core::TimePoint Now);
   /// Waiting requests above the lowest tier that have waited for long.
-  std::size_t countPressing(core::TimePoint Now) const;
+  std::size_t countUrgent(core::TimePoint Now) const;
   /// Cancels one running request of the lowest tier for each of those: that
   /// tier may always be shed, and the floor need not move for a few.
-  void preemptLowest(core::TimePoint Now);
-  void evictBelowFloor();
-  void notePace(core::TimePoint Now);
-  bool runsBelowFloor() const;
+  void preemptLowestTier(core::TimePoint Now);
+  void evictBelowThreshold();
+  void updateCompletionRate(core::TimePoint Now);
+  bool runsBelowThreshold() const;
   core::TierNumber tierUnderPressure(core::TimePoint Now) const;
   core::TimePoint validUntil(core::TierNumber Tier) const;
-  void keepOrder(core::TimePoint Now);
+  void maintainTierOrder(core::TimePoint Now);
   /// Nothing to tell the pool's leader or members soon.
   bool isQuiet(core::TimePoint Now) const;
   void sendReport(core::TimePoint Now);
@@ -99,14 +100,14 @@
   void seekLeader(core::TimePoint Now);
 
   core::PoolName m_Name;
-  Home m_Self;
+  InstanceRef m_Self;
   PoolHooks m_Hooks;
   std::mt19937_64 m_Random;
   PoolQueue m_Queue;
   TargetTable m_Targets;
-  FloorTimes m_FloorTimes;
-  FloorMember m_Member;
-  std::unique_ptr<FloorLeader> m_Leader;
+  ThresholdTimings m_ThresholdTimings;
+  ThresholdMember m_Member;
+  std::unique_ptr<ThresholdLeader> m_Leader;
   std::size_t m_QueueLimit = 0;
   core::TierNumber m_Highest{1};
   core::TierNumber m_Lowest{1};
@@ -116,13 +117,13 @@
            std::set<std::pair<core::TimePoint, core::RequestId>>>
       m_Deadlines;
   std::map<core::TierNumber, std::set<core::RequestId>> m_Running;
-  double m_Pace = 0; ///< Requests ended, a second, smoothed.
-  core::TimePoint m_LastEndAt{};
+  double m_CompletionRate = 0; ///< Requests ended, a second, smoothed.
+  core::TimePoint m_LastCompletionAt{};
   core::TimePoint m_LastReportAt{};
-  FloorStamp m_ReportedStamp;
+  ThresholdStamp m_ReportedStamp;
   core::TimePoint m_NextRecordReadAt{};
   core::TimePoint m_CampaignAt{}; ///< Zero: not a candidate.
-  std::optional<FloorRecordRead> m_LastRecord;
+  std::optional<ThresholdRecordRead> m_LastRecord;
 };
 
 } // namespace yardrill::decision
--- a/Libraries/LibDecision/Refusal.cpp
+++ b/Libraries/LibDecision/Refusal.cpp
@@ -46,13 +46,13 @@
   case RefusalKind::ClaimUnavailable:
     return {503, "claim-unavailable", "The claim could not be recorded",
             State::NotRun, true};
-  case RefusalKind::AnswerNotKept:
+  case RefusalKind::ResponseNotStored:
     return {409, "answer-not-kept", "It ran; its answer is not kept",
             State::Ran, false};
-  case RefusalKind::HomeLost:
+  case RefusalKind::OwnerLost:
     return {502, "home-lost", "The instance that may have run it is gone",
             State::OutcomeUnknown, false};
-  case RefusalKind::TargetBroke:
+  case RefusalKind::TargetDisconnected:
     return {502, "target-broke", "The target's answer broke off",
             State::OutcomeUnknown, false};
   case RefusalKind::Evicted:
--- a/Libraries/LibDecision/Refusal.h
+++ b/Libraries/LibDecision/Refusal.h
@@ -10,24 +10,24 @@
 /// request ran (describe()). Brief: "When a caller is refused with 'not run',
 /// the request truly did not run."
 enum class RefusalKind : std::uint8_t {
-  NotReady,          ///< This instance has no configuration in force.
-  Stopping,          ///< This instance accepts nothing new.
-  UnknownPool,       ///< No such pool or model.
-  QueueFull,         ///< The pool's queue has no room.
-  DeadlinePassed,    ///< No place was free before the tier's deadline.
-  TierShed,          ///< The tier is not served in this burst.
-  NoTarget,          ///< The pool has no target that takes new work.
-  TargetUnreachable, ///< No target could be connected to.
-  AccountLimit,      ///< The client account has too many open requests.
-  IdentityRequired,  ///< The route may not be repeated; no identity came.
-  IdentityMismatch,  ///< The identity came with another request before.
-  IdentitiesFull,    ///< No room to remember one more identity.
-  IdentityExpired,   ///< The ticket is past its expiry.
-  ClaimUnavailable,  ///< The platform could not record the claim.
-  AnswerNotKept,     ///< It ran; the answer is no longer kept.
-  HomeLost,          ///< The identity's home is gone; outcome unknown.
-  TargetBroke,       ///< The target's connection broke after dispatch.
-  Evicted,           ///< Stopped at the target in favour of a higher tier.
+  NotReady,           ///< This instance has no configuration in force.
+  Stopping,           ///< This instance accepts nothing new.
+  UnknownPool,        ///< No such pool or model.
+  QueueFull,          ///< The pool's queue has no room.
+  DeadlinePassed,     ///< No place was free before the tier's deadline.
+  TierShed,           ///< The tier is not served in this burst.
+  NoTarget,           ///< The pool has no target that takes new work.
+  TargetUnreachable,  ///< No target could be connected to.
+  AccountLimit,       ///< The client account has too many open requests.
+  IdentityRequired,   ///< The route may not be repeated; no identity came.
+  IdentityMismatch,   ///< The identity came with another request before.
+  IdentitiesFull,     ///< No room to remember one more identity.
+  IdentityExpired,    ///< The ticket is past its expiry.
+  ClaimUnavailable,   ///< The platform could not record the claim.
+  ResponseNotStored,  ///< It ran; the answer is no longer kept.
+  OwnerLost,          ///< The identity's home is gone; outcome unknown.
+  TargetDisconnected, ///< The target's connection broke after dispatch.
+  Evicted,            ///< Stopped at the target in favour of a higher tier.
 };
 
 /// What the caller may conclude.
--- a/Libraries/LibDecision/TargetTable.cpp
+++ b/Libraries/LibDecision/TargetTable.cpp
@@ -10,28 +10,29 @@
 namespace yardrill::decision {
 
 /// Rates assumed of a target that has not answered yet, tokens a second.
-static const double FirstDecodeRate = 30;
-static const double FirstPrefillRate = 3000;
+static const double InitialDecodeRate = 30;
+static const double InitialPrefillRate = 3000;
 /// Weight of the newest observation in a learned rate.
-static const double LearningStep = 0.2;
+static const double RateWeight = 0.2;
 /// Predictions this close count as equal; the choice is drawn, so that
 /// instances that know the same do not all go to the same target.
-static const double NearlyEqual = 1.05;
-static const std::chrono::milliseconds FirstPause(100);
-static const std::uint32_t MostDoublings = 6;
+static const double TieFactor = 1.05;
+static const std::chrono::milliseconds InitialBackoff(100);
+static const std::uint32_t MaxBackoffDoublings = 6;
 /// Fewer tokens say nothing about a rate.
-static const std::uint32_t FewestTokensToLearn = 4;
+static const std::uint32_t MinTokensForRate = 4;
 
 template <class List>
-static bool holds(const List &Names, const std::string &N) {
+static bool isEmptyOrContains(const List &Names, const std::string &N) {
   return Names.empty() ||
          std::find(Names.begin(), Names.end(), N) != Names.end();
 }
 
 bool ExpectedWork::isAllowedAt(const config::Target &Target) const {
   return !m_Allowed ||
-         (holds(m_Allowed->m_DataHalls, Target.m_DataHall.value()) &&
-          holds(m_Allowed->m_Targets, Target.m_Name.value()));
+         (isEmptyOrContains(m_Allowed->m_DataHalls,
+                            Target.m_DataHall.value()) &&
+          isEmptyOrContains(m_Allowed->m_Targets, Target.m_Name.value()));
 }
 
 void TargetTable::configure(const config::Pool &Pool,
@@ -56,7 +57,7 @@
     Next.emplace(Name, State);
   }
   m_Targets = std::move(Next);
-  m_KeptPlaces = Pool.m_KeptPlaces;
+  m_ReservedSlots = Pool.m_ReservedSlots;
   m_PrefillWeight = Pool.m_PrefillWeight;
   // The brief says so of model engines only.
   m_HonoursPriority = Pool.m_Kind == config::PoolKind::Model;
@@ -68,12 +69,13 @@
     State.m_IsLeavingByList = Leaving.count(Name) != 0;
 }
 
-std::size_t TargetTable::share(const TargetState &Target) const {
+std::size_t TargetTable::instanceShare(const TargetState &Target) const {
   return (Target.m_Target.m_Slots + m_Instances - 1) / m_Instances;
 }
 
 /// Requests of \p Target that would be served before one of \p Tier.
-static std::size_t countUpTo(const TargetState &Target, core::TierNumber Tier) {
+static std::size_t countServedBefore(const TargetState &Target,
+                                     core::TierNumber Tier) {
   std::size_t Count = 0;
   for (const auto &[Other, OfTier] : Target.m_RunningByTier)
     Count += Tier < Other ? 0 : OfTier;
@@ -83,58 +85,59 @@
 bool TargetTable::hasFreeSlot(const TargetState &Target,
                               core::TierNumber Tier) const {
   std::size_t Before =
-      m_HonoursPriority ? countUpTo(Target, Tier) : Target.m_Running;
-  return Before < share(Target);
+      m_HonoursPriority ? countServedBefore(Target, Tier) : Target.m_Running;
+  return Before < instanceShare(Target);
 }
 
 bool TargetTable::leavesReservedSlots(core::TierNumber Tier) const {
-  if (m_KeptPlaces == 0)
+  if (m_ReservedSlots == 0)
     return true;
   std::size_t Places = 0;
   std::size_t Running = 0;
   for (const auto &[Name, State] : m_Targets) {
-    Places +=
-        State.m_Target.m_Slots - std::min(State.m_Target.m_Slots, m_KeptPlaces);
-    Running += countUpTo(State, Tier) - countUpTo(State, m_Highest);
+    Places += State.m_Target.m_Slots -
+              std::min(State.m_Target.m_Slots, m_ReservedSlots);
+    Running +=
+        countServedBefore(State, Tier) - countServedBefore(State, m_Highest);
   }
   return Running < (Places + m_Instances - 1) / m_Instances;
 }
 
-TargetTable::PrefixHomes
-TargetTable::prefixHomes(std::uint64_t PrefixHash) const {
-  PrefixHomes Homes{};
-  std::array<std::size_t, PrefixHomeCount> Ranks{};
+TargetTable::PrefixTargets
+TargetTable::prefixTargets(std::uint64_t PrefixHash) const {
+  PrefixTargets Preferred{};
+  std::array<std::size_t, PrefixTargetCount> Ranks{};
   if (PrefixHash == 0)
-    return Homes;
+    return Preferred;
   for (const auto &[Name, State] : m_Targets) {
     std::size_t Rank = PrefixHash;
     boost::hash_combine(Rank, State.m_NameHash);
     // The highest ranks so far, in descending order.
     const TargetState *Next = &State;
-    for (std::size_t I = 0; I < PrefixHomeCount; ++I) {
-      if (Homes[I] && Rank <= Ranks[I])
+    for (std::size_t I = 0; I < PrefixTargetCount; ++I) {
+      if (Preferred[I] && Rank <= Ranks[I])
         continue;
-      std::swap(Homes[I], Next);
+      std::swap(Preferred[I], Next);
       std::swap(Ranks[I], Rank);
       if (!Next)
         break;
     }
   }
-  return Homes;
+  return Preferred;
 }
 
 double TargetTable::predictedFinish(const TargetState &Target,
                                     const ExpectedWork &Work,
-                                    bool IsWarm) const {
+                                    bool IsPrefixCached) const {
   double Decode =
-      Target.m_DecodeRate > 0 ? Target.m_DecodeRate : FirstDecodeRate;
+      Target.m_DecodeRate > 0 ? Target.m_DecodeRate : InitialDecodeRate;
   double Prefill =
-      Target.m_PrefillRate > 0 ? Target.m_PrefillRate : FirstPrefillRate;
+      Target.m_PrefillRate > 0 ? Target.m_PrefillRate : InitialPrefillRate;
   double Seconds = Work.m_OutputTokens / Decode;
   // A fuller target is slower for everyone in its batch.
   double Fill = static_cast<double>(Target.m_Running) /
-                static_cast<double>(share(Target));
-  if (!IsWarm)
+                static_cast<double>(instanceShare(Target));
+  if (!IsPrefixCached)
     Seconds += m_PrefillWeight * Work.m_PrefillTokens / Prefill;
   return Seconds * (1 + Fill) + Fill;
 }
@@ -145,23 +148,26 @@
   if (m_Highest < Tier && !leavesReservedSlots(Tier))
     return std::nullopt;
   // Full pools are asked most often, so places are looked at first.
-  std::vector<std::pair<double, const TargetState *>> Able;
+  std::vector<std::pair<double, const TargetState *>> Candidates;
   for (const auto &[Name, State] : m_Targets)
     if (State.takesNewWork(Now) && hasFreeSlot(State, Tier) &&
         Work.isAllowedAt(State.m_Target))
-      Able.emplace_back(0, &State);
-  if (Able.empty())
+      Candidates.emplace_back(0, &State);
+  if (Candidates.empty())
     return std::nullopt;
-  PrefixHomes Homes = prefixHomes(Work.m_PrefixHash);
+  PrefixTargets Preferred = prefixTargets(Work.m_PrefixHash);
   double Best = std::numeric_limits<double>::max();
-  for (auto &[Finish, State] : Able) {
-    bool IsWarm = std::find(Homes.begin(), Homes.end(), State) != Homes.end();
-    Finish = predictedFinish(*State, Work, IsWarm);
+  for (auto &[Finish, State] : Candidates) {
+    bool IsPrefixCached =
+        std::find(Preferred.begin(), Preferred.end(), State) != Preferred.end();
+    Finish = predictedFinish(*State, Work, IsPrefixCached);
     Best = std::min(Best, Finish);
   }
-  auto IsWorse = [Best](const auto &A) { return A.first > Best * NearlyEqual; };
-  Able.erase(std::remove_if(Able.begin(), Able.end(), IsWorse), Able.end());
-  return Able[Random() % Able.size()].second->m_Target.m_Name;
+  auto IsWorse = [Best](const auto &A) { return A.first > Best * TieFactor; };
+  Candidates.erase(
+      std::remove_if(Candidates.begin(), Candidates.end(), IsWorse),
+      Candidates.end());
+  return Candidates[Random() % Candidates.size()].second->m_Target.m_Name;
 }
 
 void TargetTable::started(const core::TargetName &Name, core::TierNumber Tier) {
@@ -170,7 +176,7 @@
   ++Target.m_RunningByTier[Tier];
 }
 
-static void takeOut(TargetState &Target, core::TierNumber Tier) {
+static void removeRunning(TargetState &Target, core::TierNumber Tier) {
   std::size_t &OfTier = Target.m_RunningByTier[Tier];
   assert(Target.m_Running > 0 && OfTier > 0);
   --Target.m_Running;
@@ -180,31 +186,32 @@
 void TargetTable::finished(const core::TargetName &Name,
                            core::TierNumber Tier) {
   TargetState &Target = m_Targets.at(Name);
-  takeOut(Target, Tier);
-  Target.m_Failures = 0;
+  removeRunning(Target, Tier);
+  Target.m_ConnectFailures = 0;
 }
 
 void TargetTable::connectFailed(const core::TargetName &Name,
                                 core::TierNumber Tier, core::TimePoint Now) {
   TargetState &Target = m_Targets.at(Name);
-  takeOut(Target, Tier);
-  auto Doublings = std::min(Target.m_Failures++, MostDoublings);
-  Target.m_TryAgainAt = Now + FirstPause * (1 << Doublings);
+  removeRunning(Target, Tier);
+  auto Doublings = std::min(Target.m_ConnectFailures++, MaxBackoffDoublings);
+  Target.m_ConnectRetryAt = Now + InitialBackoff * (1 << Doublings);
 }
 
-static void approach(double &Rate, double Observed) {
-  Rate = Rate == 0 ? Observed : Rate + LearningStep * (Observed - Rate);
+static void updateAverage(double &Rate, double Observed) {
+  Rate = Rate == 0 ? Observed : Rate + RateWeight * (Observed - Rate);
 }
 
-void TargetTable::learn(const core::TargetName &Name, const ExpectedWork &Work,
-                        core::Duration FirstByte, core::Duration Rest,
-                        std::uint32_t OutputTokens) {
+void TargetTable::updateRates(const core::TargetName &Name,
+                              const ExpectedWork &Work,
+                              core::Duration FirstByte, core::Duration Rest,
+                              std::uint32_t OutputTokens) {
   TargetState &Target = m_Targets.at(Name);
-  if (OutputTokens >= FewestTokensToLearn && Rest.count() > 0)
-    approach(Target.m_DecodeRate, OutputTokens / core::toSeconds(Rest));
-  if (Work.m_PrefillTokens >= FewestTokensToLearn && FirstByte.count() > 0)
-    approach(Target.m_PrefillRate,
-             Work.m_PrefillTokens / core::toSeconds(FirstByte));
+  if (OutputTokens >= MinTokensForRate && Rest.count() > 0)
+    updateAverage(Target.m_DecodeRate, OutputTokens / core::toSeconds(Rest));
+  if (Work.m_PrefillTokens >= MinTokensForRate && FirstByte.count() > 0)
+    updateAverage(Target.m_PrefillRate,
+                  Work.m_PrefillTokens / core::toSeconds(FirstByte));
 }
 
 const TargetState *TargetTable::find(const core::TargetName &Name) const {
--- a/Libraries/LibDecision/TargetTable.h
+++ b/Libraries/LibDecision/TargetTable.h
@@ -36,13 +36,14 @@
   bool m_IsLeavingByList = false;
   std::size_t m_Running = 0; ///< Dispatched by this instance.
   std::map<core::TierNumber, std::size_t> m_RunningByTier;
-  double m_DecodeRate = 0;      ///< Learned, tokens a second of one stream.
-  double m_PrefillRate = 0;     ///< Learned, tokens a second.
-  std::uint32_t m_Failures = 0; ///< Failed connects in a row.
-  core::TimePoint m_TryAgainAt{};
+  double m_DecodeRate = 0;  ///< Learned, tokens a second of one stream.
+  double m_PrefillRate = 0; ///< Learned, tokens a second.
+  std::uint32_t m_ConnectFailures = 0; ///< Failed connects in a row.
+  core::TimePoint m_ConnectRetryAt{};
 
   bool takesNewWork(core::TimePoint Now) const {
-    return !m_Target.m_IsLeaving && !m_IsLeavingByList && m_TryAgainAt <= Now;
+    return !m_Target.m_IsLeaving && !m_IsLeavingByList &&
+           m_ConnectRetryAt <= Now;
   }
 };
 
@@ -65,21 +66,21 @@
   void finished(const core::TargetName &Name, core::TierNumber Tier);
   void connectFailed(const core::TargetName &Name, core::TierNumber Tier,
                      core::TimePoint Now);
-  void learn(const core::TargetName &Name, const ExpectedWork &Work,
-             core::Duration FirstByte, core::Duration Rest,
-             std::uint32_t OutputTokens);
+  void updateRates(const core::TargetName &Name, const ExpectedWork &Work,
+                   core::Duration FirstByte, core::Duration Rest,
+                   std::uint32_t OutputTokens);
 
   const TargetState *find(const core::TargetName &Name) const;
   const std::map<core::TargetName, TargetState> &all() const {
     return m_Targets;
   }
   /// Places this instance may fill at \p Target: its share among instances.
-  std::size_t share(const TargetState &Target) const;
+  std::size_t instanceShare(const TargetState &Target) const;
 
 private:
   /// Targets at which a shared prefix is expected to be in the cache.
-  static constexpr std::size_t PrefixHomeCount = 2;
-  using PrefixHomes = std::array<const TargetState *, PrefixHomeCount>;
+  static constexpr std::size_t PrefixTargetCount = 2;
+  using PrefixTargets = std::array<const TargetState *, PrefixTargetCount>;
 
   /// A target that honours priorities serves a higher tier before what waits
   /// there of a lower one, so only work of the same or a higher tier counts.
@@ -88,14 +89,14 @@
   /// places free that are kept for the highest.
   bool leavesReservedSlots(core::TierNumber Tier) const;
   double predictedFinish(const TargetState &Target, const ExpectedWork &Work,
-                         bool IsWarm) const;
+                         bool IsPrefixCached) const;
   /// Where the prefix is expected: its first targets by rendezvous hash, the
   /// same at every instance without a message.
-  PrefixHomes prefixHomes(std::uint64_t PrefixHash) const;
+  PrefixTargets prefixTargets(std::uint64_t PrefixHash) const;
 
   std::map<core::TargetName, TargetState> m_Targets;
   std::uint32_t m_Instances = 1;
-  std::size_t m_KeptPlaces = 0;
+  std::size_t m_ReservedSlots = 0;
   double m_PrefillWeight = 1;
   std::set<core::TargetName> m_Leaving; ///< By the instance list.
   core::TierNumber m_Highest{1};
--- a/Libraries/LibDecision/Trace.cpp
+++ b/Libraries/LibDecision/Trace.cpp
@@ -73,16 +73,16 @@
 public:
   explicit OutcomeCounter(ReplayResult &Result) : m_Result(Result) {}
 
-  void see(const Event &What) {
+  void observe(const Event &What) {
     if (const auto *Failed = std::get_if<ConnectFailed>(&What))
       m_AtTarget.erase(Failed->m_Request);
   }
 
-  void see(const Action &What) {
+  void observe(const Action &What) {
     if (const auto *Go = std::get_if<Dispatch>(&What)) {
       ++m_Result.m_Dispatched;
       bool IsFirst = m_AtTarget.insert(Go->m_Request).second;
-      m_Result.m_DispatchedAgain += IsFirst ? 0 : 1;
+      m_Result.m_DuplicateDispatches += IsFirst ? 0 : 1;
     }
     const auto *No = std::get_if<Refuse>(&What);
     if (!No)
@@ -123,10 +123,10 @@
         return Differ("(no more actions)", actionLine(Actions[Next]));
       core::TimePoint At;
       Event What = readEvent(Line, At);
-      Outcomes.see(What);
+      Outcomes.observe(What);
       Actions = Core.handle(What, At);
       for (const Action &Each : Actions)
-        Outcomes.see(Each);
+        Outcomes.observe(Each);
       Next = 0;
       ++Result.m_Events;
       continue;
--- a/Libraries/LibDecision/Trace.h
+++ b/Libraries/LibDecision/Trace.h
@@ -39,7 +39,7 @@
   std::size_t m_Dispatched = 0;
   /// Dispatches of a request that was dispatched before, with no failed
   /// connect between: breaks "at most once".
-  std::size_t m_DispatchedAgain = 0;
+  std::size_t m_DuplicateDispatches = 0;
   std::size_t m_Refused = 0;
   /// Refusals as not run of a request that was dispatched.
   std::size_t m_RefusedAfterDispatch = 0;
--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -216,7 +216,7 @@
   case AttemptOutcome::Complete:
     m_Owner.m_Targets.recordSuccess(Run);
     if (m_Relay.status() < MinFailureStatus)
-      m_Owner.m_Quarantine.noteWhole(m_Content);
+      m_Owner.m_Quarantine.noteSuccess(m_Content);
     if (IsShort)
       m_Owner.m_Targets.recordServiceTime(Run,
                                           Now - m_Timing.attemptStartedAt());
@@ -254,8 +254,8 @@
   if (IsWhole && m_Relay.status() >= 500)
     IsFailure = true;
   m_Owner.m_Rollouts.answered(routeHash(), *m_Target,
-                              IsFailure ? rollout::AnswerQuality::Failed
-                                        : rollout::AnswerQuality::Whole,
+                              IsFailure ? rollout::ResponseQuality::Failed
+                                        : rollout::ResponseQuality::Succeeded,
                               normalizedDuration(Took));
 }
 
--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -122,7 +122,7 @@
   // The store's list names them all.
   if (!m_Recorded.empty())
     return;
-  for (const decision::Home &Other : Report.m_RecentPeers)
+  for (const decision::InstanceRef &Other : Report.m_RecentPeers)
     if (!(Other.m_Peer == m_Settings.m_PeerAddress) &&
         m_HintedPeers.size() < MaxHintedPeers && !m_Peers.isLive(Other.m_Peer))
       m_HintedPeers.insert(Other.m_Peer);
--- a/Libraries/LibGateway/PeerService.h
+++ b/Libraries/LibGateway/PeerService.h
@@ -128,7 +128,7 @@
   platform::StoreMirror &m_Mirror;
   metrics::MetricsRegistry &m_Metrics;
   PeerServiceHooks m_Hooks;
-  decision::Home m_Self;
+  decision::InstanceRef m_Self;
   peer::PeerCodec m_Codec;
   peer::PeerSocket m_Socket;
   MirrorFetcher m_Fetcher;
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -22,7 +22,7 @@
 namespace yardrill::gateway {
 
 struct LivePeer {
-  decision::Home m_Instance;
+  decision::InstanceRef m_Instance;
   peer::LoadReport m_Report; ///< The newest, complete.
   core::TimePoint m_HeardAt{};
   std::uint64_t m_AddressHash = 0;
--- a/Libraries/LibGateway/PoolRollout.cpp
+++ b/Libraries/LibGateway/PoolRollout.cpp
@@ -18,9 +18,9 @@
   m_Order = std::move(Order);
   if (IsSame)
     return;
-  m_Member.reset();
+  m_Participant.reset();
   if (m_Order)
-    m_Member.emplace(*m_Order, core::Duration::zero(), Now);
+    m_Participant.emplace(*m_Order, core::Duration::zero(), Now);
 }
 
 void PoolRollout::setStatus(std::optional<rollout::Status> Status,
@@ -32,12 +32,12 @@
 void PoolRollout::setRecord(std::optional<rollout::Record> Record,
                             std::int64_t WallSeconds, core::TimePoint Now) {
   m_Record = std::move(Record);
-  if (!m_Record || !m_Member || m_Record->m_Order != m_Order->m_Id)
+  if (!m_Record || !m_Participant || m_Record->m_Order != m_Order->m_Id)
     return;
   core::Duration Age =
       std::chrono::seconds(WallSeconds - m_Record->m_SeenAtWallSeconds);
-  if (Age > m_Member->age(Now) + WallTolerance)
-    m_Member->learnAge(Age, Now);
+  if (Age > m_Participant->age(Now) + WallTolerance)
+    m_Participant->raiseAge(Age, Now);
 }
 
 bool PoolRollout::isStatusCurrent() const {
@@ -115,17 +115,17 @@
     return false;
   if (!isActive())
     return true;
-  return IsNew == (m_Member->traffic(Now) == Traffic::New);
+  return IsNew == (m_Participant->traffic(Now) == Traffic::New);
 }
 
 bool PoolRollout::isCanaryDue(std::uint32_t Route, core::TimePoint Now) const {
-  return isActive() && m_Member->isSampleDue(Route, Now);
+  return isActive() && m_Participant->isSampleDue(Route, Now);
 }
 
 std::size_t PoolRollout::canaryTurn(core::TimePoint Now) const {
-  return static_cast<std::size_t>(m_Member->age(Now) / CanaryTurnPeriod);
+  return static_cast<std::size_t>(m_Participant->age(Now) / CanaryTurnPeriod);
 }
 
-double PoolRollout::canaryShare() const { return m_Member->share(); }
+double PoolRollout::canaryShare() const { return m_Participant->share(); }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/PoolRollout.h
+++ b/Libraries/LibGateway/PoolRollout.h
@@ -9,7 +9,7 @@
 
 #include "LibPlatform/KeyValueService.h"
 #include "LibRollout/Coordinator.h"
-#include "LibRollout/Member.h"
+#include "LibRollout/Participant.h"
 #include "LibRouting/VersionGate.h"
 
 #include <optional>
@@ -44,7 +44,7 @@
   const std::optional<rollout::Order> &order() const { return m_Order; }
   platform::Revision statusRevision() const { return m_StatusRevision; }
   /// \pre isActive().
-  rollout::Member &member() { return *m_Member; }
+  rollout::Participant &participant() { return *m_Participant; }
 
   bool mayServe(const routing::Target &What,
                 core::TimePoint Now) const override;
@@ -64,7 +64,7 @@
   std::optional<rollout::Status> m_Status;
   platform::Revision m_StatusRevision;
   std::optional<rollout::Record> m_Record;
-  std::optional<rollout::Member> m_Member; ///< Of m_Order.
+  std::optional<rollout::Participant> m_Participant; ///< Of m_Order.
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -19,40 +19,40 @@
 QuarantineService::QuarantineService(boost::asio::io_context &Context,
                                      platform::KeyValueService &Store,
                                      QuarantineHooks Hooks)
-    : m_Hooks(std::move(Hooks)), m_Member(memberHooks()),
+    : m_Hooks(std::move(Hooks)), m_Gossip(gossipHooks()),
       m_Record(Context, Store, RecordName, WritePeriod),
       m_Random(core::randomBits()) {}
 
-quarantine::MemberHooks QuarantineService::memberHooks() {
-  quarantine::MemberHooks Out;
-  Out.m_TellAll = [this](const std::vector<Observation> &Seen) {
+quarantine::GossipHooks QuarantineService::gossipHooks() {
+  quarantine::GossipHooks Out;
+  Out.m_Broadcast = [this](const std::vector<Observation> &Seen) {
     sendTo(Seen, m_Hooks.m_Others());
   };
-  Out.m_TellSome = [this](const std::vector<Observation> &Seen) {
+  Out.m_SendToSample = [this](const std::vector<Observation> &Seen) {
     sendToSample(Seen);
   };
   Out.m_Changed = [this](const ContentDigest &Content, bool IsQuarantined) {
     core::LogLine(IsQuarantined ? "content-quarantined" : "content-released",
                   core::LogLevel::Warning)
         .add("content", Content)
-        .add("targets_ended", book().standing(Content));
+        .add("targets_ended", book().incriminatingIncarnations(Content));
   };
   return Out;
 }
 
 void QuarantineService::noteTargetExit(const routing::Target &Which,
                                        const ContentDigest &Content) {
-  m_Member.noteTargetExit(Content, Which.run().hash(), core::steadyNow());
+  m_Gossip.noteTargetExit(Content, Which.run().hash(), core::steadyNow());
   core::LogLine("target-ended", core::LogLevel::Warning)
       .add("target", Which.m_Name)
       .add("birth", Which.m_StartTime)
       .add("pool", Which.m_Pool)
       .add("content", Content)
-      .add("targets_ended", book().standing(Content));
+      .add("targets_ended", book().incriminatingIncarnations(Content));
 }
 
-void QuarantineService::noteWhole(const ContentDigest &Content) {
-  m_Member.noteWhole(Content, core::steadyNow());
+void QuarantineService::noteSuccess(const ContentDigest &Content) {
+  m_Gossip.noteSuccess(Content, core::steadyNow());
 }
 
 void QuarantineService::handle(const peer::PeerMessage &Message) {
@@ -63,8 +63,8 @@
   for (const peer::QuarantineObservation &Each : Told->m_Observations)
     Seen.push_back({{Each.m_ContentHigh, Each.m_ContentLow},
                     Each.m_Incarnation,
-                    Each.m_IsExcused});
-  m_Member.merge(Seen, core::steadyNow());
+                    Each.m_IsCleared});
+  m_Gossip.merge(Seen, core::steadyNow());
 }
 
 void QuarantineService::sendTo(const std::vector<Observation> &Seen,
@@ -77,7 +77,7 @@
     for (std::size_t I = First; I < End; ++I)
       Body.m_Observations.push_back(
           {Seen[I].m_Content.m_High, Seen[I].m_Content.m_Low,
-           Seen[I].m_Incarnation, Seen[I].m_IsExcused});
+           Seen[I].m_Incarnation, Seen[I].m_IsCleared});
     for (const config::Endpoint &Each : To)
       m_Hooks.m_Send(Each, Body);
   }
@@ -92,15 +92,15 @@
 }
 
 void QuarantineService::applyEntry(const platform::Entry &Change) {
-  if (!m_Member.takeRecord(m_Record.read(Change), core::steadyNow()))
+  if (!m_Gossip.mergeStored(m_Record.read(Change), core::steadyNow()))
     m_Record.logUnreadable(Change);
 }
 
 void QuarantineService::upkeep(core::TimePoint Now) {
-  m_Member.upkeep(Now);
+  m_Gossip.upkeep(Now);
   if (!m_Hooks.m_IsRecordWriter())
     return;
-  std::string Text = m_Member.recordText();
+  std::string Text = m_Gossip.storedText();
   if (Text != m_Record.text())
     m_Record.write(Text, Now);
 }
--- a/Libraries/LibGateway/QuarantineService.h
+++ b/Libraries/LibGateway/QuarantineService.h
@@ -5,7 +5,7 @@
 #include "LibConfig/Endpoint.h"
 #include "LibGateway/StoreRecord.h"
 #include "LibPeer/PeerMessage.h"
-#include "LibQuarantine/Member.h"
+#include "LibQuarantine/Gossip.h"
 #include "LibRouting/Target.h"
 
 #include <functional>
@@ -36,16 +36,16 @@
   void noteTargetExit(const routing::Target &Which,
                       const quarantine::ContentDigest &Content);
   /// A target answered it whole.
-  void noteWhole(const quarantine::ContentDigest &Content);
+  void noteSuccess(const quarantine::ContentDigest &Content);
   /// Whether it must not be sent to any target.
   bool isQuarantined(const quarantine::ContentDigest &Content) const {
-    return m_Member.book().isQuarantined(Content);
+    return m_Gossip.book().isQuarantined(Content);
   }
   /// Whether more than one target ended under it.
   bool isSuspect(const quarantine::ContentDigest &Content) const {
-    return m_Member.book().isSuspect(Content);
+    return m_Gossip.book().isSuspect(Content);
   }
-  const quarantine::QuarantineBook &book() const { return m_Member.book(); }
+  const quarantine::QuarantineTable &book() const { return m_Gossip.book(); }
 
   /// Takes a message of another instance.
   void handle(const peer::PeerMessage &Message);
@@ -58,13 +58,13 @@
   void upkeep(core::TimePoint Now);
 
 private:
-  quarantine::MemberHooks memberHooks();
+  quarantine::GossipHooks gossipHooks();
   void sendTo(const std::vector<quarantine::Observation> &Seen,
               const std::vector<config::Endpoint> &To);
   void sendToSample(const std::vector<quarantine::Observation> &Seen);
 
   QuarantineHooks m_Hooks;
-  quarantine::Member m_Member;
+  quarantine::Gossip m_Gossip;
   StoreRecord m_Record;
   std::mt19937_64 m_Random;
 };
--- a/Libraries/LibGateway/RolloutService.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -38,7 +38,7 @@
   if (Order)
     Line.add("version", Order->m_Version)
         .add("order", Order->m_Id)
-        .add("bake_us", Order->m_Bake);
+        .add("bake_us", Order->m_BakeTime);
   Pool &Which = poolOf(Name);
   Which.m_State.setOrder(std::move(Order), core::steadyNow());
   Which.m_Coordinator.reset();
@@ -111,20 +111,21 @@
   if (!Which)
     return;
   PoolRollout &State = Which->m_State;
-  State.member().sent(Route, State.isCanary(Where), core::steadyNow());
+  State.participant().sent(Route, State.isCanary(Where), core::steadyNow());
 }
 
 void RolloutService::answered(std::uint32_t Route, const routing::Target &Where,
-                              rollout::AnswerQuality How, core::Duration Time) {
+                              rollout::ResponseQuality How,
+                              core::Duration Time) {
   Pool *Which = findActive(Where.m_Pool);
   if (!Which)
     return;
   PoolRollout &State = Which->m_State;
-  rollout::CellKey Key;
+  rollout::ResponseCountsKey Key;
   Key.m_Side = State.isCanary(Where) ? rollout::Side::New : rollout::Side::Old;
   Key.m_Target = Where.run().hash();
   Key.m_Route = Route;
-  State.member().answered(Key, How, Time, core::steadyNow());
+  State.participant().answered(Key, How, Time, core::steadyNow());
 }
 
 //===----------------------------------------------------------------------===//
@@ -153,7 +154,7 @@
       return;
     Pool &Which = *Active;
     rollout::Report Report = peer::toReport(*Told);
-    Which.m_State.member().learnAge(Report.m_Age, Now);
+    Which.m_State.participant().raiseAge(Report.m_Age, Now);
     rollout::Permit Given =
         coordinatorOf(Which, Now)
             .handleReport(Message.m_From.m_Incarnation, Report, Now);
@@ -164,7 +165,7 @@
   }
   if (const auto *Given = std::get_if<peer::RolloutPermit>(&Message.m_Body)) {
     if (Pool *Which = findActive(Given->m_Pool))
-      Which->m_State.member().applyPermit(peer::toPermit(*Given), Now);
+      Which->m_State.participant().applyPermit(peer::toPermit(*Given), Now);
   }
 }
 
@@ -194,10 +195,10 @@
   if (!To)
     return;
   Which.m_ReportedAt = Now;
-  rollout::Member &Member = Which.m_State.member();
-  rollout::Report Report = Member.report(runningOld(Which), Now);
+  rollout::Participant &Participant = Which.m_State.participant();
+  rollout::Report Report = Participant.report(runningOld(Which), Now);
   if (*To == m_Self)
-    return Member.applyPermit(
+    return Participant.applyPermit(
         coordinatorOf(Which, Now).handleReport(m_Incarnation, Report, Now),
         Now);
   for (const peer::RolloutReport &Part :
@@ -224,12 +225,13 @@
                  {State.pool(), State.statusRevision(), State.nextStatus(),
                   State.nextRecord(core::wallSeconds().count())},
                  Now);
-  if (!State.isActive() || Now - Which.m_EvaluatedAt < rollout::LookPeriod)
+  if (!State.isActive() ||
+      Now - Which.m_EvaluatedAt < rollout::EvaluationPeriod)
     return;
   Which.m_EvaluatedAt = Now;
-  rollout::Census Targets = census(Which);
+  rollout::PoolCapacity Targets = poolCapacity(Which);
   auto End = coordinatorOf(Which, Now)
-                 .decide(Targets, Which.m_State.member().age(Now), Now);
+                 .decide(Targets, Which.m_State.participant().age(Now), Now);
   logJudgement(Which, Targets, Now);
   if (!End)
     return;
@@ -238,7 +240,7 @@
       .add("version", State.order()->m_Version)
       .add("state", toString(End->m_State))
       .add("reason", End->m_Reason)
-      .add("age_us", Which.m_State.member().age(Now));
+      .add("age_us", Which.m_State.participant().age(Now));
   write(Which,
         {State.pool(),
          State.statusRevision(),
@@ -247,7 +249,8 @@
         Now);
 }
 
-void RolloutService::logJudgement(Pool &Which, const rollout::Census &Targets,
+void RolloutService::logJudgement(Pool &Which,
+                                  const rollout::PoolCapacity &Targets,
                                   core::TimePoint Now) const {
   if (Now - Which.m_LoggedAt < LogPeriod)
     return;
@@ -256,33 +259,33 @@
   core::LogLine("rollout-judged")
       .add("pool", Which.m_State.pool())
       .add("version", Which.m_State.order()->m_Version)
-      .add("age_us", Which.m_State.member().age(Now))
+      .add("age_us", Which.m_State.participant().age(Now))
       .add("worst", Says.m_Worst.m_Kind)
       .add("worst_score", Says.m_Worst.m_Score)
       .add("worst_route", Says.m_Worst.m_Route)
-      .add("least_good", Says.m_LeastGood)
+      .add("least_good", Says.m_MinGoodScore)
       .add("new_answers", Says.m_NewAnswers)
       .add("new_failures", Says.m_NewFailures)
       .add("new_targets", Says.m_NewTargets)
       .add("old_answers", Says.m_OldAnswers)
       .add("old_failures", Says.m_OldFailures)
-      .add("new_places", Targets.m_NewPlaces)
-      .add("old_places", Targets.m_OldPlaces)
+      .add("new_places", Targets.m_NewSlots)
+      .add("old_places", Targets.m_OldSlots)
       .add("traffic", static_cast<int>(Which.m_Coordinator->traffic()))
       .add("reporters", Which.m_Coordinator->reporters());
 }
 
-rollout::Census RolloutService::census(const Pool &Which) const {
-  rollout::Census Out;
+rollout::PoolCapacity RolloutService::poolCapacity(const Pool &Which) const {
+  rollout::PoolCapacity Out;
   for (const routing::KnownTarget *Known :
        m_Targets.allTargetsOf(Which.m_State.pool())) {
     if (!Known->isOpen() || Known->m_ExpiredAt)
       continue;
     const routing::Target &Each = Known->m_Target;
     if (Which.m_State.isCanary(Each))
-      Out.m_NewPlaces += Each.m_Slots;
+      Out.m_NewSlots += Each.m_Slots;
     else
-      Out.m_OldPlaces += Each.m_Slots;
+      Out.m_OldSlots += Each.m_Slots;
   }
   return Out;
 }
--- a/Libraries/LibGateway/RolloutService.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -55,7 +55,7 @@
   const routing::VersionGate *gateOf(const core::PoolName &Pool) const;
   void sent(std::uint32_t Route, const routing::Target &Where);
   void answered(std::uint32_t Route, const routing::Target &Where,
-                rollout::AnswerQuality How, core::Duration Time);
+                rollout::ResponseQuality How, core::Duration Time);
 
   /// Whether upkeep() is needed.
   bool isBusy() const;
@@ -80,10 +80,10 @@
   void report(Pool &Which, core::TimePoint Now);
   void coordinate(Pool &Which, core::TimePoint Now);
   void write(Pool &Which, const RolloutWrite &What, core::TimePoint Now);
-  void logJudgement(Pool &Which, const rollout::Census &Targets,
+  void logJudgement(Pool &Which, const rollout::PoolCapacity &Targets,
                     core::TimePoint Now) const;
   rollout::Coordinator &coordinatorOf(Pool &Which, core::TimePoint Now);
-  rollout::Census census(const Pool &Which) const;
+  rollout::PoolCapacity poolCapacity(const Pool &Which) const;
   std::set<core::TargetVersion> oldVersions(const Pool &Which) const;
   std::uint32_t runningOld(const Pool &Which) const;
   bool isCoordinator() const;
--- a/Libraries/LibInstance/ClaimKeeper.cpp
+++ b/Libraries/LibInstance/ClaimKeeper.cpp
@@ -3,7 +3,7 @@
 #include "LibCore/Digest.h"
 #include "LibCore/Error.h"
 #include "LibCore/Timer.h"
-#include "LibInstance/HomeJson.h"
+#include "LibInstance/InstanceRefJson.h"
 
 #include <boost/json.hpp>
 
@@ -22,7 +22,8 @@
 static const int ReadBackTries = 3;
 static const std::chrono::milliseconds ReadBackPause(100);
 
-static std::string toValue(const decision::Home &Self, core::RequestId Id) {
+static std::string toValue(const decision::InstanceRef &Self,
+                           core::RequestId Id) {
   json::object Out = toJson(Self);
   Out["request"] = Id.value();
   return json::serialize(Out);
@@ -37,7 +38,7 @@
     Out.m_Outcome = ClaimOutcome::Won;
     return Out;
   }
-  Out.m_Home = toHome(json::parse(Standing));
+  Out.m_Owner = toInstanceRef(json::parse(Standing));
   Out.m_Outcome = ClaimOutcome::Held;
   return Out;
 }
@@ -107,7 +108,7 @@
   // Absent is no proof: the write may be on its way still.
   ClaimAnswered Out;
   Out.m_Request = What.m_Request;
-  Out.m_MayStand = true;
+  Out.m_MayTakeEffect = true;
   return Out;
 }
 
--- a/Libraries/LibInstance/ClaimKeeper.h
+++ b/Libraries/LibInstance/ClaimKeeper.h
@@ -17,7 +17,7 @@
 class ClaimKeeper {
 public:
   /// \param Retention how long a claim stands at the least.
-  ClaimKeeper(platform::KeyValueService &Service, decision::Home Self,
+  ClaimKeeper(platform::KeyValueService &Service, decision::InstanceRef Self,
               core::Duration Retention)
       : m_Service(Service), m_Self(std::move(Self)), m_Retention(Retention) {}
 
@@ -41,7 +41,7 @@
   void grant(core::TimePoint Now, boost::asio::yield_context Yield);
 
   platform::KeyValueService &m_Service;
-  decision::Home m_Self;
+  decision::InstanceRef m_Self;
   core::Duration m_Retention;
   /// One lease for all claims of some seconds: it ends them all together.
   std::optional<platform::LeaseId> m_Lease;
--- a/Libraries/LibInstance/DecisionDuty.cpp
+++ b/Libraries/LibInstance/DecisionDuty.cpp
@@ -57,10 +57,10 @@
   Out.m_Name = Name;
   Out.m_Queued = Pool.queued();
   Out.m_Running = Pool.running();
-  Out.m_Floor = Pool.member().floor();
+  Out.m_Threshold = Pool.member().threshold();
   Out.m_IsLeader = Pool.isLeader();
   Out.m_LeaderPhase = Pool.leaderPhase();
-  Out.m_HasPermission = Now < Pool.member().permissionUntil();
+  Out.m_HasShedPermit = Now < Pool.member().shedPermitUntil();
   for (const auto &[TargetName, State] : Pool.targets().all())
     Out.m_Targets.push_back({TargetName, State.m_Target.m_Address,
                              State.m_Running, State.takesNewWork(Now),
--- a/Libraries/LibInstance/DecisionDuty.h
+++ b/Libraries/LibInstance/DecisionDuty.h
@@ -29,10 +29,10 @@
   core::PoolName m_Name;
   std::size_t m_Queued = 0;
   std::size_t m_Running = 0;
-  core::TierNumber m_Floor;
+  core::TierNumber m_Threshold;
   bool m_IsLeader = false;
   std::string m_LeaderPhase; ///< Empty when it does not lead.
-  bool m_HasPermission = false;
+  bool m_HasShedPermit = false;
   std::vector<TargetStatus> m_Targets;
 };
 
--- a/Libraries/LibInstance/Instance.cpp
+++ b/Libraries/LibInstance/Instance.cpp
@@ -90,11 +90,12 @@
 void Instance::route(const decision::Action &What) {
   bool IsForPlatform =
       std::holds_alternative<decision::Claim>(What) ||
-      std::holds_alternative<decision::ReadFloorRecord>(What) ||
-      std::holds_alternative<decision::WriteFloorRecord>(What) ||
-      std::holds_alternative<decision::ResignFloor>(What);
-  bool IsForPeers = std::holds_alternative<decision::SendFloorOrder>(What) ||
-                    std::holds_alternative<decision::SendFloorReport>(What);
+      std::holds_alternative<decision::ReadThresholdRecord>(What) ||
+      std::holds_alternative<decision::WriteThresholdRecord>(What) ||
+      std::holds_alternative<decision::ResignLeadership>(What);
+  bool IsForPeers =
+      std::holds_alternative<decision::SendThresholdCommand>(What) ||
+      std::holds_alternative<decision::SendThresholdReport>(What);
   if (IsForPlatform)
     m_Platform->push(What);
   else if (IsForPeers)
@@ -254,10 +255,10 @@
   return {{"name", Pool.m_Name.value()},
           {"queued", Pool.m_Queued},
           {"running", Pool.m_Running},
-          {"floor_tier", Pool.m_Floor.value()},
+          {"floor_tier", Pool.m_Threshold.value()},
           {"is_leader", Pool.m_IsLeader},
           {"leader_phase", Pool.m_LeaderPhase},
-          {"has_permission", Pool.m_HasPermission},
+          {"has_permission", Pool.m_HasShedPermit},
           {"targets", Targets}};
 }
 
--- a/Libraries/LibInstance/Instance.h
+++ b/Libraries/LibInstance/Instance.h
@@ -42,7 +42,7 @@
   std::string statusJson() const;
 
   config::InstanceSettings m_Settings;
-  decision::Home m_Self;
+  decision::InstanceRef m_Self;
   metrics::MetricsRegistry m_Metrics;
   ConfigurationKeeper m_Configuration;
   std::unique_ptr<DecisionDuty> m_Decision;
--- a/Libraries/LibInstance/HomeJson.cpp
+++ b/Libraries/LibInstance/InstanceRefJson.cpp
@@ -1,15 +1,15 @@
-#include "LibInstance/HomeJson.h"
+#include "LibInstance/InstanceRefJson.h"
 
 namespace yardrill::instance {
 
-boost::json::object toJson(const decision::Home &Home) {
-  return {{"incarnation", Home.m_Incarnation.value()},
-          {"peer", Home.m_Peer.toString()}};
+boost::json::object toJson(const decision::InstanceRef &InstanceRef) {
+  return {{"incarnation", InstanceRef.m_Incarnation.value()},
+          {"peer", InstanceRef.m_Peer.toString()}};
 }
 
-decision::Home toHome(const boost::json::value &Value) {
+decision::InstanceRef toInstanceRef(const boost::json::value &Value) {
   const boost::json::object &Object = Value.as_object();
-  decision::Home Out;
+  decision::InstanceRef Out;
   Out.m_Incarnation =
       core::IncarnationId(Object.at("incarnation").to_number<std::uint64_t>());
   auto Peer =
--- a/Libraries/LibInstance/OpenRequest.cpp
+++ b/Libraries/LibInstance/OpenRequest.cpp
@@ -9,8 +9,8 @@
 
 namespace asio = boost::asio;
 using core::Error;
-using decision::AnswerOutcome;
 using decision::RefusalKind;
+using decision::ResponseOutcome;
 
 OpenRequest::OpenRequest(TrafficDuty &Duty, http::Exchange &Caller,
                          ReadRequest Request)
@@ -67,7 +67,7 @@
     return refuse(*No, Yield);
   if (const auto *Away = std::get_if<decision::Forward>(&What))
     forward(*Away, Yield);
-  if (const auto *Old = std::get_if<decision::SendKept>(&What))
+  if (const auto *Old = std::get_if<decision::SendStoredResponse>(&What))
     sendKept(Old->m_Original, Yield);
   if (std::holds_alternative<decision::Drop>(What))
     finish("caller-left");
@@ -80,7 +80,7 @@
   if (m_Target && !m_IsKeeping)
     m_Target->close();
   if (!m_Target && !m_IsForwarded)
-    m_Duty.m_Hooks.m_Push(decision::CallerLeft{m_Id});
+    m_Duty.m_Hooks.m_Push(decision::CallerDisconnected{m_Id});
 }
 
 //===----------------------------------------------------------------------===//
@@ -89,15 +89,15 @@
 
 bool OpenRequest::dispatch(const decision::Dispatch &What,
                            asio::yield_context Yield) {
-  m_IsKeeping = What.m_KeepAnswer;
+  m_IsKeeping = What.m_StoreResponse;
   m_TargetName = What.m_Target;
   m_Duty.m_Metrics.observe(metrics::RequestTime::QueueWait, m_Labels,
                            core::steadyNow() - m_ArrivedAt);
   logLine("request-dispatched");
-  AnswerOutcome Outcome = AnswerOutcome::CallerLeft;
+  ResponseOutcome Outcome = ResponseOutcome::CallerDisconnected;
   if (m_IsEvicted) {
     // Cancelled before a byte was sent; told as unknown, which is never wrong.
-    Outcome = AnswerOutcome::Evicted;
+    Outcome = ResponseOutcome::Evicted;
   } else if (!m_IsCallerGone || m_IsKeeping) {
     std::unique_ptr<http::ClientConnection> Target;
     try {
@@ -111,61 +111,62 @@
       logLine("target-finished");
       m_Duty.m_Hooks.m_Push(decision::ConnectFailed{m_Id});
       if (m_IsCallerGone)
-        m_Duty.m_Hooks.m_Push(decision::CallerLeft{m_Id});
+        m_Duty.m_Hooks.m_Push(decision::CallerDisconnected{m_Id});
       return false;
     }
     m_Target = Target.get();
     // Either may have happened while the connection was being made.
     if (m_IsEvicted)
-      Outcome = AnswerOutcome::Evicted;
+      Outcome = ResponseOutcome::Evicted;
     else if (!m_IsCallerGone || m_IsKeeping)
       Outcome = runAtTarget(*Target, Yield);
     m_Target = nullptr;
-    if (Outcome == AnswerOutcome::Complete)
+    if (Outcome == ResponseOutcome::Complete)
       m_Duty.m_Targets.giveBack(What.m_Address.toTcp(), std::move(Target));
   }
   bool IsKept = false;
-  if (Outcome == AnswerOutcome::Complete && m_IsKeeping && !m_IsTooLargeToKeep)
+  if (Outcome == ResponseOutcome::Complete && m_IsKeeping &&
+      !m_IsTooLargeToKeep)
     IsKept = m_Duty.m_Answers.keep(m_Id, std::move(m_Kept));
   // Before the decision thread hears of it, so that logs of several instances
   // can be compared: a shed that this end allows is always logged later.
   logLine("target-finished");
   m_Duty.m_Hooks.m_Push(
-      decision::AnswerEnded{m_Id, Outcome, IsKept, m_OutputTokens});
+      decision::ResponseEnded{m_Id, Outcome, IsKept, m_OutputTokens});
   switch (Outcome) {
-  case AnswerOutcome::Complete:
+  case ResponseOutcome::Complete:
     finish(m_IsCallerGone ? "caller-left" : "complete");
     break;
-  case AnswerOutcome::Broken:
-    breakOff(RefusalKind::TargetBroke, Yield);
+  case ResponseOutcome::Broken:
+    breakOff(RefusalKind::TargetDisconnected, Yield);
     break;
-  case AnswerOutcome::Evicted:
+  case ResponseOutcome::Evicted:
     breakOff(RefusalKind::Evicted, Yield);
     break;
-  case AnswerOutcome::CallerLeft:
+  case ResponseOutcome::CallerDisconnected:
     finish("caller-left");
     break;
   }
   return true;
 }
 
-AnswerOutcome OpenRequest::runAtTarget(http::ClientConnection &Target,
-                                       asio::yield_context Yield) {
+ResponseOutcome OpenRequest::runAtTarget(http::ClientConnection &Target,
+                                         asio::yield_context Yield) {
   try {
     Target.sendRequest(m_Request.m_ForTarget,
                        m_Duty.m_Settings.m_Targets.m_SilenceTimeout, Yield);
     relay(Target, Yield);
-    return AnswerOutcome::Complete;
+    return ResponseOutcome::Complete;
   } catch (const Error &Failure) {
     if (m_IsEvicted)
-      return AnswerOutcome::Evicted;
+      return ResponseOutcome::Evicted;
     if (m_IsCallerGone && !m_IsKeeping)
-      return AnswerOutcome::CallerLeft;
+      return ResponseOutcome::CallerDisconnected;
     core::LogLine("target-broke", core::LogLevel::Warning)
         .add("request", m_PrintableId)
         .add("target", m_TargetName)
         .add("reason", Failure.detail());
-    return AnswerOutcome::Broken;
+    return ResponseOutcome::Broken;
   }
 }
 
@@ -220,7 +221,7 @@
                            Now - (IsFirst ? m_ArrivedAt : m_LastPieceAt));
   // A forwarded request is its home's; the core here has forgotten it.
   if (IsFirst && !m_IsForwarded)
-    m_Duty.m_Hooks.m_Push(decision::AnswerBegan{m_Id});
+    m_Duty.m_Hooks.m_Push(decision::ResponseStarted{m_Id});
   m_LastPieceAt = Now;
   m_OutputTokens += countEvents(Piece);
   if (!m_IsKeeping || m_IsTooLargeToKeep)
@@ -267,7 +268,7 @@
                            asio::yield_context Yield) {
   StoredAnswer Stored = m_Duty.m_Answers.find(Original);
   if (!Stored) {
-    sendProblem(toProblem(RefusalKind::AnswerNotKept, 0), Yield);
+    sendProblem(toProblem(RefusalKind::ResponseNotStored, 0), Yield);
     return finish("answer-not-kept");
   }
   http::ResponseMessage Answer = *Stored;
@@ -285,7 +286,7 @@
   Request.m_Headers.set(AccountHeader, m_Request.m_Arrival.m_Account.value());
   m_Duty.m_Signature.sign(Request, core::wallSeconds().count());
   try {
-    auto Home = m_Duty.m_Targets.open(What.m_Home.m_Peer.toTcp(), true, Yield);
+    auto Home = m_Duty.m_Targets.open(What.m_Owner.m_Peer.toTcp(), true, Yield);
     m_Target = Home.get();
     Home->sendRequest(Request, m_Duty.m_Settings.m_Targets.m_SilenceTimeout,
                       Yield);
@@ -296,9 +297,9 @@
     m_Target = nullptr;
     core::LogLine("forward-failed", core::LogLevel::Warning)
         .add("request", m_PrintableId)
-        .add("home", What.m_Home.m_Peer.toString())
+        .add("home", What.m_Owner.m_Peer.toString())
         .add("reason", Failure.detail());
-    breakOff(RefusalKind::HomeLost, Yield);
+    breakOff(RefusalKind::OwnerLost, Yield);
   }
 }
 
--- a/Libraries/LibInstance/OpenRequest.h
+++ b/Libraries/LibInstance/OpenRequest.h
@@ -34,8 +34,8 @@
   void forward(const decision::Forward &What, boost::asio::yield_context Yield);
   void sendKept(core::RequestId Original, boost::asio::yield_context Yield);
 
-  decision::AnswerOutcome runAtTarget(http::ClientConnection &Target,
-                                      boost::asio::yield_context Yield);
+  decision::ResponseOutcome runAtTarget(http::ClientConnection &Target,
+                                        boost::asio::yield_context Yield);
   /// Passes an answer on, piece by piece. \throws core::Error as the
   /// connection does; a caller who is gone only sets m_IsCallerGone.
   void relay(http::ClientConnection &From, boost::asio::yield_context Yield);
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerDuty.cpp
@@ -24,7 +24,8 @@
 static const std::size_t MostEnvelopeBytes = 4UL * 1024 * 1024;
 
 PeerDuty::PeerDuty(const config::InstanceSettings &Settings,
-                   decision::Home Self, ConfigurationKeeper &Configuration,
+                   decision::InstanceRef Self,
+                   ConfigurationKeeper &Configuration,
                    metrics::MetricsRegistry &Metrics,
                    std::function<void(decision::Event)> Push)
     : m_Thread("peers"), m_Timers(m_Thread.context()), m_Settings(Settings),
@@ -87,15 +88,17 @@
   countInstances();
   if (const auto *Beat = std::get_if<peer::Heartbeat>(&Message.m_Body))
     return takeHeartbeat(Message, *Beat);
-  if (const auto *Order = std::get_if<decision::FloorOrder>(&Message.m_Body))
+  if (const auto *Order =
+          std::get_if<decision::ThresholdCommand>(&Message.m_Body))
     return m_Push(*Order);
-  if (const auto *Report = std::get_if<decision::FloorReport>(&Message.m_Body))
+  if (const auto *Report =
+          std::get_if<decision::ThresholdReport>(&Message.m_Body))
     m_Push(*Report);
 }
 
 void PeerDuty::takeHeartbeat(const peer::PeerMessage &Message,
                              const peer::Heartbeat &Beat) {
-  for (const decision::Home &Other : Beat.m_RecentPeers)
+  for (const decision::InstanceRef &Other : Beat.m_RecentPeers)
     if (!(Other == m_Self) && m_HintedPeers.size() < MostHinted &&
         m_Directory.all().count(Other.m_Incarnation) == 0)
       m_HintedPeers.insert(Other.m_Peer);
@@ -138,11 +141,11 @@
 
 void PeerDuty::act(const decision::Action &What) {
   core::TimePoint Now = core::steadyNow();
-  if (const auto *Order = std::get_if<decision::SendFloorOrder>(&What)) {
-    send(Order->m_To.m_Peer, Order->m_Order);
+  if (const auto *Order = std::get_if<decision::SendThresholdCommand>(&What)) {
+    send(Order->m_To.m_Peer, Order->m_Command);
     return reportIfGone(Order->m_To, Now);
   }
-  if (const auto *Report = std::get_if<decision::SendFloorReport>(&What))
+  if (const auto *Report = std::get_if<decision::SendThresholdReport>(&What))
     send(Report->m_To.m_Peer, Report->m_Report);
 }
 
@@ -165,7 +168,7 @@
     Out.m_Digest = Current->digest();
   }
   Out.m_IsStopping = m_IsStopping;
-  std::vector<decision::Home> Known;
+  std::vector<decision::InstanceRef> Known;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     Known.push_back(Peer.m_Home);
   std::sample(Known.begin(), Known.end(), std::back_inserter(Out.m_RecentPeers),
@@ -205,10 +208,11 @@
   if (Count == m_LastCount)
     return;
   m_LastCount = Count;
-  m_Push(decision::InstancesCounted{static_cast<std::uint32_t>(Count)});
+  m_Push(decision::InstanceCountChanged{static_cast<std::uint32_t>(Count)});
 }
 
-void PeerDuty::reportIfGone(const decision::Home &Member, core::TimePoint Now) {
+void PeerDuty::reportIfGone(const decision::InstanceRef &Member,
+                            core::TimePoint Now) {
   // Gone only on two words: it has been silent, and the list no longer has its
   // address or another process answers there.
   if (m_Directory.all().count(Member.m_Incarnation) != 0) {
--- a/Libraries/LibInstance/PeerDuty.h
+++ b/Libraries/LibInstance/PeerDuty.h
@@ -27,7 +27,7 @@
 
 struct PeerStatus {
   core::InstanceName m_Name;
-  decision::Home m_Home;
+  decision::InstanceRef m_Home;
   core::ConfigurationVersion m_Version;
   core::Duration m_SilentFor{};
   bool m_IsStopping = false;
@@ -37,7 +37,7 @@
 class PeerDuty {
 public:
   /// \throws core::Error of kind AddressInUse.
-  PeerDuty(const config::InstanceSettings &Settings, decision::Home Self,
+  PeerDuty(const config::InstanceSettings &Settings, decision::InstanceRef Self,
            ConfigurationKeeper &Configuration,
            metrics::MetricsRegistry &Metrics,
            std::function<void(decision::Event)> Push);
@@ -45,7 +45,7 @@
 
   void start();
   void stop() { m_Thread.stop(); }
-  /// Takes SendFloorOrder and SendFloorReport. Thread-safe.
+  /// Takes SendThresholdCommand and SendThresholdReport. Thread-safe.
   void push(const decision::Action &What);
   /// The peer addresses that the instance list names. Thread-safe.
   void setListed(std::vector<config::Endpoint> Addresses);
@@ -63,7 +63,7 @@
   peer::Heartbeat makeHeartbeat();
   std::vector<config::Endpoint> heartbeatTargets();
   void countInstances();
-  void reportIfGone(const decision::Home &Member, core::TimePoint Now);
+  void reportIfGone(const decision::InstanceRef &Member, core::TimePoint Now);
   void fetchConfiguration(const config::Endpoint &From,
                           boost::asio::yield_context Yield);
   void drop(peer::DropReason Reason);
@@ -72,7 +72,7 @@
   core::DutyThread m_Thread;
   core::SteadyTimerService m_Timers;
   const config::InstanceSettings &m_Settings;
-  decision::Home m_Self;
+  decision::InstanceRef m_Self;
   ConfigurationKeeper &m_Configuration;
   metrics::MetricsRegistry &m_Metrics;
   std::function<void(decision::Event)> m_Push;
--- a/Libraries/LibInstance/PlatformDuty.cpp
+++ b/Libraries/LibInstance/PlatformDuty.cpp
@@ -16,7 +16,7 @@
 using platform::CallClass;
 
 static const char ConfigurationKey[] = "/yardrill/configuration";
-static const std::chrono::milliseconds FirstPause(100);
+static const std::chrono::milliseconds InitialBackoff(100);
 static const std::chrono::seconds LongestPause(5);
 static const std::chrono::seconds MetricsPeriod(1);
 static const int ResolveTries = 5;
@@ -35,7 +35,7 @@
 }
 
 PlatformDuty::PlatformDuty(const config::InstanceSettings &Settings,
-                           decision::Home Self,
+                           decision::InstanceRef Self,
                            ConfigurationKeeper &Configuration,
                            metrics::MetricsRegistry &Metrics,
                            PlatformHooks Hooks)
@@ -44,7 +44,7 @@
       m_Hooks(std::move(Hooks)),
       m_Service(m_Thread.context(), toStoreSettings(Settings.m_Platform)),
       m_Claims(m_Service, std::move(Self), Settings.m_Identities.m_Retention),
-      m_Floors(m_Service),
+      m_ThresholdRecords(m_Service),
       m_Actions(Settings.m_RingCapacity, m_Thread.waker([this] {
         m_Actions.drain([this](const decision::Action &What) { take(What); });
       })) {}
@@ -54,8 +54,10 @@
 void PlatformDuty::start() {
   spawn([this](asio::yield_context Yield) { followConfiguration(Yield); });
   spawn([this](asio::yield_context Yield) { followInstances(Yield); });
-  m_Timers.subscribe(FloorRecordKeeper::KeepAlivePeriod, [this](auto) {
-    spawn([this](asio::yield_context Yield) { m_Floors.keepAlive(Yield); });
+  m_Timers.subscribe(ThresholdRecordService::KeepAlivePeriod, [this](auto) {
+    spawn([this](asio::yield_context Yield) {
+      m_ThresholdRecords.keepAlive(Yield);
+    });
   });
   m_Timers.subscribe(MetricsPeriod, [this](auto) { updateMetrics(); });
   m_Thread.start();
@@ -72,17 +74,19 @@
     return spawn([this, Wanted = *Wanted](asio::yield_context Yield) {
       m_Hooks.m_Push(m_Claims.claim(Wanted, Yield));
     });
-  if (const auto *Wanted = std::get_if<decision::ReadFloorRecord>(&What))
+  if (const auto *Wanted = std::get_if<decision::ReadThresholdRecord>(&What))
     return spawn([this, Wanted = *Wanted](asio::yield_context Yield) {
-      if (auto Read = m_Floors.read(Wanted.m_Pool, Yield))
+      if (auto Read = m_ThresholdRecords.read(Wanted.m_Pool, Yield))
         m_Hooks.m_Push(*Read);
     });
-  if (const auto *Wanted = std::get_if<decision::WriteFloorRecord>(&What))
+  if (const auto *Wanted = std::get_if<decision::WriteThresholdRecord>(&What))
     return spawn([this, Wanted = *Wanted](asio::yield_context Yield) {
-      m_Hooks.m_Push(m_Floors.write(Wanted, Yield));
+      m_Hooks.m_Push(m_ThresholdRecords.write(Wanted, Yield));
+    });
+  if (std::holds_alternative<decision::ResignLeadership>(What))
+    spawn([this](asio::yield_context Yield) {
+      m_ThresholdRecords.resign(Yield);
     });
-  if (std::holds_alternative<decision::ResignFloor>(What))
-    spawn([this](asio::yield_context Yield) { m_Floors.resign(Yield); });
 }
 
 void PlatformDuty::pause(core::Duration Length, asio::yield_context Yield) {
@@ -112,7 +116,7 @@
 }
 
 void PlatformDuty::followConfiguration(asio::yield_context Yield) {
-  platform::Backoff Pauses(FirstPause, LongestPause, core::randomBits());
+  platform::Backoff Pauses(InitialBackoff, LongestPause, core::randomBits());
   auto Take = [this](const platform::Entry &Item) {
     try {
       if (Item.m_Key == ConfigurationKey && !Item.m_IsDeleted)
@@ -145,7 +149,7 @@
 }
 
 void PlatformDuty::followInstances(asio::yield_context Yield) {
-  platform::Backoff Pauses(FirstPause, LongestPause, core::randomBits());
+  platform::Backoff Pauses(InitialBackoff, LongestPause, core::randomBits());
   while (true) {
     try {
       m_List.reset(
@@ -176,7 +180,7 @@
     if (WasLeaving == Listed.m_IsLeaving)
       continue;
     WasLeaving = Listed.m_IsLeaving;
-    m_Hooks.m_Push(decision::TargetStateSeen{Name, Listed.m_IsLeaving});
+    m_Hooks.m_Push(decision::TargetStateChanged{Name, Listed.m_IsLeaving});
   }
   m_Hooks.m_SchedulersListed(m_List.schedulers());
 }
@@ -274,7 +278,7 @@
       if (Failure.kind() == ErrorKind::Conflict)
         throw;
     }
-    pause(FirstPause, Yield);
+    pause(InitialBackoff, Yield);
   }
   throw Error(ErrorKind::OutcomeUnknown,
               "publish again with the change id " + Request.m_Change);
--- a/Libraries/LibInstance/PlatformDuty.h
+++ b/Libraries/LibInstance/PlatformDuty.h
@@ -10,8 +10,8 @@
 #include "LibDecision/Event.h"
 #include "LibInstance/ClaimKeeper.h"
 #include "LibInstance/ConfigurationKeeper.h"
-#include "LibInstance/FloorRecordKeeper.h"
 #include "LibInstance/InstanceList.h"
+#include "LibInstance/ThresholdRecordService.h"
 #include "LibMetrics/MetricsRegistry.h"
 
 #include "StoreClient.h"
@@ -36,14 +36,15 @@
 
 class PlatformDuty {
 public:
-  PlatformDuty(const config::InstanceSettings &Settings, decision::Home Self,
-               ConfigurationKeeper &Configuration,
+  PlatformDuty(const config::InstanceSettings &Settings,
+               decision::InstanceRef Self, ConfigurationKeeper &Configuration,
                metrics::MetricsRegistry &Metrics, PlatformHooks Hooks);
   ~PlatformDuty();
 
   void start();
   void stop() { m_Thread.stop(); }
-  /// Takes Claim, ReadFloorRecord, WriteFloorRecord and ResignFloor.
+  /// Takes Claim, ReadThresholdRecord, WriteThresholdRecord and
+  /// ResignLeadership.
   void push(const decision::Action &What);
 
   /// Makes a configuration the accepted one. Waits; thread-safe.
@@ -73,7 +74,7 @@
   PlatformHooks m_Hooks;
   platform::StoreClient m_Service;
   ClaimKeeper m_Claims;
-  FloorRecordKeeper m_Floors;
+  ThresholdRecordService m_ThresholdRecords;
   InstanceList m_List;
   std::map<core::TargetName, bool> m_LeavingTargets;
   core::Ring<decision::Action> m_Actions;
--- a/Libraries/LibInstance/RequestReader.cpp
+++ b/Libraries/LibInstance/RequestReader.cpp
@@ -258,7 +258,7 @@
                 Request.m_Method == "OPTIONS";
   Out.m_Arrival.m_IsIdentityRequired = !IsRepeatable && !IsSafe;
   // Half a call to an application may have had its whole effect.
-  Out.m_Arrival.m_MayBeCut = false;
+  Out.m_Arrival.m_IsEvictable = false;
   Out.m_Arrival.m_OutputTokens = 1;
   Out.m_ForTarget.m_Method = Request.m_Method;
   Out.m_ForTarget.m_Target = targetInPool(Request.m_Target);
--- a/Libraries/LibInstance/FloorRecordKeeper.cpp
+++ b/Libraries/LibInstance/ThresholdRecordService.cpp
@@ -1,8 +1,8 @@
-#include "LibInstance/FloorRecordKeeper.h"
+#include "LibInstance/ThresholdRecordService.h"
 
 #include "LibCore/Error.h"
 #include "LibCore/Log.h"
-#include "LibInstance/HomeJson.h"
+#include "LibInstance/InstanceRefJson.h"
 
 #include <boost/json.hpp>
 
@@ -16,30 +16,30 @@
   return "/yardrill/floor/" + Pool.value() + "/";
 }
 
-static std::string toJson(const decision::FloorRecord &Record) {
+static std::string toJson(const decision::ThresholdRecord &Record) {
   json::array Members;
-  for (const decision::Home &Member : Record.m_Members)
+  for (const decision::InstanceRef &Member : Record.m_Members)
     Members.push_back(toJson(Member));
   return json::serialize(json::object{{"epoch", Record.m_Epoch},
                                       {"leader", toJson(Record.m_Leader)},
                                       {"members", Members}});
 }
 
-static decision::FloorRecord toRecord(const std::string &Text) {
+static decision::ThresholdRecord toRecord(const std::string &Text) {
   json::value Parsed = json::parse(Text);
   const json::object &Object = Parsed.as_object();
-  decision::FloorRecord Out;
+  decision::ThresholdRecord Out;
   Out.m_Epoch = Object.at("epoch").to_number<std::uint64_t>();
-  Out.m_Leader = toHome(Object.at("leader"));
+  Out.m_Leader = toInstanceRef(Object.at("leader"));
   for (const json::value &Member : Object.at("members").as_array())
-    Out.m_Members.push_back(toHome(Member));
+    Out.m_Members.push_back(toInstanceRef(Member));
   return Out;
 }
 
-std::optional<decision::FloorRecordRead>
-FloorRecordKeeper::read(const core::PoolName &Pool,
-                        boost::asio::yield_context Yield) {
-  decision::FloorRecordRead Out;
+std::optional<decision::ThresholdRecordRead>
+ThresholdRecordService::read(const core::PoolName &Pool,
+                             boost::asio::yield_context Yield) {
+  decision::ThresholdRecordRead Out;
   Out.m_Pool = Pool;
   std::string Prefix = prefixOf(Pool);
   try {
@@ -61,10 +61,10 @@
   }
 }
 
-decision::FloorRecordWritten
-FloorRecordKeeper::write(const decision::WriteFloorRecord &What,
-                         boost::asio::yield_context Yield) {
-  decision::FloorRecordWritten Out;
+decision::ThresholdRecordWritten
+ThresholdRecordService::write(const decision::WriteThresholdRecord &What,
+                              boost::asio::yield_context Yield) {
+  decision::ThresholdRecordWritten Out;
   Out.m_Pool = What.m_Pool;
   try {
     if (!m_Lease)
@@ -89,7 +89,7 @@
   return Out;
 }
 
-void FloorRecordKeeper::resign(boost::asio::yield_context Yield) {
+void ThresholdRecordService::resign(boost::asio::yield_context Yield) {
   if (!m_Lease)
     return;
   platform::LeaseId Lease = *m_Lease;
@@ -101,7 +101,7 @@
   }
 }
 
-void FloorRecordKeeper::keepAlive(boost::asio::yield_context Yield) {
+void ThresholdRecordService::keepAlive(boost::asio::yield_context Yield) {
   if (!m_Lease)
     return;
   try {
--- a/Libraries/LibInstance/FloorRecordKeeper.h
+++ b/Libraries/LibInstance/ThresholdRecordService.h
@@ -1,6 +1,7 @@
-//===-- FloorRecordKeeper.h - Pool leadership at the platform -------------===//
-#ifndef YARDRILL_LIBINSTANCE_FLOORRECORDKEEPER_H
-#define YARDRILL_LIBINSTANCE_FLOORRECORDKEEPER_H
+//===-- ThresholdRecordService.h - Pool leadership at the platform
+//-------------===//
+#ifndef YARDRILL_LIBINSTANCE_THRESHOLDRECORDSERVICE_H
+#define YARDRILL_LIBINSTANCE_THRESHOLDRECORDSERVICE_H
 
 #include "LibDecision/Action.h"
 #include "LibDecision/Event.h"
@@ -15,16 +16,17 @@
 /// Reads and writes the pools' floor records. Beside each record stands a
 /// `leader` key under this instance's lease: while it is there, nobody else
 /// campaigns. Runs on the platform thread.
-class FloorRecordKeeper {
+class ThresholdRecordService {
 public:
-  explicit FloorRecordKeeper(platform::KeyValueService &Service)
+  explicit ThresholdRecordService(platform::KeyValueService &Service)
       : m_Service(Service) {}
 
   /// \returns nothing when the service did not answer.
-  std::optional<decision::FloorRecordRead>
+  std::optional<decision::ThresholdRecordRead>
   read(const core::PoolName &Pool, boost::asio::yield_context Yield);
-  decision::FloorRecordWritten write(const decision::WriteFloorRecord &What,
-                                     boost::asio::yield_context Yield);
+  decision::ThresholdRecordWritten
+  write(const decision::WriteThresholdRecord &What,
+        boost::asio::yield_context Yield);
   void resign(boost::asio::yield_context Yield);
   /// To be called every KeepAlivePeriod.
   void keepAlive(boost::asio::yield_context Yield);
--- a/Libraries/LibInstance/TicketSigner.cpp
+++ b/Libraries/LibInstance/TicketSigner.cpp
@@ -14,7 +14,7 @@
 static const std::string FormatVersion = "1";
 static const std::string Purpose = "yardrill-ticket";
 
-TicketSigner::TicketSigner(std::string Key, decision::Home Self,
+TicketSigner::TicketSigner(std::string Key, decision::InstanceRef Self,
                            core::Duration Lifetime)
     : m_Key(std::move(Key)), m_Self(std::move(Self)), m_Lifetime(Lifetime) {}
 
@@ -60,10 +60,10 @@
   std::uint64_t Incarnation = 0;
   if (!readNumber(Parts[1], Incarnation) ||
       !readNumber(Parts[3], Out.m_ExpiresAt) ||
-      !readNumber(Parts[4], Out.m_Home.m_Peer.m_Port))
+      !readNumber(Parts[4], Out.m_Owner.m_Peer.m_Port))
     return std::nullopt;
-  Out.m_Home.m_Incarnation = core::IncarnationId(Incarnation);
-  Out.m_Home.m_Peer.m_Address = core::fromHex(Parts[5]);
+  Out.m_Owner.m_Incarnation = core::IncarnationId(Incarnation);
+  Out.m_Owner.m_Peer.m_Address = core::fromHex(Parts[5]);
   return Out;
 }
 
--- a/Libraries/LibInstance/TicketSigner.h
+++ b/Libraries/LibInstance/TicketSigner.h
@@ -16,7 +16,8 @@
 /// read it; issuing one leaves nothing to remember.
 class TicketSigner {
 public:
-  TicketSigner(std::string Key, decision::Home Self, core::Duration Lifetime);
+  TicketSigner(std::string Key, decision::InstanceRef Self,
+               core::Duration Lifetime);
 
   std::string issue(const core::AccountName &Account, core::TimePoint Now);
   /// \returns nothing for a ticket that is forged or of another account.
@@ -26,7 +27,7 @@
 
 private:
   std::string m_Key;
-  decision::Home m_Self;
+  decision::InstanceRef m_Self;
   core::Duration m_Lifetime;
   std::uint64_t m_NextSerial = 1;
 };
--- a/Libraries/LibInstance/TrafficDuty.cpp
+++ b/Libraries/LibInstance/TrafficDuty.cpp
@@ -56,7 +56,7 @@
 }
 
 TrafficDuty::TrafficDuty(const config::InstanceSettings &Settings,
-                         const decision::Home &Self,
+                         const decision::InstanceRef &Self,
                          ConfigurationKeeper &Configuration,
                          metrics::MetricsRegistry &Metrics, TrafficHooks Hooks)
     : m_Thread("traffic"), m_Settings(Settings), m_Self(Self),
@@ -140,7 +140,7 @@
   core::RequestId operator()(const decision::Forward &What) const {
     return What.m_Request;
   }
-  core::RequestId operator()(const decision::SendKept &What) const {
+  core::RequestId operator()(const decision::SendStoredResponse &What) const {
     return What.m_Request;
   }
   template <class Other> core::RequestId operator()(const Other &) const {
@@ -151,7 +151,7 @@
 } // namespace
 
 void TrafficDuty::take(decision::Action What) {
-  if (const auto *Old = std::get_if<decision::ForgetKept>(&What))
+  if (const auto *Old = std::get_if<decision::DiscardStoredResponse>(&What))
     return m_Answers.forget(Old->m_Original);
   core::RequestId Id = std::visit(RequestOf(), What);
   auto Found = m_Open.find(Id);
--- a/Libraries/LibInstance/TrafficDuty.h
+++ b/Libraries/LibInstance/TrafficDuty.h
@@ -42,7 +42,8 @@
   /// Binds the caller and peer addresses.
   /// \throws core::Error of kind AddressInUse.
   TrafficDuty(const config::InstanceSettings &Settings,
-              const decision::Home &Self, ConfigurationKeeper &Configuration,
+              const decision::InstanceRef &Self,
+              ConfigurationKeeper &Configuration,
               metrics::MetricsRegistry &Metrics, TrafficHooks Hooks);
   ~TrafficDuty();
 
@@ -77,7 +78,7 @@
 
   core::DutyThread m_Thread;
   const config::InstanceSettings &m_Settings;
-  decision::Home m_Self;
+  decision::InstanceRef m_Self;
   ConfigurationKeeper &m_Configuration;
   metrics::MetricsRegistry &m_Metrics;
   TrafficHooks m_Hooks;
--- a/Libraries/LibPeer/PeerDirectory.h
+++ b/Libraries/LibPeer/PeerDirectory.h
@@ -14,7 +14,7 @@
 namespace yardrill::peer {
 
 struct KnownPeer {
-  decision::Home m_Instance;
+  decision::InstanceRef m_Instance;
   core::TimePoint m_HeardAt{};
   std::uint64_t m_Sequence = 0;
   Heartbeat m_LastHeartbeat; ///< Empty until a heartbeat came.
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -3,8 +3,8 @@
 #define YARDRILL_LIBPEER_PEERMESSAGE_H
 
 #include "LibCore/StrongType.h"
-#include "LibDecision/FloorMessages.h"
 #include "LibDecision/Identity.h"
+#include "LibDecision/ThresholdMessages.h"
 #include "LibPeer/QuarantineMessages.h"
 #include "LibPeer/RolloutMessages.h"
 #include "LibPeer/TargetMessages.h"
@@ -25,7 +25,7 @@
   std::uint64_t m_Digest = 0;           ///< Of the configuration's text.
   bool m_IsStopping = false;
   /// Some other instances that the sender heard from lately.
-  std::vector<decision::Home> m_RecentPeers;
+  std::vector<decision::InstanceRef> m_RecentPeers;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Name, m_Version, m_Digest, m_IsStopping, m_RecentPeers);
@@ -65,7 +65,7 @@
   bool m_HasWaitingRequests = false;
   std::vector<TargetLoadEntry> m_Targets; ///< Only those with work.
   /// Some other instances that the sender heard from lately.
-  std::vector<decision::Home> m_RecentPeers;
+  std::vector<decision::InstanceRef> m_RecentPeers;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_IsFull, m_Name, m_DataHall, m_StoreRevision, m_CompleteRevision,
@@ -105,12 +105,13 @@
 };
 
 using PeerBody =
-    std::variant<Heartbeat, decision::FloorOrder, decision::FloorReport,
-                 LoadReport, QuotaRequest, QuotaResponse, RolloutReport,
-                 RolloutPermit, QuarantineUpdate, BackpressureUpdate>;
+    std::variant<Heartbeat, decision::ThresholdCommand,
+                 decision::ThresholdReport, LoadReport, QuotaRequest,
+                 QuotaResponse, RolloutReport, RolloutPermit, QuarantineUpdate,
+                 BackpressureUpdate>;
 
 struct PeerMessage {
-  decision::Home m_From;
+  decision::InstanceRef m_From;
   std::uint64_t m_Sequence = 0; ///< Grows with each message of the sender.
   std::int64_t m_WallSeconds = 0;
   PeerBody m_Body;
--- a/Libraries/LibPeer/QuarantineMessages.h
+++ b/Libraries/LibPeer/QuarantineMessages.h
@@ -13,10 +13,10 @@
   std::uint64_t m_ContentHigh = 0;
   std::uint64_t m_ContentLow = 0;
   std::uint32_t m_Incarnation = 0; ///< routing::TargetIncarnation::hash().
-  bool m_IsExcused = false;
+  bool m_IsCleared = false;
 
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(m_ContentHigh, m_ContentLow, m_Incarnation, m_IsExcused);
+    Ar(m_ContentHigh, m_ContentLow, m_Incarnation, m_IsCleared);
   }
 };
 
--- a/Libraries/LibPeer/RolloutMessages.cpp
+++ b/Libraries/LibPeer/RolloutMessages.cpp
@@ -5,14 +5,14 @@
 /// A cell takes some 55 bytes with the usual six bins; the most, 140.
 static constexpr std::size_t MaxCellsInPart = 9;
 
-static RolloutCell toCell(const rollout::CellKey &Key,
-                          const rollout::Cell &Counts) {
+static RolloutCell toCell(const rollout::ResponseCountsKey &Key,
+                          const rollout::ResponseCounts &Counts) {
   RolloutCell Out;
   Out.m_IsNew = Key.m_Side == rollout::Side::New;
   Out.m_Target = Key.m_Target;
   Out.m_Route = Key.m_Route;
   Out.m_Failures = Counts.m_Failures;
-  for (std::size_t I = 0; I < rollout::TimeBins; ++I)
+  for (std::size_t I = 0; I < rollout::TimeBinCount; ++I)
     if (Counts.m_Times[I] > 0)
       Out.m_Times.push_back({static_cast<std::uint8_t>(I), Counts.m_Times[I]});
   return Out;
@@ -31,10 +31,10 @@
   Empty.m_SentNew = Told.m_SentNew;
   std::vector<RolloutReport> Out{Empty};
   Empty.m_WantsPermit = false;
-  for (const auto &[Key, Counts] : Told.m_Cells) {
-    if (Out.back().m_Cells.size() == MaxCellsInPart)
+  for (const auto &[Key, Counts] : Told.m_Counts) {
+    if (Out.back().m_Counts.size() == MaxCellsInPart)
       Out.push_back(Empty);
-    Out.back().m_Cells.push_back(toCell(Key, Counts));
+    Out.back().m_Counts.push_back(toCell(Key, Counts));
   }
   return Out;
 }
@@ -54,15 +54,15 @@
   Out.m_RunningOld = Told.m_RunningOld;
   Out.m_Sent = Told.m_Sent;
   Out.m_SentNew = Told.m_SentNew;
-  for (const RolloutCell &Each : Told.m_Cells) {
-    rollout::CellKey Key;
+  for (const RolloutCell &Each : Told.m_Counts) {
+    rollout::ResponseCountsKey Key;
     Key.m_Side = Each.m_IsNew ? rollout::Side::New : rollout::Side::Old;
     Key.m_Target = Each.m_Target;
     Key.m_Route = Each.m_Route;
-    rollout::Cell &Into = Out.m_Cells[Key];
+    rollout::ResponseCounts &Into = Out.m_Counts[Key];
     Into.m_Failures = Each.m_Failures;
     for (const RolloutTimes &Times : Each.m_Times)
-      if (Times.m_Bin < rollout::TimeBins)
+      if (Times.m_Bin < rollout::TimeBinCount)
         Into.m_Times[Times.m_Bin] = Times.m_Count;
   }
   return Out;
--- a/Libraries/LibPeer/RolloutMessages.h
+++ b/Libraries/LibPeer/RolloutMessages.h
@@ -40,11 +40,11 @@
   std::uint32_t m_Sent = 0;
   std::uint32_t m_SentNew = 0;
   bool m_WantsPermit = true; ///< One part of each report does.
-  std::vector<RolloutCell> m_Cells;
+  std::vector<RolloutCell> m_Counts;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Pool, m_Order, m_Number, m_AgeUs, m_Traffic, m_RunningOld, m_Sent,
-       m_SentNew, m_WantsPermit, m_Cells);
+       m_SentNew, m_WantsPermit, m_Counts);
   }
 };
 
--- /dev/null
+++ b/Libraries/LibQuarantine/Gossip.cpp
@@ -0,0 +1,125 @@
+#include "LibQuarantine/Gossip.h"
+
+#include "LibQuarantine/QuarantineFormat.h"
+
+#include <algorithm>
+#include <array>
+
+namespace yardrill::quarantine {
+
+/// When everybody is told again, after the time before: a lost datagram, and a
+/// second of losses, cost no more than a little delay.
+static constexpr std::array<std::chrono::milliseconds, 3> RebroadcastDelays{
+    std::chrono::milliseconds(100), std::chrono::milliseconds(300),
+    std::chrono::milliseconds(1200)};
+/// How often a few others are told of what the store does not hold.
+static constexpr std::chrono::seconds GossipPeriod{1};
+/// The store should hold suspects: one run alone is what most requests have
+/// that were under way when a target ended.
+static constexpr std::size_t MinIncarnationsToStore =
+    QuarantineTable::RunsToSuspect;
+/// Contents in the store's entry; with three runs each it has 15 KB.
+static constexpr std::size_t MaxStoredContents = 256;
+
+void Gossip::noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
+                            core::TimePoint Now) {
+  m_Book.noteTargetExit(Content, Run, Now);
+  broadcastUpdates(Now);
+}
+
+void Gossip::noteSuccess(const ContentDigest &Content, core::TimePoint Now) {
+  m_Book.noteSuccess(Content, Now);
+  broadcastUpdates(Now);
+}
+
+void Gossip::merge(const std::vector<Observation> &Seen, core::TimePoint Now) {
+  for (const Observation &Each : Seen)
+    m_Book.merge(Each, Now);
+  broadcastUpdates(Now);
+}
+
+//===----------------------------------------------------------------------===//
+// Between instances
+//===----------------------------------------------------------------------===//
+
+void Gossip::broadcastUpdates(core::TimePoint Now) {
+  std::vector<Observation> News = m_Book.takeUpdates();
+  if (News.empty())
+    return;
+  m_Hooks.m_Broadcast(News);
+  m_PendingBroadcasts.push_back(
+      {std::move(News), 0, Now + RebroadcastDelays.front()});
+}
+
+void Gossip::rebroadcast(core::TimePoint Now) {
+  for (std::size_t Left = m_PendingBroadcasts.size(); Left > 0; --Left) {
+    PendingBroadcast Each = std::move(m_PendingBroadcasts.front());
+    m_PendingBroadcasts.pop_front();
+    if (Each.m_NextAt <= Now) {
+      m_Hooks.m_Broadcast(Each.m_Seen);
+      if (++Each.m_RepeatCount == RebroadcastDelays.size())
+        continue;
+      Each.m_NextAt = Now + RebroadcastDelays[Each.m_RepeatCount];
+    }
+    m_PendingBroadcasts.push_back(std::move(Each));
+  }
+}
+
+void Gossip::gossipUnstored(core::TimePoint Now) {
+  if (Now - m_LastGossipAt < GossipPeriod)
+    return;
+  m_LastGossipAt = Now;
+  std::vector<Observation> Unrecorded;
+  for (const ContentDigest &Each :
+       m_Book.suspectedContents(MinIncarnationsToStore))
+    for (const Observation &Seen : m_Book.observations(Each))
+      if (m_Stored.count(Seen) == 0)
+        Unrecorded.push_back(Seen);
+  if (!Unrecorded.empty())
+    m_Hooks.m_SendToSample(Unrecorded);
+}
+
+void Gossip::upkeep(core::TimePoint Now) {
+  rebroadcast(Now);
+  if (m_Book.size() > 0)
+    gossipUnstored(Now);
+}
+
+//===----------------------------------------------------------------------===//
+// In the store
+//===----------------------------------------------------------------------===//
+
+bool Gossip::mergeStored(const std::string &Text, core::TimePoint Now) {
+  auto Seen = parseObservations(Text);
+  m_Stored.clear();
+  if (!Seen)
+    return false;
+  m_Stored.insert(Seen->begin(), Seen->end());
+  merge(*Seen, Now);
+  return true;
+}
+
+std::string Gossip::storedText() const {
+  std::vector<ContentDigest> Suspects =
+      m_Book.suspectedContents(MinIncarnationsToStore);
+  if (Suspects.size() > MaxStoredContents)
+    Suspects.resize(MaxStoredContents);
+  std::vector<Observation> Out;
+  for (const ContentDigest &Each : Suspects)
+    for (const Observation &Seen : m_Book.observations(Each))
+      Out.push_back(Seen);
+  // What was excused stays: whoever missed that must hear of it. Not what came
+  // since, or each end of a target would be written for popular contents.
+  for (const Observation &Each : m_Stored)
+    if (m_Book.incriminatingIncarnations(Each.m_Content) <
+        MinIncarnationsToStore)
+      Out.push_back({Each.m_Content, Each.m_Incarnation,
+                     m_Book.isCleared(Each.m_Content, Each.m_Incarnation)});
+  std::size_t Most = MaxStoredContents * QuarantineTable::MaxIncarnations;
+  if (Out.size() > Most)
+    Out.resize(Most);
+  std::sort(Out.begin(), Out.end());
+  return formatObservations(Out);
+}
+
+} // namespace yardrill::quarantine
--- a/Libraries/LibQuarantine/QuarantineText.cpp
+++ b/Libraries/LibQuarantine/QuarantineFormat.cpp
@@ -1,4 +1,4 @@
-#include "LibQuarantine/QuarantineText.h"
+#include "LibQuarantine/QuarantineFormat.h"
 
 #include <charconv>
 #include <sstream>
@@ -6,9 +6,9 @@
 namespace yardrill::quarantine {
 
 static constexpr int HexBase = 16;
-static constexpr char ExcusedMark = '-';
+static constexpr char ClearedMark = '-';
 
-std::string toText(const std::vector<Observation> &Seen) {
+std::string formatObservations(const std::vector<Observation> &Seen) {
   std::ostringstream Out;
   const ContentDigest *Before = nullptr;
   for (const Observation &Each : Seen) {
@@ -16,8 +16,8 @@
       Out << (Before ? "\n" : "") << Each.m_Content;
     Before = &Each.m_Content;
     Out << ' ' << std::hex << Each.m_Incarnation;
-    if (Each.m_IsExcused)
-      Out << ExcusedMark;
+    if (Each.m_IsCleared)
+      Out << ClearedMark;
   }
   if (Before)
     Out << '\n';
@@ -33,13 +33,14 @@
       std::from_chars(Word.data(), End, Out.m_Incarnation, HexBase);
   if (Failure != std::errc())
     return std::nullopt;
-  Out.m_IsExcused = Last != End && *Last == ExcusedMark;
-  if (Last + (Out.m_IsExcused ? 1 : 0) != End)
+  Out.m_IsCleared = Last != End && *Last == ClearedMark;
+  if (Last + (Out.m_IsCleared ? 1 : 0) != End)
     return std::nullopt;
   return Out;
 }
 
-std::optional<std::vector<Observation>> readText(const std::string &Text) {
+std::optional<std::vector<Observation>>
+parseObservations(const std::string &Text) {
   std::vector<Observation> Out;
   std::istringstream Lines(Text);
   for (std::string Line; std::getline(Lines, Line);) {
@@ -59,9 +60,9 @@
   return Out;
 }
 
-std::optional<std::string> lifted(const std::string &Text,
-                                  const ContentDigest &Content) {
-  auto Seen = readText(Text);
+std::optional<std::string> withContentCleared(const std::string &Text,
+                                              const ContentDigest &Content) {
+  auto Seen = parseObservations(Text);
   if (!Seen)
     return std::nullopt;
   bool IsThere = false;
@@ -69,11 +70,11 @@
     if (!(Each.m_Content == Content))
       continue;
     IsThere = true;
-    Each.m_IsExcused = true;
+    Each.m_IsCleared = true;
   }
   if (!IsThere)
     return std::nullopt;
-  return toText(*Seen);
+  return formatObservations(*Seen);
 }
 
 } // namespace yardrill::quarantine
--- a/Libraries/LibQuarantine/QuarantineBook.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -1,4 +1,5 @@
-//===-- QuarantineBook.h - Which requests end the targets that run them ---===//
+//===-- QuarantineTable.h - Which requests end the targets that run them
+//---===//
 //
 // Pure: time is handed in. When a target ends, every request that ran there may
 // have ended it, and no instance sees more than its own. So what is kept is not
@@ -12,8 +13,8 @@
 // under way at the end of three different targets only by chance.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBQUARANTINE_QUARANTINEBOOK_H
-#define YARDRILL_LIBQUARANTINE_QUARANTINEBOOK_H
+#ifndef YARDRILL_LIBQUARANTINE_QUARANTINETABLE_H
+#define YARDRILL_LIBQUARANTINE_QUARANTINETABLE_H
 
 #include "LibCore/Time.h"
 #include "LibQuarantine/ContentDigest.h"
@@ -28,22 +29,22 @@
 namespace yardrill::quarantine {
 
 /// routing::TargetIncarnation::hash().
-using RunHash = std::uint32_t;
+using IncarnationHash = std::uint32_t;
 
 /// That a run of a target ended while a request with that content was under
 /// way there.
 struct Observation {
   ContentDigest m_Content;
-  RunHash m_Incarnation = 0;
-  bool m_IsExcused = false; ///< And that it says nothing any more.
+  IncarnationHash m_Incarnation = 0;
+  bool m_IsCleared = false; ///< And that it says nothing any more.
 
   bool operator<(const Observation &Other) const {
-    return std::tie(m_Content, m_Incarnation, m_IsExcused) <
-           std::tie(Other.m_Content, Other.m_Incarnation, Other.m_IsExcused);
+    return std::tie(m_Content, m_Incarnation, m_IsCleared) <
+           std::tie(Other.m_Content, Other.m_Incarnation, Other.m_IsCleared);
   }
 };
 
-class QuarantineBook {
+class QuarantineTable {
 public:
   /// Runs that must stand against a content.
   static constexpr std::size_t RunsToQuarantine = 3;
@@ -51,70 +52,71 @@
   /// is not sent on at once.
   static constexpr std::size_t RunsToSuspect = RunsToQuarantine - 1;
   /// Kept at one time; those that least stands against give way.
-  static constexpr std::size_t MostContents = 1024;
+  static constexpr std::size_t MaxContents = 1024;
   /// For each content; excused ones give way.
-  static constexpr std::size_t MostRuns = 16;
+  static constexpr std::size_t MaxIncarnations = 16;
 
   /// Called when a content is quarantined, or is not any more.
   using Hook = std::function<void(const ContentDigest &, bool IsQuarantined)>;
-  explicit QuarantineBook(Hook Changed = nullptr)
+  explicit QuarantineTable(Hook Changed = nullptr)
       : m_Changed(std::move(Changed)) {}
 
   /// A target ended under it, at this instance.
-  void noteTargetExit(const ContentDigest &Content, RunHash Run,
+  void noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
                       core::TimePoint Now);
   /// A target answered it whole, and went on.
-  void noteWhole(const ContentDigest &Content, core::TimePoint Now);
+  void noteSuccess(const ContentDigest &Content, core::TimePoint Now);
   /// What another instance or the store says.
   void merge(const Observation &Seen, core::TimePoint Now);
 
   /// Runs that stand against it.
-  std::size_t standing(const ContentDigest &Content) const;
+  std::size_t incriminatingIncarnations(const ContentDigest &Content) const;
   /// Whether the run says nothing against it; also when it is not known.
-  bool isExcused(const ContentDigest &Content, RunHash Run) const;
+  bool isCleared(const ContentDigest &Content, IncarnationHash Run) const;
   bool isSuspect(const ContentDigest &Content) const {
-    return standing(Content) >= RunsToSuspect;
+    return incriminatingIncarnations(Content) >= RunsToSuspect;
   }
   bool isQuarantined(const ContentDigest &Content) const {
-    return standing(Content) >= RunsToQuarantine;
+    return incriminatingIncarnations(Content) >= RunsToQuarantine;
   }
   std::size_t quarantined() const { return m_Quarantined; }
-  std::size_t size() const { return m_Cases.size(); }
+  std::size_t size() const { return m_Entries.size(); }
   /// All that is known of a content; empty: nothing.
   std::vector<Observation> observations(const ContentDigest &Content) const;
   /// Contents that at least \p Least runs stand against, in order.
-  std::vector<ContentDigest> suspects(std::size_t Least) const;
+  std::vector<ContentDigest> suspectedContents(std::size_t Least) const;
   /// What was noted here since the last call, for the others to merge.
-  std::vector<Observation> takeNews();
+  std::vector<Observation> takeUpdates();
 
 private:
-  struct Case {
-    std::map<RunHash, bool> m_Runs; ///< Whether it is excused.
+  struct Entry {
+    std::map<IncarnationHash, bool> m_Runs; ///< Whether it is excused.
     core::TimePoint m_ChangedAt{};
 
-    std::size_t standing() const;
+    std::size_t incriminatingIncarnations() const;
   };
   /// A content that was answered whole.
-  struct Whole {
+  struct Success {
     ContentDigest m_Content;
     core::TimePoint m_At{};
     bool m_IsSet = false;
   };
   /// Contents answered whole lately, each in the place of its digest; one that
   /// has the same place takes it.
-  static constexpr std::size_t WholePlaces = 1024;
+  static constexpr std::size_t SuccessSlots = 1024;
 
-  bool wasWholeLately(const ContentDigest &Content, core::TimePoint Now) const;
+  bool hasRecentSuccess(const ContentDigest &Content,
+                        core::TimePoint Now) const;
   /// \returns whether it changed anything.
-  bool take(const Observation &Seen, core::TimePoint Now);
+  bool apply(const Observation &Seen, core::TimePoint Now);
   void makeRoom();
-  void makeRoom(Case &Which) const;
+  void makeRoom(Entry &Which) const;
 
   Hook m_Changed;
-  std::unordered_map<ContentDigest, Case> m_Cases;
+  std::unordered_map<ContentDigest, Entry> m_Entries;
   std::size_t m_Quarantined = 0;
-  std::vector<Observation> m_News;
-  std::array<Whole, WholePlaces> m_Whole;
+  std::vector<Observation> m_Updates;
+  std::array<Success, SuccessSlots> m_RecentSuccesses;
 };
 
 } // namespace yardrill::quarantine
--- a/Libraries/LibRollout/Comparison.cpp
+++ b/Libraries/LibRollout/Comparison.cpp
@@ -9,24 +9,24 @@
 /// A version is looked at for failing, or being slow, so much more often: of
 /// bad ones a part of the answers is meant, which users notice from about a
 /// tenth on. The larger ones find a plainly bad version with fewer answers.
-static constexpr double Worse[] = {0.12, 0.25, 0.5};
+static constexpr double ExcessShares[] = {0.12, 0.25, 0.5};
 /// Share that is taken for usual where the old side has shown nothing yet.
-static constexpr double LeastUsual = 0.015;
+static constexpr double MinBaseline = 0.015;
 /// An answer is slow from three half octaves (2.8 times) above the quarter of
 /// its target's answers that are quickest; a target, above the pool's middle.
 static constexpr int SlowBins = 3;
-static constexpr double LeastAnswersOfTarget = 4;
+static constexpr double MinResponsesPerTarget = 4;
 /// Part of the new targets, those that look worst, that a finding must not rest
 /// on.
-static constexpr double SetAside = 0.25;
+static constexpr double TrimmedPart = 0.25;
 static constexpr int NeverSlow = std::numeric_limits<int>::max();
 
-Comparison::Comparison(const Cells &Sum) {
+Comparison::Comparison(const ResponseCountsByKey &Sum) {
   countFailures(Sum);
   countSlow(Sum);
 }
 
-void Comparison::countFailures(const Cells &Sum) {
+void Comparison::countFailures(const ResponseCountsByKey &Sum) {
   for (const auto &[Key, Counts] : Sum) {
     Sides &Of = m_Failures[Key.m_Route];
     Count &Into = (Key.m_Side == Side::New ? Of.m_New : Of.m_Old)[Key.m_Target];
@@ -49,11 +49,11 @@
   return 0;
 }
 
-int Comparison::slowFrom(Side Which, const RelativeTimes &Times) {
+int Comparison::slowThreshold(Side Which, const RelativeTimes &Times) {
   double All = 0;
   for (const auto &[Bin, Count] : Times)
     All += Count;
-  if (All < LeastAnswersOfTarget)
+  if (All < MinResponsesPerTarget)
     return NeverSlow;
   Count &Targets = Which == Side::New ? m_NewTargets : m_OldTargets;
   ++Targets.m_All;
@@ -62,31 +62,31 @@
   return binAt(Times, 0.25) + SlowBins;
 }
 
-void Comparison::countSlow(const Cells &Sum) {
+void Comparison::countSlow(const ResponseCountsByKey &Sum) {
   // What is usual on each route, by the old side, or where it has no answers by
   // the new one.
-  std::map<std::uint32_t, std::map<int, double>> Usual;
+  std::map<std::uint32_t, std::map<int, double>> Baseline;
   for (Side Which : {Side::Old, Side::New}) {
     std::map<std::uint32_t, std::map<int, double>> Seen;
     for (const auto &[Key, Counts] : Sum)
       if (Key.m_Side == Which && Counts.successes() > 0)
-        for (std::size_t I = 0; I < TimeBins; ++I)
+        for (std::size_t I = 0; I < TimeBinCount; ++I)
           Seen[Key.m_Route][static_cast<int>(I)] += Counts.m_Times[I];
     for (auto &[Route, Times] : Seen)
-      Usual.try_emplace(Route, std::move(Times));
+      Baseline.try_emplace(Route, std::move(Times));
   }
   std::map<std::uint32_t, int> Middle;
-  for (const auto &[Route, Times] : Usual)
+  for (const auto &[Route, Times] : Baseline)
     Middle[Route] = binAt(Times, 0.5);
   std::map<std::pair<Side, std::uint32_t>, RelativeTimes> ByRun;
   for (const auto &[Key, Counts] : Sum)
-    for (std::size_t I = 0; I < TimeBins; ++I)
+    for (std::size_t I = 0; I < TimeBinCount; ++I)
       if (Counts.m_Times[I] > 0)
         ByRun[{Key.m_Side, Key.m_Target}]
              [static_cast<int>(I) - Middle[Key.m_Route]] += Counts.m_Times[I];
   std::map<std::pair<Side, std::uint32_t>, int> SlowFrom;
   for (const auto &[Run, Times] : ByRun)
-    SlowFrom[Run] = slowFrom(Run.first, Times);
+    SlowFrom[Run] = slowThreshold(Run.first, Times);
   for (const auto &[Key, Counts] : Sum) {
     auto From = SlowFrom.find({Key.m_Side, Key.m_Target});
     if (From == SlowFrom.end() || From->second == NeverSlow)
@@ -94,7 +94,7 @@
     Sides &Of = m_Slow[Key.m_Route];
     Count &Into = (Key.m_Side == Side::New ? Of.m_New : Of.m_Old)[Key.m_Target];
     Into.m_All += Counts.successes();
-    for (std::size_t I = 0; I < TimeBins; ++I)
+    for (std::size_t I = 0; I < TimeBinCount; ++I)
       if (static_cast<int>(I) - Middle[Key.m_Route] >= From->second)
         Into.m_Bad += Counts.m_Times[I];
   }
@@ -110,19 +110,21 @@
 }
 
 double Comparison::score(const Count &New, const Count &Old) {
-  double Usual = (Old.m_Bad + 0.5) / (Old.m_All + 1);
+  double Baseline = (Old.m_Bad + 0.5) / (Old.m_All + 1);
   // Half of the way to what a few answers may hide.
-  Usual += std::sqrt(Usual * (1 - Usual) / (Old.m_All + 1)) + LeastUsual;
-  Usual = std::min(Usual, 0.9);
+  Baseline +=
+      std::sqrt(Baseline * (1 - Baseline) / (Old.m_All + 1)) + MinBaseline;
+  Baseline = std::min(Baseline, 0.9);
   double Best = -std::numeric_limits<double>::max();
-  for (double More : Worse) {
-    double Share = std::min(Usual + More, 0.97);
-    Best = std::max(Best, New.m_Bad * std::log(Share / Usual) +
+  for (double More : ExcessShares) {
+    double Share = std::min(Baseline + More, 0.97);
+    Best = std::max(Best, New.m_Bad * std::log(Share / Baseline) +
                               (New.m_All - New.m_Bad) *
-                                  std::log((1 - Share) / (1 - Usual)));
+                                  std::log((1 - Share) / (1 - Baseline)));
   }
   // The best of several is a little high by chance.
-  return Best > 0 ? std::max(0.0, Best - std::log(std::size(Worse))) : Best;
+  return Best > 0 ? std::max(0.0, Best - std::log(std::size(ExcessShares)))
+                  : Best;
 }
 
 double Comparison::robustScore(const Sides &What) {
@@ -136,7 +138,7 @@
   std::sort(Sorted.begin(), Sorted.end(),
             [](const Count &A, const Count &B) { return A.m_Bad > B.m_Bad; });
   auto Aside = static_cast<std::size_t>(
-      std::ceil(static_cast<double>(Sorted.size()) * SetAside));
+      std::ceil(static_cast<double>(Sorted.size()) * TrimmedPart));
   Count Rest;
   for (std::size_t I = Aside; I < Sorted.size(); ++I) {
     Rest.m_All += Sorted[I].m_All;
@@ -168,13 +170,13 @@
   if (m_NewTargets.m_All == 0 || m_OldTargets.m_All == 0)
     return;
   // Chance of so many slow ones, if the new ones are drawn as the old ones are.
-  double Usual = (m_OldTargets.m_Bad + 0.1) / (m_OldTargets.m_All + 0.2);
+  double Baseline = (m_OldTargets.m_Bad + 0.1) / (m_OldTargets.m_All + 0.2);
   double Chance = 0;
-  double Term = std::pow(1 - Usual, m_NewTargets.m_All);
+  double Term = std::pow(1 - Baseline, m_NewTargets.m_All);
   for (double K = 0; K <= m_NewTargets.m_All; ++K) {
     if (K >= m_NewTargets.m_Bad)
       Chance += Term;
-    Term *= (m_NewTargets.m_All - K) / (K + 1) * Usual / (1 - Usual);
+    Term *= (m_NewTargets.m_All - K) / (K + 1) * Baseline / (1 - Baseline);
   }
   // Looked at anew only when another target has answered: one in 10,000 will
   // do.
@@ -185,7 +187,7 @@
 
 Judgement Comparison::judge() const {
   Judgement Out;
-  Out.m_LeastGood = std::numeric_limits<double>::max();
+  Out.m_MinGoodScore = std::numeric_limits<double>::max();
   for (const auto &[Route, Of] : m_Failures) {
     Count Old = sum(Of.m_Old);
     Count New = sum(Of.m_New);
@@ -194,10 +196,10 @@
     Out.m_NewAnswers += static_cast<std::uint32_t>(New.m_All);
     Out.m_NewFailures += static_cast<std::uint32_t>(New.m_Bad);
     if (Old.m_All > 0)
-      Out.m_LeastGood = std::min(Out.m_LeastGood, -score(New, Old));
+      Out.m_MinGoodScore = std::min(Out.m_MinGoodScore, -score(New, Old));
   }
   if (m_Failures.empty())
-    Out.m_LeastGood = 0;
+    Out.m_MinGoodScore = 0;
   Out.m_NewTargets = static_cast<std::uint32_t>(m_NewTargets.m_All);
   compare(m_Failures, "failures", Out);
   compare(m_Slow, "slow-answers", Out);
--- a/Libraries/LibRollout/Comparison.h
+++ b/Libraries/LibRollout/Comparison.h
@@ -11,7 +11,7 @@
 
 class Comparison {
 public:
-  explicit Comparison(const Cells &Sum);
+  explicit Comparison(const ResponseCountsByKey &Sum);
 
   Judgement judge() const;
 
@@ -30,11 +30,11 @@
   /// Times of one target, on all routes, over what is usual on each.
   using RelativeTimes = std::map<int, double>;
 
-  void countFailures(const Cells &Sum);
-  void countSlow(const Cells &Sum);
+  void countFailures(const ResponseCountsByKey &Sum);
+  void countSlow(const ResponseCountsByKey &Sum);
   /// Notes which targets are slow as a whole. \returns the bin from which on an
   /// answer of the target is slow; none where it has too few.
-  int slowFrom(Side Which, const RelativeTimes &Times);
+  int slowThreshold(Side Which, const RelativeTimes &Times);
   static Count sum(const ByTarget &Of);
   /// How likely the new side's count is if it is worse, over if it is not.
   static double score(const Count &New, const Count &Old);
--- a/Libraries/LibRollout/Coordinator.cpp
+++ b/Libraries/LibRollout/Coordinator.cpp
@@ -10,27 +10,28 @@
 static constexpr double SampleShare = 0.6;
 /// Part of the time in which the version is only sampled, however good: those
 /// that turn bad late are found in it.
-static constexpr double SampleTime = 0.7;
+static constexpr double SamplePart = 0.7;
 /// Part after which it is enough that nothing speaks against it.
-static constexpr double LateTime = 0.82;
-static constexpr std::uint32_t LeastAnswers = 20;
+static constexpr double LateSamplePart = 0.82;
+static constexpr std::uint32_t MinResponses = 20;
 /// Against the version on any route, at that time.
-static constexpr double MostAgainst = 1.5;
+static constexpr double MaxScoreAgainst = 1.5;
 /// Part of the requests that are allowed beyond the share, which samples take
 /// where there are few requests. With 40 a second for 12 s the share alone is
 /// 20 answers: 4 of 25 versions that failed two in five were not found by them.
 static constexpr double SlackShare = 0.4;
-static constexpr double MostSampled = 0.25;
+static constexpr double MaxSampleShare = 0.25;
 /// The end is written so long before the deadline: a call to a slow store.
-static constexpr std::chrono::milliseconds WriteTime{500};
+static constexpr std::chrono::milliseconds DeadlineMargin{500};
 /// A coordinator that has just begun waits until all have told it what they
 /// know.
-static constexpr std::chrono::milliseconds TakeOverTime{1200};
+static constexpr std::chrono::milliseconds TakeoverDelay{1200};
 /// Part of the old places that must be there on the new side before all goes
 /// there: pools are sized for bursts.
-static constexpr double LeastPlaces = 0.6;
+static constexpr double MinCapacityRatio = 0.6;
 /// Who has not reported for so long has no permit, and counts no more.
-static constexpr std::chrono::milliseconds SilentTime = 2 * Permit::Length;
+static constexpr std::chrono::milliseconds ParticipantTimeout =
+    2 * Permit::Lifetime;
 
 Coordinator::Coordinator(Order What, const ExposureLimits &Limits,
                          core::TimePoint Now)
@@ -38,31 +39,32 @@
 
 double Coordinator::share(core::Duration Age) const {
   double Sent = 0;
-  for (const auto &[From, Member] : m_Members)
-    Sent += Member.m_Newest.m_Sent;
+  for (const auto &[From, Participant] : m_Participants)
+    Sent += Participant.m_LastReport.m_Sent;
   double Seconds = std::max(1.0, core::toSeconds(Age));
   double Expected =
-      Sent / Seconds * core::toSeconds(m_Order.m_Bake) * SampleTime;
+      Sent / Seconds * core::toSeconds(m_Order.m_BakeTime) * SamplePart;
   double Own = m_Limits.m_Share * SampleShare;
   if (Expected <= 0)
     return Own;
-  return std::min(Own + SlackShare * m_Limits.m_Slack / Expected, MostSampled);
+  return std::min(Own + SlackShare * m_Limits.m_Slack / Expected,
+                  MaxSampleShare);
 }
 
 Permit Coordinator::handleReport(core::IncarnationId From, const Report &Told,
                                  core::TimePoint Now) {
-  Known &Member = m_Members[From];
-  for (const auto &[Key, Counts] : Told.m_Cells) {
-    Cell &Held = Member.m_Cells[Key];
+  ParticipantState &Participant = m_Participants[From];
+  for (const auto &[Key, Counts] : Told.m_Counts) {
+    ResponseCounts &Held = Participant.m_Counts[Key];
     // A report that overtook another one.
     if (Held.answers() < Counts.answers())
       Held = Counts;
   }
-  if (Member.m_Newest.m_Number <= Told.m_Number) {
-    Member.m_Newest = Told;
-    Member.m_Newest.m_Cells.clear();
+  if (Participant.m_LastReport.m_Number <= Told.m_Number) {
+    Participant.m_LastReport = Told;
+    Participant.m_LastReport.m_Counts.clear();
   }
-  Member.m_HeardAt = Now;
+  Participant.m_HeardAt = Now;
   Permit Out;
   Out.m_Order = m_Order.m_Id;
   Out.m_Report = Told.m_Number;
@@ -74,10 +76,10 @@
   return Out;
 }
 
-Cells Coordinator::sum() const {
-  Cells Out;
-  for (const auto &[From, Member] : m_Members)
-    for (const auto &[Key, Counts] : Member.m_Cells)
+ResponseCountsByKey Coordinator::sum() const {
+  ResponseCountsByKey Out;
+  for (const auto &[From, Participant] : m_Participants)
+    for (const auto &[Key, Counts] : Participant.m_Counts)
       Out[Key].add(Counts);
   return Out;
 }
@@ -87,42 +89,44 @@
   return m_End;
 }
 
-std::optional<Decision> Coordinator::decide(const Census &Targets,
+std::optional<Decision> Coordinator::decide(const PoolCapacity &Targets,
                                             core::Duration Age,
                                             core::TimePoint Now) {
   if (m_End)
     return m_End;
-  m_Judgement = m_Judge.look(sum(), Now);
+  m_Judgement = m_Judge.evaluate(sum(), Now);
   if (m_Judgement.isBad())
     return end(State::RolledBack, m_Judgement.m_Worst.m_Kind);
-  if (Now - m_Since < TakeOverTime)
+  if (Now - m_Since < TakeoverDelay)
     return std::nullopt;
   return m_Traffic == Traffic::Sample ? decideSampling(Targets, Age)
-                                      : decideMoving(Age, Now);
+                                      : decideShifting(Age, Now);
 }
 
-bool Coordinator::isEnough(const Census &Targets) const {
-  return Targets.m_NewPlaces > 0 &&
-         static_cast<double>(Targets.m_NewPlaces) >=
-             LeastPlaces * static_cast<double>(Targets.m_OldPlaces);
+bool Coordinator::hasEnoughCapacity(const PoolCapacity &Targets) const {
+  return Targets.m_NewSlots > 0 &&
+         static_cast<double>(Targets.m_NewSlots) >=
+             MinCapacityRatio * static_cast<double>(Targets.m_OldSlots);
 }
 
-std::optional<Decision> Coordinator::decideSampling(const Census &Targets,
+std::optional<Decision> Coordinator::decideSampling(const PoolCapacity &Targets,
                                                     core::Duration Age) {
-  double Part = core::toSeconds(Age) / core::toSeconds(m_Order.m_Bake);
+  double Part = core::toSeconds(Age) / core::toSeconds(m_Order.m_BakeTime);
   bool IsUnsuspected = !m_Judgement.isSuspect() &&
-                       m_Judgement.m_NewAnswers >= LeastAnswers &&
-                       m_Judgement.m_LeastGood > -MostAgainst;
-  bool MayMove = m_Judgement.isGood() || (Part >= LateTime && IsUnsuspected);
+                       m_Judgement.m_NewAnswers >= MinResponses &&
+                       m_Judgement.m_MinGoodScore > -MaxScoreAgainst;
+  bool MayMove =
+      m_Judgement.isGood() || (Part >= LateSamplePart && IsUnsuspected);
   // Nothing is left to be moved: a restart after the others were stopped.
-  bool HasNoOld = Targets.m_OldPlaces == 0 && Targets.m_NewPlaces > 0;
-  if (Part >= SampleTime && MayMove && (isEnough(Targets) || HasNoOld)) {
+  bool HasNoOld = Targets.m_OldSlots == 0 && Targets.m_NewSlots > 0;
+  if (Part >= SamplePart && MayMove &&
+      (hasEnoughCapacity(Targets) || HasNoOld)) {
     m_Traffic = Traffic::New;
     return std::nullopt;
   }
-  if (Age < m_Order.m_Bake - WriteTime)
+  if (Age < m_Order.m_BakeTime - DeadlineMargin)
     return std::nullopt;
-  if (Targets.m_NewPlaces == 0)
+  if (Targets.m_NewSlots == 0)
     return end(State::RolledBack, "no-targets");
   if (MayMove)
     return end(State::RolledBack, "too-few-targets");
@@ -132,21 +136,22 @@
 }
 
 bool Coordinator::isDrained(core::TimePoint Now) const {
-  return std::all_of(m_Members.begin(), m_Members.end(), [Now](const auto &E) {
-    const Known &Each = E.second;
-    if (Now - Each.m_HeardAt > SilentTime)
-      return true;
-    return Each.m_Newest.m_Traffic == Traffic::New &&
-           Each.m_Newest.m_RunningOld == 0;
-  });
+  return std::all_of(m_Participants.begin(), m_Participants.end(),
+                     [Now](const auto &E) {
+                       const ParticipantState &Each = E.second;
+                       if (Now - Each.m_HeardAt > ParticipantTimeout)
+                         return true;
+                       return Each.m_LastReport.m_Traffic == Traffic::New &&
+                              Each.m_LastReport.m_RunningOld == 0;
+                     });
 }
 
-std::optional<Decision> Coordinator::decideMoving(core::Duration Age,
-                                                  core::TimePoint Now) {
+std::optional<Decision> Coordinator::decideShifting(core::Duration Age,
+                                                    core::TimePoint Now) {
   if (isDrained(Now))
     return end(State::Completed, "good");
   // What still runs at old targets then is cut: the deadline goes first.
-  if (Age >= m_Order.m_Bake - WriteTime)
+  if (Age >= m_Order.m_BakeTime - DeadlineMargin)
     return end(State::Completed, "good-at-the-deadline");
   return std::nullopt;
 }
--- a/Libraries/LibRollout/Coordinator.h
+++ b/Libraries/LibRollout/Coordinator.h
@@ -19,9 +19,9 @@
 namespace yardrill::rollout {
 
 /// Targets of the pool that take new work, as the store announces them.
-struct Census {
-  std::size_t m_NewPlaces = 0;
-  std::size_t m_OldPlaces = 0;
+struct PoolCapacity {
+  std::size_t m_NewSlots = 0;
+  std::size_t m_OldSlots = 0;
 };
 
 /// Of all requests to a pool from an order to its deadline, what a bad version
@@ -47,34 +47,35 @@
                       core::TimePoint Now);
   /// To be called several times a second. \param Age of the order.
   /// \returns the end of the order; asked again it stays what it was.
-  std::optional<Decision> decide(const Census &Targets, core::Duration Age,
-                                 core::TimePoint Now);
+  std::optional<Decision> decide(const PoolCapacity &Targets,
+                                 core::Duration Age, core::TimePoint Now);
   const Judgement &judgement() const { return m_Judgement; }
   Traffic traffic() const { return m_Traffic; }
-  std::size_t reporters() const { return m_Members.size(); }
+  std::size_t reporters() const { return m_Participants.size(); }
 
 private:
-  struct Known {
-    Report m_Newest;
-    Cells m_Cells;
+  struct ParticipantState {
+    Report m_LastReport;
+    ResponseCountsByKey m_Counts;
     core::TimePoint m_HeardAt{};
   };
 
   /// Of the requests that are to try the new version, by how many there are.
   double share(core::Duration Age) const;
-  Cells sum() const;
-  bool isEnough(const Census &Targets) const;
+  ResponseCountsByKey sum() const;
+  bool hasEnoughCapacity(const PoolCapacity &Targets) const;
   /// Whether nothing runs at old targets any more, and nothing will.
   bool isDrained(core::TimePoint Now) const;
   std::optional<Decision> end(State How, const char *Reason);
-  std::optional<Decision> decideSampling(const Census &Targets,
+  std::optional<Decision> decideSampling(const PoolCapacity &Targets,
                                          core::Duration Age);
-  std::optional<Decision> decideMoving(core::Duration Age, core::TimePoint Now);
+  std::optional<Decision> decideShifting(core::Duration Age,
+                                         core::TimePoint Now);
 
   Order m_Order;
   ExposureLimits m_Limits;
   core::TimePoint m_Since{};
-  std::map<core::IncarnationId, Known> m_Members;
+  std::map<core::IncarnationId, ParticipantState> m_Participants;
   Judge m_Judge;
   Judgement m_Judgement;
   Traffic m_Traffic = Traffic::Sample;
--- a/Libraries/LibRollout/Evidence.h
+++ b/Libraries/LibRollout/Evidence.h
@@ -19,46 +19,47 @@
 enum class Side : std::uint8_t { Old, New };
 
 /// Answers of one run of a target on one route.
-struct CellKey {
+struct ResponseCountsKey {
   Side m_Side = Side::Old;
   std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash().
   std::uint32_t m_Route = 0;  ///< routing::Route::m_Hash.
 
-  bool operator<(const CellKey &Other) const {
+  bool operator<(const ResponseCountsKey &Other) const {
     return std::tie(m_Side, m_Target, m_Route) <
            std::tie(Other.m_Side, Other.m_Target, Other.m_Route);
   }
 };
 
 /// Half an octave wide, from 1 ms to 4 s; the ends take what lies beyond.
-constexpr std::size_t TimeBins = 24;
-std::size_t timeBinOf(double Milliseconds);
+constexpr std::size_t TimeBinCount = 24;
+std::size_t timeBin(double Milliseconds);
 
-struct Cell {
+struct ResponseCounts {
   std::uint32_t m_Failures = 0;
   /// Whole answers by their times, which are brought to one size of request.
-  std::array<std::uint32_t, TimeBins> m_Times{};
+  std::array<std::uint32_t, TimeBinCount> m_Times{};
 
   std::uint32_t successes() const;
   std::uint32_t answers() const { return successes() + m_Failures; }
-  void add(const Cell &Other);
+  void add(const ResponseCounts &Other);
 };
 
-using Cells = std::map<CellKey, Cell>;
+using ResponseCountsByKey = std::map<ResponseCountsKey, ResponseCounts>;
 
-enum class AnswerQuality {
-  Whole,
+enum class ResponseQuality {
+  Succeeded,
   Failed, ///< An error of the target's own, or an answer that broke off.
 };
 
 class Evidence {
 public:
   /// \param Time that the answer took, at the size that all are brought to.
-  void note(const CellKey &Where, AnswerQuality How, core::Duration Time);
-  const Cells &cells() const { return m_Cells; }
+  void addAnswer(const ResponseCountsKey &Where, ResponseQuality How,
+                 core::Duration Time);
+  const ResponseCountsByKey &cells() const { return m_Counts; }
 
 private:
-  Cells m_Cells;
+  ResponseCountsByKey m_Counts;
 };
 
 } // namespace yardrill::rollout
--- a/Libraries/LibRollout/Judge.cpp
+++ b/Libraries/LibRollout/Judge.cpp
@@ -9,14 +9,15 @@
 static constexpr std::chrono::milliseconds Spans[] = {
     std::chrono::milliseconds(1500), std::chrono::milliseconds(4000)};
 
-static Cells difference(const Cells &Now, const Cells &Before) {
-  Cells Out;
+static ResponseCountsByKey difference(const ResponseCountsByKey &Now,
+                                      const ResponseCountsByKey &Before) {
+  ResponseCountsByKey Out;
   for (const auto &[Key, Counts] : Now) {
-    Cell Grown = Counts;
+    ResponseCounts Grown = Counts;
     auto Old = Before.find(Key);
     if (Old != Before.end()) {
       Grown.m_Failures -= Old->second.m_Failures;
-      for (std::size_t I = 0; I < TimeBins; ++I)
+      for (std::size_t I = 0; I < TimeBinCount; ++I)
         Grown.m_Times[I] -= Old->second.m_Times[I];
     }
     if (Grown.answers() > 0)
@@ -27,13 +28,14 @@
 
 /// With fewer answers of the old version in a span, all of its answers are
 /// taken for what is usual: once all goes to the new one there are none.
-static constexpr std::uint32_t LeastOldAnswers = 100;
+static constexpr std::uint32_t MinOldResponses = 100;
 
-static Cells withOldSide(Cells Span, const Cells &Sum) {
+static ResponseCountsByKey withOldSide(ResponseCountsByKey Span,
+                                       const ResponseCountsByKey &Sum) {
   std::uint32_t Old = 0;
   for (const auto &[Key, Counts] : Span)
     Old += Key.m_Side == Side::Old ? Counts.answers() : 0;
-  if (Old >= LeastOldAnswers)
+  if (Old >= MinOldResponses)
     return Span;
   for (const auto &[Key, Counts] : Sum)
     if (Key.m_Side == Side::Old)
@@ -41,7 +43,7 @@
   return Span;
 }
 
-Judgement Judge::look(const Cells &Sum, core::TimePoint Now) {
+Judgement Judge::evaluate(const ResponseCountsByKey &Sum, core::TimePoint Now) {
   Comparison Whole(Sum);
   Judgement Out = Whole.judge();
   for (auto Span : Spans) {
@@ -52,7 +54,7 @@
         From = &Each;
     if (!From)
       continue;
-    Cells Recent = withOldSide(difference(Sum, From->m_Sum), Sum);
+    ResponseCountsByKey Recent = withOldSide(difference(Sum, From->m_Sum), Sum);
     Finding Late = Comparison(Recent).judge().m_Worst;
     if (Late.m_Score > Out.m_Worst.m_Score)
       Out.m_Worst = Late;
--- a/Libraries/LibRollout/Judge.h
+++ b/Libraries/LibRollout/Judge.h
@@ -28,7 +28,7 @@
   Finding m_Worst;
   /// The least that speaks for the version being as good, over all routes that
   /// the old one serves.
-  double m_LeastGood = 0;
+  double m_MinGoodScore = 0;
   std::uint32_t m_NewAnswers = 0;
   std::uint32_t m_NewFailures = 0;
   std::uint32_t m_NewTargets = 0; ///< That answered.
@@ -39,7 +39,7 @@
   /// has some 30 looks at three spans and several routes: below 1 in 1,000.
   bool isBad() const { return m_Worst.m_Score > 11.5; }
   /// One in 100 that is worse by what is looked for scores so low.
-  bool isGood() const { return !isSuspect() && m_LeastGood >= 4.6; }
+  bool isGood() const { return !isSuspect() && m_MinGoodScore >= 4.6; }
   /// Something speaks against it, if not enough.
   bool isSuspect() const { return m_Worst.m_Score > 4.6; }
 };
@@ -47,12 +47,12 @@
 class Judge {
 public:
   /// \param Sum of all evidence so far. To be called a few times a second.
-  Judgement look(const Cells &Sum, core::TimePoint Now);
+  Judgement evaluate(const ResponseCountsByKey &Sum, core::TimePoint Now);
 
 private:
   struct Snapshot {
     core::TimePoint m_At{};
-    Cells m_Sum;
+    ResponseCountsByKey m_Sum;
   };
 
   std::deque<Snapshot> m_Past; ///< Of the last seconds.
--- a/Libraries/LibRollout/Order.h
+++ b/Libraries/LibRollout/Order.h
@@ -27,7 +27,7 @@
   core::PoolName m_Pool;
   core::TargetVersion m_Version;
   /// From the order's acknowledgement until its deadline.
-  core::Duration m_Bake{};
+  core::Duration m_BakeTime{};
 };
 
 enum class State { InProgress, Completed, RolledBack };
--- /dev/null
+++ b/Libraries/LibRollout/Participant.cpp
@@ -0,0 +1,114 @@
+#include "LibRollout/Participant.h"
+
+#include <algorithm>
+
+namespace yardrill::rollout {
+
+/// Cells of a report, where fewer changed: they fit one datagram.
+static constexpr std::size_t MaxRepeatedCounts = 9;
+/// Weight of the newest answer of the old version.
+static constexpr double FailureShareWeight = 0.05;
+/// By how much the new version's share of failures must exceed the old one's
+/// for an instance to stop by itself.
+static constexpr double MinLocalExcess = 0.35;
+
+Participant::Participant(Order What, core::Duration Age, core::TimePoint Now)
+    : m_Order(std::move(What)), m_Since(Now - Age) {}
+
+void Participant::raiseAge(core::Duration Age, core::TimePoint Now) {
+  m_Since = std::min(m_Since, Now - Age);
+}
+
+Traffic Participant::traffic(core::TimePoint Now) const {
+  bool IsPermitted = Now < m_PermitUntil && !isStopped(Now);
+  return IsPermitted ? m_Permit.m_Traffic : Traffic::Old;
+}
+
+bool Participant::isSampleDue(std::uint32_t Route, core::TimePoint Now) const {
+  return traffic(Now) == Traffic::Sample &&
+         m_SampleBudget.isSampleAllowed(Route);
+}
+
+void Participant::applyPermit(const Permit &Given, core::TimePoint Now) {
+  if (Given.m_Order != m_Order.m_Id)
+    return;
+  auto Which =
+      std::find_if(m_SentReports.begin(), m_SentReports.end(),
+                   [&](const auto &E) { return E.m_Number == Given.m_Report; });
+  // One that comes late may be older than one that is in force.
+  if (Which == m_SentReports.end() || Given.m_Report < m_Permit.m_Report)
+    return;
+  if (traffic(Now) != Given.m_Traffic)
+    m_SampleBudget.reset();
+  m_Permit = Given;
+  m_PermitUntil = Which->m_At + Permit::Lifetime;
+}
+
+void Participant::sent(std::uint32_t Route, bool IsNew, core::TimePoint Now) {
+  ++m_Sent;
+  m_SentNew += IsNew ? 1 : 0;
+  bool IsSampling = traffic(Now) == Traffic::Sample;
+  m_SampleBudget.sent(Route, IsNew, IsSampling ? m_Permit.m_Share : 0);
+}
+
+void Participant::answered(const ResponseCountsKey &Where, ResponseQuality How,
+                           core::Duration Time, core::TimePoint Now) {
+  m_Evidence.addAnswer(Where, How, Time);
+  m_Changed.insert(Where);
+  checkLocalResponses(Where, How, Now);
+}
+
+void Participant::checkLocalResponses(const ResponseCountsKey &Where,
+                                      ResponseQuality How,
+                                      core::TimePoint Now) {
+  bool IsFailure = How == ResponseQuality::Failed;
+  if (Where.m_Side == Side::Old) {
+    m_OldFailureShare +=
+        FailureShareWeight * ((IsFailure ? 1 : 0) - m_OldFailureShare);
+    return;
+  }
+  m_RecentFailures.push_back(IsFailure);
+  if (m_RecentFailures.size() > OwnSampleSize)
+    m_RecentFailures.pop_front();
+  auto Failed = static_cast<double>(
+      std::count(m_RecentFailures.begin(), m_RecentFailures.end(), true));
+  bool IsPlain = m_RecentFailures.size() == OwnSampleSize &&
+                 Failed / OwnSampleSize > m_OldFailureShare + MinLocalExcess;
+  if (IsPlain && traffic(Now) == Traffic::New)
+    m_StoppedUntil = Now + Permit::Lifetime;
+}
+
+ResponseCountsByKey Participant::countsToReport() {
+  const ResponseCountsByKey &All = m_Evidence.cells();
+  ResponseCountsByKey Out;
+  for (const ResponseCountsKey &Each : m_Changed)
+    Out.emplace(Each, All.at(Each));
+  m_Changed.clear();
+  for (std::size_t I = 0; I < All.size() && Out.size() < MaxRepeatedCounts;
+       ++I) {
+    auto Next = All.upper_bound(m_LastReported);
+    if (Next == All.end())
+      Next = All.begin();
+    m_LastReported = Next->first;
+    Out.insert(*Next);
+  }
+  return Out;
+}
+
+Report Participant::report(std::uint32_t RunningOld, core::TimePoint Now) {
+  Report Out;
+  Out.m_Order = m_Order.m_Id;
+  Out.m_Number = m_NextReport++;
+  Out.m_Age = age(Now);
+  Out.m_Traffic = traffic(Now);
+  Out.m_RunningOld = RunningOld;
+  Out.m_Sent = m_Sent;
+  Out.m_SentNew = m_SentNew;
+  Out.m_Counts = countsToReport();
+  m_SentReports.push_back({Out.m_Number, Now});
+  while (Now - m_SentReports.front().m_At > Permit::Lifetime)
+    m_SentReports.pop_front();
+  return Out;
+}
+
+} // namespace yardrill::rollout
--- a/Libraries/LibRollout/Member.h
+++ b/Libraries/LibRollout/Participant.h
@@ -1,27 +1,27 @@
-//===-- Member.h - One instance's part in a roll-out ----------------------===//
+//===-- Participant.h - One instance's part in a roll-out ---------------===//
 //
 // Pure. Says where new requests of the pool may go, and keeps the evidence.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBROLLOUT_MEMBER_H
-#define YARDRILL_LIBROLLOUT_MEMBER_H
+#ifndef YARDRILL_LIBROLLOUT_PARTICIPANT_H
+#define YARDRILL_LIBROLLOUT_PARTICIPANT_H
 
-#include "LibRollout/Exposure.h"
 #include "LibRollout/Permit.h"
+#include "LibRollout/SampleBudget.h"
 
 #include <deque>
 #include <set>
 
 namespace yardrill::rollout {
 
-class Member {
+class Participant {
 public:
   /// \param Age of the order already, as a start after it finds it.
-  Member(Order What, core::Duration Age, core::TimePoint Now);
+  Participant(Order What, core::Duration Age, core::TimePoint Now);
 
   core::Duration age(core::TimePoint Now) const { return Now - m_Since; }
   /// Another instance knows of it for longer.
-  void learnAge(core::Duration Age, core::TimePoint Now);
+  void raiseAge(core::Duration Age, core::TimePoint Now);
 
   Traffic traffic(core::TimePoint Now) const;
   double share() const { return m_Permit.m_Share; }
@@ -30,25 +30,26 @@
 
   void applyPermit(const Permit &Given, core::TimePoint Now);
   void sent(std::uint32_t Route, bool IsNew, core::TimePoint Now);
-  void answered(const CellKey &Where, AnswerQuality How, core::Duration Time,
-                core::TimePoint Now);
+  void answered(const ResponseCountsKey &Where, ResponseQuality How,
+                core::Duration Time, core::TimePoint Now);
   /// The next report. \param RunningOld see Report.
   Report report(std::uint32_t RunningOld, core::TimePoint Now);
 
 private:
   /// Answers of the new version that an instance looks at by itself.
-  static constexpr std::size_t OwnLook = 8;
+  static constexpr std::size_t OwnSampleSize = 8;
 
   /// Cells that changed since the last report, and some of the others in turn:
   /// what was lost is told again within some reports. All cells in each report
   /// would take a small coordinator half of its time.
-  Cells cellsToTell();
+  ResponseCountsByKey countsToReport();
   bool isStopped(core::TimePoint Now) const { return Now < m_StoppedUntil; }
   /// Stops by itself where all goes to the new version and it plainly fails:
   /// sooner than the coordinator can.
-  void lookAtOwn(const CellKey &Where, AnswerQuality How, core::TimePoint Now);
+  void checkLocalResponses(const ResponseCountsKey &Where, ResponseQuality How,
+                           core::TimePoint Now);
 
-  struct Asked {
+  struct SentReport {
     std::uint64_t m_Number = 0;
     core::TimePoint m_At{};
   };
@@ -56,15 +57,17 @@
   Order m_Order;
   core::TimePoint m_Since{};
   Permit m_Permit;
-  core::TimePoint m_PermitEnds{};
+  core::TimePoint m_PermitUntil{};
   core::TimePoint m_StoppedUntil{};
-  std::deque<Asked> m_Asked; ///< Reports that a permit may still answer.
-  Exposure m_Exposure;
+  std::deque<SentReport>
+      m_SentReports; ///< Reports that a permit may still answer.
+  SampleBudget m_SampleBudget;
   Evidence m_Evidence;
-  std::set<CellKey> m_Changed;    ///< Since the last report.
-  CellKey m_LastTold;             ///< In turn.
-  std::deque<bool> m_OwnFailures; ///< Of the last answers of the new version.
-  double m_OldFailureShare = 0;   ///< Decaying.
+  std::set<ResponseCountsKey> m_Changed; ///< Since the last report.
+  ResponseCountsKey m_LastReported;      ///< In turn.
+  std::deque<bool>
+      m_RecentFailures;         ///< Of the last answers of the new version.
+  double m_OldFailureShare = 0; ///< Decaying.
   std::uint64_t m_NextReport = 1;
   std::uint32_t m_Sent = 0;
   std::uint32_t m_SentNew = 0;
--- a/Libraries/LibRollout/Permit.h
+++ b/Libraries/LibRollout/Permit.h
@@ -20,7 +20,7 @@
   return std::chrono::milliseconds(250 + Instances);
 }
 /// How often the coordinator looks at the evidence.
-constexpr std::chrono::milliseconds LookPeriod{200};
+constexpr std::chrono::milliseconds EvaluationPeriod{200};
 
 /// Given by the coordinator in answer to a report. It lapses by itself, so that
 /// an instance that hears nothing sends nothing to the new version.
@@ -28,7 +28,7 @@
   /// From the sending of the report that it answers. Three reports of a large
   /// fleet; a bad version must have had its last request 5 s after its 50th bad
   /// answer.
-  static constexpr std::chrono::milliseconds Length{1500};
+  static constexpr std::chrono::milliseconds Lifetime{1500};
 
   OrderId m_Order;
   std::uint64_t m_Report = 0; ///< Number of the report that it answers.
@@ -44,9 +44,9 @@
   Traffic m_Traffic = Traffic::Old; ///< That it follows now.
   /// Requests under way at targets of other versions.
   std::uint32_t m_RunningOld = 0;
-  std::uint32_t m_Sent = 0;    ///< Requests to the pool since the order.
-  std::uint32_t m_SentNew = 0; ///< Of these, to the new version.
-  Cells m_Cells;               ///< Some or all; each is complete.
+  std::uint32_t m_Sent = 0;     ///< Requests to the pool since the order.
+  std::uint32_t m_SentNew = 0;  ///< Of these, to the new version.
+  ResponseCountsByKey m_Counts; ///< Some or all; each is complete.
 };
 
 } // namespace yardrill::rollout
--- a/Libraries/LibRollout/Exposure.cpp
+++ b/Libraries/LibRollout/SampleBudget.cpp
@@ -1,14 +1,14 @@
-#include "LibRollout/Exposure.h"
+#include "LibRollout/SampleBudget.h"
 
 #include <algorithm>
 
 namespace yardrill::rollout {
 
-bool Exposure::isDue(std::uint32_t Route) const {
+bool SampleBudget::isSampleAllowed(std::uint32_t Route) const {
   if (m_Allowance < 1)
     return false;
   // With much saved up, routes that come rarely are not waited for any longer.
-  if (m_Allowance >= MostSaved - 1)
+  if (m_Allowance >= MaxSaved - 1)
     return true;
   auto Own = m_Tries.find(Route);
   std::uint32_t Tries = Own == m_Tries.end() ? 0 : Own->second;
@@ -17,8 +17,8 @@
   });
 }
 
-void Exposure::sent(std::uint32_t Route, bool IsNew, double Share) {
-  m_Allowance = std::min(m_Allowance + Share, MostSaved);
+void SampleBudget::sent(std::uint32_t Route, bool IsNew, double Share) {
+  m_Allowance = std::min(m_Allowance + Share, MaxSaved);
   auto &Tries = m_Tries[Route];
   if (!IsNew)
     return;
--- a/Libraries/LibRollout/Exposure.h
+++ b/Libraries/LibRollout/SampleBudget.h
@@ -6,26 +6,26 @@
 // allowance for rounding.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBROLLOUT_EXPOSURE_H
-#define YARDRILL_LIBROLLOUT_EXPOSURE_H
+#ifndef YARDRILL_LIBROLLOUT_SAMPLEBUDGET_H
+#define YARDRILL_LIBROLLOUT_SAMPLEBUDGET_H
 
 #include <cstdint>
 #include <map>
 
 namespace yardrill::rollout {
 
-class Exposure {
+class SampleBudget {
 public:
   /// Whether a request on \p Route may try the new version now. Routes with few
   /// tries come first, so that a rare one is tried as often as the others.
-  bool isDue(std::uint32_t Route) const;
+  bool isSampleAllowed(std::uint32_t Route) const;
   void sent(std::uint32_t Route, bool IsNew, double Share);
   /// Nothing is saved up from a time in which another share held.
   void reset() { m_Allowance = 0; }
 
 private:
   /// What may be saved up: a few requests, not a burst.
-  static constexpr double MostSaved = 4;
+  static constexpr double MaxSaved = 4;
 
   double m_Allowance = 0;
   std::map<std::uint32_t, std::uint32_t> m_Tries; ///< By route.
--- a/Programs/yardrill/QuarantineVerbs.cpp
+++ b/Programs/yardrill/QuarantineVerbs.cpp
@@ -5,7 +5,7 @@
 #include "LibConfig/InstanceSettings.h"
 #include "LibCore/Error.h"
 #include "LibGateway/QuarantineService.h"
-#include "LibQuarantine/QuarantineText.h"
+#include "LibQuarantine/QuarantineFormat.h"
 
 #include <boost/asio/detached.hpp>
 #include <boost/asio/spawn.hpp>
@@ -22,7 +22,7 @@
 namespace asio = boost::asio;
 using quarantine::ContentDigest;
 using quarantine::Observation;
-using quarantine::QuarantineBook;
+using quarantine::QuarantineTable;
 
 /// Instances write to the same entry; each time one was first it is read again.
 static constexpr int MostSwaps = 5;
@@ -65,20 +65,20 @@
 }
 
 static void printRecord(const std::string &Text) {
-  auto Seen = quarantine::readText(Text);
+  auto Seen = quarantine::parseObservations(Text);
   if (!Seen)
     throw core::Error(core::ErrorKind::Protocol,
                       recordKey() + " can't be read");
   std::map<ContentDigest, std::pair<std::size_t, std::size_t>> Runs;
   for (const Observation &Each : *Seen)
-    ++(Each.m_IsExcused ? Runs[Each.m_Content].second
+    ++(Each.m_IsCleared ? Runs[Each.m_Content].second
                         : Runs[Each.m_Content].first);
   std::cout << "content                           ended  excused  state\n";
   for (const auto &[Content, Count] : Runs) {
     const char *State = "released";
-    if (Count.first >= QuarantineBook::RunsToQuarantine)
+    if (Count.first >= QuarantineTable::RunsToQuarantine)
       State = "quarantined";
-    else if (Count.first >= QuarantineBook::RunsToSuspect)
+    else if (Count.first >= QuarantineTable::RunsToSuspect)
       State = "suspect";
     std::printf("%s  %5zu  %7zu  %s\n", Content.toString().c_str(), Count.first,
                 Count.second, State);
@@ -102,7 +102,7 @@
   withStore([&](platform::StoreClient &Store, asio::yield_context Yield) {
     for (int I = 0; I < MostSwaps; ++I) {
       platform::Entry Stands = readRecord(Store, Yield);
-      auto Text = quarantine::lifted(Stands.m_Value, *Content);
+      auto Text = quarantine::withContentCleared(Stands.m_Value, *Content);
       if (!Text)
         throw core::Error(core::ErrorKind::Usage,
                           "the store holds nothing of that content");
--- a/Programs/yardrill/ReplayVerb.cpp
+++ b/Programs/yardrill/ReplayVerb.cpp
@@ -18,7 +18,7 @@
     std::cout << "same: events=" << Result.m_Events
               << " actions=" << Result.m_Actions
               << " dispatched=" << Result.m_Dispatched
-              << " dispatched_again=" << Result.m_DispatchedAgain
+              << " dispatched_again=" << Result.m_DuplicateDispatches
               << " refused=" << Result.m_Refused
               << " refused_after_dispatch=" << Result.m_RefusedAfterDispatch
               << '\n';
--- a/Tests/LibDecision/LeavingTargetTest.cpp
+++ b/Tests/LibDecision/LeavingTargetTest.cpp
@@ -47,24 +47,24 @@
 
   /// An instance that starts may hear the list before the configuration.
   void testHeardBeforeTheConfiguration() {
-    tell(TargetStateSeen{core::TargetName("t"), true});
+    tell(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
     CPPUNIT_ASSERT(!isDispatched());
   }
 
   void testHeardBeforeTheTargetIsAdded() {
     publish({"other"});
-    tell(TargetStateSeen{core::TargetName("t"), true});
+    tell(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
     CPPUNIT_ASSERT(!isDispatched());
   }
 
   void testComesBack() {
     publish({"t"});
-    tell(TargetStateSeen{core::TargetName("t"), true});
+    tell(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
     CPPUNIT_ASSERT(!isDispatched());
-    tell(TargetStateSeen{core::TargetName("t"), false});
+    tell(TargetStateChanged{core::TargetName("t"), false});
     CPPUNIT_ASSERT(isDispatched());
   }
 };
--- a/Tests/LibDecision/PolicyInForceTest.cpp
+++ b/Tests/LibDecision/PolicyInForceTest.cpp
@@ -58,7 +58,7 @@
   }
 
   std::vector<Action> end(std::uint64_t Request) {
-    return tell(AnswerEnded{core::RequestId(Request)});
+    return tell(ResponseEnded{core::RequestId(Request)});
   }
 
 public:
--- a/Tests/LibDecision/PoolQueueTest.cpp
+++ b/Tests/LibDecision/PoolQueueTest.cpp
@@ -31,7 +31,7 @@
   core::RequestId pop() {
     auto Front = m_Queue.front(core::TierNumber(9));
     CPPUNIT_ASSERT(Front);
-    CPPUNIT_ASSERT(m_Queue.take(*Front));
+    CPPUNIT_ASSERT(m_Queue.dequeue(*Front));
     return *Front;
   }
 
@@ -93,7 +93,7 @@
     push(3, "a");
     auto Last = push(3, "b");
     push(2, "a");
-    CPPUNIT_ASSERT(m_Queue.lastToServe()->m_Request == Last);
+    CPPUNIT_ASSERT(m_Queue.shedCandidate()->m_Request == Last);
   }
 
   void testRandomRemovals() {
@@ -115,7 +115,7 @@
     }
     while (!m_Queue.isEmpty())
       pop();
-    CPPUNIT_ASSERT(!m_Queue.lastToServe());
+    CPPUNIT_ASSERT(!m_Queue.shedCandidate());
   }
 };
 
