--- a/Tests/LibDecision/TierOrderScheduleTest.cpp
+++ b/Tests/LibDecision/TierOrderScheduleTest.cpp
@@ -56,12 +56,12 @@
 
 /// One process: its core and what runs at targets for it.
 struct Simulated {
-  Home m_Home;
+  InstanceRef m_Instance;
   DecisionCore m_Core;
   core::TimePoint m_FrozenUntil{};
   std::map<core::RequestId, core::TimePoint> m_EndsAt;
   std::map<core::RequestId, core::TierNumber> m_Tiers;
-  std::set<core::RequestId> m_MayNotBeCut;
+  std::set<core::RequestId> m_NotEvictable;
   std::deque<PendingRefusal> m_Refusals;
   std::uint64_t m_NextRequest = 1;
   CallerKind m_Kind = CallerKind::All;
@@ -69,7 +69,7 @@
 
 struct Stored {
   std::int64_t m_Revision = 0;
-  FloorRecord m_Record;
+  ThresholdRecord m_Record;
   core::IncarnationId m_Holder;
   core::TimePoint m_LeaseUntil{};
 };
@@ -111,16 +111,17 @@
 
   void boot(int Index) {
     auto Next = std::make_unique<Simulated>();
-    Next->m_Home.m_Incarnation = core::IncarnationId(++m_NextIncarnation);
-    Next->m_Home.m_Peer = {"127.0.0.1", static_cast<std::uint16_t>(Index + 1)};
+    Next->m_Instance.m_Incarnation = core::IncarnationId(++m_NextIncarnation);
+    Next->m_Instance.m_Peer = {"127.0.0.1",
+                               static_cast<std::uint16_t>(Index + 1)};
     m_All[static_cast<size_t>(Index)] = std::move(Next);
     InstanceStarted Start;
-    Start.m_Self = at(Index)->m_Home;
+    Start.m_Self = at(Index)->m_Instance;
     Start.m_Seed = m_Random();
     Start.m_Identities = 10;
     tell(Index, Start);
     tell(Index, ConfigurationAccepted{m_Configuration});
-    tell(Index, InstancesCounted{Instances});
+    tell(Index, InstanceCountChanged{Instances});
   }
 
   /// Kills, freezes, cuts and outages.
@@ -136,7 +137,7 @@
     }
     int Index = below(Instances);
     if (at(Index) && chance(0.002)) {
-      m_Dead.emplace_back(m_Now, at(Index)->m_Home.m_Incarnation);
+      m_Dead.emplace_back(m_Now, at(Index)->m_Instance.m_Incarnation);
       m_All[static_cast<size_t>(Index)].reset();
     } else if (!at(Index) && chance(0.05)) {
       boot(Index);
@@ -147,12 +148,12 @@
 
   int indexOf(core::IncarnationId Who) {
     for (int I = 0; I < Instances; ++I)
-      if (at(I) && at(I)->m_Home.m_Incarnation == Who)
+      if (at(I) && at(I)->m_Instance.m_Incarnation == Who)
         return I;
     return -1;
   }
 
-  void send(int From, const Home &To, const Event &What) {
+  void send(int From, const InstanceRef &To, const Event &What) {
     int Index = indexOf(To.m_Incarnation);
     if (Index < 0 || m_Cut.count({From, Index}) != 0 || chance(0.05))
       return;
@@ -188,7 +189,7 @@
       if (At <= m_Now)
         Ended.push_back(Id);
     for (core::RequestId Id : Ended)
-      end(Index, Id, AnswerOutcome::Complete);
+      end(Index, Id, ResponseOutcome::Complete);
     tell(Index, TimePassed{});
     // Bursts and quiet times, so that the floor goes up and down.
     bool IsBurst = (m_Now.time_since_epoch() / std::chrono::seconds(20)) % 2;
@@ -221,17 +222,17 @@
     What.m_Request = core::RequestId(Who.m_NextRequest++);
     What.m_Tier = drawTier(Who.m_Kind);
     What.m_Pool = Pool;
-    What.m_MayBeCut = chance(0.8);
+    What.m_IsEvictable = chance(0.8);
     Who.m_Tiers[What.m_Request] = What.m_Tier;
-    if (!What.m_MayBeCut)
-      Who.m_MayNotBeCut.insert(What.m_Request);
+    if (!What.m_IsEvictable)
+      Who.m_NotEvictable.insert(What.m_Request);
     tell(Index, What);
   }
 
-  void end(int Index, core::RequestId Id, AnswerOutcome Outcome) {
+  void end(int Index, core::RequestId Id, ResponseOutcome Outcome) {
     at(Index)->m_EndsAt.erase(Id);
     ++m_Served;
-    tell(Index, AnswerEnded{Id, Outcome, false, 0});
+    tell(Index, ResponseEnded{Id, Outcome, false, 0});
   }
 
   /// Refusals reach the wire a little later; a frozen process's much later.
@@ -281,34 +282,35 @@
     if (const auto *No = std::get_if<Refuse>(&What))
       Who.m_Refusals.push_back({m_Now + Tick * below(2), *No});
     if (const auto *Cut = std::get_if<Cancel>(&What)) {
-      CPPUNIT_ASSERT(Who.m_MayNotBeCut.count(Cut->m_Request) == 0);
+      CPPUNIT_ASSERT(Who.m_NotEvictable.count(Cut->m_Request) == 0);
       check(Index, Cut->m_Request);
       // A cancelled request goes on for a while.
       Who.m_EndsAt[Cut->m_Request] = m_Now + Tick * (1 + below(3));
     }
-    if (const auto *Order = std::get_if<SendFloorOrder>(&What))
-      send(Index, Order->m_To, Order->m_Order);
-    if (const auto *Report = std::get_if<SendFloorReport>(&What))
+    if (const auto *Order = std::get_if<SendThresholdCommand>(&What))
+      send(Index, Order->m_To, Order->m_Command);
+    if (const auto *Report = std::get_if<SendThresholdReport>(&What))
       send(Index, Report->m_To, Report->m_Report);
-    if (std::get_if<ReadFloorRecord>(&What))
+    if (std::get_if<ReadThresholdRecord>(&What))
       readStore(Index);
-    if (const auto *Write = std::get_if<WriteFloorRecord>(&What))
+    if (const auto *Write = std::get_if<WriteThresholdRecord>(&What))
       writeStore(Index, *Write);
   }
 
   void readStore(int Index) {
     if (!m_IsStoreUp)
       return;
-    FloorRecordRead Out;
+    ThresholdRecordRead Out;
     Out.m_Pool = Pool;
     Out.m_Revision = m_Store.m_Revision;
     Out.m_Record = m_Store.m_Record;
     Out.m_IsLeaderLive = m_Now < m_Store.m_LeaseUntil;
-    m_Messages.push_back({m_Now + Tick, at(Index)->m_Home.m_Incarnation, Out});
+    m_Messages.push_back(
+        {m_Now + Tick, at(Index)->m_Instance.m_Incarnation, Out});
   }
 
-  void writeStore(int Index, const WriteFloorRecord &What) {
-    FloorRecordWritten Out;
+  void writeStore(int Index, const WriteThresholdRecord &What) {
+    ThresholdRecordWritten Out;
     Out.m_Pool = Pool;
     bool IsCurrent = m_IsStoreUp && What.m_Revision == m_Store.m_Revision;
     if (IsCurrent) {
@@ -319,7 +321,8 @@
     // Some answers are lost after the write took effect.
     Out.m_IsWritten = IsCurrent && !chance(0.05);
     Out.m_Revision = m_Store.m_Revision;
-    m_Messages.push_back({m_Now + Tick, at(Index)->m_Home.m_Incarnation, Out});
+    m_Messages.push_back(
+        {m_Now + Tick, at(Index)->m_Instance.m_Incarnation, Out});
   }
 
   std::mt19937 m_Random;
--- a/Tests/LibGateway/QuarantineTest.cpp
+++ b/Tests/LibGateway/QuarantineTest.cpp
@@ -11,7 +11,7 @@
 //===----------------------------------------------------------------------===//
 #include "GatewayFleet.h"
 
-#include "LibQuarantine/QuarantineText.h"
+#include "LibQuarantine/QuarantineFormat.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -137,9 +137,10 @@
       return Fleet.metric(0, "yardrill_quarantined_contents") == 1 &&
              std::count(Record.begin(), Record.end(), ' ') >= 3;
     }));
-    auto Seen = quarantine::readText(Record);
+    auto Seen = quarantine::parseObservations(Record);
     CPPUNIT_ASSERT(Seen && !Seen->empty());
-    auto Lifted = quarantine::lifted(Record, Seen->front().m_Content);
+    auto Lifted =
+        quarantine::withContentCleared(Record, Seen->front().m_Content);
     CPPUNIT_ASSERT(Lifted);
     Fleet.store().put(m_RecordKey, *Lifted);
     for (std::size_t I = 0; I < Fleet.size(); ++I)
--- a/Tests/LibInstance/ClaimKeeperTest.cpp
+++ b/Tests/LibInstance/ClaimKeeperTest.cpp
@@ -83,7 +83,7 @@
 
   MockService m_Service;
 
-  static Home home(std::uint64_t Incarnation) {
+  static InstanceRef home(std::uint64_t Incarnation) {
     return {core::IncarnationId(Incarnation), {"127.0.0.1", 8082}};
   }
 
@@ -107,8 +107,8 @@
     CPPUNIT_ASSERT(claim(1, 5).m_Outcome == ClaimOutcome::Won);
     ClaimAnswered Second = claim(2, 5);
     CPPUNIT_ASSERT(Second.m_Outcome == ClaimOutcome::Held);
-    CPPUNIT_ASSERT(Second.m_Home == home(1));
-    CPPUNIT_ASSERT_EQUAL(std::uint16_t(8082), Second.m_Home.m_Peer.m_Port);
+    CPPUNIT_ASSERT(Second.m_Owner == home(1));
+    CPPUNIT_ASSERT_EQUAL(std::uint16_t(8082), Second.m_Owner.m_Peer.m_Port);
     // Another request of the same process did not win it either.
     CPPUNIT_ASSERT(claim(1, 6).m_Outcome == ClaimOutcome::Held);
   }
@@ -122,7 +122,7 @@
     m_Service.m_NextWrite = Mishap::LostBeforeWrite;
     ClaimAnswered Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
-    CPPUNIT_ASSERT(Out.m_MayStand);
+    CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
 
   void testReadsDownMayStand() {
@@ -130,14 +130,14 @@
     m_Service.m_AreReadsDown = true;
     ClaimAnswered Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
-    CPPUNIT_ASSERT(Out.m_MayStand);
+    CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
 
   void testRefusedDoesNotStand() {
     m_Service.m_NextWrite = Mishap::Refused;
     ClaimAnswered Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
-    CPPUNIT_ASSERT(!Out.m_MayStand);
+    CPPUNIT_ASSERT(!Out.m_MayTakeEffect);
   }
 
   void testUnreadableClaimIsNobodys() {
--- a/Tests/LibInstance/RequestReaderTest.cpp
+++ b/Tests/LibInstance/RequestReaderTest.cpp
@@ -17,7 +17,7 @@
   CPPUNIT_TEST(testPeerSignature);
   CPPUNIT_TEST_SUITE_END();
 
-  decision::Home m_Self{core::IncarnationId(7), {"127.0.0.1", 8082}};
+  decision::InstanceRef m_Self{core::IncarnationId(7), {"127.0.0.1", 8082}};
   TicketSigner m_Tickets{"shared key", m_Self, std::chrono::minutes(10)};
   core::AccountName m_Account{"box-office"};
   config::ConfigurationHandle m_Configuration =
@@ -46,9 +46,9 @@
     std::string Ticket = m_Tickets.issue(m_Account, Now);
     auto Read = m_Tickets.read(Ticket, m_Account);
     CPPUNIT_ASSERT(Read);
-    CPPUNIT_ASSERT(Read->m_Home == m_Self);
+    CPPUNIT_ASSERT(Read->m_Owner == m_Self);
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1"),
-                         Read->m_Home.m_Peer.m_Address);
+                         Read->m_Owner.m_Peer.m_Address);
     auto Expiry = Now + std::chrono::minutes(10);
     CPPUNIT_ASSERT(Read->m_ExpiresAt == Expiry.time_since_epoch().count());
     CPPUNIT_ASSERT(m_Tickets.issue(m_Account, Now) != Ticket);
@@ -82,7 +82,7 @@
       CPPUNIT_ASSERT_MESSAGE(Name, !Out.m_ForTarget.m_Headers.find(Name));
     CPPUNIT_ASSERT(Out.m_ForTarget.m_Headers.find("X-Kept"));
     CPPUNIT_ASSERT(Out.m_Arrival.m_Identity);
-    CPPUNIT_ASSERT(!Out.m_Arrival.m_MayBeCut);
+    CPPUNIT_ASSERT(!Out.m_Arrival.m_IsEvictable);
   }
 
   void testPriorityIsTheTier() {
--- a/Tests/LibQuarantine/MemberTest.cpp
+++ b/Tests/LibQuarantine/GossipTest.cpp
@@ -1,6 +1,6 @@
-//===-- MemberTest.cpp - What instances and the store tell each other -----===//
-#include "LibQuarantine/Member.h"
-#include "LibQuarantine/QuarantineText.h"
+//===-- GossipTest.cpp - What instances and the store tell each other -----===//
+#include "LibQuarantine/Gossip.h"
+#include "LibQuarantine/QuarantineFormat.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -9,14 +9,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class MemberTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MemberTest);
-  CPPUNIT_TEST(testEndsSeenAtThreeInstancesAddUp);
-  CPPUNIT_TEST(testTellsSeveralTimes);
-  CPPUNIT_TEST(testTellsSomeUntilTheStoreHasIt);
+class GossipTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(GossipTest);
+  CPPUNIT_TEST(testExitsAtThreeInstancesAddUp);
+  CPPUNIT_TEST(testBroadcastsRepeatedly);
+  CPPUNIT_TEST(testGossipsUntilStored);
   CPPUNIT_TEST(testStoreOutlastsAllInstances);
-  CPPUNIT_TEST(testLiftedHoldsForThoseWhoMissedIt);
-  CPPUNIT_TEST(testPopularContentIsNotWrittenAgainAndAgain);
+  CPPUNIT_TEST(testClearedContentReachesLateReplicas);
+  CPPUNIT_TEST(testPopularContentIsNotRewritten);
   CPPUNIT_TEST(testTextIsReadAsWritten);
   CPPUNIT_TEST(testReadsNothingElse);
   CPPUNIT_TEST_SUITE_END();
@@ -26,28 +26,28 @@
   std::size_t m_ToldAll = 0;
   std::size_t m_ToldSome = 0;
 
-  MemberHooks counting() {
-    MemberHooks Out;
-    Out.m_TellAll = [this](const auto &) { ++m_ToldAll; };
-    Out.m_TellSome = [this](const auto &) { ++m_ToldSome; };
+  GossipHooks counting() {
+    GossipHooks Out;
+    Out.m_Broadcast = [this](const auto &) { ++m_ToldAll; };
+    Out.m_SendToSample = [this](const auto &) { ++m_ToldSome; };
     return Out;
   }
-  void pass(Member &Which, milliseconds Time) {
+  void pass(Gossip &Which, milliseconds Time) {
     for (milliseconds Step(0); Step < Time; Step += milliseconds(50))
       Which.upkeep(m_Now += milliseconds(50));
   }
 
 public:
   /// No instance sees more than one.
-  void testEndsSeenAtThreeInstancesAddUp() {
+  void testExitsAtThreeInstancesAddUp() {
     std::vector<Observation> Told;
-    MemberHooks Hooks = counting();
-    Hooks.m_TellAll = [&](const std::vector<Observation> &Seen) {
+    GossipHooks Hooks = counting();
+    Hooks.m_Broadcast = [&](const std::vector<Observation> &Seen) {
       Told.insert(Told.end(), Seen.begin(), Seen.end());
     };
-    Member A(Hooks);
-    Member B(Hooks);
-    Member C(counting());
+    Gossip A(Hooks);
+    Gossip B(Hooks);
+    Gossip C(counting());
     A.noteTargetExit(m_Content, 10, m_Now);
     B.noteTargetExit(m_Content, 11, m_Now);
     C.noteTargetExit(m_Content, 12, m_Now);
@@ -56,8 +56,8 @@
     CPPUNIT_ASSERT(!A.book().isQuarantined(m_Content));
   }
 
-  void testTellsSeveralTimes() {
-    Member Which(counting());
+  void testBroadcastsRepeatedly() {
+    Gossip Which(counting());
     Which.noteTargetExit(m_Content, 10, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_ToldAll);
     pass(Which, milliseconds(2000));
@@ -68,13 +68,13 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_ToldSome);
   }
 
-  void testTellsSomeUntilTheStoreHasIt() {
-    Member Which(counting());
+  void testGossipsUntilStored() {
+    Gossip Which(counting());
     Which.noteTargetExit(m_Content, 10, m_Now);
     Which.noteTargetExit(m_Content, 11, m_Now);
     pass(Which, seconds(5));
     CPPUNIT_ASSERT(m_ToldSome >= 4);
-    CPPUNIT_ASSERT(Which.takeRecord(Which.recordText(), m_Now));
+    CPPUNIT_ASSERT(Which.mergeStored(Which.storedText(), m_Now));
     m_ToldSome = 0;
     pass(Which, seconds(5));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_ToldSome);
@@ -85,60 +85,60 @@
   }
 
   void testStoreOutlastsAllInstances() {
-    Member Before(counting());
-    for (RunHash Run : {10, 11, 12})
+    Gossip Before(counting());
+    for (IncarnationHash Run : {10, 11, 12})
       Before.noteTargetExit(m_Content, Run, m_Now);
     Before.noteTargetExit({3, 4}, 10, m_Now);
-    Member After(counting());
-    CPPUNIT_ASSERT(After.takeRecord(Before.recordText(), m_Now));
+    Gossip After(counting());
+    CPPUNIT_ASSERT(After.mergeStored(Before.storedText(), m_Now));
     CPPUNIT_ASSERT(After.book().isQuarantined(m_Content));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), After.book().size());
-    CPPUNIT_ASSERT_EQUAL(Before.recordText(), After.recordText());
+    CPPUNIT_ASSERT_EQUAL(Before.storedText(), After.storedText());
   }
 
-  void testLiftedHoldsForThoseWhoMissedIt() {
-    Member Which(counting());
-    for (RunHash Run : {10, 11, 12})
+  void testClearedContentReachesLateReplicas() {
+    Gossip Which(counting());
+    for (IncarnationHash Run : {10, 11, 12})
       Which.noteTargetExit(m_Content, Run, m_Now);
-    auto Lifted = lifted(Which.recordText(), m_Content);
+    auto Lifted = withContentCleared(Which.storedText(), m_Content);
     CPPUNIT_ASSERT(Lifted);
-    Member Missed = Which;
-    CPPUNIT_ASSERT(Which.takeRecord(*Lifted, m_Now));
+    Gossip Missed = Which;
+    CPPUNIT_ASSERT(Which.mergeStored(*Lifted, m_Now));
     CPPUNIT_ASSERT(!Which.book().isQuarantined(m_Content));
     // Its next writing still says so.
-    CPPUNIT_ASSERT_EQUAL(*Lifted, Which.recordText());
-    CPPUNIT_ASSERT(Missed.takeRecord(Which.recordText(), m_Now));
+    CPPUNIT_ASSERT_EQUAL(*Lifted, Which.storedText());
+    CPPUNIT_ASSERT(Missed.mergeStored(Which.storedText(), m_Now));
     CPPUNIT_ASSERT(!Missed.book().isQuarantined(m_Content));
-    CPPUNIT_ASSERT(!lifted(*Lifted, {7, 7}));
+    CPPUNIT_ASSERT(!withContentCleared(*Lifted, {7, 7}));
   }
 
-  void testPopularContentIsNotWrittenAgainAndAgain() {
-    Member Which(counting());
+  void testPopularContentIsNotRewritten() {
+    Gossip Which(counting());
     Which.noteTargetExit(m_Content, 10, m_Now);
     Which.noteTargetExit(m_Content, 11, m_Now);
-    Which.takeRecord(Which.recordText(), m_Now);
-    Which.noteWhole(m_Content, m_Now);
-    std::string Excused = Which.recordText();
-    Which.takeRecord(Excused, m_Now);
-    for (RunHash Run = 20; Run < 40; ++Run) {
+    Which.mergeStored(Which.storedText(), m_Now);
+    Which.noteSuccess(m_Content, m_Now);
+    std::string Excused = Which.storedText();
+    Which.mergeStored(Excused, m_Now);
+    for (IncarnationHash Run = 20; Run < 40; ++Run) {
       Which.noteTargetExit(m_Content, Run, m_Now);
-      Which.noteWhole(m_Content, m_Now);
-      CPPUNIT_ASSERT_EQUAL(Excused, Which.recordText());
+      Which.noteSuccess(m_Content, m_Now);
+      CPPUNIT_ASSERT_EQUAL(Excused, Which.storedText());
     }
   }
 
   void testTextIsReadAsWritten() {
     std::vector<Observation> Seen{
         {{1, 2}, 0xabc, false}, {{1, 2}, 0xffffffff, true}, {{3, 4}, 0, false}};
-    std::string Text = toText(Seen);
+    std::string Text = formatObservations(Seen);
     CPPUNIT_ASSERT_EQUAL(
         std::string("00000000000000010000000000000002 abc ffffffff-\n"
                     "00000000000000030000000000000004 0\n"),
         Text);
-    auto Read = readText(Text);
+    auto Read = parseObservations(Text);
     CPPUNIT_ASSERT(Read && Read->size() == 3);
-    CPPUNIT_ASSERT_EQUAL(Text, toText(*Read));
-    CPPUNIT_ASSERT(readText("") && readText("")->empty());
+    CPPUNIT_ASSERT_EQUAL(Text, formatObservations(*Read));
+    CPPUNIT_ASSERT(parseObservations("") && parseObservations("")->empty());
   }
 
   void testReadsNothingElse() {
@@ -147,10 +147,10 @@
          {std::string("x"), Digest + " g", Digest + " 1--", Digest + " -",
           Digest + " 123456789", Digest.substr(1) + " 1", std::string("\n"),
           Digest + " 1\nx 1"})
-      CPPUNIT_ASSERT(!readText(Text));
-    Member Which(counting());
-    CPPUNIT_ASSERT(!Which.takeRecord("\xff\xfe", m_Now));
+      CPPUNIT_ASSERT(!parseObservations(Text));
+    Gossip Which(counting());
+    CPPUNIT_ASSERT(!Which.mergeStored("\xff\xfe", m_Now));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MemberTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(GossipTest);
--- a/Tests/LibQuarantine/QuarantineModelTest.cpp
+++ b/Tests/LibQuarantine/QuarantineModelTest.cpp
@@ -18,7 +18,7 @@
   CPPUNIT_TEST(testSmallFleetsKeepTheBound);
   CPPUNIT_TEST(testLargeFleetsKeepTheBound);
   CPPUNIT_TEST(testAllRestartedWithoutAStore);
-  CPPUNIT_TEST(testWavesOfEndsRefuseNoInnocent);
+  CPPUNIT_TEST(testMassTargetExitsQuarantineNoHarmlessContent);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t MostLateSends = 3;
@@ -54,7 +54,7 @@
       CPPUNIT_ASSERT(play(Day).m_LateSends <= MostLateSends);
   }
 
-  void testWavesOfEndsRefuseNoInnocent() {
+  void testMassTargetExitsQuarantineNoHarmlessContent() {
     QuarantineDay Day;
     Day.m_BadContents = 0;
     Day.m_DownTime = 1500ms;
--- a/Tests/LibRollout/MemberTest.cpp
+++ b/Tests/LibRollout/ParticipantTest.cpp
@@ -1,4 +1,4 @@
-#include "LibRollout/Member.h"
+#include "LibRollout/Participant.h"
 #include "LibRollout/Coordinator.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,16 +8,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class MemberTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MemberTest);
+class ParticipantTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ParticipantTest);
   CPPUNIT_TEST(testNothingWithoutAPermit);
   CPPUNIT_TEST(testPermitLapsesFromItsReport);
-  CPPUNIT_TEST(testLateAndForeignPermitsAreNone);
+  CPPUNIT_TEST(testLateAndForeignPermitsAreIgnored);
   CPPUNIT_TEST(testShareIsNeverExceeded);
-  CPPUNIT_TEST(testRareRoutesAreTriedToo);
+  CPPUNIT_TEST(testRareRoutesAreSampled);
   CPPUNIT_TEST(testStopsByItself);
-  CPPUNIT_TEST(testEvidenceToldTwiceCountsOnce);
-  CPPUNIT_TEST(testLostReportsAreToldAgain);
+  CPPUNIT_TEST(testRepeatedReportsCountOnce);
+  CPPUNIT_TEST(testLostCountsAreReportedAgain);
   CPPUNIT_TEST(testCompletesOnlyWhenDrained);
   CPPUNIT_TEST_SUITE_END();
 
@@ -27,17 +27,17 @@
     Order Out;
     Out.m_Id = OrderId(7);
     Out.m_Version = core::TargetVersion("v2");
-    Out.m_Bake = seconds(10);
+    Out.m_BakeTime = seconds(10);
     return Out;
   }
   Permit permit(const Report &Told, Traffic How, double Share = 0.1) const {
     return {OrderId(7), Told.m_Number, How, Share};
   }
-  void give(Member &To, Traffic How, double Share = 0.1) {
+  void give(Participant &To, Traffic How, double Share = 0.1) {
     To.applyPermit(permit(To.report(0, m_Now), How, Share), m_Now);
   }
-  static CellKey key(Side Which, std::uint32_t Target) {
-    CellKey Out;
+  static ResponseCountsKey key(Side Which, std::uint32_t Target) {
+    ResponseCountsKey Out;
     Out.m_Side = Which;
     Out.m_Target = Target;
     Out.m_Route = 1;
@@ -46,7 +46,7 @@
 
 public:
   void testNothingWithoutAPermit() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+    Participant Own(order(), core::Duration::zero(), m_Now);
     for (int I = 0; I < 100; ++I) {
       CPPUNIT_ASSERT(!Own.isSampleDue(1, m_Now));
       Own.sent(1, false, m_Now);
@@ -55,7 +55,7 @@
   }
 
   void testPermitLapsesFromItsReport() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+    Participant Own(order(), core::Duration::zero(), m_Now);
     Report Told = Own.report(0, m_Now);
     m_Now += milliseconds(1000);
     Own.applyPermit(permit(Told, Traffic::New), m_Now);
@@ -66,8 +66,8 @@
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
   }
 
-  void testLateAndForeignPermitsAreNone() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+  void testLateAndForeignPermitsAreIgnored() {
+    Participant Own(order(), core::Duration::zero(), m_Now);
     Report First = Own.report(0, m_Now);
     Report Second = Own.report(0, m_Now);
     Own.applyPermit(permit(Second, Traffic::Old), m_Now);
@@ -87,7 +87,7 @@
   }
 
   void testShareIsNeverExceeded() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+    Participant Own(order(), core::Duration::zero(), m_Now);
     int New = 0;
     for (int I = 0; I < 2000; ++I) {
       if (I % 20 == 0)
@@ -101,8 +101,8 @@
     CPPUNIT_ASSERT(New >= 110);
   }
 
-  void testRareRoutesAreTriedToo() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+  void testRareRoutesAreSampled() {
+    Participant Own(order(), core::Duration::zero(), m_Now);
     std::map<std::uint32_t, int> Tries;
     for (int I = 0; I < 4000; ++I) {
       if (I % 20 == 0)
@@ -119,22 +119,23 @@
   }
 
   void testStopsByItself() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+    Participant Own(order(), core::Duration::zero(), m_Now);
     give(Own, Traffic::New);
     for (std::uint32_t I = 0; I < 8; ++I)
       Own.answered(key(Side::New, I),
-                   I % 2 == 0 ? AnswerQuality::Failed : AnswerQuality::Whole,
+                   I % 2 == 0 ? ResponseQuality::Failed
+                              : ResponseQuality::Succeeded,
                    milliseconds(50), m_Now);
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
   }
 
-  void testEvidenceToldTwiceCountsOnce() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+  void testRepeatedReportsCountOnce() {
+    Participant Own(order(), core::Duration::zero(), m_Now);
     Coordinator Leads(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 40; ++I) {
-      Own.answered(key(Side::Old, I % 4), AnswerQuality::Whole,
+      Own.answered(key(Side::Old, I % 4), ResponseQuality::Succeeded,
                    milliseconds(50), m_Now);
-      Own.answered(key(Side::New, 10 + I % 4), AnswerQuality::Whole,
+      Own.answered(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
                    milliseconds(50), m_Now);
     }
     Report Told = Own.report(0, m_Now);
@@ -146,16 +147,16 @@
     CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_OldAnswers);
   }
 
-  void testLostReportsAreToldAgain() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+  void testLostCountsAreReportedAgain() {
+    Participant Own(order(), core::Duration::zero(), m_Now);
     Coordinator Leads(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 60; ++I)
-      Own.answered(key(Side::Old, I), AnswerQuality::Whole, milliseconds(50),
-                   m_Now);
+      Own.answered(key(Side::Old, I), ResponseQuality::Succeeded,
+                   milliseconds(50), m_Now);
     Own.report(0, m_Now); // Lost.
     for (int I = 0; I < 8; ++I) {
       Report Told = Own.report(0, m_Now);
-      CPPUNIT_ASSERT(Told.m_Cells.size() <= 9);
+      CPPUNIT_ASSERT(Told.m_Counts.size() <= 9);
       Leads.handleReport(core::IncarnationId(1), Told, m_Now);
     }
     Leads.decide({16, 16}, seconds(1), m_Now);
@@ -163,7 +164,7 @@
   }
 
   void testCompletesOnlyWhenDrained() {
-    Member Own(order(), core::Duration::zero(), m_Now);
+    Participant Own(order(), core::Duration::zero(), m_Now);
     Coordinator Leads(order(), ExposureLimits(), m_Now);
     auto Tell = [&](std::uint32_t RunningOld) {
       Own.applyPermit(Leads.handleReport(core::IncarnationId(1),
@@ -171,9 +172,9 @@
                       m_Now);
     };
     for (std::uint32_t I = 0; I < 100; ++I) {
-      Own.answered(key(Side::Old, I % 4), AnswerQuality::Whole,
+      Own.answered(key(Side::Old, I % 4), ResponseQuality::Succeeded,
                    milliseconds(50), m_Now);
-      Own.answered(key(Side::New, 10 + I % 4), AnswerQuality::Whole,
+      Own.answered(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
                    milliseconds(50), m_Now);
     }
     Tell(3);
@@ -196,4 +197,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MemberTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ParticipantTest);
--- a/Tests/LibRollout/RolloutModelTest.cpp
+++ b/Tests/LibRollout/RolloutModelTest.cpp
@@ -14,7 +14,7 @@
   CPPUNIT_TEST_SUITE(RolloutModelTest);
   CPPUNIT_TEST(testGoodVersionsAreCompletedInTime);
   CPPUNIT_TEST(testBadVersionsAreRolledBackInTime);
-  CPPUNIT_TEST(testUnlikeHardwareIsNoFault);
+  CPPUNIT_TEST(testMixedHardwareIsNotJudgedWorse);
   CPPUNIT_TEST(testUnderKillsAndCuts);
   CPPUNIT_TEST(testFewRequests);
   CPPUNIT_TEST(testFromSixToFourHundredInstances);
@@ -24,8 +24,8 @@
     int m_Played = 0;
     int m_Completed = 0;
     int m_InTime = 0;
-    double m_MostBeyond = -1e9; ///< Requests beyond the allowed share.
-    double m_Longest = 0;       ///< After the 50th bad answer, seconds.
+    double m_MaxExcess = -1e9; ///< Requests beyond the allowed share.
+    double m_Longest = 0;      ///< After the 50th bad answer, seconds.
     double m_LastEnd = 0;
   };
 
@@ -35,20 +35,20 @@
       RolloutResult Got = playRollout(What, static_cast<std::uint64_t>(Seed));
       ++Out.m_Played;
       bool IsInTime =
-          Got.m_End && Got.m_EndedAfter <= core::toSeconds(What.m_Bake);
+          Got.m_End && Got.m_EndedAfter <= core::toSeconds(What.m_BakeTime);
       Out.m_InTime += IsInTime ? 1 : 0;
       Out.m_Completed +=
           Got.m_End && Got.m_End->m_State == State::Completed ? 1 : 0;
       Out.m_LastEnd = std::max(Out.m_LastEnd, Got.m_EndedAfter);
       bool IsBad = What.m_Shape != VersionShape::Good;
       if (IsBad)
-        Out.m_MostBeyond = std::max(Out.m_MostBeyond, Got.m_ExposedBeyond);
+        Out.m_MaxExcess = std::max(Out.m_MaxExcess, Got.m_ExposedBeyond);
       Out.m_Longest = std::max(Out.m_Longest, Got.m_LastAfterFiftieth);
     }
     std::cout << "\nrollouts case=" << Name << " played=" << Out.m_Played
               << " completed=" << Out.m_Completed << " in_time=" << Out.m_InTime
               << " last_end_s=" << Out.m_LastEnd
-              << " most_beyond_share=" << Out.m_MostBeyond
+              << " most_beyond_share=" << Out.m_MaxExcess
               << " longest_after_fiftieth_s=" << Out.m_Longest << std::flush;
     return Out;
   }
@@ -56,7 +56,7 @@
   static void checkBad(const Tally &Got, double Slack = 50) {
     CPPUNIT_ASSERT_EQUAL(0, Got.m_Completed);
     CPPUNIT_ASSERT_EQUAL(Got.m_Played, Got.m_InTime);
-    CPPUNIT_ASSERT(Got.m_MostBeyond <= Slack);
+    CPPUNIT_ASSERT(Got.m_MaxExcess <= Slack);
     CPPUNIT_ASSERT(Got.m_Longest <= 5);
   }
   static void checkGood(const Tally &Got) {
@@ -83,7 +83,7 @@
     }
   }
 
-  void testUnlikeHardwareIsNoFault() {
+  void testMixedHardwareIsNotJudgedWorse() {
     RolloutCase Case;
     Case.m_SlowHardware = 4.4;
     checkGood(play(Case, 40, "good-unlike-hardware"));
--- a/Tests/Support/QuarantineFleet.cpp
+++ b/Tests/Support/QuarantineFleet.cpp
@@ -13,7 +13,7 @@
 using core::Duration;
 using core::TimePoint;
 using quarantine::ContentDigest;
-using quarantine::Member;
+using quarantine::Gossip;
 using quarantine::Observation;
 
 static constexpr Duration UpkeepPeriod = 250ms;
@@ -24,7 +24,7 @@
 /// Until an instance knows that its target refuses connections.
 static constexpr Duration ProbeTime = 3ms;
 static constexpr Duration ReturnTime = 300ms;
-static constexpr unsigned MostRuns = 2; ///< Targets of one attempt.
+static constexpr unsigned MaxIncarnations = 2; ///< Targets of one attempt.
 static constexpr std::size_t PopularContents = 5;
 static constexpr std::size_t Third = 3;
 
@@ -43,7 +43,7 @@
 using RequestHandle = std::shared_ptr<Request>;
 
 struct Instance {
-  std::unique_ptr<Member> m_Member;
+  std::unique_ptr<Gossip> m_Gossip;
   std::size_t m_Life = 0;
   bool m_IsUp = true;
   bool m_IsCut = false;
@@ -54,7 +54,7 @@
 };
 
 struct Target {
-  quarantine::RunHash m_Run = 0;
+  quarantine::IncarnationHash m_Run = 0;
   bool m_IsUp = true;
   std::vector<RequestHandle> m_Running;
 };
@@ -96,10 +96,10 @@
   void arriveBad(std::size_t Number);
   void arrive(const RequestHandle &What);
   void send(const RequestHandle &What);
-  void finish(std::size_t Where, quarantine::RunHash Run,
+  void finish(std::size_t Where, quarantine::IncarnationHash Run,
               const RequestHandle &What);
   void endTarget(std::size_t Where);
-  void brokeOff(quarantine::RunHash Run, const RequestHandle &What);
+  void brokeOff(quarantine::IncarnationHash Run, const RequestHandle &What);
   void noteSend(const Request &What);
   bool isInTouch(const Instance &Which) const;
   bool isRefused(const Request &What) const;
@@ -113,7 +113,7 @@
   std::uint64_t m_NextEvent = 0;
   std::vector<Instance> m_Instances;
   std::vector<Target> m_Targets;
-  quarantine::RunHash m_NextRun = 1;
+  quarantine::IncarnationHash m_NextRun = 1;
   std::uint64_t m_NextContent = 1000;
   std::string m_Store;
   bool m_IsStoreUp = true;
@@ -125,17 +125,17 @@
 
 void Fleet::startInstance(std::size_t Index) {
   Instance &Which = m_Instances[Index];
-  quarantine::MemberHooks Hooks;
-  Hooks.m_TellAll = [this, Index](const std::vector<Observation> &Seen) {
+  quarantine::GossipHooks Hooks;
+  Hooks.m_Broadcast = [this, Index](const std::vector<Observation> &Seen) {
     for (std::size_t To = 0; To < m_Instances.size(); ++To)
       if (To != Index)
         tell(Index, To, Seen);
   };
-  Hooks.m_TellSome = [this, Index](const std::vector<Observation> &Seen) {
+  Hooks.m_SendToSample = [this, Index](const std::vector<Observation> &Seen) {
     for (int I = 0; I < 2; ++I)
       tell(Index, drawBelow(m_Instances.size()), Seen);
   };
-  Which.m_Member = std::make_unique<Member>(Hooks);
+  Which.m_Gossip = std::make_unique<Gossip>(Hooks);
   Which.m_IsUp = true;
   Which.m_StartedAt = m_Now;
   Which.m_TroubledAt = m_Now;
@@ -145,7 +145,7 @@
 
 void Fleet::upkeep(std::size_t Index) {
   if (m_Instances[Index].m_IsUp)
-    m_Instances[Index].m_Member->upkeep(m_Now);
+    m_Instances[Index].m_Gossip->upkeep(m_Now);
   after(UpkeepPeriod, [this, Index] { upkeep(Index); });
 }
 
@@ -156,13 +156,13 @@
     return;
   after(core::fromSeconds(0.0005 + 0.003 * draw()), [this, To, Seen] {
     if (m_Instances[To].isReached())
-      m_Instances[To].m_Member->merge(Seen, m_Now);
+      m_Instances[To].m_Gossip->merge(Seen, m_Now);
   });
 }
 
 void Fleet::readStore(std::size_t Index) {
   if (m_IsStoreUp && m_Instances[Index].isReached())
-    m_Instances[Index].m_Member->takeRecord(m_Store, m_Now);
+    m_Instances[Index].m_Gossip->mergeStored(m_Store, m_Now);
 }
 
 void Fleet::keepStore() {
@@ -173,7 +173,7 @@
       });
   if (!m_IsStoreUp || Keeper == m_Instances.end())
     return;
-  std::string Text = Keeper->m_Member->recordText();
+  std::string Text = Keeper->m_Gossip->storedText();
   if (Text == m_Store)
     return;
   m_Store = Text;
@@ -273,8 +273,9 @@
 }
 
 bool Fleet::isRefused(const Request &What) const {
-  const Member &Own = *m_Instances[What.m_Instance].m_Member;
-  return Own.book().standing(What.m_Content) >= m_Day.m_RefusedFrom;
+  const Gossip &Own = *m_Instances[What.m_Instance].m_Gossip;
+  return Own.book().incriminatingIncarnations(What.m_Content) >=
+         m_Day.m_RefusedFrom;
 }
 
 void Fleet::refuse(const Request &What) {
@@ -315,7 +316,7 @@
         [this, Index, Run = Where->m_Run, What] { finish(Index, Run, What); });
 }
 
-void Fleet::finish(std::size_t Where, quarantine::RunHash Run,
+void Fleet::finish(std::size_t Where, quarantine::IncarnationHash Run,
                    const RequestHandle &What) {
   Target &At = m_Targets[Where];
   if (At.m_Run != Run || !At.m_IsUp)
@@ -328,7 +329,7 @@
   At.m_Running.erase(std::find(At.m_Running.begin(), At.m_Running.end(), What));
   Instance &From = m_Instances[What->m_Instance];
   if (From.m_IsUp && From.m_Life == What->m_Life)
-    From.m_Member->noteWhole(What->m_Content, m_Now);
+    From.m_Gossip->noteSuccess(What->m_Content, m_Now);
 }
 
 void Fleet::endTarget(std::size_t Where) {
@@ -346,15 +347,16 @@
   });
 }
 
-void Fleet::brokeOff(quarantine::RunHash Run, const RequestHandle &What) {
+void Fleet::brokeOff(quarantine::IncarnationHash Run,
+                     const RequestHandle &What) {
   m_Outcome.m_InnocentsBroken += What->m_Kind != Kind::Bad;
   Instance &At = m_Instances[What->m_Instance];
   bool IsGone = !At.m_IsUp || At.m_Life != What->m_Life;
   if (!IsGone) {
-    At.m_Member->noteTargetExit(What->m_Content, Run, m_Now);
+    At.m_Gossip->noteTargetExit(What->m_Content, Run, m_Now);
     bool IsSentOn = m_Day.m_IsSuspectSentOn ||
-                    !At.m_Member->book().isSuspect(What->m_Content);
-    if (What->m_Runs < MostRuns && IsSentOn)
+                    !At.m_Gossip->book().isSuspect(What->m_Content);
+    if (What->m_Runs < MaxIncarnations && IsSentOn)
       return send(What);
   }
   if (What->m_ReturnsLeft == 0) {
--- a/Tests/Support/QuarantineFleet.h
+++ b/Tests/Support/QuarantineFleet.h
@@ -8,7 +8,7 @@
 #ifndef YARDRILL_TESTS_SUPPORT_QUARANTINEFLEET_H
 #define YARDRILL_TESTS_SUPPORT_QUARANTINEFLEET_H
 
-#include "LibQuarantine/Member.h"
+#include "LibQuarantine/Gossip.h"
 
 #include <chrono>
 #include <cstdint>
@@ -49,7 +49,7 @@
   double m_Loss = 0.01; ///< Of datagrams.
   std::vector<QuarantineFault> m_Faults;
   // Ways that are compared.
-  std::size_t m_RefusedFrom = quarantine::QuarantineBook::RunsToQuarantine;
+  std::size_t m_RefusedFrom = quarantine::QuarantineTable::RunsToQuarantine;
   /// Whether an attempt is sent on at once after its target ended, although
   /// another target ended under the content before.
   bool m_IsSuspectSentOn = false;
--- a/Tests/Support/RolloutFleet.cpp
+++ b/Tests/Support/RolloutFleet.cpp
@@ -23,8 +23,8 @@
 struct Running {
   core::TimePoint m_EndsAt{};
   std::size_t m_Instance = 0;
-  CellKey m_Key;
-  AnswerQuality m_How = AnswerQuality::Whole;
+  ResponseCountsKey m_Key;
+  ResponseQuality m_How = ResponseQuality::Succeeded;
   core::Duration m_Time{};
 
   bool operator<(const Running &Other) const {
@@ -33,7 +33,7 @@
 };
 
 struct Instance {
-  std::unique_ptr<Member> m_Member;
+  std::unique_ptr<Participant> m_Participant;
   core::TimePoint m_DownUntil{};
   core::TimePoint m_CutUntil{};
   core::TimePoint m_ReportsAt{};
@@ -47,7 +47,7 @@
       : m_Case(Case), m_Random(Seed), m_Instances(Case.m_Instances) {
     m_Order.m_Id = OrderId(7);
     m_Order.m_Version = core::TargetVersion("v2");
-    m_Order.m_Bake = Case.m_Bake;
+    m_Order.m_BakeTime = Case.m_BakeTime;
     for (std::size_t I = 0; I < m_Instances.size(); ++I)
       start(I, core::Duration::zero());
     for (Instance &Each : m_Instances)
@@ -57,7 +57,7 @@
   }
 
   RolloutResult run() {
-    core::Duration End = m_Order.m_Bake + std::chrono::seconds(8);
+    core::Duration End = m_Order.m_BakeTime + std::chrono::seconds(8);
     while (m_Now - Begin < End) {
       m_Now += Step;
       brewFaults();
@@ -66,7 +66,7 @@
       report();
       decide();
     }
-    double Deadline = core::toSeconds(m_Order.m_Bake);
+    double Deadline = core::toSeconds(m_Order.m_BakeTime);
     m_Result.m_ExposedBeyond =
         m_SentNew - m_Case.m_MostShare * m_Case.m_RequestsPerSecond * Deadline;
     return m_Result;
@@ -85,7 +85,7 @@
 
   void start(std::size_t Which, core::Duration Age) {
     Instance &Each = m_Instances[Which];
-    Each.m_Member = std::make_unique<Member>(m_Order, Age, m_Now);
+    Each.m_Participant = std::make_unique<Participant>(m_Order, Age, m_Now);
     Each.m_Incarnation = ++m_Incarnations;
     Each.m_RunningOld = 0;
   }
@@ -126,7 +126,7 @@
       IsMeant = true;
       break;
     case VersionShape::FailsLate:
-      IsMeant = age() > core::toSeconds(m_Order.m_Bake) * 0.5;
+      IsMeant = age() > core::toSeconds(m_Order.m_BakeTime) * 0.5;
       break;
     case VersionShape::FailsUnderLoad:
       // A sampled target gets as much as each will in the end.
@@ -168,14 +168,14 @@
       return;
     std::size_t Route = drawRoute();
     auto RouteHash = static_cast<std::uint32_t>(Route + 1);
-    Traffic How = By.m_Member->traffic(m_Now);
+    Traffic How = By.m_Participant->traffic(m_Now);
     bool IsNew =
-        How == Traffic::New || By.m_Member->isSampleDue(RouteHash, m_Now);
+        How == Traffic::New || By.m_Participant->isSampleDue(RouteHash, m_Now);
     // Its end has been heard of everywhere but where nothing is heard.
     bool IsHeard = hasEnded() && m_Now > m_EndHeardAt && By.m_CutUntil < m_Now;
     if (IsHeard)
       IsNew = m_Result.m_End->m_State == State::Completed;
-    By.m_Member->sent(RouteHash, IsNew, m_Now);
+    By.m_Participant->sent(RouteHash, IsNew, m_Now);
     countSent(IsNew);
     std::size_t Target = IsNew && How == Traffic::Sample
                              ? sampled(Which)
@@ -198,7 +198,8 @@
       IsFailure = true;
     if (IsBad && ++m_BadAnswers == BadAnswersThatCount)
       m_FiftiethAt = m_Now;
-    Next.m_How = IsFailure ? AnswerQuality::Failed : AnswerQuality::Whole;
+    Next.m_How =
+        IsFailure ? ResponseQuality::Failed : ResponseQuality::Succeeded;
     Next.m_Time = core::fromSeconds(Ms / 1000);
     Next.m_EndsAt = m_Now + Next.m_Time;
     By.m_RunningOld += IsNew ? 0 : 1;
@@ -206,7 +207,7 @@
   }
 
   void countSent(bool IsNew) {
-    if (IsNew && age() <= core::toSeconds(m_Order.m_Bake))
+    if (IsNew && age() <= core::toSeconds(m_Order.m_BakeTime))
       ++m_SentNew;
     if (IsNew && m_BadAnswers >= BadAnswersThatCount)
       m_Result.m_LastAfterFiftieth = core::toSeconds(m_Now - m_FiftiethAt);
@@ -217,7 +218,7 @@
       Running Ended = m_Running.top();
       m_Running.pop();
       Instance &By = m_Instances[Ended.m_Instance];
-      By.m_Member->answered(Ended.m_Key, Ended.m_How, Ended.m_Time, m_Now);
+      By.m_Participant->answered(Ended.m_Key, Ended.m_How, Ended.m_Time, m_Now);
       if (Ended.m_Key.m_Side == Side::Old && By.m_RunningOld > 0)
         --By.m_RunningOld;
     }
@@ -228,22 +229,22 @@
       if (m_Now < Each.m_ReportsAt || m_Now < Each.m_DownUntil)
         continue;
       Each.m_ReportsAt = m_Now + period();
-      Report Told = Each.m_Member->report(Each.m_RunningOld, m_Now);
+      Report Told = Each.m_Participant->report(Each.m_RunningOld, m_Now);
       bool IsLost = m_Now < Each.m_CutUntil || draw() < LossyShare;
       if (IsLost)
         continue;
       Permit Given = m_Coordinator->handleReport(
           core::IncarnationId(Each.m_Incarnation), Told, m_Now + LinkDelay);
       if (draw() >= LossyShare)
-        Each.m_Member->applyPermit(Given, m_Now + 2 * LinkDelay);
+        Each.m_Participant->applyPermit(Given, m_Now + 2 * LinkDelay);
     }
   }
 
   void decide() {
     if (hasEnded() || m_Now < m_LooksAt)
       return;
-    m_LooksAt = m_Now + LookPeriod;
-    Census Targets{m_Case.m_Targets * 4, m_Case.m_Targets * 4};
+    m_LooksAt = m_Now + EvaluationPeriod;
+    PoolCapacity Targets{m_Case.m_Targets * 4, m_Case.m_Targets * 4};
     auto End = m_Coordinator->decide(Targets, m_Now - Begin, m_Now);
     if (!End)
       return;
--- a/Tests/Support/RolloutFleet.h
+++ b/Tests/Support/RolloutFleet.h
@@ -8,7 +8,7 @@
 #define YARDRILL_TESTS_SUPPORT_ROLLOUTFLEET_H
 
 #include "LibRollout/Coordinator.h"
-#include "LibRollout/Member.h"
+#include "LibRollout/Participant.h"
 
 #include <cstdint>
 #include <vector>
@@ -37,7 +37,7 @@
   VersionShape m_Shape = VersionShape::Good;
   double m_BadPart = 0.4; ///< Of the answers.
   double m_BadTimes = 6;  ///< As long.
-  core::Duration m_Bake = std::chrono::seconds(12);
+  core::Duration m_BakeTime = std::chrono::seconds(12);
   double m_MostShare = 0.1;
   // Faults beside it.
   bool m_HasKills = false; ///< Instances die and start again.
--- a/Tests/Traces/ReplayTest.cpp
+++ b/Tests/Traces/ReplayTest.cpp
@@ -56,11 +56,11 @@
       Outcome << "# outcome: events=" << Result.m_Events
               << " actions=" << Result.m_Actions
               << " dispatched=" << Result.m_Dispatched
-              << " dispatched_again=" << Result.m_DispatchedAgain
+              << " dispatched_again=" << Result.m_DuplicateDispatches
               << " refused=" << Result.m_Refused
               << " refused_after_dispatch=" << Result.m_RefusedAfterDispatch;
       CPPUNIT_ASSERT_EQUAL_MESSAGE(File.path(), Stated, Outcome.str());
-      CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_DispatchedAgain);
+      CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_DuplicateDispatches);
       CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_RefusedAfterDispatch);
     }
     CPPUNIT_ASSERT(Count > 0);
