--- a/Bench/ConfigurationCostProgram.cpp
+++ b/Bench/ConfigurationCostProgram.cpp
@@ -67,9 +67,9 @@
     std::string Before = configuration(Routes, 0);
     std::string After = configuration(Routes, Routes / 2);
     double Empty = megabytesInUse();
-    auto Table = platform::readConfiguration(After);
+    auto Table = platform::parseConfiguration(After);
     double TableMb = megabytesInUse() - Empty;
-    double ReadMs = cost([&] { Table = platform::readConfiguration(After); });
+    double ReadMs = cost([&] { Table = platform::parseConfiguration(After); });
     std::string Patch;
     double PatchMs = cost([&] { Patch = gateway::makePatch(Before, After); });
     double ApplyMs =
--- a/Bench/LoadProgram.cpp
+++ b/Bench/LoadProgram.cpp
@@ -81,7 +81,7 @@
       Connection->sendRequest(Request, CallTimeout, Yield);
       auto Head = Connection->readHead(CallTimeout, Yield);
       Sample Next;
-      while (!Connection->readPiece(CallTimeout, Yield).empty())
+      while (!Connection->readBodyData(CallTimeout, Yield).empty())
         if (Next.m_First == core::Duration())
           Next.m_First = core::steadyNow() - Start;
       Next.m_Total = core::steadyNow() - Start;
--- a/Libraries/LibConfig/InstanceSettings.cpp
+++ b/Libraries/LibConfig/InstanceSettings.cpp
@@ -117,7 +117,7 @@
   Out.m_CallTimeout = Reader.milliseconds("call_timeout_ms", AnyTime, 2000);
   Out.m_CallsPerSecond = Reader.number("calls_per_second", 0.1, 10000, 20);
   Out.m_CallBurst = Reader.number("call_burst", 1, 10000, 40);
-  Out.m_WaitingCalls = size(Reader, "waiting_calls", 256);
+  Out.m_MaxWaitingCalls = size(Reader, "waiting_calls", 256);
 }
 
 static void readPeers(YamlReader &Reader, PeerSettings &Out) {
--- a/Libraries/LibConfig/InstanceSettings.h
+++ b/Libraries/LibConfig/InstanceSettings.h
@@ -43,7 +43,7 @@
   core::Duration m_CallTimeout{};
   double m_CallsPerSecond = 0; ///< Budget of this instance, all calls.
   double m_CallBurst = 0;
-  std::size_t m_WaitingCalls = 0; ///< More are refused at once.
+  std::size_t m_MaxWaitingCalls = 0; ///< More are refused at once.
 };
 
 struct PeerSettings {
--- a/Libraries/LibCore/Digest.cpp
+++ b/Libraries/LibCore/Digest.cpp
@@ -33,7 +33,8 @@
   EVP_DigestUpdate(&Hash, Part.data(), Part.size());
 }
 
-std::string sha256OfParts(std::initializer_list<std::string_view> Parts) {
+std::string
+sha256LengthPrefixed(std::initializer_list<std::string_view> Parts) {
   // Looked up once: that costs as much as hashing a kilobyte.
   static EVP_MD *const Kind = EVP_MD_fetch(nullptr, "SHA256", nullptr);
   std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> Hash(EVP_MD_CTX_new(),
@@ -124,7 +125,7 @@
   return Bits;
 }
 
-std::uint32_t quickHash(std::string_view Text) {
+std::uint32_t fnv1a32(std::string_view Text) {
   std::uint32_t Out = 2166136261U;
   for (char C : Text) {
     Out ^= static_cast<unsigned char>(C);
--- a/Libraries/LibCore/Digest.h
+++ b/Libraries/LibCore/Digest.h
@@ -14,7 +14,7 @@
 
 /// SHA-256 over several texts, 32 raw bytes. Each follows its length as eight
 /// bytes, the lowest first, so that no two lists give the same.
-std::string sha256OfParts(std::initializer_list<std::string_view> Parts);
+std::string sha256LengthPrefixed(std::initializer_list<std::string_view> Parts);
 
 /// HMAC-SHA-256 (RFC 2104), 32 raw bytes.
 std::string hmacSha256(std::string_view Key, std::string_view Text);
@@ -37,7 +37,7 @@
 std::uint64_t stableHash(std::string_view Text);
 /// FNV-1a, 32 bits: the same in all processes; against chance, not against
 /// attackers. A tenth of the time of stableHash().
-std::uint32_t quickHash(std::string_view Text);
+std::uint32_t fnv1a32(std::string_view Text);
 
 } // namespace yardrill::core
 
--- a/Libraries/LibCore/DutyThread.cpp
+++ b/Libraries/LibCore/EventLoopThread.cpp
@@ -1,4 +1,4 @@
-#include "LibCore/DutyThread.h"
+#include "LibCore/EventLoopThread.h"
 
 #include "LibCore/Log.h"
 
@@ -7,24 +7,24 @@
 
 namespace yardrill::core {
 
-DutyThread::DutyThread(std::string Name)
+EventLoopThread::EventLoopThread(std::string Name)
     : m_Name(std::move(Name)), m_Guard(m_Context.get_executor()) {}
 
-DutyThread::~DutyThread() { stop(); }
+EventLoopThread::~EventLoopThread() { stop(); }
 
-void DutyThread::start() {
+void EventLoopThread::start() {
   m_Thread = std::thread([this] { run(); });
   // The kernel takes 15 characters.
   pthread_setname_np(m_Thread.native_handle(), m_Name.substr(0, 15).c_str());
 }
 
-void DutyThread::stop() {
+void EventLoopThread::stop() {
   m_Context.stop();
   if (m_Thread.joinable())
     m_Thread.join();
 }
 
-void DutyThread::run() {
+void EventLoopThread::run() {
   while (!m_Context.stopped()) {
     try {
       m_Context.run();
@@ -37,7 +37,7 @@
   }
 }
 
-std::function<void()> DutyThread::waker(std::function<void()> Drain) {
+std::function<void()> EventLoopThread::makeWaker(std::function<void()> Drain) {
   return
       [this, Drain = std::move(Drain)] { boost::asio::post(m_Context, Drain); };
 }
--- a/Libraries/LibCore/DutyThread.h
+++ b/Libraries/LibCore/EventLoopThread.h
@@ -1,6 +1,7 @@
-//===-- DutyThread.h - A thread for one duty ------------------------------===//
-#ifndef YARDRILL_LIBCORE_DUTYTHREAD_H
-#define YARDRILL_LIBCORE_DUTYTHREAD_H
+//===-- EventLoopThread.h - A thread for one duty
+//------------------------------===//
+#ifndef YARDRILL_LIBCORE_EVENTLOOPTHREAD_H
+#define YARDRILL_LIBCORE_EVENTLOOPTHREAD_H
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
@@ -12,20 +13,20 @@
 
 /// Runs one event loop on one thread of its own. All state of the duty is
 /// touched on that thread only; others reach it through a Ring.
-class DutyThread {
+class EventLoopThread {
 public:
-  explicit DutyThread(std::string Name);
+  explicit EventLoopThread(std::string Name);
   /// Stops the loop and joins the thread.
-  ~DutyThread();
-  DutyThread(const DutyThread &) = delete;
-  DutyThread &operator=(const DutyThread &) = delete;
+  ~EventLoopThread();
+  EventLoopThread(const EventLoopThread &) = delete;
+  EventLoopThread &operator=(const EventLoopThread &) = delete;
 
   boost::asio::io_context &context() { return m_Context; }
   void start();
   void stop();
 
   /// A Ring's wake hook: runs \p Drain on this thread.
-  std::function<void()> waker(std::function<void()> Drain);
+  std::function<void()> makeWaker(std::function<void()> Drain);
 
 private:
   void run();
--- a/Libraries/LibCore/LogReader.cpp
+++ b/Libraries/LibCore/LogReader.cpp
@@ -10,7 +10,7 @@
 }
 
 /// Takes one value from the front of \p Rest: up to a space, or in quotes.
-static std::string takeValue(std::string_view &Rest) {
+static std::string parseValue(std::string_view &Rest) {
   if (Rest.empty() || Rest.front() != '"') {
     std::string Out(Rest.substr(0, Rest.find(' ')));
     Rest.remove_prefix(Out.size());
@@ -32,7 +32,7 @@
   return Out;
 }
 
-std::optional<LogEntry> readLogLine(std::string_view Line) {
+std::optional<LogEntry> parseLogLine(std::string_view Line) {
   std::size_t At = Line.find("time=");
   if (At == std::string_view::npos)
     return std::nullopt;
@@ -48,7 +48,7 @@
       break;
     std::string Key(Rest.substr(0, Equals));
     Rest.remove_prefix(Equals + 1);
-    std::string Value = takeValue(Rest);
+    std::string Value = parseValue(Rest);
     if (Key == "time")
       Out.m_Time = Value;
     else if (Key == "event")
--- a/Libraries/LibCore/LogReader.h
+++ b/Libraries/LibCore/LogReader.h
@@ -22,7 +22,7 @@
 };
 
 /// \returns nothing for a line that LogLine did not write.
-std::optional<LogEntry> readLogLine(std::string_view Line);
+std::optional<LogEntry> parseLogLine(std::string_view Line);
 
 } // namespace yardrill::core
 
--- a/Libraries/LibCore/Ring.h
+++ b/Libraries/LibCore/MPSCQueue.h
@@ -1,6 +1,6 @@
 //===-- Ring.h - A bounded ring between two duties ------------------------===//
-#ifndef YARDRILL_LIBCORE_RING_H
-#define YARDRILL_LIBCORE_RING_H
+#ifndef YARDRILL_LIBCORE_MPSCQUEUE_H
+#define YARDRILL_LIBCORE_MPSCQUEUE_H
 
 #include <atomic>
 #include <boost/lockfree/queue.hpp>
@@ -13,14 +13,14 @@
 
 /// Many producers, one consumer, a fixed capacity. A full ring refuses, so
 /// that the producer answers for it; it never blocks and never grows.
-template <class T> class Ring {
+template <class T> class MPSCQueue {
 public:
   /// \param Wake called by a producer when the consumer has to call drain().
-  Ring(std::size_t Capacity, std::function<void()> Wake)
+  MPSCQueue(std::size_t Capacity, std::function<void()> Wake)
       : m_Queue(Capacity), m_Wake(std::move(Wake)) {}
-  Ring(const Ring &) = delete;
-  Ring &operator=(const Ring &) = delete;
-  ~Ring() {
+  MPSCQueue(const MPSCQueue &) = delete;
+  MPSCQueue &operator=(const MPSCQueue &) = delete;
+  ~MPSCQueue() {
     T *Value = nullptr;
     while (m_Queue.pop(Value))
       delete Value;
@@ -32,7 +32,7 @@
     if (!m_Queue.bounded_push(Owned.get()))
       return false;
     (void)Owned.release();
-    if (!m_WakePending.exchange(true))
+    if (!m_IsWakePending.exchange(true))
       m_Wake();
     return true;
   }
@@ -41,13 +41,13 @@
   /// all that can be under way has none only behind a stalled consumer.
   void push(const T &Value) {
     while (!tryPush(Value))
-      std::this_thread::sleep_for(FullPause);
+      std::this_thread::sleep_for(FullRetryInterval);
   }
 
   /// Hands every waiting value to \p Handle, on the consumer's thread.
   template <class Function> void drain(Function &&Handle) {
     // Cleared before the first pop: a value pushed later wakes us again.
-    m_WakePending.store(false);
+    m_IsWakePending.store(false);
     T *Value = nullptr;
     while (m_Queue.pop(Value)) {
       std::unique_ptr<T> Owned(Value);
@@ -56,11 +56,11 @@
   }
 
 private:
-  static constexpr std::chrono::microseconds FullPause{50};
+  static constexpr std::chrono::microseconds FullRetryInterval{50};
 
   boost::lockfree::queue<T *, boost::lockfree::fixed_sized<true>> m_Queue;
   std::function<void()> m_Wake;
-  std::atomic<bool> m_WakePending{false};
+  std::atomic<bool> m_IsWakePending{false};
 };
 
 } // namespace yardrill::core
--- a/Libraries/LibCore/BoundedLog.h
+++ b/Libraries/LibCore/NonBlockingLogWriter.h
@@ -1,6 +1,7 @@
-//===-- BoundedLog.h - Log lines that never hold the process up -----------===//
-#ifndef YARDRILL_LIBCORE_BOUNDEDLOG_H
-#define YARDRILL_LIBCORE_BOUNDEDLOG_H
+//===-- NonBlockingLogWriter.h - Log lines that never hold the process up
+//-----------===//
+#ifndef YARDRILL_LIBCORE_NONBLOCKINGLOGWRITER_H
+#define YARDRILL_LIBCORE_NONBLOCKINGLOGWRITER_H
 
 #include "LibCore/Time.h"
 
@@ -10,7 +11,7 @@
 
 namespace yardrill::core {
 
-struct LogBudget {
+struct LogWriterLimits {
   double m_LinesPerSecond = 400; ///< About twenty times the usual volume.
   double m_Burst = 2000;
   std::size_t m_BufferBytes = 262144; ///< Waiting for a slow reader.
@@ -19,27 +20,28 @@
 /// Collects lines and writes them to a descriptor when that takes some. Lines
 /// beyond the budget are dropped and counted; one line says how many, when
 /// there is room again. Used on one thread.
-class BoundedLog {
+class NonBlockingLogWriter {
 public:
-  BoundedLog(int Descriptor, const LogBudget &Budget)
-      : m_Descriptor(Descriptor), m_Budget(Budget), m_Lines(Budget.m_Burst) {}
+  NonBlockingLogWriter(int Descriptor, const LogWriterLimits &Budget)
+      : m_Descriptor(Descriptor), m_Limits(Budget),
+        m_LineTokens(Budget.m_Burst) {}
 
   void add(const std::string &Line, TimePoint Now);
   /// Writes what the descriptor takes without waiting.
   void flush(TimePoint Now);
-  std::uint64_t dropped() const { return m_AllDropped; }
+  std::uint64_t droppedLines() const { return m_TotalDropped; }
 
 private:
-  bool takeFromBudget(TimePoint Now);
-  void reportDropped();
+  bool tryTakeToken(TimePoint Now);
+  void appendDropReport();
 
   int m_Descriptor;
-  LogBudget m_Budget;
-  double m_Lines;
+  LogWriterLimits m_Limits;
+  double m_LineTokens;
   TimePoint m_RefilledAt{};
   std::string m_Buffer;
-  std::uint64_t m_Dropped = 0; ///< Since the last line that said so.
-  std::uint64_t m_AllDropped = 0;
+  std::uint64_t m_UnreportedDropped = 0; ///< Since the last line that said so.
+  std::uint64_t m_TotalDropped = 0;
 };
 
 } // namespace yardrill::core
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -122,26 +122,26 @@
       [this](unsigned Status) {
         m_Metrics.count("yardrill_unreadable_requests_total");
         core::LogLine("request-unreadable").add("status", Status);
-        return http::bareAnswer(Status);
+        return http::emptyResponse(Status);
       });
   m_ReadinessServer = http::Server::create(
       m_Context, m_Settings.m_ReadinessAddress.toTcp(), http::ServerLimits(),
       [this](http::Exchange &Call, asio::yield_context Yield) {
-        Call.sendWhole(readinessResponse(), Yield);
+        Call.sendResponse(readinessResponse(), Yield);
       },
-      http::bareAnswer);
+      http::emptyResponse);
   if (m_Settings.m_MetricsAddress)
     m_MetricsServer = http::Server::create(
         m_Context, m_Settings.m_MetricsAddress->toTcp(), http::ServerLimits(),
         [this](http::Exchange &Call, asio::yield_context Yield) {
           updateGauges();
-          http::ResponseMessage Answer = http::bareAnswer(200);
+          http::ResponseMessage Answer = http::emptyResponse(200);
           Answer.m_Head.m_Headers.set("Content-Type",
                                       "text/plain; version=0.0.4");
           Answer.m_Body = m_Metrics.exposition();
-          Call.sendWhole(std::move(Answer), Yield);
+          Call.sendResponse(std::move(Answer), Yield);
         },
-        http::bareAnswer);
+        http::emptyResponse);
   m_Peers = std::make_unique<PeerService>(
       m_Context, m_Settings, m_Mirror, m_Metrics,
       PeerServiceHooks{
@@ -313,8 +313,8 @@
                            asio::yield_context Yield) {
   auto Address = Which.m_Address.toTcp();
   try {
-    m_Connections.giveBack(Address, m_Connections.open(Address, true, Yield),
-                           ProbedConnectionIdleTime);
+    m_Connections.release(Address, m_Connections.acquire(Address, true, Yield),
+                          ProbedConnectionIdleTime);
   } catch (const Error &Failure) {
     return Failure.kind() == core::ErrorKind::Refused ? ProbeResult::Gone
                                                       : ProbeResult::Unknown;
@@ -384,7 +384,7 @@
 }
 
 http::ResponseMessage Gateway::readinessResponse() const {
-  return http::bareAnswer(isReady() ? 200 : 503);
+  return http::emptyResponse(isReady() ? 200 : 503);
 }
 
 bool Gateway::isPastAcceptPeriod(core::TimePoint Now) const {
@@ -397,7 +397,7 @@
     return;
   m_StoppingSince = core::steadyNow();
   m_OnStopped = std::move(Finished);
-  m_CallerServer->closeAfterAnswers();
+  m_CallerServer->disableKeepAlive();
   m_Peers->setStopping();
   scheduleTick();
   core::LogLine("instance-stopping")
--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -48,7 +48,7 @@
     return;
   m_Owner.m_Dispatcher.withdraw(m_Id);
   m_Owner.m_OpenRequests.erase(m_Id);
-  m_Caller.setHangUpHook(nullptr);
+  m_Caller.setDisconnectCallback(nullptr);
 }
 
 void GatewayRequest::assignTarget(const routing::Target &Where) {
@@ -203,7 +203,7 @@
 }
 
 void GatewayRequest::run(asio::yield_context Yield) {
-  m_Caller.setHangUpHook([this] { callerHungUp(); });
+  m_Caller.setDisconnectCallback([this] { callerHungUp(); });
   waitForConfiguration(Yield);
   unsigned Status = admit(Yield);
   if (Status != 0) {
@@ -282,7 +282,7 @@
   bool IsOver = timeLeft() <= core::Duration::zero();
   if (m_FailureResponse && Last == AttemptOutcome::Failed) {
     m_Reason = "target-failed";
-    m_Relay.sendWhole(std::move(*m_FailureResponse), Yield);
+    m_Relay.sendResponse(std::move(*m_FailureResponse), Yield);
     return finish("request-finished");
   }
   if (m_PossibleExecutions > 0)
@@ -309,7 +309,7 @@
   }
   try {
     if (!m_IsCallerGone)
-      m_Caller.sendWhole(std::move(Answer), Yield);
+      m_Caller.sendResponse(std::move(Answer), Yield);
   } catch (const Error &) {
     m_IsCallerGone = true;
   }
--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -38,7 +38,7 @@
   auto Address = m_Target->m_Address.toTcp();
   std::unique_ptr<http::ClientConnection> Connection;
   try {
-    Connection = m_Owner.m_Connections.open(Address, false, Yield);
+    Connection = m_Owner.m_Connections.acquire(Address, false, Yield);
   } catch (const Error &Failure) {
     m_Reason = "connect-failed";
     if (Failure.kind() == core::ErrorKind::Refused)
@@ -68,8 +68,8 @@
   }
   m_Connection = nullptr;
   if (Result == AttemptOutcome::Complete || Result == AttemptOutcome::NotRun)
-    m_Owner.m_Connections.giveBack(Address, std::move(Connection),
-                                   m_KeepAliveTime);
+    m_Owner.m_Connections.release(Address, std::move(Connection),
+                                  m_KeepAliveTime);
   if (m_IsCallerGone && Result != AttemptOutcome::Complete)
     return AttemptOutcome::CallerGone;
   if (IsBroken)
@@ -102,7 +102,7 @@
         .add("request", m_Description.m_Id)
         .add("target", m_Target->m_Name)
         .add("status", Head.m_Status);
-    while (!Connection.readPiece(Limit, Yield).empty()) {
+    while (!Connection.readBodyData(Limit, Yield).empty()) {
       // Belongs to no request.
     }
   }
@@ -116,7 +116,7 @@
 
 AttemptOutcome GatewayRequest::exchange(http::ClientConnection &Connection,
                                         asio::yield_context Yield) {
-  Connection.allowBodyUntilClose();
+  Connection.allowCloseDelimitedBody();
   ForwardDescription What;
   What.m_Target = m_Target->m_Name;
   What.m_TimeLeft = timeLeft();
@@ -142,7 +142,7 @@
       m_Owner.m_Targets.recordReplacement(m_Target->run());
       m_Owner.m_ExitDetector.noteTargetExit(m_Target->run());
     }
-    while (!Connection.readPiece(timeLeft() + ResponseGracePeriod, Yield)
+    while (!Connection.readBodyData(timeLeft() + ResponseGracePeriod, Yield)
                 .empty()) {
       // Its reason is for us alone.
     }
@@ -160,7 +160,7 @@
     return AttemptOutcome::Failed;
   } else if (Head.m_ContentLength &&
              *Head.m_ContentLength <= MaxBufferedBytes) {
-    Result = relayWhole(m_Relay.readWhole(Connection, Head, Yield), Yield);
+    Result = relayWhole(m_Relay.readResponse(Connection, Head, Yield), Yield);
   } else {
     Result = m_Relay.relayBytes(Connection, Head, Yield);
   }
@@ -176,7 +176,7 @@
     m_FailureResponse = std::move(Answer);
     return AttemptOutcome::Failed;
   }
-  return m_Relay.sendWhole(std::move(Answer), Yield);
+  return m_Relay.sendResponse(std::move(Answer), Yield);
 }
 
 void GatewayRequest::noteEvents(std::size_t Count) {
--- a/Libraries/LibGateway/GatewayStoreUpdates.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -26,7 +26,7 @@
   } catch (const Error &Failure) {
     core::LogLine("store-entry-unreadable", core::LogLevel::Error)
         .add("key", Change.m_Key)
-        .add("revision", Change.m_Modified)
+        .add("revision", Change.m_ModRevision)
         .add("reason", Failure.what());
     // What stood there before does not hold any more.
     if (auto Name = m_Wire.targetOf(Change))
@@ -36,17 +36,17 @@
   if (auto *Seen = std::get_if<ConfigurationUpdate>(&News)) {
     core::LogLine("configuration-read")
         .add("version", Seen->m_Table->version())
-        .add("revision", Change.m_Modified)
+        .add("revision", Change.m_ModRevision)
         .add("bytes", Change.m_Value.size())
         .add("took_us", core::steadyNow() - Begin);
     return applyConfiguration(std::move(Seen->m_Table));
   }
   if (const auto *Seen = std::get_if<TargetUpdate>(&News))
-    return applyTarget(Seen->m_Target, Change.m_Modified);
+    return applyTarget(Seen->m_Target, Change.m_ModRevision);
   if (const auto *Gone = std::get_if<TargetRemoval>(&News)) {
     core::LogLine("target-gone")
         .add("target", Gone->m_Target)
-        .add("revision", Change.m_Modified);
+        .add("revision", Change.m_ModRevision);
     if (routing::KnownTarget *Known = m_Targets.find(Gone->m_Target))
       m_ExitDetector.noteTargetExit(Known->m_Target.run());
     m_Targets.withdraw(Gone->m_Target, core::steadyNow());
@@ -59,7 +59,7 @@
   if (const auto *Seen = std::get_if<RolloutStatusUpdate>(&News))
     m_Rollouts.setStatus(Seen->m_Pool, Seen->m_Status,
                          Change.m_IsDeleted ? platform::Revision()
-                                            : Change.m_Modified);
+                                            : Change.m_ModRevision);
   scheduleRolloutUpkeep();
 }
 
@@ -75,7 +75,7 @@
       .add("is_leaving", Seen.m_IsLeaving)
       .add("revision", At);
   if (Effect == routing::AnnouncementEffect::NewRun)
-    m_Connections.forget(Seen.m_Address.toTcp());
+    m_Connections.closeIdle(Seen.m_Address.toTcp());
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/MirrorFetcher.cpp
+++ b/Libraries/LibGateway/MirrorFetcher.cpp
@@ -90,15 +90,15 @@
 
 void MirrorFetcher::fetchValueIfDue(const Candidates &Ahead, bool IsPatient,
                                     core::TimePoint Now) {
-  if (m_Mirror.wanted().empty()) {
+  if (m_Mirror.pendingValues().empty()) {
     m_Values.m_BehindSince = core::TimePoint();
     return;
   }
-  const auto &[Key, Wanted] = *m_Mirror.wanted().begin();
+  const auto &[Key, Wanted] = *m_Mirror.pendingValues().begin();
   // Any that is further on helps, while values change faster than they arrive;
   // the newest are asked first.
   Candidates Have =
-      those(Ahead, [At = Wanted.m_First](const FetchCandidate &Each) {
+      those(Ahead, [At = Wanted.m_OldestRevision](const FetchCandidate &Each) {
         return !(Each.m_CompleteRevision < At);
       });
   if (!m_WasRefused)
@@ -176,7 +176,7 @@
       .add("revision", m_Mirror.revision())
       .add("entries", Transfer.m_Entries.size())
       .add("is_whole", Transfer.m_IsSnapshot)
-      .add("values_wanted", m_Mirror.wanted().size())
+      .add("values_wanted", m_Mirror.pendingValues().size())
       .add("bytes", Answer->size())
       .add("took_us", core::steadyNow() - Begin);
 }
@@ -187,7 +187,7 @@
   core::TimePoint Begin = core::steadyNow();
   ValueQuery Query{Key, {}};
   if (const platform::Entry *Known = m_Mirror.find(Key))
-    Query.m_HeldRevision = Known->m_Modified;
+    Query.m_HeldRevision = Known->m_ModRevision;
   http::RequestMessage Request;
   Request.m_Method = "POST";
   Request.m_Target = MirrorServer::ValuePath;
@@ -198,11 +198,12 @@
     return backOff(m_Values);
   auto Transfer = ValueTransfer::decode(*Answer);
   core::Duration Took = core::steadyNow() - Begin;
-  m_Mirror.supply({Key, applyTransfer(Key, Transfer), Transfer.m_Modified});
+  m_Mirror.supplyValue(
+      {Key, applyTransfer(Key, Transfer), Transfer.m_ModRevision});
   core::LogLine("store-value-from-peer")
       .add("peer", From.toString())
       .add("key", Key)
-      .add("revision", Transfer.m_Modified)
+      .add("revision", Transfer.m_ModRevision)
       .add("base", Transfer.m_Base)
       .add("bytes", Answer->size())
       .add("took_us", Took);
@@ -214,7 +215,7 @@
   if (Transfer.m_Base != platform::Revision()) {
     const platform::Entry *Known = m_Mirror.find(Key);
     // The store itself may have said something newer meanwhile.
-    if (!Known || Known->m_Modified != Transfer.m_Base)
+    if (!Known || Known->m_ModRevision != Transfer.m_Base)
       throw Error(ErrorKind::Conflict, "the patch is for another value");
     Base = Known->m_Value;
   }
@@ -236,7 +237,7 @@
                                                     FetchTimeout, Yield);
   Request.m_Headers.set("Host", From.toString());
   Connection->sendRequest(Request, FetchTimeout, Yield);
-  auto Answer = Connection->readWhole(FetchTimeout, MaxTransferBytes, Yield);
+  auto Answer = Connection->readResponse(FetchTimeout, MaxTransferBytes, Yield);
   m_Metrics.count("yardrill_peer_transfer_bytes_received_total",
                   Answer.m_Body.size());
   // It is busy with others, or has not what its report will soon deny.
--- a/Libraries/LibGateway/MirrorServer.cpp
+++ b/Libraries/LibGateway/MirrorServer.cpp
@@ -22,8 +22,8 @@
           [this](http::Exchange &Call, asio::yield_context Yield) {
             send(Call, answer(Call.request()), Yield);
           },
-          http::bareAnswer)) {
-  m_Mirror.setReplacedHook(
+          http::emptyResponse)) {
+  m_Mirror.setReplacedCallback(
       [this](platform::Entry Old) { m_History.addReplaced(std::move(Old)); });
 }
 
@@ -35,7 +35,7 @@
     return answerValue(Request.m_Body);
   if (Target.compare(0, Prefix.size(), Prefix) == 0)
     return answerChanges(Target.substr(Prefix.size()));
-  return http::bareAnswer(404);
+  return http::emptyResponse(404);
 }
 
 static std::optional<platform::Revision> toRevision(const std::string &Text) {
@@ -50,25 +50,25 @@
 http::ResponseMessage MirrorServer::answerChanges(const std::string &Since) {
   auto After = toRevision(Since);
   if (!After)
-    return http::bareAnswer(404);
+    return http::emptyResponse(404);
   MirrorUpdate News = MirrorUpdate::since(m_Mirror, *After);
-  http::ResponseMessage Out = http::bareAnswer(200);
+  http::ResponseMessage Out = http::emptyResponse(200);
   Out.m_Body =
       News.m_IsSnapshot ? snapshotBody() : m_Codec.encodeSigned(News.encode());
   if (Out.m_Body.size() > MaxInlineValueBytes && !tryUpload(Out.m_Body.size()))
-    return http::bareAnswer(503);
+    return http::emptyResponse(503);
   return Out;
 }
 
 const std::string &MirrorServer::snapshotBody() {
   bool IsNewest = m_SnapshotRevision == m_Mirror.revision() &&
-                  m_SnapshotCompleteRevision == m_Mirror.wholeRevision();
+                  m_SnapshotCompleteRevision == m_Mirror.completeRevision();
   if (!m_SnapshotBody.empty() && IsNewest)
     return m_SnapshotBody;
   m_SnapshotBody =
       m_Codec.encodeSigned(MirrorUpdate::snapshot(m_Mirror).encode());
   m_SnapshotRevision = m_Mirror.revision();
-  m_SnapshotCompleteRevision = m_Mirror.wholeRevision();
+  m_SnapshotCompleteRevision = m_Mirror.completeRevision();
   return m_SnapshotBody;
 }
 
@@ -82,26 +82,27 @@
 http::ResponseMessage MirrorServer::answerValue(const std::string &Body) {
   auto Payload = m_Codec.decodeSigned(Body);
   if (std::holds_alternative<peer::DropReason>(Payload))
-    return http::bareAnswer(403);
+    return http::emptyResponse(403);
   ValueQuery Query;
   try {
     Query = ValueQuery::decode(std::get<std::string_view>(Payload));
   } catch (const core::Error &) {
-    return http::bareAnswer(400);
+    return http::emptyResponse(400);
   }
   const platform::Entry *Known = m_Mirror.find(Query.m_Key);
-  if (!Known || !(Query.m_HeldRevision < Known->m_Modified))
-    return http::bareAnswer(404);
+  if (!Known || !(Query.m_HeldRevision < Known->m_ModRevision))
+    return http::emptyResponse(404);
   CachedPatch Found = m_History.patch(*Known, Query.m_HeldRevision);
   if (!tryUpload(Found.m_Patch->size()))
-    return http::bareAnswer(503);
+    return http::emptyResponse(503);
   return signedResponse(
-      ValueTransfer{Known->m_Modified, Found.m_Base, *Found.m_Patch}.encode());
+      ValueTransfer{Known->m_ModRevision, Found.m_Base, *Found.m_Patch}
+          .encode());
 }
 
 http::ResponseMessage
 MirrorServer::signedResponse(std::string_view Payload) const {
-  http::ResponseMessage Out = http::bareAnswer(200);
+  http::ResponseMessage Out = http::emptyResponse(200);
   Out.m_Body = m_Codec.encodeSigned(Payload);
   return Out;
 }
@@ -118,7 +119,7 @@
                   Answer.m_Body.size());
   setOpen(m_Open + 1);
   try {
-    Call.sendWhole(std::move(Answer), Yield);
+    Call.sendResponse(std::move(Answer), Yield);
   } catch (...) {
     setOpen(m_Open - 1);
     throw;
--- a/Libraries/LibGateway/MirrorServer.h
+++ b/Libraries/LibGateway/MirrorServer.h
@@ -63,7 +63,7 @@
   std::string m_SnapshotBody; ///< See snapshotBody(); empty: none yet.
   platform::Revision m_SnapshotRevision; ///< Of the mirror, when it was made.
   platform::Revision
-      m_SnapshotCompleteRevision; ///< The mirror's wholeRevision() then.
+      m_SnapshotCompleteRevision; ///< The mirror's completeRevision() then.
   std::size_t m_Open = 0;         ///< Answers under way.
   std::unique_ptr<http::Server> m_Server;
 };
--- a/Libraries/LibGateway/MirrorUpdate.cpp
+++ b/Libraries/LibGateway/MirrorUpdate.cpp
@@ -12,8 +12,8 @@
 
 /// cereal's hook.
 template <class Archive> void serialize(Archive &Ar, Entry &What) {
-  Ar(What.m_Key, What.m_Value, What.m_Modified, What.m_IsDeleted,
-     What.m_IsDetached);
+  Ar(What.m_Key, What.m_Value, What.m_ModRevision, What.m_IsDeleted,
+     What.m_IsValueOmitted);
 }
 
 } // namespace yardrill::platform
@@ -25,7 +25,7 @@
     if (!isLargeValue(Each.m_Value))
       continue;
     Each.m_Value.clear();
-    Each.m_IsDetached = true;
+    Each.m_IsValueOmitted = true;
   }
 }
 
@@ -87,7 +87,7 @@
 }
 
 template <class Archive> static void serialize(Archive &Ar, ValueTransfer &M) {
-  Ar(M.m_Modified, M.m_Base, M.m_Patch);
+  Ar(M.m_ModRevision, M.m_Base, M.m_Patch);
 }
 
 /// The first byte of an encoded transfer.
--- a/Libraries/LibGateway/MirrorUpdate.h
+++ b/Libraries/LibGateway/MirrorUpdate.h
@@ -52,7 +52,7 @@
 
 /// A large value, as a patch.
 struct ValueTransfer {
-  platform::Revision m_Modified;
+  platform::Revision m_ModRevision;
   platform::Revision m_Base; ///< Of the value it is to be applied to; 0: none.
   std::string m_Patch;       ///< See applyPatch().
 
--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -317,7 +317,7 @@
 
 bool PeerService::hasUnreportedRevision() const {
   return m_LastReport.m_StoreRevision < m_Mirror.revision().value() ||
-         m_LastReport.m_CompleteRevision < m_Mirror.wholeRevision().value();
+         m_LastReport.m_CompleteRevision < m_Mirror.completeRevision().value();
 }
 
 void PeerService::expire(core::TimePoint Now) {
@@ -350,7 +350,7 @@
   Report.m_Name = m_Settings.m_Name;
   Report.m_DataHall = m_Settings.m_DataHall;
   Report.m_StoreRevision = m_Mirror.revision().value();
-  Report.m_CompleteRevision = m_Mirror.wholeRevision().value();
+  Report.m_CompleteRevision = m_Mirror.completeRevision().value();
   Report.m_IsStopping = m_IsStopping;
   m_Hooks.m_FillReport(Report);
   if (Report.m_Targets.size() > MaxTargetsInReport)
@@ -397,7 +397,7 @@
 void PeerService::fetchIfBehind(core::TimePoint Now) {
   std::vector<FetchCandidate> Ahead;
   if (m_Mirror.revision().value() < m_Peers.newestRevision() ||
-      m_Mirror.wholeRevision().value() < m_Peers.newestCompleteRevision())
+      m_Mirror.completeRevision().value() < m_Peers.newestCompleteRevision())
     Ahead = peersAhead();
   // One that does not ask the store has nothing to wait for.
   bool IsPatient = !Ahead.empty() && mustFollowStore();
@@ -410,7 +410,7 @@
     platform::Revision Known(Each.m_Report.m_StoreRevision);
     platform::Revision Whole(Each.m_Report.m_CompleteRevision);
     bool IsAhead =
-        m_Mirror.revision() < Known || m_Mirror.wholeRevision() < Whole;
+        m_Mirror.revision() < Known || m_Mirror.completeRevision() < Whole;
     if (IsAhead && !Each.m_IsSilent)
       Out.push_back({Each.m_Instance.m_Peer, Known, Whole,
                      Each.m_Report.m_DataHall == m_Settings.m_DataHall});
--- a/Libraries/LibGateway/ResponseRelay.cpp
+++ b/Libraries/LibGateway/ResponseRelay.cpp
@@ -7,25 +7,25 @@
 namespace asio = boost::asio;
 
 http::ResponseMessage
-ResponseRelay::readWhole(http::ClientConnection &From,
-                         const http::ResponseHead &Head,
-                         asio::yield_context Yield) const {
+ResponseRelay::readResponse(http::ClientConnection &From,
+                            const http::ResponseHead &Head,
+                            asio::yield_context Yield) const {
   http::ResponseMessage Out;
   Out.m_Head = Head;
   Out.m_Head.m_Headers.removeHopByHop();
   while (true) {
-    std::string Piece = From.readPiece(m_Hooks.m_TargetTimeout(), Yield);
+    std::string Piece = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
     if (Piece.empty())
       return Out;
     Out.m_Body += Piece;
   }
 }
 
-AttemptOutcome ResponseRelay::sendWhole(http::ResponseMessage Answer,
-                                        asio::yield_context Yield) {
+AttemptOutcome ResponseRelay::sendResponse(http::ResponseMessage Answer,
+                                           asio::yield_context Yield) {
   m_Status = Answer.m_Head.m_Status;
   try {
-    m_Caller.sendWhole(std::move(Answer), Yield);
+    m_Caller.sendResponse(std::move(Answer), Yield);
   } catch (const core::Error &) {
     return AttemptOutcome::CallerGone;
   }
@@ -48,7 +48,7 @@
                          asio::yield_context Yield) {
   try {
     start(Head, Yield);
-    m_Caller.sendPiece(Bytes, Yield);
+    m_Caller.sendBodyData(Bytes, Yield);
     if (IsEnd)
       m_Caller.finishStream(Yield);
   } catch (const core::Error &) {
@@ -61,7 +61,7 @@
                                          const http::ResponseHead &Head,
                                          asio::yield_context Yield) {
   while (true) {
-    std::string Piece = From.readPiece(m_Hooks.m_TargetTimeout(), Yield);
+    std::string Piece = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
     bool IsEnd = Piece.empty();
     if (!pass(Head, Piece, IsEnd, Yield))
       return AttemptOutcome::CallerGone;
@@ -78,7 +78,7 @@
   // Whole events only, perhaps of several targets: their sum is not known.
   Streamed.m_ContentLength.reset();
   while (true) {
-    std::string Piece = From.readPiece(m_Hooks.m_TargetTimeout(), Yield);
+    std::string Piece = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
     bool IsEnd = Piece.empty();
     if (IsEnd && m_Events.hasPartial())
       return AttemptOutcome::Failed;
--- a/Libraries/LibGateway/ResponseRelay.h
+++ b/Libraries/LibGateway/ResponseRelay.h
@@ -38,12 +38,12 @@
       : m_Caller(Caller), m_Hooks(std::move(Hooks)) {}
 
   /// Reads the body of a target's answer. \throws core::Error when it breaks.
-  http::ResponseMessage readWhole(http::ClientConnection &From,
-                                  const http::ResponseHead &Head,
-                                  boost::asio::yield_context Yield) const;
+  http::ResponseMessage readResponse(http::ClientConnection &From,
+                                     const http::ResponseHead &Head,
+                                     boost::asio::yield_context Yield) const;
   /// \returns Complete or CallerGone.
-  AttemptOutcome sendWhole(http::ResponseMessage Answer,
-                           boost::asio::yield_context Yield);
+  AttemptOutcome sendResponse(http::ResponseMessage Answer,
+                              boost::asio::yield_context Yield);
   /// Bytes as they come. \throws core::Error when the target's answer breaks.
   AttemptOutcome relayBytes(http::ClientConnection &From,
                             const http::ResponseHead &Head,
--- a/Libraries/LibGateway/RolloutService.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -80,7 +80,7 @@
   if (!Record && !Change.m_IsDeleted)
     core::LogLine("store-entry-unreadable", core::LogLevel::Error)
         .add("key", Change.m_Key)
-        .add("revision", Change.m_Modified);
+        .add("revision", Change.m_ModRevision);
   core::PoolName Name(Change.m_Key.substr(RecordPrefix.size()));
   poolOf(Name).m_State.setRecord(std::move(Record), core::wallSeconds().count(),
                                  core::steadyNow());
--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -92,7 +92,7 @@
   // From before the first value that is wanted: the store has it, whatever
   // becomes of the instances that told of it.
   m_Store.watch(
-      EverythingPrefix, m_Mirror.wholeRevision(),
+      EverythingPrefix, m_Mirror.completeRevision(),
       [this](const std::vector<platform::Entry> &Changes) {
         m_Mirror.apply(m_Store.lastRevision(), Changes);
         noteConnected();
--- a/Libraries/LibGateway/StoreRecord.cpp
+++ b/Libraries/LibGateway/StoreRecord.cpp
@@ -11,7 +11,7 @@
 namespace asio = boost::asio;
 
 std::string StoreRecord::read(const platform::Entry &Change) {
-  m_Revision = Change.m_IsDeleted ? platform::Revision() : Change.m_Modified;
+  m_Revision = Change.m_IsDeleted ? platform::Revision() : Change.m_ModRevision;
   m_Text = Change.m_IsDeleted ? std::string() : Change.m_Value;
   return m_Text;
 }
@@ -19,7 +19,7 @@
 void StoreRecord::logUnreadable(const platform::Entry &Change) const {
   core::LogLine("store-entry-unreadable", core::LogLevel::Error)
       .add("key", Change.m_Key)
-      .add("revision", Change.m_Modified);
+      .add("revision", Change.m_ModRevision);
 }
 
 void StoreRecord::write(const std::string &Text, core::TimePoint Now) {
--- a/Libraries/LibGateway/ValueHistory.cpp
+++ b/Libraries/LibGateway/ValueHistory.cpp
@@ -30,19 +30,19 @@
 
 CachedPatch ValueHistory::patch(const Entry &Newest, platform::Revision Held) {
   KeyHistory &Known = m_Keys[Newest.m_Key];
-  if (Known.m_NewestRevision != Newest.m_Modified)
+  if (Known.m_NewestRevision != Newest.m_ModRevision)
     Known.m_Patches.clear();
-  Known.m_NewestRevision = Newest.m_Modified;
+  Known.m_NewestRevision = Newest.m_ModRevision;
   auto Base = std::find_if(
       Known.m_Older.begin(), Known.m_Older.end(),
-      [Held](const Entry &Each) { return Each.m_Modified == Held; });
+      [Held](const Entry &Each) { return Each.m_ModRevision == Held; });
   bool HasBase = Base != Known.m_Older.end();
   CachedPatch &Out =
-      Known.m_Patches[HasBase ? Base->m_Modified : platform::Revision()];
+      Known.m_Patches[HasBase ? Base->m_ModRevision : platform::Revision()];
   if (Out.m_Patch)
     return Out;
   if (HasBase)
-    Out.m_Base = Base->m_Modified;
+    Out.m_Base = Base->m_ModRevision;
   Out.m_Patch = std::make_shared<const std::string>(
       makePatch(HasBase ? Base->m_Value : std::string(), Newest.m_Value));
   return Out;
--- a/Libraries/LibHTTP/ClientConnection.cpp
+++ b/Libraries/LibHTTP/ClientConnection.cpp
@@ -17,8 +17,8 @@
 using core::Error;
 using core::ErrorKind;
 
-static const std::size_t PieceBytes = 16384;
-static const std::uint32_t HeaderBytes = 65536;
+static const std::size_t ReadBufferBytes = 16384;
+static const std::uint32_t MaxHeaderBytes = 65536;
 
 class ClientConnection::Implementation {
 public:
@@ -31,19 +31,20 @@
   beast::tcp_stream m_Stream;
   beast::flat_buffer m_Buffer;
   std::optional<Parser> m_Parser;
-  bool m_IsHead = false;
-  bool m_IsWhole = false;
-  bool m_IsCloseAnEnd = false;
+  bool m_IsHeadRequest = false;
+  bool m_IsResponseComplete = false;
+  bool m_AllowsCloseDelimitedBody = false;
 };
 
-static void check(error_code Failure, ErrorKind Kind, const char *Doing) {
+static void throwIfFailed(error_code Failure, ErrorKind Kind,
+                          const char *Doing) {
   if (Failure)
     throw Error(Kind, std::string(Doing) + ": " + Failure.message());
 }
 
 /// A machine without power or behind a cut says nothing at all: the kernel's
 /// probes end such a connection after about three seconds.
-static void noticeSilentPeers(tcp::socket &Socket) {
+static void enableKeepAliveProbes(tcp::socket &Socket) {
   using Seconds =
       asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
   using Interval =
@@ -69,12 +70,13 @@
   error_code Failure;
   Impl->m_Stream.expires_after(Timeout);
   Impl->m_Stream.async_connect(Address, Yield[Failure]);
-  check(Failure,
-        Failure == asio::error::connection_refused ? ErrorKind::Refused
-                                                   : ErrorKind::Unavailable,
-        "connect");
+  throwIfFailed(Failure,
+                Failure == asio::error::connection_refused
+                    ? ErrorKind::Refused
+                    : ErrorKind::Unavailable,
+                "connect");
   Impl->m_Stream.socket().set_option(tcp::no_delay(true));
-  noticeSilentPeers(Impl->m_Stream.socket());
+  enableKeepAliveProbes(Impl->m_Stream.socket());
   return std::unique_ptr<ClientConnection>(
       new ClientConnection(std::move(Impl)));
 }
@@ -93,15 +95,17 @@
   if (!Request.m_Body.empty() || Request.m_Method == "POST" ||
       Request.m_Method == "PUT" || Request.m_Method == "PATCH")
     Out.content_length(Request.m_Body.size());
-  m_Impl->m_IsHead = Request.m_Method == "HEAD";
-  m_Impl->m_IsWhole = false;
+  m_Impl->m_IsHeadRequest = Request.m_Method == "HEAD";
+  m_Impl->m_IsResponseComplete = false;
   error_code Failure;
   m_Impl->m_Stream.expires_after(Timeout);
   beast::http::async_write(m_Impl->m_Stream, Out, Yield[Failure]);
-  check(Failure, ErrorKind::OutcomeUnknown, "send request");
+  throwIfFailed(Failure, ErrorKind::OutcomeUnknown, "send request");
 }
 
-void ClientConnection::allowBodyUntilClose() { m_Impl->m_IsCloseAnEnd = true; }
+void ClientConnection::allowCloseDelimitedBody() {
+  m_Impl->m_AllowsCloseDelimitedBody = true;
+}
 
 ResponseHead ClientConnection::readHead(core::Duration Timeout,
                                         asio::yield_context Yield) {
@@ -109,17 +113,17 @@
   error_code Failure;
   do {
     Parser.emplace();
-    Parser->header_limit(HeaderBytes);
+    Parser->header_limit(MaxHeaderBytes);
     Parser->body_limit(boost::none);
-    Parser->skip(m_Impl->m_IsHead);
+    Parser->skip(m_Impl->m_IsHeadRequest);
     m_Impl->m_Stream.expires_after(Timeout);
     beast::http::async_read_header(m_Impl->m_Stream, m_Impl->m_Buffer, *Parser,
                                    Yield[Failure]);
-    check(Failure, ErrorKind::OutcomeUnknown, "read head");
+    throwIfFailed(Failure, ErrorKind::OutcomeUnknown, "read head");
     // Interim answers (RFC 9110, section 15.2) come before the final one.
   } while (Parser->get().result_int() < 200);
-  if (!m_Impl->m_IsCloseAnEnd && !Parser->is_done() && Parser->need_eof() &&
-      !Parser->chunked() && !Parser->content_length())
+  if (!m_Impl->m_AllowsCloseDelimitedBody && !Parser->is_done() &&
+      Parser->need_eof() && !Parser->chunked() && !Parser->content_length())
     throw Error(ErrorKind::OutcomeUnknown, "answer without a length");
   ResponseHead Head;
   Head.m_Status = Parser->get().result_int();
@@ -131,12 +135,12 @@
   return Head;
 }
 
-std::string ClientConnection::readPiece(core::Duration Timeout,
-                                        asio::yield_context Yield) {
+std::string ClientConnection::readBodyData(core::Duration Timeout,
+                                           asio::yield_context Yield) {
   auto &Parser = *m_Impl->m_Parser;
   std::string Piece;
   while (!Parser.is_done() && Piece.empty()) {
-    Piece.resize(PieceBytes);
+    Piece.resize(ReadBufferBytes);
     auto &Body = Parser.get().body();
     Body.data = Piece.data();
     Body.size = Piece.size();
@@ -146,20 +150,20 @@
                                  Yield[Failure]);
     if (Failure == beast::http::error::need_buffer)
       Failure = {};
-    check(Failure, ErrorKind::OutcomeUnknown, "read body");
-    Piece.resize(PieceBytes - Body.size);
+    throwIfFailed(Failure, ErrorKind::OutcomeUnknown, "read body");
+    Piece.resize(ReadBufferBytes - Body.size);
   }
-  m_Impl->m_IsWhole = Parser.is_done();
+  m_Impl->m_IsResponseComplete = Parser.is_done();
   return Piece;
 }
 
-ResponseMessage ClientConnection::readWhole(core::Duration Timeout,
-                                            std::size_t MaximumBytes,
-                                            asio::yield_context Yield) {
+ResponseMessage ClientConnection::readResponse(core::Duration Timeout,
+                                               std::size_t MaximumBytes,
+                                               asio::yield_context Yield) {
   ResponseMessage Out;
   Out.m_Head = readHead(Timeout, Yield);
   while (true) {
-    std::string Piece = readPiece(Timeout, Yield);
+    std::string Piece = readBodyData(Timeout, Yield);
     if (Piece.empty())
       return Out;
     if (Out.m_Body.size() + Piece.size() > MaximumBytes)
@@ -169,7 +173,7 @@
 }
 
 bool ClientConnection::isReusable() {
-  if (!m_Impl->m_IsWhole || !m_Impl->m_Parser->keep_alive() ||
+  if (!m_Impl->m_IsResponseComplete || !m_Impl->m_Parser->keep_alive() ||
       m_Impl->m_Buffer.size() != 0)
     return false;
   char Byte = 0;
--- a/Libraries/LibHTTP/ClientConnection.h
+++ b/Libraries/LibHTTP/ClientConnection.h
@@ -29,17 +29,17 @@
   /// Takes answers with neither length nor chunks, whose body ends with the
   /// connection (RFC 9112, section 6.3). Without this they are an error, since
   /// a stop of the other side looks like their end.
-  void allowBodyUntilClose();
+  void allowCloseDelimitedBody();
   /// \throws core::Error of kind OutcomeUnknown.
   ResponseHead readHead(core::Duration Timeout,
                         boost::asio::yield_context Yield);
   /// \returns the next bytes of the body; empty at its end.
   /// \throws core::Error of kind OutcomeUnknown when the body is cut short.
-  std::string readPiece(core::Duration Timeout,
-                        boost::asio::yield_context Yield);
+  std::string readBodyData(core::Duration Timeout,
+                           boost::asio::yield_context Yield);
   /// readHead() and all pieces; at most \p MaximumBytes.
-  ResponseMessage readWhole(core::Duration Timeout, std::size_t MaximumBytes,
-                            boost::asio::yield_context Yield);
+  ResponseMessage readResponse(core::Duration Timeout, std::size_t MaximumBytes,
+                               boost::asio::yield_context Yield);
 
   /// True when the last answer was read whole and the other side has neither
   /// closed nor sent anything since.
--- a/Libraries/LibHTTP/Message.cpp
+++ b/Libraries/LibHTTP/Message.cpp
@@ -59,7 +59,7 @@
     remove(Name);
 }
 
-ResponseMessage bareAnswer(unsigned Status) {
+ResponseMessage emptyResponse(unsigned Status) {
   ResponseMessage Out;
   Out.m_Head.m_Status = Status;
   return Out;
--- a/Libraries/LibHTTP/Message.h
+++ b/Libraries/LibHTTP/Message.h
@@ -60,7 +60,7 @@
 };
 
 /// Without headers and body.
-ResponseMessage bareAnswer(unsigned Status);
+ResponseMessage emptyResponse(unsigned Status);
 
 } // namespace yardrill::http
 
--- a/Libraries/LibHTTP/Server.cpp
+++ b/Libraries/LibHTTP/Server.cpp
@@ -14,17 +14,19 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-static const std::chrono::milliseconds AcceptRetryTime(50);
+static const std::chrono::milliseconds AcceptRetryDelay(50);
 
 namespace {
 
 class BeastServer final : public Server {
 public:
   BeastServer(asio::io_context &Context, const tcp::endpoint &Address,
-              const ServerLimits &Limits, Handler Handle, Rejection Reject)
+              const ServerLimits &Limits, Handler Handle,
+              ErrorResponseFactory MakeErrorResponse)
       : m_Context(Context), m_Acceptor(Context), m_Limits(Limits),
-        m_Handle(std::move(Handle)), m_Reject(std::move(Reject)),
-        m_RoomTimer(Context) {
+        m_Handle(std::move(Handle)),
+        m_MakeErrorResponse(std::move(MakeErrorResponse)),
+        m_AcceptTimer(Context) {
     listen(Address);
     asio::spawn(
         m_Context, [this](asio::yield_context Yield) { accept(Yield); },
@@ -32,14 +34,14 @@
   }
 
   std::uint16_t port() const override { return m_Port; }
-  std::size_t openConnections() const override { return m_Open.size(); }
+  std::size_t openConnections() const override { return m_Connections.size(); }
   std::size_t openRequests() const override {
     return static_cast<std::size_t>(
-        std::count_if(m_Open.begin(), m_Open.end(),
+        std::count_if(m_Connections.begin(), m_Connections.end(),
                       [](const auto &C) { return !C->isIdle(); }));
   }
   void setLimits(const ServerLimits &Limits) override { m_Limits = Limits; }
-  void closeAfterAnswers() override { m_IsClosing = true; }
+  void disableKeepAlive() override { m_IsKeepAliveDisabled = true; }
   void stopAccepting() override;
 
 private:
@@ -51,10 +53,10 @@
   tcp::acceptor m_Acceptor;
   ServerLimits m_Limits;
   Handler m_Handle;
-  Rejection m_Reject;
-  core::Timer m_RoomTimer; ///< Cancelled when a connection closes.
-  std::list<std::shared_ptr<ServerConnection>> m_Open;
-  bool m_IsClosing = false; ///< Each connection after its answer.
+  ErrorResponseFactory m_MakeErrorResponse;
+  core::Timer m_AcceptTimer; ///< Cancelled when a connection closes.
+  std::list<std::shared_ptr<ServerConnection>> m_Connections;
+  bool m_IsKeepAliveDisabled = false; ///< Each connection after its answer.
   bool m_IsStopping = false;
   std::uint16_t m_Port = 0;
 };
@@ -81,9 +83,9 @@
 void BeastServer::accept(asio::yield_context Yield) {
   while (!m_IsStopping) {
     error_code Failure;
-    if (m_Open.size() >= m_Limits.m_OpenConnections) {
-      m_RoomTimer.expires_at(core::Timer::time_point::max());
-      m_RoomTimer.async_wait(Yield[Failure]);
+    if (m_Connections.size() >= m_Limits.m_OpenConnections) {
+      m_AcceptTimer.expires_at(core::Timer::time_point::max());
+      m_AcceptTimer.async_wait(Yield[Failure]);
       continue;
     }
     tcp::socket Socket(m_Context);
@@ -97,16 +99,16 @@
     // Out of file descriptors, as a rule: wait for some to be closed.
     core::LogLine("accept-failed", core::LogLevel::Warning)
         .add("reason", Failure.message());
-    m_RoomTimer.expires_after(AcceptRetryTime);
-    m_RoomTimer.async_wait(Yield[Failure]);
+    m_AcceptTimer.expires_after(AcceptRetryDelay);
+    m_AcceptTimer.async_wait(Yield[Failure]);
   }
 }
 
 void BeastServer::serve(tcp::socket Socket) {
-  auto Place = m_Open.insert(
-      m_Open.end(),
-      std::make_shared<ServerConnection>(std::move(Socket), m_Limits, m_Handle,
-                                         m_Reject, m_IsClosing));
+  auto Place = m_Connections.insert(
+      m_Connections.end(), std::make_shared<ServerConnection>(
+                               std::move(Socket), m_Limits, m_Handle,
+                               m_MakeErrorResponse, m_IsKeepAliveDisabled));
   asio::spawn(
       m_Context,
       [this, Place](asio::yield_context Yield) {
@@ -118,17 +120,17 @@
               .add("reason", Failure.what());
           Owned->abort();
         }
-        m_Open.erase(Place);
-        m_RoomTimer.cancel();
+        m_Connections.erase(Place);
+        m_AcceptTimer.cancel();
       },
       asio::detached);
 }
 
 void BeastServer::stopAccepting() {
-  m_IsClosing = m_IsStopping = true;
+  m_IsKeepAliveDisabled = m_IsStopping = true;
   m_Acceptor.close();
-  m_RoomTimer.cancel();
-  for (auto &Open : m_Open)
+  m_AcceptTimer.cancel();
+  for (auto &Open : m_Connections)
     if (Open->isIdle())
       Open->close();
 }
@@ -136,9 +138,11 @@
 std::unique_ptr<Server> Server::create(asio::io_context &Context,
                                        const tcp::endpoint &Address,
                                        const ServerLimits &Limits,
-                                       Handler Handle, Rejection Reject) {
+                                       Handler Handle,
+                                       ErrorResponseFactory MakeErrorResponse) {
   return std::make_unique<BeastServer>(Context, Address, Limits,
-                                       std::move(Handle), std::move(Reject));
+                                       std::move(Handle),
+                                       std::move(MakeErrorResponse));
 }
 
 } // namespace yardrill::http
--- a/Libraries/LibHTTP/Server.h
+++ b/Libraries/LibHTTP/Server.h
@@ -33,18 +33,18 @@
   virtual ~Exchange() = default;
 
   virtual RequestMessage &request() = 0;
-  virtual void sendWhole(ResponseMessage Response,
-                         boost::asio::yield_context Yield) = 0;
+  virtual void sendResponse(ResponseMessage Response,
+                            boost::asio::yield_context Yield) = 0;
   /// Sends the head at once; the body follows in pieces.
   virtual void startStream(const ResponseHead &Head,
                            boost::asio::yield_context Yield) = 0;
-  virtual void sendPiece(std::string_view Piece,
-                         boost::asio::yield_context Yield) = 0;
+  virtual void sendBodyData(std::string_view Piece,
+                            boost::asio::yield_context Yield) = 0;
   virtual void finishStream(boost::asio::yield_context Yield) = 0;
   /// Closes the connection, so that an answer in progress is seen as broken.
   virtual void abort() = 0;
   /// \p Hook runs once if the caller closes before the answer is complete.
-  virtual void setHangUpHook(std::function<void()> Hook) = 0;
+  virtual void setDisconnectCallback(std::function<void()> Hook) = 0;
   virtual bool isStreamStarted() const = 0;
 };
 
@@ -55,7 +55,7 @@
   using Handler = std::function<void(Exchange &, boost::asio::yield_context)>;
   /// Makes the answer to a request that could not be read; the status is one
   /// of 400, 408, 413, 431, 501 and 505.
-  using Rejection = std::function<ResponseMessage(unsigned Status)>;
+  using ErrorResponseFactory = std::function<ResponseMessage(unsigned Status)>;
 
   virtual ~Server() = default;
 
@@ -63,7 +63,8 @@
   static std::unique_ptr<Server>
   create(boost::asio::io_context &Context,
          const boost::asio::ip::tcp::endpoint &Address,
-         const ServerLimits &Limits, Handler Handle, Rejection Reject);
+         const ServerLimits &Limits, Handler Handle,
+         ErrorResponseFactory MakeErrorResponse);
 
   virtual std::uint16_t port() const = 0;
   virtual std::size_t openConnections() const = 0;
@@ -73,7 +74,7 @@
   virtual void setLimits(const ServerLimits &Limits) = 0;
   /// Goes on accepting, but closes each connection after its next answer, which
   /// says so.
-  virtual void closeAfterAnswers() = 0;
+  virtual void disableKeepAlive() = 0;
   /// Accepts nothing new and closes each connection after its answer.
   virtual void stopAccepting() = 0;
 };
--- a/Libraries/LibHTTP/ServerConnection.cpp
+++ b/Libraries/LibHTTP/ServerConnection.cpp
@@ -36,18 +36,18 @@
   m_Stream.socket().non_blocking(true);
   while (!m_IsAborted) {
     m_IsIdle = m_Buffer.size() == 0;
-    m_IsAnswered = m_IsStreamStarted = m_IsChunked = false;
+    m_IsResponseComplete = m_IsStreamStarted = m_IsChunked = false;
     unsigned Status = readRequest(Yield);
-    if (Status == NoAnswer)
+    if (Status == NoResponse)
       break;
     if (Status != 0) {
-      refuse(Status, Yield);
+      sendErrorResponse(Status, Yield);
       break;
     }
-    watchForHangUp();
+    watchForDisconnect();
     m_Handle(*this, Yield);
-    m_HangUpHook.reset();
-    if (m_IsAborted || !m_IsAnswered || mustClose())
+    m_DisconnectCallback.reset();
+    if (m_IsAborted || !m_IsResponseComplete || mustCloseAfterResponse())
       break;
   }
   close();
@@ -83,7 +83,7 @@
     m_Buffer.commit(Size);
     m_Stream.expires_never();
     if (Failure)
-      return NoAnswer;
+      return NoResponse;
     // From here on a planned stop waits for it.
     m_IsIdle = false;
   }
@@ -114,7 +114,7 @@
     beast::http::async_read(m_Stream, m_Buffer, Parser, Yield[Failure]);
   stopReadTimer();
   if (Failure)
-    return m_HasTimedOut ? 408 : statusOf(Failure, IsHeaderRead);
+    return m_HasTimedOut ? 408 : statusForReadError(Failure, IsHeaderRead);
   m_KeepAlive = Parser.get().keep_alive();
   m_Request.m_Method = std::string(Parser.get().method_string());
   m_Request.m_Target = std::string(Parser.get().target());
@@ -126,27 +126,28 @@
   return 0;
 }
 
-unsigned ServerConnection::statusOf(error_code Failure,
-                                    bool IsHeaderRead) const {
+unsigned ServerConnection::statusForReadError(error_code Failure,
+                                              bool IsHeaderRead) const {
   if (Failure == beast::http::error::header_limit)
     return 431;
   if (Failure == beast::http::error::body_limit)
     return 413;
   if (Failure == beast::http::error::end_of_stream ||
       Failure == beast::http::error::partial_message)
-    return IsHeaderRead || m_Buffer.size() != 0 ? 400 : NoAnswer;
+    return IsHeaderRead || m_Buffer.size() != 0 ? 400 : NoResponse;
   // The parser's own errors are about the text; others, about the socket.
   bool IsParserError =
       Failure.category() ==
       make_error_code(beast::http::error::bad_method).category();
-  return IsParserError ? 400 : NoAnswer;
+  return IsParserError ? 400 : NoResponse;
 }
 
-void ServerConnection::refuse(unsigned Status, asio::yield_context Yield) {
+void ServerConnection::sendErrorResponse(unsigned Status,
+                                         asio::yield_context Yield) {
   m_Request = RequestMessage();
   m_KeepAlive = false;
   try {
-    sendWhole(m_Reject(Status), Yield);
+    sendResponse(m_MakeErrorResponse(Status), Yield);
     linger(Yield);
   } catch (const core::Error &) {
     // The caller left; there is nobody to tell.
@@ -166,17 +167,17 @@
   }
 }
 
-void ServerConnection::setHangUpHook(std::function<void()> Hook) {
-  if (m_HangUpHook)
-    *m_HangUpHook = std::move(Hook);
+void ServerConnection::setDisconnectCallback(std::function<void()> Hook) {
+  if (m_DisconnectCallback)
+    *m_DisconnectCallback = std::move(Hook);
 }
 
-void ServerConnection::watchForHangUp() {
-  m_HangUpHook = std::make_shared<std::function<void()>>();
-  waitForHangUp(m_HangUpHook);
+void ServerConnection::watchForDisconnect() {
+  m_DisconnectCallback = std::make_shared<std::function<void()>>();
+  waitForDisconnect(m_DisconnectCallback);
 }
 
-void ServerConnection::waitForHangUp(
+void ServerConnection::waitForDisconnect(
     const std::weak_ptr<std::function<void()>> &Weak) {
   m_Stream.socket().async_wait(
       tcp::socket::wait_read, [this, Weak](error_code Failure) {
@@ -190,14 +191,14 @@
                                   tcp::socket::message_peek, PeekFailure);
         // The event may be about bytes that were read meanwhile.
         if (PeekFailure == asio::error::would_block)
-          return waitForHangUp(Weak);
+          return waitForDisconnect(Weak);
         // Data means a pipelined request: the caller is still there.
         if (PeekFailure && *Hook)
           (*Hook)();
       });
 }
 
-void ServerConnection::checkWritten(error_code Failure) {
+void ServerConnection::throwIfWriteFailed(error_code Failure) {
   m_Stream.expires_never();
   if (!Failure)
     return;
@@ -206,12 +207,12 @@
                     "caller is gone: " + Failure.message());
 }
 
-void ServerConnection::sendWhole(ResponseMessage Response,
-                                 asio::yield_context Yield) {
+void ServerConnection::sendResponse(ResponseMessage Response,
+                                    asio::yield_context Yield) {
   beast::http::response<beast::http::string_body> Out;
   copyHead(Response.m_Head, Out);
   Out.version(11);
-  Out.keep_alive(!mustClose());
+  Out.keep_alive(!mustCloseAfterResponse());
   error_code Failure;
   m_Stream.expires_after(m_Limits.m_WriteTimeout);
   bool NoBody = hasNoBody(Response.m_Head.m_Status, m_Request.m_Method);
@@ -224,8 +225,8 @@
     beast::http::async_write_header(m_Stream, Serializer, Yield[Failure]);
   else
     beast::http::async_write(m_Stream, Serializer, Yield[Failure]);
-  checkWritten(Failure);
-  m_IsAnswered = true;
+  throwIfWriteFailed(Failure);
+  m_IsResponseComplete = true;
 }
 
 void ServerConnection::startStream(const ResponseHead &Head,
@@ -233,7 +234,7 @@
   beast::http::response<beast::http::empty_body> Out;
   copyHead(Head, Out);
   Out.version(11);
-  Out.keep_alive(!mustClose());
+  Out.keep_alive(!mustCloseAfterResponse());
   m_HasNoBody = hasNoBody(Head.m_Status, m_Request.m_Method);
   m_IsChunked = !Head.m_ContentLength && !m_HasNoBody;
   if (Head.m_ContentLength)
@@ -245,11 +246,11 @@
   m_Stream.expires_after(m_Limits.m_WriteTimeout);
   m_IsStreamStarted = true;
   beast::http::async_write_header(m_Stream, Serializer, Yield[Failure]);
-  checkWritten(Failure);
+  throwIfWriteFailed(Failure);
 }
 
-void ServerConnection::sendPiece(std::string_view Piece,
-                                 asio::yield_context Yield) {
+void ServerConnection::sendBodyData(std::string_view Piece,
+                                    asio::yield_context Yield) {
   // An empty chunk would end the body.
   if (Piece.empty() || m_HasNoBody)
     return;
@@ -260,7 +261,7 @@
     asio::async_write(m_Stream, beast::http::make_chunk(Bytes), Yield[Failure]);
   else
     asio::async_write(m_Stream, Bytes, Yield[Failure]);
-  checkWritten(Failure);
+  throwIfWriteFailed(Failure);
 }
 
 void ServerConnection::finishStream(asio::yield_context Yield) {
@@ -268,8 +269,8 @@
   m_Stream.expires_after(m_Limits.m_WriteTimeout);
   if (m_IsChunked)
     asio::async_write(m_Stream, beast::http::make_chunk_last(), Yield[Failure]);
-  checkWritten(Failure);
-  m_IsAnswered = true;
+  throwIfWriteFailed(Failure);
+  m_IsResponseComplete = true;
 }
 
 void ServerConnection::abort() {
--- a/Libraries/LibHTTP/ServerConnection.h
+++ b/Libraries/LibHTTP/ServerConnection.h
@@ -22,40 +22,45 @@
 public:
   ServerConnection(boost::asio::ip::tcp::socket Socket,
                    const ServerLimits &Limits, const Server::Handler &Handle,
-                   const Server::Rejection &Reject, const bool &IsClosing)
+                   const Server::ErrorResponseFactory &MakeErrorResponse,
+                   const bool &IsKeepAliveDisabled)
       : m_Stream(std::move(Socket)), m_ReadTimer(m_Stream.get_executor()),
-        m_Limits(Limits), m_Handle(Handle), m_Reject(Reject),
-        m_IsClosing(IsClosing) {}
+        m_Limits(Limits), m_Handle(Handle),
+        m_MakeErrorResponse(MakeErrorResponse),
+        m_IsKeepAliveDisabled(IsKeepAliveDisabled) {}
 
   void run(boost::asio::yield_context Yield);
   bool isIdle() const { return m_IsIdle; }
   void close();
 
   RequestMessage &request() override { return m_Request; }
-  void sendWhole(ResponseMessage Response,
-                 boost::asio::yield_context Yield) override;
+  void sendResponse(ResponseMessage Response,
+                    boost::asio::yield_context Yield) override;
   void startStream(const ResponseHead &Head,
                    boost::asio::yield_context Yield) override;
-  void sendPiece(std::string_view Piece,
-                 boost::asio::yield_context Yield) override;
+  void sendBodyData(std::string_view Piece,
+                    boost::asio::yield_context Yield) override;
   void finishStream(boost::asio::yield_context Yield) override;
   void abort() override;
-  void setHangUpHook(std::function<void()> Hook) override;
+  void setDisconnectCallback(std::function<void()> Hook) override;
   bool isStreamStarted() const override { return m_IsStreamStarted; }
 
 private:
   /// \returns 0 when a request was read, else the status that refuses it;
-  /// NoAnswer when there is nobody to answer.
+  /// NoResponse when there is nobody to answer.
   unsigned readRequest(boost::asio::yield_context Yield);
-  unsigned statusOf(boost::system::error_code Failure, bool IsHeaderRead) const;
-  void refuse(unsigned Status, boost::asio::yield_context Yield);
+  unsigned statusForReadError(boost::system::error_code Failure,
+                              bool IsHeaderRead) const;
+  void sendErrorResponse(unsigned Status, boost::asio::yield_context Yield);
   void linger(boost::asio::yield_context Yield);
-  void watchForHangUp();
-  void waitForHangUp(const std::weak_ptr<std::function<void()>> &Weak);
-  void checkWritten(boost::system::error_code Failure);
-  bool mustClose() const { return !m_KeepAlive || m_IsClosing; }
+  void watchForDisconnect();
+  void waitForDisconnect(const std::weak_ptr<std::function<void()>> &Weak);
+  void throwIfWriteFailed(boost::system::error_code Failure);
+  bool mustCloseAfterResponse() const {
+    return !m_KeepAlive || m_IsKeepAliveDisabled;
+  }
 
-  static const unsigned NoAnswer = 1;
+  static const unsigned NoResponse = 1;
 
   /// Ends a read that takes too long. The stream's own timer would close the
   /// socket, and then the caller could not be told.
@@ -67,19 +72,19 @@
   bool m_HasTimedOut = false;
   const ServerLimits &m_Limits;
   const Server::Handler &m_Handle;
-  const Server::Rejection &m_Reject;
-  const bool &m_IsClosing;
+  const Server::ErrorResponseFactory &m_MakeErrorResponse;
+  const bool &m_IsKeepAliveDisabled;
   boost::beast::flat_buffer m_Buffer;
   RequestMessage m_Request;
   bool m_KeepAlive = true;
   bool m_IsIdle = true;
   bool m_IsAborted = false;
-  bool m_IsAnswered = false;
+  bool m_IsResponseComplete = false;
   bool m_IsStreamStarted = false;
   bool m_IsChunked = false;
   bool m_HasNoBody = false;
   /// Shared with a pending wait, which may outlive this exchange.
-  std::shared_ptr<std::function<void()>> m_HangUpHook;
+  std::shared_ptr<std::function<void()>> m_DisconnectCallback;
 };
 
 } // namespace yardrill::http
--- a/Libraries/LibInstance/DecisionDuty.cpp
+++ b/Libraries/LibInstance/DecisionDuty.cpp
@@ -11,7 +11,7 @@
 
 DecisionDuty::DecisionDuty(std::size_t RingCapacity,
                            const std::string &TraceFile)
-    : m_Thread("decision"), m_Events(RingCapacity, m_Thread.waker([this] {
+    : m_Thread("decision"), m_Events(RingCapacity, m_Thread.makeWaker([this] {
         m_Events.drain([this](const decision::Event &What) {
           handle(What, core::steadyNow());
         });
@@ -42,7 +42,7 @@
 
 void DecisionDuty::handle(const decision::Event &What, core::TimePoint Now) {
   std::vector<decision::Action> Actions = m_Core.handle(What, Now);
-  // Anything thrown here is a fault of ours: DutyThread logs it as
+  // Anything thrown here is a fault of ours: EventLoopThread logs it as
   // duty-failure, and the tests look for that line.
   if (m_Trace)
     m_Trace->write(What, Now, Actions);
--- a/Libraries/LibInstance/DecisionDuty.h
+++ b/Libraries/LibInstance/DecisionDuty.h
@@ -2,8 +2,8 @@
 #ifndef YARDRILL_LIBINSTANCE_DECISIONDUTY_H
 #define YARDRILL_LIBINSTANCE_DECISIONDUTY_H
 
-#include "LibCore/DutyThread.h"
-#include "LibCore/Ring.h"
+#include "LibCore/EventLoopThread.h"
+#include "LibCore/MPSCQueue.h"
 #include "LibCore/TimerService.h"
 #include "LibDecision/DecisionCore.h"
 #include "LibDecision/Trace.h"
@@ -71,8 +71,8 @@
   void handle(const decision::Event &What, core::TimePoint Now);
   void publishStatus(core::TimePoint Now);
 
-  core::DutyThread m_Thread;
-  core::Ring<decision::Event> m_Events;
+  core::EventLoopThread m_Thread;
+  core::MPSCQueue<decision::Event> m_Events;
   core::SteadyTimerService m_Timers;
   decision::DecisionCore m_Core;
   ActionSink m_Sink;
--- a/Libraries/LibInstance/OpenRequest.cpp
+++ b/Libraries/LibInstance/OpenRequest.cpp
@@ -25,7 +25,7 @@
 
 OpenRequest::~OpenRequest() {
   m_Duty.m_Open.erase(m_Id);
-  m_Caller.setHangUpHook(nullptr);
+  m_Caller.setDisconnectCallback(nullptr);
 }
 
 void OpenRequest::take(decision::Action What) {
@@ -41,7 +41,7 @@
 }
 
 void OpenRequest::run(asio::yield_context Yield) {
-  m_Caller.setHangUpHook([this] { callerHungUp(); });
+  m_Caller.setDisconnectCallback([this] { callerHungUp(); });
   if (!m_Duty.m_Hooks.m_TryPush(m_Request.m_Arrival)) {
     sendProblem(toProblem(RefusalKind::QueueFull, 1), Yield);
     return finish("refused");
@@ -102,7 +102,7 @@
     std::unique_ptr<http::ClientConnection> Target;
     try {
       Target =
-          m_Duty.m_Targets.open(What.m_Address.toTcp(), m_IsKeeping, Yield);
+          m_Duty.m_Targets.acquire(What.m_Address.toTcp(), m_IsKeeping, Yield);
     } catch (const Error &Failure) {
       core::LogLine("connect-failed", core::LogLevel::Warning)
           .add("request", m_PrintableId)
@@ -122,7 +122,7 @@
       Outcome = runAtTarget(*Target, Yield);
     m_Target = nullptr;
     if (Outcome == ResponseOutcome::Complete)
-      m_Duty.m_Targets.giveBack(What.m_Address.toTcp(), std::move(Target));
+      m_Duty.m_Targets.release(What.m_Address.toTcp(), std::move(Target));
   }
   bool IsKept = false;
   if (Outcome == ResponseOutcome::Complete && m_IsKeeping &&
@@ -193,11 +193,11 @@
   m_Kept.m_Head.m_ContentLength.reset();
   passOn([&] { m_Caller.startStream(Head, Yield); });
   while (true) {
-    std::string Piece = From.readPiece(Silence, Yield);
+    std::string Piece = From.readBodyData(Silence, Yield);
     if (Piece.empty())
       break;
     notePiece(Piece);
-    passOn([&] { m_Caller.sendPiece(Piece, Yield); });
+    passOn([&] { m_Caller.sendBodyData(Piece, Yield); });
   }
   passOn([&] { m_Caller.finishStream(Yield); });
 }
@@ -273,7 +273,7 @@
   }
   http::ResponseMessage Answer = *Stored;
   m_Status = Answer.m_Head.m_Status;
-  passOn([&] { m_Caller.sendWhole(std::move(Answer), Yield); });
+  passOn([&] { m_Caller.sendResponse(std::move(Answer), Yield); });
   finish("complete-again");
 }
 
@@ -286,7 +286,8 @@
   Request.m_Headers.set(AccountHeader, m_Request.m_Arrival.m_Account.value());
   m_Duty.m_Signature.sign(Request, core::wallSeconds().count());
   try {
-    auto Home = m_Duty.m_Targets.open(What.m_Owner.m_Peer.toTcp(), true, Yield);
+    auto Home =
+        m_Duty.m_Targets.acquire(What.m_Owner.m_Peer.toTcp(), true, Yield);
     m_Target = Home.get();
     Home->sendRequest(Request, m_Duty.m_Settings.m_Targets.m_SilenceTimeout,
                       Yield);
@@ -319,7 +320,7 @@
   if (m_IsCallerGone)
     return;
   try {
-    m_Caller.sendWhole(toResponse(What, m_PrintableId), Yield);
+    m_Caller.sendResponse(toResponse(What, m_PrintableId), Yield);
   } catch (const Error &) {
     m_IsCallerGone = true;
   }
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerDuty.cpp
@@ -35,7 +35,7 @@
       m_Directory(Settings.m_Peers.m_KnownPeers,
                   Settings.m_Peers.m_SilenceTimeout),
       m_Signature(Settings.m_Peers.m_Key),
-      m_Actions(Settings.m_RingCapacity, m_Thread.waker([this] {
+      m_Actions(Settings.m_RingCapacity, m_Thread.makeWaker([this] {
         m_Actions.drain([this](const decision::Action &What) { act(What); });
       })),
       m_Socket(m_Thread.context(), Settings.m_PeerAddress, m_Codec),
@@ -124,7 +124,8 @@
     Request.m_Headers.set("Host", From.toString());
     m_Signature.sign(Request, core::wallSeconds().count());
     Connection->sendRequest(Request, FetchTimeout, Yield);
-    auto Answer = Connection->readWhole(FetchTimeout, MostEnvelopeBytes, Yield);
+    auto Answer =
+        Connection->readResponse(FetchTimeout, MostEnvelopeBytes, Yield);
     if (Answer.m_Head.m_Status == 200)
       m_Configuration.offer(ConfigurationEnvelope::parse(Answer.m_Body));
   } catch (const std::exception &Failure) {
--- a/Libraries/LibInstance/PeerDuty.h
+++ b/Libraries/LibInstance/PeerDuty.h
@@ -3,8 +3,8 @@
 #define YARDRILL_LIBINSTANCE_PEERDUTY_H
 
 #include "LibConfig/InstanceSettings.h"
-#include "LibCore/DutyThread.h"
-#include "LibCore/Ring.h"
+#include "LibCore/EventLoopThread.h"
+#include "LibCore/MPSCQueue.h"
 #include "LibCore/TimerService.h"
 #include "LibDecision/Action.h"
 #include "LibDecision/Event.h"
@@ -69,7 +69,7 @@
   void drop(peer::DropReason Reason);
   void publishStatus(core::TimePoint Now);
 
-  core::DutyThread m_Thread;
+  core::EventLoopThread m_Thread;
   core::SteadyTimerService m_Timers;
   const config::InstanceSettings &m_Settings;
   decision::InstanceRef m_Self;
@@ -79,7 +79,7 @@
   peer::PeerCodec m_Codec;
   peer::PeerDirectory m_Directory;
   PeerSignature m_Signature;
-  core::Ring<decision::Action> m_Actions;
+  core::MPSCQueue<decision::Action> m_Actions;
   peer::PeerSocket m_Socket;
   std::mt19937_64 m_Random;
   std::vector<config::Endpoint> m_Listed;
--- a/Libraries/LibInstance/PlatformDuty.cpp
+++ b/Libraries/LibInstance/PlatformDuty.cpp
@@ -30,7 +30,7 @@
   Out.m_CallTimeout = Settings.m_CallTimeout;
   Out.m_CallsPerSecond = Settings.m_CallsPerSecond;
   Out.m_CallBurst = Settings.m_CallBurst;
-  Out.m_WaitingCalls = Settings.m_WaitingCalls;
+  Out.m_MaxWaitingCalls = Settings.m_MaxWaitingCalls;
   return Out;
 }
 
@@ -45,7 +45,7 @@
       m_Service(m_Thread.context(), toStoreSettings(Settings.m_Platform)),
       m_Claims(m_Service, std::move(Self), Settings.m_Identities.m_Retention),
       m_ThresholdRecords(m_Service),
-      m_Actions(Settings.m_RingCapacity, m_Thread.waker([this] {
+      m_Actions(Settings.m_RingCapacity, m_Thread.makeWaker([this] {
         m_Actions.drain([this](const decision::Action &What) { take(What); });
       })) {}
 
@@ -102,7 +102,7 @@
   m_Metrics.setGauge("yardrill_platform_call_failures",
                      static_cast<double>(Counters.m_Failures));
   m_Metrics.setGauge("yardrill_platform_budget_refusals",
-                     static_cast<double>(Counters.m_BudgetRefusals));
+                     static_cast<double>(Counters.m_RateLimitedCalls));
 }
 
 //===----------------------------------------------------------------------===//
@@ -229,7 +229,7 @@
   auto Current = m_Service.read(ConfigurationKey, CallClass::Control, Yield);
   if (Current) {
     Standing = ConfigurationEnvelope::parse(Current->m_Value);
-    Swap.m_Expected = Current->m_Modified;
+    Swap.m_Expected = Current->m_ModRevision;
   }
   if (Standing.hasChange(Request.m_Change))
     return Standing.m_Version;
--- a/Libraries/LibInstance/PlatformDuty.h
+++ b/Libraries/LibInstance/PlatformDuty.h
@@ -3,8 +3,8 @@
 #define YARDRILL_LIBINSTANCE_PLATFORMDUTY_H
 
 #include "LibConfig/InstanceSettings.h"
-#include "LibCore/DutyThread.h"
-#include "LibCore/Ring.h"
+#include "LibCore/EventLoopThread.h"
+#include "LibCore/MPSCQueue.h"
 #include "LibCore/TimerService.h"
 #include "LibDecision/Action.h"
 #include "LibDecision/Event.h"
@@ -67,7 +67,7 @@
   void pause(core::Duration Length, boost::asio::yield_context Yield);
   void updateMetrics();
 
-  core::DutyThread m_Thread;
+  core::EventLoopThread m_Thread;
   core::SteadyTimerService m_Timers;
   ConfigurationKeeper &m_Configuration;
   metrics::MetricsRegistry &m_Metrics;
@@ -77,7 +77,7 @@
   ThresholdRecordService m_ThresholdRecords;
   InstanceList m_List;
   std::map<core::TargetName, bool> m_LeavingTargets;
-  core::Ring<decision::Action> m_Actions;
+  core::MPSCQueue<decision::Action> m_Actions;
 };
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/ThresholdRecordService.cpp
+++ b/Libraries/LibInstance/ThresholdRecordService.cpp
@@ -49,7 +49,7 @@
         Out.m_IsLeaderLive = true;
       if (Item.m_Key != Prefix + "record")
         continue;
-      Out.m_Revision = Item.m_Modified.value();
+      Out.m_Revision = Item.m_ModRevision.value();
       Out.m_Record = toRecord(Item.m_Value);
     }
     return Out;
--- a/Libraries/LibInstance/TrafficDuty.cpp
+++ b/Libraries/LibInstance/TrafficDuty.cpp
@@ -62,7 +62,7 @@
     : m_Thread("traffic"), m_Settings(Settings), m_Self(Self),
       m_Configuration(Configuration), m_Metrics(Metrics),
       m_Hooks(std::move(Hooks)),
-      m_Actions(Settings.m_RingCapacity, m_Thread.waker([this] {
+      m_Actions(Settings.m_RingCapacity, m_Thread.makeWaker([this] {
         m_Actions.drain(
             [this](decision::Action What) { take(std::move(What)); });
       })),
@@ -166,12 +166,12 @@
   config::ConfigurationHandle Current = m_Configuration.current();
   if (!Current) {
     Problem NotReady = toProblem(decision::RefusalKind::NotReady, 1);
-    return Caller.sendWhole(toResponse(NotReady, ""), Yield);
+    return Caller.sendResponse(toResponse(NotReady, ""), Yield);
   }
   RequestReader Reader(*Current, m_Tickets);
   auto Account = Reader.authenticate(Caller.request());
   if (const auto *Wrong = std::get_if<Problem>(&Account))
-    return Caller.sendWhole(toResponse(*Wrong, ""), Yield);
+    return Caller.sendResponse(toResponse(*Wrong, ""), Yield);
   const auto *Owner = std::get<const config::ClientAccount *>(Account);
   if (Caller.request().m_Target == TicketsPath)
     return issueTickets(Caller, *Owner, Yield);
@@ -186,7 +186,7 @@
   auto Read = Reader.read(Caller.request(), Account);
   core::RequestId Id(m_NextRequest++);
   if (const auto *Wrong = std::get_if<Problem>(&Read))
-    return Caller.sendWhole(toResponse(*Wrong, printable(Id)), Yield);
+    return Caller.sendResponse(toResponse(*Wrong, printable(Id)), Yield);
   auto &Request = std::get<ReadRequest>(Read);
   Request.m_Arrival.m_Request = Id;
   Request.m_Arrival.m_IsForwarded = IsForwarded;
@@ -212,7 +212,7 @@
     Wrong.m_Status = 400;
     Wrong.m_Type = "bad-ticket-request";
     Wrong.m_Title = "POST {\"count\": N} with N from 1 to 1000";
-    return Caller.sendWhole(toResponse(Wrong, ""), Yield);
+    return Caller.sendResponse(toResponse(Wrong, ""), Yield);
   }
   boost::json::array Tickets;
   core::TimePoint Now = core::steadyNow();
@@ -227,7 +227,7 @@
       boost::json::serialize(boost::json::object{
           {"tickets", Tickets}, {"expires_in_seconds", Lifetime.count()}}) +
       "\n";
-  Caller.sendWhole(std::move(Answer), Yield);
+  Caller.sendResponse(std::move(Answer), Yield);
 }
 
 //===----------------------------------------------------------------------===//
@@ -241,7 +241,7 @@
     Wrong.m_Status = 403;
     Wrong.m_Type = "not-a-peer";
     Wrong.m_Title = "The signature is not valid";
-    return Peer.sendWhole(toResponse(Wrong, ""), Yield);
+    return Peer.sendResponse(toResponse(Wrong, ""), Yield);
   }
   if (Peer.request().m_Target == PeerConfigurationPath)
     return sendConfiguration(Peer, Yield);
@@ -252,7 +252,7 @@
     Account = Current->findAccount(core::AccountName(*Name));
   if (!Account) {
     Problem NotReady = toProblem(decision::RefusalKind::NotReady, 1);
-    return Peer.sendWhole(toResponse(NotReady, ""), Yield);
+    return Peer.sendResponse(toResponse(NotReady, ""), Yield);
   }
   serve(Peer, *Account, Current, true, Yield);
 }
@@ -263,7 +263,7 @@
   Answer.m_Head.m_Status = 200;
   Answer.m_Head.m_Headers.set("Content-Type", "application/json");
   Answer.m_Body = m_Configuration.envelope().toJson();
-  Peer.sendWhole(std::move(Answer), Yield);
+  Peer.sendResponse(std::move(Answer), Yield);
 }
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/TrafficDuty.h
+++ b/Libraries/LibInstance/TrafficDuty.h
@@ -9,8 +9,8 @@
 #define YARDRILL_LIBINSTANCE_TRAFFICDUTY_H
 
 #include "LibConfig/InstanceSettings.h"
-#include "LibCore/DutyThread.h"
-#include "LibCore/Ring.h"
+#include "LibCore/EventLoopThread.h"
+#include "LibCore/MPSCQueue.h"
 #include "LibDecision/Action.h"
 #include "LibDecision/Event.h"
 #include "LibHTTP/ConnectionPool.h"
@@ -76,13 +76,13 @@
   void take(decision::Action What);
   std::string printable(core::RequestId Id) const;
 
-  core::DutyThread m_Thread;
+  core::EventLoopThread m_Thread;
   const config::InstanceSettings &m_Settings;
   decision::InstanceRef m_Self;
   ConfigurationKeeper &m_Configuration;
   metrics::MetricsRegistry &m_Metrics;
   TrafficHooks m_Hooks;
-  core::Ring<decision::Action> m_Actions;
+  core::MPSCQueue<decision::Action> m_Actions;
   TicketSigner m_Tickets;
   PeerSignature m_Signature;
   AnswerStore m_Answers;
--- a/Libraries/LibPlatform/Backoff.cpp
+++ b/Libraries/LibPlatform/Backoff.cpp
@@ -5,10 +5,10 @@
 namespace yardrill::platform {
 
 core::Duration Backoff::next() {
-  std::uniform_int_distribution<core::Duration::rep> Draw(m_First.count() / 2,
-                                                          m_Next.count());
+  std::uniform_int_distribution<core::Duration::rep> Draw(
+      m_InitialDelay.count() / 2, m_NextMaxDelay.count());
   core::Duration Pause(Draw(m_Random));
-  m_Next = std::min(m_Next * 2, m_Longest);
+  m_NextMaxDelay = std::min(m_NextMaxDelay * 2, m_MaxDelay);
   return Pause;
 }
 
--- a/Libraries/LibPlatform/Backoff.h
+++ b/Libraries/LibPlatform/Backoff.h
@@ -12,16 +12,18 @@
 /// jitter"), so that instances that failed together do not return together.
 class Backoff {
 public:
-  Backoff(core::Duration First, core::Duration Longest, std::uint64_t Seed)
-      : m_First(First), m_Longest(Longest), m_Next(First), m_Random(Seed) {}
+  Backoff(core::Duration InitialDelay, core::Duration MaxDelay,
+          std::uint64_t Seed)
+      : m_InitialDelay(InitialDelay), m_MaxDelay(MaxDelay),
+        m_NextMaxDelay(InitialDelay), m_Random(Seed) {}
 
   core::Duration next();
-  void reset() { m_Next = m_First; }
+  void reset() { m_NextMaxDelay = m_InitialDelay; }
 
 private:
-  core::Duration m_First;
-  core::Duration m_Longest;
-  core::Duration m_Next;
+  core::Duration m_InitialDelay;
+  core::Duration m_MaxDelay;
+  core::Duration m_NextMaxDelay;
   std::mt19937_64 m_Random;
 };
 
--- a/Libraries/LibPlatform/CallBudget.h
+++ b/Libraries/LibPlatform/CallRateLimiter.h
@@ -1,6 +1,7 @@
-//===-- CallBudget.h - How many calls this instance may make --------------===//
-#ifndef YARDRILL_LIBPLATFORM_CALLBUDGET_H
-#define YARDRILL_LIBPLATFORM_CALLBUDGET_H
+//===-- CallRateLimiter.h - How many calls this instance may make
+//--------------===//
+#ifndef YARDRILL_LIBPLATFORM_CALLRATELIMITER_H
+#define YARDRILL_LIBPLATFORM_CALLRATELIMITER_H
 
 #include "LibCore/Time.h"
 #include "LibPlatform/KeyValueService.h"
@@ -9,18 +10,18 @@
 
 /// A token bucket. Claims leave a quarter of the burst for control calls, so
 /// that a flood of keyed requests can't stop configuration or leadership.
-class CallBudget {
+class CallRateLimiter {
 public:
-  CallBudget(double CallsPerSecond, double Burst);
+  CallRateLimiter(double CallsPerSecond, double Burst);
 
   /// \returns false when the budget is spent: the call must not be made.
-  bool take(CallClass Class, core::TimePoint Now);
+  bool tryAcquire(CallClass Class, core::TimePoint Now);
 
 private:
   double m_CallsPerSecond;
   double m_Burst;
   double m_Tokens;
-  core::TimePoint m_LastAt{};
+  core::TimePoint m_RefilledAt{};
 };
 
 } // namespace yardrill::platform
--- a/Libraries/LibPlatform/KeyValueService.h
+++ b/Libraries/LibPlatform/KeyValueService.h
@@ -21,11 +21,11 @@
 struct Entry {
   std::string m_Key;
   std::string m_Value;
-  Revision m_Modified;
+  Revision m_ModRevision;
   bool m_IsDeleted = false; ///< Only in a watch.
   /// Only between instances: the key has a value of this revision, which is
   /// not here.
-  bool m_IsDetached = false;
+  bool m_IsValueOmitted = false;
 };
 
 struct Put {
--- a/Libraries/LibPlatform/StoreMirror.cpp
+++ b/Libraries/LibPlatform/StoreMirror.cpp
@@ -10,56 +10,58 @@
 
 static Revision next(Revision After) { return Revision(After.value() + 1); }
 
-void StoreMirror::take(const Entry &News) {
-  const Entry *Known = find(News.m_Key);
-  if (Known && !(Known->m_Modified < News.m_Modified))
+void StoreMirror::applyEntry(const Entry &Update) {
+  const Entry *Known = find(Update.m_Key);
+  if (Known && !(Known->m_ModRevision < Update.m_ModRevision))
     return;
-  if (News.m_IsDetached)
-    return want(News);
-  auto Wanted = m_Wanted.find(News.m_Key);
-  bool IsWanted = Wanted != m_Wanted.end();
-  if (!Known && !IsWanted && News.m_IsDeleted)
+  if (Update.m_IsValueOmitted)
+    return markPending(Update);
+  auto PendingValue = m_PendingValues.find(Update.m_Key);
+  bool IsWanted = PendingValue != m_PendingValues.end();
+  if (!Known && !IsWanted && Update.m_IsDeleted)
     return;
   // The change was remembered when it was first told of.
-  bool IsRemembered = IsWanted && Wanted->second.m_Newest == News.m_Modified;
-  if (IsWanted && !(News.m_Modified < Wanted->second.m_Newest))
-    m_Wanted.erase(Wanted);
+  bool IsRecorded =
+      IsWanted && PendingValue->second.m_NewestRevision == Update.m_ModRevision;
+  if (IsWanted &&
+      !(Update.m_ModRevision < PendingValue->second.m_NewestRevision))
+    m_PendingValues.erase(PendingValue);
   else if (IsWanted)
-    Wanted->second.m_First =
-        std::max(Wanted->second.m_First, next(News.m_Modified));
-  if (!IsRemembered)
-    remember(News);
-  store(News);
+    PendingValue->second.m_OldestRevision = std::max(
+        PendingValue->second.m_OldestRevision, next(Update.m_ModRevision));
+  if (!IsRecorded)
+    recordChange(Update);
+  store(Update);
 }
 
-void StoreMirror::want(const Entry &News) {
-  auto [Place, IsNew] = m_Wanted.try_emplace(
-      News.m_Key, Wanted{News.m_Modified, News.m_Modified});
-  if (!IsNew && !(Place->second.m_Newest < News.m_Modified))
+void StoreMirror::markPending(const Entry &Update) {
+  auto [Place, IsNew] = m_PendingValues.try_emplace(
+      Update.m_Key, PendingValue{Update.m_ModRevision, Update.m_ModRevision});
+  if (!IsNew && !(Place->second.m_NewestRevision < Update.m_ModRevision))
     return;
-  Place->second.m_Newest = News.m_Modified;
-  remember(News);
+  Place->second.m_NewestRevision = Update.m_ModRevision;
+  recordChange(Update);
 }
 
-void StoreMirror::store(const Entry &News) {
-  auto Found = m_Entries.find(News.m_Key);
+void StoreMirror::store(const Entry &Update) {
+  auto Found = m_Entries.find(Update.m_Key);
   if (Found != m_Entries.end()) {
     Entry Replaced = std::move(Found->second);
     m_Entries.erase(Found);
     if (m_Replaced)
       m_Replaced(std::move(Replaced));
   }
-  if (!News.m_IsDeleted)
-    m_Entries[News.m_Key] = News;
+  if (!Update.m_IsDeleted)
+    m_Entries[Update.m_Key] = Update;
   for (const Subscriber &Notify : m_Notify)
-    Notify(News);
+    Notify(Update);
 }
 
-void StoreMirror::remember(const Entry &News) {
-  m_Changes.push_back({News.m_Key, News.m_Modified});
-  if (m_Changes.size() <= m_MostChanges)
+void StoreMirror::recordChange(const Entry &Update) {
+  m_Changes.push_back({Update.m_Key, Update.m_ModRevision});
+  if (m_Changes.size() <= m_MaxChanges)
     return;
-  m_ChangesBegin = std::max(m_ChangesBegin, m_Changes.front().m_Modified);
+  m_HistoryStart = std::max(m_HistoryStart, m_Changes.front().m_ModRevision);
   m_Changes.pop_front();
 }
 
@@ -70,65 +72,65 @@
   std::set<std::string> Present;
   for (const Entry &Each : Content) {
     Present.insert(Each.m_Key);
-    take(Each);
+    applyEntry(Each);
   }
-  removeMissing(At, Present);
+  removeAbsent(At, Present);
   m_Revision = At;
   if (IsFirst) {
     m_Changes.clear();
-    m_ChangesBegin = At;
+    m_HistoryStart = At;
   }
 }
 
-void StoreMirror::removeMissing(Revision At,
-                                const std::set<std::string> &Present) {
+void StoreMirror::removeAbsent(Revision At,
+                               const std::set<std::string> &Present) {
   // A newer entry was made after the content was read.
   auto IsMissing = [&](const std::string &Key, Revision Modified) {
     return Present.count(Key) == 0 && !(At < Modified);
   };
   std::vector<std::string> Missing;
   for (const auto &[Key, Known] : m_Entries)
-    if (IsMissing(Key, Known.m_Modified))
+    if (IsMissing(Key, Known.m_ModRevision))
       Missing.push_back(Key);
-  for (const auto &[Key, What] : m_Wanted)
-    if (IsMissing(Key, What.m_Newest) && !find(Key))
+  for (const auto &[Key, What] : m_PendingValues)
+    if (IsMissing(Key, What.m_NewestRevision) && !find(Key))
       Missing.push_back(Key);
   for (const std::string &Key : Missing) {
     // The revision of the removal is not told; At is the latest it can be.
     Entry Removal{Key, "", At, true};
-    m_Wanted.erase(Key);
-    remember(Removal);
+    m_PendingValues.erase(Key);
+    recordChange(Removal);
     store(Removal);
   }
 }
 
 void StoreMirror::apply(Revision At, const std::vector<Entry> &Changes) {
   for (const Entry &Each : Changes)
-    if (m_Revision < Each.m_Modified || isWanted(Each))
-      take(Each);
+    if (m_Revision < Each.m_ModRevision || isPending(Each))
+      applyEntry(Each);
   if (m_Revision < At)
     m_Revision = At;
 }
 
-bool StoreMirror::isWanted(const Entry &News) const {
-  auto Wanted = m_Wanted.find(News.m_Key);
-  return Wanted != m_Wanted.end() &&
-         !(News.m_Modified < Wanted->second.m_Newest);
+bool StoreMirror::isPending(const Entry &Update) const {
+  auto PendingValue = m_PendingValues.find(Update.m_Key);
+  return PendingValue != m_PendingValues.end() &&
+         !(Update.m_ModRevision < PendingValue->second.m_NewestRevision);
 }
 
-void StoreMirror::supply(const Entry &Value) {
-  if (m_Wanted.count(Value.m_Key) != 0)
-    take(Value);
+void StoreMirror::supplyValue(const Entry &Value) {
+  if (m_PendingValues.count(Value.m_Key) != 0)
+    applyEntry(Value);
 }
 
 //===----------------------------------------------------------------------===//
 // Telling
 //===----------------------------------------------------------------------===//
 
-Revision StoreMirror::wholeRevision() const {
+Revision StoreMirror::completeRevision() const {
   Revision Out = m_Revision;
-  for (const auto &[Key, What] : m_Wanted)
-    Out = std::min(Out, Revision(What.m_First.value() - 1));
+  for (const auto &[Key, What] : m_PendingValues)
+    Out = std::min(Out, Revision(What.m_OldestRevision.value() - 1));
   return Out;
 }
 
@@ -138,17 +140,17 @@
 }
 
 bool StoreMirror::isPresent(const std::string &Key) const {
-  return find(Key) || m_Wanted.count(Key) != 0;
+  return find(Key) || m_PendingValues.count(Key) != 0;
 }
 
 Entry StoreMirror::current(const std::string &Key) const {
-  auto Wanted = m_Wanted.find(Key);
-  if (Wanted == m_Wanted.end())
+  auto PendingValue = m_PendingValues.find(Key);
+  if (PendingValue == m_PendingValues.end())
     return m_Entries.at(Key);
   Entry Out;
   Out.m_Key = Key;
-  Out.m_Modified = Wanted->second.m_Newest;
-  Out.m_IsDetached = true;
+  Out.m_ModRevision = PendingValue->second.m_NewestRevision;
+  Out.m_IsValueOmitted = true;
   return Out;
 }
 
@@ -156,7 +158,7 @@
   std::vector<Entry> Out;
   for (const auto &[Key, Known] : m_Entries)
     Out.push_back(current(Key));
-  for (const auto &[Key, What] : m_Wanted)
+  for (const auto &[Key, What] : m_PendingValues)
     if (!find(Key))
       Out.push_back(current(Key));
   return Out;
@@ -164,17 +166,17 @@
 
 std::optional<std::vector<Entry>>
 StoreMirror::changesSince(Revision After) const {
-  if (After < m_ChangesBegin || After == Revision())
+  if (After < m_HistoryStart || After == Revision())
     return std::nullopt;
   std::vector<Entry> Out;
   std::set<std::string> Seen;
   for (auto Each = m_Changes.rbegin(); Each != m_Changes.rend(); ++Each) {
-    if (!(After < Each->m_Modified) || !Seen.insert(Each->m_Key).second)
+    if (!(After < Each->m_ModRevision) || !Seen.insert(Each->m_Key).second)
       continue;
     if (isPresent(Each->m_Key))
       Out.push_back(current(Each->m_Key));
     else
-      Out.push_back({Each->m_Key, "", Each->m_Modified, true});
+      Out.push_back({Each->m_Key, "", Each->m_ModRevision, true});
   }
   std::reverse(Out.begin(), Out.end());
   return Out;
--- a/Libraries/LibPlatform/StoreMirror.h
+++ b/Libraries/LibPlatform/StoreMirror.h
@@ -24,27 +24,30 @@
 class StoreMirror {
 public:
   using Subscriber = std::function<void(const Entry &)>;
-  using ReplacedHook = std::function<void(Entry)>;
+  using ReplacedCallback = std::function<void(Entry)>;
 
   /// Values of one key that are not here.
-  struct Wanted {
-    Revision m_First; ///< The oldest of them is not older than this.
-    Revision m_Newest;
+  struct PendingValue {
+    Revision m_OldestRevision; ///< The oldest of them is not older than this.
+    Revision m_NewestRevision;
 
-    bool operator==(const Wanted &Other) const {
-      return m_First == Other.m_First && m_Newest == Other.m_Newest;
+    bool operator==(const PendingValue &Other) const {
+      return m_OldestRevision == Other.m_OldestRevision &&
+             m_NewestRevision == Other.m_NewestRevision;
     }
   };
-  using WantedMap = std::map<std::string, Wanted>;
+  using PendingValueMap = std::map<std::string, PendingValue>;
 
-  /// \param MostChanges kept for changesSince().
-  explicit StoreMirror(std::size_t MostChanges) : m_MostChanges(MostChanges) {}
+  /// \param MaxChanges kept for changesSince().
+  explicit StoreMirror(std::size_t MaxChanges) : m_MaxChanges(MaxChanges) {}
 
   /// \p Notify gets each change, removals included, in the order applied.
   void subscribe(Subscriber Notify) { m_Notify.push_back(std::move(Notify)); }
 
   /// \p Hook gets each entry that was just replaced or removed.
-  void setReplacedHook(ReplacedHook Hook) { m_Replaced = std::move(Hook); }
+  void setReplacedCallback(ReplacedCallback Hook) {
+    m_Replaced = std::move(Hook);
+  }
 
   /// Takes the whole content as of \p At. Entries may be newer than that: a
   /// range is read in several pages.
@@ -53,15 +56,15 @@
   void apply(Revision At, const std::vector<Entry> &Changes);
 
   /// Takes a value that was wanted, or a newer one of the same key.
-  void supply(const Entry &Value);
+  void supplyValue(const Entry &Value);
 
   /// 0: nothing was ever taken in.
   Revision revision() const { return m_Revision; }
   /// Up to which nothing is wanted. While values change faster than they
   /// arrive it grows with each that does.
-  Revision wholeRevision() const;
+  Revision completeRevision() const;
   /// By key.
-  const WantedMap &wanted() const { return m_Wanted; }
+  const PendingValueMap &pendingValues() const { return m_PendingValues; }
   /// \returns null when the key is not here.
   const Entry *find(const std::string &Key) const;
   /// All entries; those that are wanted, detached.
@@ -76,30 +79,30 @@
   /// of half a megabyte cost one that missed them 0.5 MB in place of 10.
   struct Change {
     std::string m_Key;
-    Revision m_Modified;
+    Revision m_ModRevision;
   };
 
-  void take(const Entry &News);
-  void want(const Entry &News);
-  bool isWanted(const Entry &News) const;
+  void applyEntry(const Entry &Update);
+  void markPending(const Entry &Update);
+  bool isPending(const Entry &Update) const;
   /// Puts or removes, and tells the subscribers.
-  void store(const Entry &News);
+  void store(const Entry &Update);
   /// Removes what is missing in a content read at \p At.
-  void removeMissing(Revision At, const std::set<std::string> &Present);
+  void removeAbsent(Revision At, const std::set<std::string> &Present);
   bool isPresent(const std::string &Key) const;
   /// \pre isPresent(Key).
   Entry current(const std::string &Key) const;
-  void remember(const Entry &News);
+  void recordChange(const Entry &Update);
 
-  std::size_t m_MostChanges;
+  std::size_t m_MaxChanges;
   Revision m_Revision;
   /// Changes after this revision are all in m_Changes.
-  Revision m_ChangesBegin;
+  Revision m_HistoryStart;
   std::map<std::string, Entry> m_Entries;
-  WantedMap m_Wanted;
+  PendingValueMap m_PendingValues;
   std::deque<Change> m_Changes;
   std::vector<Subscriber> m_Notify;
-  ReplacedHook m_Replaced;
+  ReplacedCallback m_Replaced;
 };
 
 } // namespace yardrill::platform
--- a/Libraries/LibQuarantine/ContentDigest.cpp
+++ b/Libraries/LibQuarantine/ContentDigest.cpp
@@ -18,7 +18,7 @@
 }
 
 ContentDigest ContentDigest::of(const Content &What) {
-  std::string Hash = core::sha256OfParts(
+  std::string Hash = core::sha256LengthPrefixed(
       {What.m_Account, What.m_Host, What.m_Method, What.m_Target, What.m_Body});
   std::string_view Bytes = Hash;
   return {readBigEndian(Bytes.substr(0, sizeof(std::uint64_t))),
--- a/Libraries/LibRouting/RoutingTable.cpp
+++ b/Libraries/LibRouting/RoutingTable.cpp
@@ -57,7 +57,7 @@
 
 RoutingTable::Builder &RoutingTable::Builder::route(Route What) {
   std::string Host = What.m_Host;
-  What.m_Hash = core::quickHash(Host + What.m_Prefix);
+  What.m_Hash = core::fnv1a32(Host + What.m_Prefix);
   m_Table.m_RoutesByHost[Host].push_back(std::move(What));
   return *this;
 }
--- a/Programs/yardrill/GatewayVerb.cpp
+++ b/Programs/yardrill/GatewayVerb.cpp
@@ -4,9 +4,9 @@
 #include "StoreClient.h"
 
 #include "LibConfig/InstanceSettings.h"
-#include "LibCore/BoundedLog.h"
 #include "LibCore/Error.h"
 #include "LibCore/Log.h"
+#include "LibCore/NonBlockingLogWriter.h"
 #include "LibCore/TimerService.h"
 #include "LibGateway/Gateway.h"
 
@@ -31,7 +31,7 @@
 class GatewayProgram {
 public:
   explicit GatewayProgram(std::string File)
-      : m_File(std::move(File)), m_Log(STDOUT_FILENO, core::LogBudget()),
+      : m_File(std::move(File)), m_Log(STDOUT_FILENO, core::LogWriterLimits()),
         m_Signals(m_Context, SIGTERM, SIGINT, SIGHUP), m_Timers(m_Context) {
     core::setLogSink([this](const std::string &Line) {
       m_Log.add(Line, core::steadyNow());
@@ -122,7 +122,7 @@
   }
 
   std::string m_File;
-  core::BoundedLog m_Log;
+  core::NonBlockingLogWriter m_Log;
   std::string m_Text; ///< Of the settings file, as last read.
   boost::asio::io_context m_Context{1};
   boost::asio::signal_set m_Signals;
@@ -137,7 +137,7 @@
 int runGateway(const std::vector<std::string> &) {
   std::signal(SIGPIPE, SIG_IGN);
   std::string File = FLAGS_config.empty()
-                         ? platform::DeploymentSettings::fileName()
+                         ? platform::DeploymentSettings::pathFromEnvironment()
                          : FLAGS_config;
   return GatewayProgram(File).run();
 }
--- a/Programs/yardrill/QuarantineVerbs.cpp
+++ b/Programs/yardrill/QuarantineVerbs.cpp
@@ -35,7 +35,7 @@
 static void withStore(const std::function<void(platform::StoreClient &,
                                                asio::yield_context)> &What) {
   std::string File = FLAGS_config.empty()
-                         ? platform::DeploymentSettings::fileName()
+                         ? platform::DeploymentSettings::pathFromEnvironment()
                          : FLAGS_config;
   auto Settings =
       platform::DeploymentSettings::parse(config::readFile(File), File);
@@ -106,8 +106,9 @@
       if (!Text)
         throw core::Error(core::ErrorKind::Usage,
                           "the store holds nothing of that content");
-      platform::CompareAndSwap Swap{
-          recordKey(), Stands.m_Modified, {{recordKey(), *Text, std::nullopt}}};
+      platform::CompareAndSwap Swap{recordKey(),
+                                    Stands.m_ModRevision,
+                                    {{recordKey(), *Text, std::nullopt}}};
       if (Store.compareAndSwap(Swap, platform::CallClass::Control, Yield)
               .m_IsSwapped) {
         std::cout << "lifted; instances hear of it from the store\n";
--- a/Programs/yardrill/RequestStory.cpp
+++ b/Programs/yardrill/RequestStory.cpp
@@ -119,7 +119,7 @@
   std::string Name = Source;
   std::string Line;
   while (std::getline(Log, Line)) {
-    auto Entry = core::readLogLine(Line);
+    auto Entry = core::parseLogLine(Line);
     if (!Entry)
       continue;
     if (!Entry->m_Source.empty())
--- a/Tests/LibCore/DigestTest.cpp
+++ b/Tests/LibCore/DigestTest.cpp
@@ -9,7 +9,7 @@
 class DigestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DigestTest);
   CPPUNIT_TEST(testPublishedVectors);
-  CPPUNIT_TEST(testTextForms);
+  CPPUNIT_TEST(testHexAndBase64RoundTrip);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -25,7 +25,7 @@
         toHex(hmacSha256("Jefe", "what do ya want for nothing?")));
   }
 
-  void testTextForms() {
+  void testHexAndBase64RoundTrip() {
     for (const std::string &Text :
          {std::string(), std::string("f"), std::string("fo"),
           std::string("foo"), std::string("\0\xff", 2)}) {
--- a/Tests/LibCore/LogTest.cpp
+++ b/Tests/LibCore/LogTest.cpp
@@ -6,8 +6,8 @@
 
 class LogTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogTest);
-  CPPUNIT_TEST(testPlainValuesStandBare);
-  CPPUNIT_TEST(testBadValuesCannotBreakTheLine);
+  CPPUNIT_TEST(testPlainValuesAreUnquoted);
+  CPPUNIT_TEST(testSpecialCharactersAreEscaped);
   CPPUNIT_TEST_SUITE_END();
 
   static std::string rest(const LogLine &Line) {
@@ -15,14 +15,14 @@
   }
 
 public:
-  void testPlainValuesStandBare() {
+  void testPlainValuesAreUnquoted() {
     LogLine Line("test");
     Line.add("request", RequestId(7)).add("pool", "seats").add("empty", "");
     CPPUNIT_ASSERT_EQUAL(
         std::string(" event=test request=7 pool=seats empty=\"\""), rest(Line));
   }
 
-  void testBadValuesCannotBreakTheLine() {
+  void testSpecialCharactersAreEscaped() {
     LogLine Line("test");
     Line.add("value", "a b\nlevel=error \"x\\\x01\x7f");
     std::string Text = rest(Line);
--- a/Tests/LibCore/RingTest.cpp
+++ b/Tests/LibCore/MPSCQueueTest.cpp
@@ -1,4 +1,4 @@
-#include "LibCore/Ring.h"
+#include "LibCore/MPSCQueue.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <thread>
@@ -6,16 +6,16 @@
 
 using namespace yardrill::core;
 
-class RingTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(RingTest);
-  CPPUNIT_TEST(testFullRingRefuses);
+class MPSCQueueTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(MPSCQueueTest);
+  CPPUNIT_TEST(testFullQueueRejectsPush);
   CPPUNIT_TEST(testManyProducersLoseNothing);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testFullRingRefuses() {
+  void testFullQueueRejectsPush() {
     int Wakes = 0;
-    Ring<int> Small(4, [&] { ++Wakes; });
+    MPSCQueue<int> Small(4, [&] { ++Wakes; });
     for (int I = 0; I < 4; ++I)
       CPPUNIT_ASSERT(Small.tryPush(I));
     CPPUNIT_ASSERT(!Small.tryPush(4));
@@ -31,7 +31,7 @@
     static const int Producers = 4;
     static const int Each = 10000;
     std::atomic<int> Wakes{0};
-    Ring<int> Small(64, [&] { ++Wakes; });
+    MPSCQueue<int> Small(64, [&] { ++Wakes; });
     std::vector<std::thread> Threads;
     for (int P = 0; P < Producers; ++P)
       Threads.emplace_back([&, P] {
@@ -54,4 +54,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RingTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(MPSCQueueTest);
--- a/Tests/LibCore/BoundedLogTest.cpp
+++ b/Tests/LibCore/NonBlockingLogWriterTest.cpp
@@ -1,4 +1,4 @@
-#include "LibCore/BoundedLog.h"
+#include "LibCore/NonBlockingLogWriter.h"
 
 #include "LibCore/Log.h"
 
@@ -8,12 +8,12 @@
 
 using namespace yardrill::core;
 
-class BoundedLogTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(BoundedLogTest);
+class NonBlockingLogWriterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(NonBlockingLogWriterTest);
   CPPUNIT_TEST(testWritesLines);
-  CPPUNIT_TEST(testReaderThatStandsStillHoldsNobodyUp);
-  CPPUNIT_TEST(testLinesBeyondTheBudgetAreCounted);
-  CPPUNIT_TEST(testTakesWhatLogLinesSay);
+  CPPUNIT_TEST(testStalledReaderDoesNotBlock);
+  CPPUNIT_TEST(testLinesOverTheRateLimitAreCounted);
+  CPPUNIT_TEST(testLogSinkReceivesLines);
   CPPUNIT_TEST_SUITE_END();
 
   int m_Read = -1;
@@ -43,24 +43,24 @@
   }
 
   void testWritesLines() {
-    BoundedLog Log(m_Write, {});
+    NonBlockingLogWriter Log(m_Write, {});
     Log.add("a=1", m_Now);
     Log.add("b=2", m_Now);
     Log.flush(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::string("a=1\nb=2\n"), readAll());
   }
 
-  void testReaderThatStandsStillHoldsNobodyUp() {
-    LogBudget Budget;
+  void testStalledReaderDoesNotBlock() {
+    LogWriterLimits Budget;
     Budget.m_Burst = 1e6;
-    BoundedLog Log(m_Write, Budget);
+    NonBlockingLogWriter Log(m_Write, Budget);
     std::string Line(1000, 'x');
     // The pipe holds 64 KiB, the buffer 256; the rest is dropped.
     for (int I = 0; I < 1000; ++I) {
       Log.add(Line, m_Now);
       Log.flush(m_Now);
     }
-    CPPUNIT_ASSERT(Log.dropped() > 500);
+    CPPUNIT_ASSERT(Log.droppedLines() > 500);
     readAll();
     for (int I = 0; I < 10; ++I) {
       Log.flush(m_Now);
@@ -70,11 +70,11 @@
     CPPUNIT_FAIL("nothing says that lines were dropped");
   }
 
-  void testLinesBeyondTheBudgetAreCounted() {
-    BoundedLog Log(m_Write, {10, 20, 262144});
+  void testLinesOverTheRateLimitAreCounted() {
+    NonBlockingLogWriter Log(m_Write, {10, 20, 262144});
     for (int I = 0; I < 100; ++I)
       Log.add("line", m_Now);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(80), Log.dropped());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(80), Log.droppedLines());
     m_Now += std::chrono::seconds(1);
     Log.add("last", m_Now);
     Log.flush(m_Now);
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT(Text.find("count=80\nlast\n") != std::string::npos);
   }
 
-  void testTakesWhatLogLinesSay() {
+  void testLogSinkReceivesLines() {
     std::string Seen;
     setLogSink([&Seen](const std::string &Line) { Seen = Line; });
     LogLine("something").add("key", 1);
@@ -91,4 +91,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(BoundedLogTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(NonBlockingLogWriterTest);
--- a/Tests/LibCore/TimerServiceTest.cpp
+++ b/Tests/LibCore/TimerServiceTest.cpp
@@ -10,8 +10,8 @@
 class TimerServiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TimerServiceTest);
   CPPUNIT_TEST(testCallsOnce);
-  CPPUNIT_TEST(testCallsAgainAndAgain);
-  CPPUNIT_TEST(testNobodyIsCalledAfterItsEnd);
+  CPPUNIT_TEST(testSubscriptionRepeats);
+  CPPUNIT_TEST(testNoCallsAfterDestruction);
   CPPUNIT_TEST_SUITE_END();
 
   boost::asio::io_context m_Context;
@@ -29,7 +29,7 @@
     CPPUNIT_ASSERT_EQUAL(1, m_Calls);
   }
 
-  void testCallsAgainAndAgain() {
+  void testSubscriptionRepeats() {
     SteadyTimerService Timers(m_Context);
     Timers.subscribe(milliseconds(5), [&](TimePoint) {
       if (++m_Calls == 3)
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT_EQUAL(3, m_Calls);
   }
 
-  void testNobodyIsCalledAfterItsEnd() {
+  void testNoCallsAfterDestruction() {
     {
       SteadyTimerService Timers(m_Context);
       Timers.callAfter(milliseconds(5), [&](TimePoint) { ++m_Calls; });
--- a/Tests/LibGateway/StoreSpreadTest.cpp
+++ b/Tests/LibGateway/StoreSpreadTest.cpp
@@ -70,7 +70,7 @@
     m_Fleet.start();
   }
   void change(std::size_t Member, Entry What) {
-    Revision At = What.m_Modified;
+    Revision At = What.m_ModRevision;
     m_Fleet.member(Member).mirror().apply(At, {std::move(What)});
   }
   std::chrono::milliseconds timeUntilAllHold(const char *Key, std::int64_t At,
--- a/Tests/LibHTTP/ServerTest.cpp
+++ b/Tests/LibHTTP/ServerTest.cpp
@@ -13,8 +13,8 @@
 
 class ServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServerTest);
-  CPPUNIT_TEST(testQuickCallersNeverStopTheLoop);
-  CPPUNIT_TEST(testHangUpIsNoticedAfterABodyInPieces);
+  CPPUNIT_TEST(testFastClientsDoNotBlockEventLoop);
+  CPPUNIT_TEST(testDisconnectIsDetectedAfterSplitBody);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr int Callers = 64;
@@ -30,13 +30,13 @@
     m_Server = Server::create(
         m_Context, {asio::ip::make_address("127.0.0.1"), 0}, ServerLimits(),
         [this, WorkTime](Exchange &Call, asio::yield_context Yield) {
-          Call.setHangUpHook([this] { ++m_HangUps; });
+          Call.setDisconnectCallback([this] { ++m_HangUps; });
           asio::steady_timer Timer(m_Context, WorkTime);
           boost::system::error_code Ignored;
           Timer.async_wait(Yield[Ignored]);
           ResponseMessage Answer;
           Answer.m_Head.m_Status = 200;
-          Call.sendWhole(std::move(Answer), Yield);
+          Call.sendResponse(std::move(Answer), Yield);
         },
         [](unsigned Status) {
           ResponseMessage Out;
@@ -81,7 +81,7 @@
     m_Thread.join();
   }
 
-  void testQuickCallersNeverStopTheLoop() {
+  void testFastClientsDoNotBlockEventLoop() {
     start(std::chrono::milliseconds(1));
     for (int I = 0; I < Callers; ++I)
       asio::spawn(
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT_EQUAL(Callers, m_Done.load());
   }
 
-  void testHangUpIsNoticedAfterABodyInPieces() {
+  void testDisconnectIsDetectedAfterSplitBody() {
     start(std::chrono::seconds(30));
     for (int I = 0; I < 50; ++I) {
       asio::io_context Own;
--- a/Tests/LibPlatform/CallBudgetTest.cpp
+++ b/Tests/LibPlatform/CallRateLimiterTest.cpp
@@ -1,4 +1,4 @@
-#include "LibPlatform/CallBudget.h"
+#include "LibPlatform/CallRateLimiter.h"
 
 #include "LibPlatform/Backoff.h"
 
@@ -8,25 +8,25 @@
 using namespace yardrill;
 using namespace yardrill::platform;
 
-class CallBudgetTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(CallBudgetTest);
+class CallRateLimiterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(CallRateLimiterTest);
   CPPUNIT_TEST(testBurstThenRate);
-  CPPUNIT_TEST(testClaimsLeaveRoomForControl);
-  CPPUNIT_TEST(testBackoffGrowsAndIsSpread);
+  CPPUNIT_TEST(testClaimsLeaveReserveForControl);
+  CPPUNIT_TEST(testBackoffGrowsWithJitter);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
 
-  int takeAll(CallBudget &Budget, CallClass Class) {
+  int takeAll(CallRateLimiter &Budget, CallClass Class) {
     int Count = 0;
-    while (Budget.take(Class, m_Now))
+    while (Budget.tryAcquire(Class, m_Now))
       ++Count;
     return Count;
   }
 
 public:
   void testBurstThenRate() {
-    CallBudget Budget(20, 40);
+    CallRateLimiter Budget(20, 40);
     CPPUNIT_ASSERT_EQUAL(40, takeAll(Budget, CallClass::Control));
     m_Now += std::chrono::milliseconds(500);
     CPPUNIT_ASSERT_EQUAL(10, takeAll(Budget, CallClass::Control));
@@ -34,13 +34,13 @@
     CPPUNIT_ASSERT_EQUAL(40, takeAll(Budget, CallClass::Control));
   }
 
-  void testClaimsLeaveRoomForControl() {
-    CallBudget Budget(20, 40);
+  void testClaimsLeaveReserveForControl() {
+    CallRateLimiter Budget(20, 40);
     CPPUNIT_ASSERT_EQUAL(30, takeAll(Budget, CallClass::Claim));
     CPPUNIT_ASSERT_EQUAL(10, takeAll(Budget, CallClass::Control));
   }
 
-  void testBackoffGrowsAndIsSpread() {
+  void testBackoffGrowsWithJitter() {
     std::set<core::Duration> Firsts;
     for (std::uint64_t Seed = 0; Seed < 50; ++Seed) {
       Backoff Pauses(std::chrono::milliseconds(100), std::chrono::seconds(5),
@@ -58,4 +58,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(CallBudgetTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(CallRateLimiterTest);
--- a/Tests/LibPlatform/StoreMirrorTest.cpp
+++ b/Tests/LibPlatform/StoreMirrorTest.cpp
@@ -7,17 +7,17 @@
 class StoreMirrorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreMirrorTest);
   CPPUNIT_TEST(testFollowsChanges);
-  CPPUNIT_TEST(testOlderWordsChangeNothing);
-  CPPUNIT_TEST(testWholeContentRemovesWhatIsMissing);
-  CPPUNIT_TEST(testPagesMayBeNewerThanTheirRevision);
+  CPPUNIT_TEST(testStaleUpdatesAreIgnored);
+  CPPUNIT_TEST(testSnapshotRemovesAbsentEntries);
+  CPPUNIT_TEST(testSnapshotMayHoldNewerEntries);
   CPPUNIT_TEST(testChangesSinceBringAnotherMirrorUpToDate);
-  CPPUNIT_TEST(testForgottenChangesAreSaid);
-  CPPUNIT_TEST(testReplacedValuesAreNotPassedOn);
-  CPPUNIT_TEST(testOlderValueStaysUntilTheWantedOneComes);
-  CPPUNIT_TEST(testWantedValuesArePassedOnAsSuch);
-  CPPUNIT_TEST(testStoreItselfSuppliesWhatIsWanted);
-  CPPUNIT_TEST(testRemovalEndsAWant);
-  CPPUNIT_TEST(testReplacedEntriesAreHandedOver);
+  CPPUNIT_TEST(testChangesSinceFailsBeyondHistory);
+  CPPUNIT_TEST(testChangesSinceSkipsReplacedValues);
+  CPPUNIT_TEST(testOldValueStaysWhilePending);
+  CPPUNIT_TEST(testPendingValuesAreForwarded);
+  CPPUNIT_TEST(testStoreUpdatesResolvePendingValues);
+  CPPUNIT_TEST(testRemovalClearsPendingValue);
+  CPPUNIT_TEST(testReplacedEntriesAreReported);
   CPPUNIT_TEST_SUITE_END();
 
   StoreMirror m_Mirror{4};
@@ -56,7 +56,7 @@
                    (std::vector<std::string>{"a+", "b+", "a+", "b-"}));
   }
 
-  void testOlderWordsChangeNothing() {
+  void testStaleUpdatesAreIgnored() {
     m_Mirror.apply(Revision(12), {put("a", "2", 11), removal("b", 12)});
     auto Before = m_Seen;
     m_Mirror.apply(Revision(11), {put("a", "2", 11)});
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(m_Seen == Before);
   }
 
-  void testWholeContentRemovesWhatIsMissing() {
+  void testSnapshotRemovesAbsentEntries() {
     m_Mirror.replaceAll(Revision(20), {put("b", "2", 15), put("c", "1", 16)});
     CPPUNIT_ASSERT_EQUAL(std::string("b=2 c=1 "), text(m_Mirror));
     // The same once more, at the revision of the removal.
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b=2 c=1 "), text(m_Mirror));
   }
 
-  void testPagesMayBeNewerThanTheirRevision() {
+  void testSnapshotMayHoldNewerEntries() {
     m_Mirror.apply(Revision(22), {put("d", "1", 22)});
     // Read from revision 20 on; its second page saw the change of 21.
     m_Mirror.replaceAll(
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(Other.revision() == Revision(12));
   }
 
-  void testForgottenChangesAreSaid() {
+  void testChangesSinceFailsBeyondHistory() {
     for (std::int64_t At = 11; At <= 16; ++At)
       m_Mirror.apply(Revision(At), {put("k" + std::to_string(At), "1", At)});
     CPPUNIT_ASSERT(!m_Mirror.changesSince(Revision(10)));
@@ -107,7 +107,7 @@
     CPPUNIT_ASSERT(!m_Mirror.changesSince(Revision()));
   }
 
-  void testReplacedValuesAreNotPassedOn() {
+  void testChangesSinceSkipsReplacedValues() {
     m_Mirror.apply(Revision(14), {put("a", "2", 11), removal("b", 12),
                                   put("a", "3", 13), put("b", "4", 14)});
     auto Changes = m_Mirror.changesSince(Revision(10));
@@ -117,66 +117,66 @@
     CPPUNIT_ASSERT_EQUAL(std::string("4"), Changes->at(1).m_Value);
   }
 
-  void testOlderValueStaysUntilTheWantedOneComes() {
+  void testOldValueStaysWhilePending() {
     m_Mirror.apply(Revision(12), {detached("a", 11), put("b", "2", 12)});
     CPPUNIT_ASSERT_EQUAL(std::string("1"), m_Mirror.find("a")->m_Value);
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("b")->m_Value);
     CPPUNIT_ASSERT(m_Mirror.revision() == Revision(12));
-    CPPUNIT_ASSERT(m_Mirror.wholeRevision() == Revision(10));
+    CPPUNIT_ASSERT(m_Mirror.completeRevision() == Revision(10));
     // An older one than is wanted brings it closer, and never back.
     m_Mirror.apply(Revision(13), {detached("a", 13)});
-    m_Mirror.supply(put("a", "2", 11));
-    m_Mirror.supply(put("a", "1", 3));
+    m_Mirror.supplyValue(put("a", "2", 11));
+    m_Mirror.supplyValue(put("a", "1", 3));
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("a")->m_Value);
-    CPPUNIT_ASSERT(m_Mirror.wholeRevision() == Revision(11));
-    m_Mirror.supply(put("a", "3", 13));
+    CPPUNIT_ASSERT(m_Mirror.completeRevision() == Revision(11));
+    m_Mirror.supplyValue(put("a", "3", 13));
     CPPUNIT_ASSERT_EQUAL(std::string("a=3 b=2 "), text(m_Mirror));
-    CPPUNIT_ASSERT(m_Mirror.wholeRevision() == Revision(13));
+    CPPUNIT_ASSERT(m_Mirror.completeRevision() == Revision(13));
     CPPUNIT_ASSERT(m_Seen ==
                    (std::vector<std::string>{"a+", "b+", "b+", "a+", "a+"}));
   }
 
-  void testWantedValuesArePassedOnAsSuch() {
+  void testPendingValuesAreForwarded() {
     m_Mirror.apply(Revision(12), {detached("a", 11), detached("n", 12)});
     auto Changes = m_Mirror.changesSince(Revision(10));
     CPPUNIT_ASSERT(Changes && Changes->size() == 2);
     StoreMirror Behind(4);
     Behind.apply(Revision(12), *Changes);
-    CPPUNIT_ASSERT(Behind.wanted() == m_Mirror.wanted());
+    CPPUNIT_ASSERT(Behind.pendingValues() == m_Mirror.pendingValues());
     StoreMirror Fresh(4);
     Fresh.replaceAll(m_Mirror.revision(), m_Mirror.content());
-    CPPUNIT_ASSERT(Fresh.wanted() == m_Mirror.wanted());
+    CPPUNIT_ASSERT(Fresh.pendingValues() == m_Mirror.pendingValues());
     CPPUNIT_ASSERT_EQUAL(std::string("1"), Fresh.find("b")->m_Value);
     CPPUNIT_ASSERT(!Fresh.find("a"));
   }
 
-  void testStoreItselfSuppliesWhatIsWanted() {
+  void testStoreUpdatesResolvePendingValues() {
     m_Mirror.apply(Revision(12), {detached("a", 11), detached("b", 12)});
     // A watch that began before what is wanted, and a whole content.
     m_Mirror.apply(Revision(11), {put("a", "2", 11)});
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("a")->m_Value);
     m_Mirror.replaceAll(Revision(11), {put("b", "2", 12)});
     CPPUNIT_ASSERT_EQUAL(std::string("a=2 b=2 "), text(m_Mirror));
-    CPPUNIT_ASSERT(m_Mirror.wholeRevision() == Revision(12));
+    CPPUNIT_ASSERT(m_Mirror.completeRevision() == Revision(12));
   }
 
-  void testRemovalEndsAWant() {
+  void testRemovalClearsPendingValue() {
     m_Mirror.apply(Revision(12), {detached("a", 11), detached("n", 12)});
     m_Mirror.apply(Revision(14), {removal("a", 13), removal("n", 14)});
-    CPPUNIT_ASSERT(m_Mirror.wanted().empty());
+    CPPUNIT_ASSERT(m_Mirror.pendingValues().empty());
     CPPUNIT_ASSERT_EQUAL(std::string("b=1 "), text(m_Mirror));
     m_Mirror.apply(Revision(15), {detached("n", 15)});
     m_Mirror.replaceAll(Revision(16), {put("b", "1", 5)});
-    CPPUNIT_ASSERT(m_Mirror.wanted().empty());
+    CPPUNIT_ASSERT(m_Mirror.pendingValues().empty());
     auto Changes = m_Mirror.changesSince(Revision(14));
     CPPUNIT_ASSERT(Changes && !Changes->empty());
     for (const Entry &Each : *Changes)
       CPPUNIT_ASSERT(Each.m_IsDeleted);
   }
 
-  void testReplacedEntriesAreHandedOver() {
+  void testReplacedEntriesAreReported() {
     std::string Replaced;
-    m_Mirror.setReplacedHook([&](const Entry &Old) {
+    m_Mirror.setReplacedCallback([&](const Entry &Old) {
       Replaced += Old.m_Key + "=" + Old.m_Value + " ";
     });
     m_Mirror.apply(Revision(12), {put("a", "2", 11), removal("b", 12)});
--- a/Tests/Platform/DeploymentSettingsTest.cpp
+++ b/Tests/Platform/DeploymentSettingsTest.cpp
@@ -32,9 +32,9 @@
 class DeploymentSettingsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DeploymentSettingsTest);
   CPPUNIT_TEST(testReadsTheExample);
-  CPPUNIT_TEST(testLinkIsReadAndChecked);
+  CPPUNIT_TEST(testLinkRateIsValidated);
   CPPUNIT_TEST(testNamesEveryFault);
-  CPPUNIT_TEST(testNoTomlAtAll);
+  CPPUNIT_TEST(testInvalidTomlReportsLine);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(1.25e6, Gateway.m_LinkBytesPerSecond);
   }
 
-  void testLinkIsReadAndChecked() {
+  void testLinkRateIsValidated() {
     auto With = [](const std::string &Line) {
       std::string Text = Example;
       Text.insert(Text.find("maxFds"), Line + "\n");
@@ -84,7 +84,7 @@
     }
   }
 
-  void testNoTomlAtAll() {
+  void testInvalidTomlReportsLine() {
     try {
       DeploymentSettings::parse("a = 1\na = 2\n", "local.toml");
       CPPUNIT_FAIL("accepted");
--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -11,15 +11,15 @@
 
 class DialectTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DialectTest);
-  CPPUNIT_TEST(testReadsARequest);
-  CPPUNIT_TEST(testWrongNumbersCountAsMissing);
-  CPPUNIT_TEST(testSetsWhatOnlyTheSystemMaySay);
-  CPPUNIT_TEST(testReadsAnAnswer);
-  CPPUNIT_TEST(testReadsTheTermsOfATarget);
-  CPPUNIT_TEST(testUnreadableTerms);
-  CPPUNIT_TEST(testReadsAConfiguration);
-  CPPUNIT_TEST(testReadsTargets);
-  CPPUNIT_TEST(testUnreadableEntriesAreTypedErrors);
+  CPPUNIT_TEST(testParsesRequest);
+  CPPUNIT_TEST(testInvalidNumbersCountAsMissing);
+  CPPUNIT_TEST(testSetsReservedHeaders);
+  CPPUNIT_TEST(testParsesResponse);
+  CPPUNIT_TEST(testParsesTargetTerms);
+  CPPUNIT_TEST(testInvalidTerms);
+  CPPUNIT_TEST(testParsesConfiguration);
+  CPPUNIT_TEST(testParsesTargets);
+  CPPUNIT_TEST(testMalformedEntriesThrowTypedErrors);
   CPPUNIT_TEST_SUITE_END();
 
   PlatformDialect m_Dialect;
@@ -43,7 +43,7 @@
   }
 
 public:
-  void testReadsARequest() {
+  void testParsesRequest() {
     auto Said = m_Dialect.describe(request());
     CPPUNIT_ASSERT_EQUAL(std::string("9c41"), Said.m_Id);
     CPPUNIT_ASSERT_EQUAL(std::string("ficu95.example"), Said.m_Host);
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT(!Said.m_LastEvent);
   }
 
-  void testWrongNumbersCountAsMissing() {
+  void testInvalidNumbersCountAsMissing() {
     http::RequestMessage Bad = request();
     for (const char *Text : {"", "-1", "1e3", "99999999999999999999", "1 2"}) {
       Bad.m_Headers.set("Deadline-Ms", Text);
@@ -67,7 +67,7 @@
     }
   }
 
-  void testSetsWhatOnlyTheSystemMaySay() {
+  void testSetsReservedHeaders() {
     http::RequestMessage Out = request();
     gateway::ForwardDescription What;
     What.m_Target = core::TargetName("i-7f");
@@ -95,7 +95,7 @@
                          *Out.m_Headers.find("Last-Event-Id"));
   }
 
-  void testReadsAnAnswer() {
+  void testParsesResponse() {
     http::ResponseHead Head;
     Head.m_Status = 200;
     Head.m_Headers = {{"Attempt-Id", "9c41"},
@@ -113,7 +113,7 @@
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_IsNotRun);
   }
 
-  void testReadsTheTermsOfATarget() {
+  void testParsesTargetTerms() {
     http::ResponseHead Head;
     Head.m_Status = 200;
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
@@ -150,7 +150,7 @@
         m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnspecified);
   }
 
-  void testUnreadableTerms() {
+  void testInvalidTerms() {
     http::ResponseHead Head;
     Head.m_Status = 503;
     for (const char *Text : {"", "-1", "-0.0", "nan", "inf", "1e300", "many",
@@ -172,8 +172,8 @@
     CPPUNIT_ASSERT(!Rest || *Rest <= std::chrono::hours(1));
   }
 
-  void testReadsAConfiguration() {
-    auto Table = readConfiguration(R"({"version":7,"routes":[
+  void testParsesConfiguration() {
+    auto Table = parseConfiguration(R"({"version":7,"routes":[
       {"name":"r1","host":"Ficu95.example","pathPrefix":"/pufi791/",
        "routeKind":"streaming","timeoutMs":8000,"sloMs":600,"priority":1,
        "service":"huvo11a","maxAttempts":1,"public":false,"resumable":false,
@@ -208,7 +208,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(8192), Table->limits().m_HeaderBytes);
   }
 
-  void testReadsTargets() {
+  void testParsesTargets() {
     Entry Change{"servers/i-7f",
                  R"({"service":"huvo11a","address":"10.128.0.9:8080",
                      "zone":"bandung","version":"v1","slots":6,"state":"ready",
@@ -230,7 +230,7 @@
     CPPUNIT_ASSERT(std::holds_alternative<std::monostate>(News));
   }
 
-  void testUnreadableEntriesAreTypedErrors() {
+  void testMalformedEntriesThrowTypedErrors() {
     for (const char *Value :
          {"", "[]", "{", R"({"service":1})", R"({"service":"a"})",
           R"({"service":"a","address":"nowhere"})"}) {
--- a/Tests/Platform/ForeignEntryTest.cpp
+++ b/Tests/Platform/MalformedTargetEntryTest.cpp
@@ -1,4 +1,5 @@
-//===-- ForeignEntryTest.cpp - Announcements that no target wrote ---------===//
+//===-- MalformedTargetEntryTest.cpp - Announcements that no target wrote
+//---------===//
 //
 // Whoever may write to the store may write what looks like a target. Such an
 // entry names no target to use, and spoils none of the others.
@@ -18,14 +19,14 @@
 using namespace yardrill::platform;
 namespace json = boost::json;
 
-class ForeignEntryTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ForeignEntryTest);
-  CPPUNIT_TEST(testReadsOldAndNewForms);
-  CPPUNIT_TEST(testMissingFieldsNameNoTarget);
-  CPPUNIT_TEST(testOtherTypesNameNoTarget);
-  CPPUNIT_TEST(testUnknownStatesAndNumbersNameNoTarget);
-  CPPUNIT_TEST(testNamesThatFitNoHeaderNameNoTarget);
-  CPPUNIT_TEST(testRandomEntriesAreTargetsOrTypedErrors);
+class MalformedTargetEntryTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(MalformedTargetEntryTest);
+  CPPUNIT_TEST(testReadsOldAndNewFormats);
+  CPPUNIT_TEST(testMissingFieldsAreRejected);
+  CPPUNIT_TEST(testWrongTypesAreRejected);
+  CPPUNIT_TEST(testInvalidStatesAndNumbersAreRejected);
+  CPPUNIT_TEST(testNamesInvalidInHeadersAreRejected);
+  CPPUNIT_TEST(testRandomEntriesParseOrThrow);
   CPPUNIT_TEST_SUITE_END();
 
   PlatformDialect m_Dialect;
@@ -61,7 +62,7 @@
   }
 
 public:
-  void testReadsOldAndNewForms() {
+  void testReadsOldAndNewFormats() {
     CPPUNIT_ASSERT(read(entry(oldForm())).m_StartTime ==
                    core::TargetStartTime());
     CPPUNIT_ASSERT(read(entry(newForm())).m_StartTime ==
@@ -72,7 +73,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(6), read(entry(More)).m_Slots);
   }
 
-  void testMissingFieldsNameNoTarget() {
+  void testMissingFieldsAreRejected() {
     for (const json::object &Form : {oldForm(), newForm()})
       for (const auto &Field : Form) {
         if (Field.key() == "born")
@@ -84,7 +85,7 @@
       }
   }
 
-  void testOtherTypesNameNoTarget() {
+  void testWrongTypesAreRejected() {
     const json::value Values[] = {nullptr,        true,          json::array{4},
                                   json::object{}, json::array{}, 1.5};
     for (const auto &Field : newForm())
@@ -108,7 +109,7 @@
     }
   }
 
-  void testUnknownStatesAndNumbersNameNoTarget() {
+  void testInvalidStatesAndNumbersAreRejected() {
     for (const char *State : {"", "READY", "ready ", "starting", "gone"}) {
       json::object Other = newForm();
       Other["state"] = State;
@@ -132,7 +133,7 @@
     }
   }
 
-  void testNamesThatFitNoHeaderNameNoTarget() {
+  void testNamesInvalidInHeadersAreRejected() {
     for (const char *Name : {"", "a b", "a\r\nX: 1", "a\tb", "\xc3\xa9"}) {
       Entry Change = entry(newForm());
       Change.m_Key = std::string("servers/") + Name;
@@ -143,7 +144,7 @@
   /// Fields dropped, changed and cut at random: each result is a target whose
   /// fields hold what they promise, or an error of a known kind; the targets
   /// that were there before stay as they were.
-  void testRandomEntriesAreTargetsOrTypedErrors() {
+  void testRandomEntriesParseOrThrow() {
     routing::TargetDirectory Targets;
     for (int I = 0; I < 4; ++I) {
       routing::Target Sound = read(entry(newForm()));
@@ -203,4 +204,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ForeignEntryTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(MalformedTargetEntryTest);
--- a/Tests/Platform/StoreClientTest.cpp
+++ b/Tests/Platform/StoreClientTest.cpp
@@ -19,11 +19,11 @@
   CPPUNIT_TEST_SUITE(StoreClientTest);
   CPPUNIT_TEST(testSwapsReadsAndRanges);
   CPPUNIT_TEST(testReadsAllPages);
-  CPPUNIT_TEST(testWatchTellsChangesAndRemovals);
-  CPPUNIT_TEST(testForgottenHistoryIsAConflict);
-  CPPUNIT_TEST(testLeaseTakesItsKeysAlong);
-  CPPUNIT_TEST(testOutageSilenceAndRateLimitAreTyped);
-  CPPUNIT_TEST(testBudgetRefusesBeforeCalling);
+  CPPUNIT_TEST(testWatchReportsChangesAndRemovals);
+  CPPUNIT_TEST(testCompactedHistoryIsAConflict);
+  CPPUNIT_TEST(testLeaseEndRemovesItsKeys);
+  CPPUNIT_TEST(testOutageTimeoutAndRateLimitErrors);
+  CPPUNIT_TEST(testRateLimiterRejectsBeforeCalling);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context m_Context{1};
@@ -36,7 +36,7 @@
     Out.m_Addresses = {{asio::ip::make_address("127.0.0.1"),
                         static_cast<std::uint16_t>(m_Port)}};
     Out.m_CallTimeout = std::chrono::milliseconds(300);
-    Out.m_WatchWait = std::chrono::milliseconds(100);
+    Out.m_LongPollTimeout = std::chrono::milliseconds(100);
     return Out;
   }
   /// Runs \p Test as a coroutine beside the stand-in, until it returns.
@@ -78,7 +78,7 @@
     Call.m_Headers.set("Host", "stand-in");
     Call.m_Body = Json;
     Connection->sendRequest(Call, std::chrono::seconds(1), Yield);
-    Connection->readWhole(std::chrono::seconds(1), 65536, Yield);
+    Connection->readResponse(std::chrono::seconds(1), 65536, Yield);
   }
   ErrorKind failureOf(const std::function<void()> &Call) {
     try {
@@ -106,7 +106,7 @@
       Revision First = put(Key, Value, Yield);
       auto Read = m_Client->read(Key, CallClass::Control, Yield);
       CPPUNIT_ASSERT(Read && Read->m_Value == Value);
-      CPPUNIT_ASSERT(Read->m_Modified == First);
+      CPPUNIT_ASSERT(Read->m_ModRevision == First);
       CPPUNIT_ASSERT(!m_Client->read("none", CallClass::Control, Yield));
       CompareAndSwap Again{Key, Revision(0), {{Key, "z", std::nullopt}}};
       auto Lost = m_Client->compareAndSwap(Again, CallClass::Control, Yield);
@@ -128,7 +128,7 @@
     });
   }
 
-  void testWatchTellsChangesAndRemovals() {
+  void testWatchReportsChangesAndRemovals() {
     run([&](asio::yield_context Yield) {
       Revision Before = put("w/1", "v", Yield);
       LeaseId Lease = m_Client->grantLease(std::chrono::seconds(5),
@@ -145,11 +145,11 @@
           Yield);
       CPPUNIT_ASSERT_EQUAL(std::string("w/2"), Seen.at(0).m_Key);
       CPPUNIT_ASSERT(!Seen.at(0).m_IsDeleted && Seen.at(1).m_IsDeleted);
-      CPPUNIT_ASSERT(Seen.at(0).m_Modified < Seen.at(1).m_Modified);
+      CPPUNIT_ASSERT(Seen.at(0).m_ModRevision < Seen.at(1).m_ModRevision);
     });
   }
 
-  void testForgottenHistoryIsAConflict() {
+  void testCompactedHistoryIsAConflict() {
     run([&](asio::yield_context Yield) {
       Revision Before = put("k", "v", Yield);
       put("l", "v", Yield);
@@ -163,7 +163,7 @@
     });
   }
 
-  void testLeaseTakesItsKeysAlong() {
+  void testLeaseEndRemovesItsKeys() {
     run([&](asio::yield_context Yield) {
       LeaseId Lease = m_Client->grantLease(std::chrono::seconds(5),
                                            CallClass::Control, Yield);
@@ -177,7 +177,7 @@
     });
   }
 
-  void testOutageSilenceAndRateLimitAreTyped() {
+  void testOutageTimeoutAndRateLimitErrors() {
     run([&](asio::yield_context Yield) {
       auto Read = [&] { m_Client->read("k", CallClass::Control, Yield); };
       controlWithin(R"({"silent":true})", Yield);
@@ -195,7 +195,7 @@
     });
   }
 
-  void testBudgetRefusesBeforeCalling() {
+  void testRateLimiterRejectsBeforeCalling() {
     StoreSettings Few = settings();
     Few.m_CallsPerSecond = 0.1;
     Few.m_CallBurst = 1;
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -95,7 +95,7 @@
   std::string All = IsStream ? allEventsOf(What.m_Id) : answerTo(What.m_Id);
   std::string Out;
   while (true) {
-    std::string Piece = Connection.readPiece(Patience, Yield);
+    std::string Piece = Connection.readBodyData(Patience, Yield);
     Out += Piece;
     if (All.compare(0, Out.size(), Out) != 0) {
       m_Book.wrongAnswer(What.m_Id, "other bytes than its own");
@@ -129,7 +129,7 @@
                    What.m_Kind == RequestKind::ResumableStream,
                Yield);
     else
-      while (!Connection.readPiece(Patience, Yield).empty()) {
+      while (!Connection.readBodyData(Patience, Yield).empty()) {
         // Of a failure only the status counts.
       }
     m_Book.answered(What.m_Id, Head.m_Status);
@@ -222,7 +222,7 @@
       auto Connection = http::ClientConnection::connect(
           m_Context, m_Under.readinessAddress(Gateway), ConnectTime, Yield);
       Connection->sendRequest(Ask, ConnectTime, Yield);
-      Status = Connection->readWhole(ConnectTime, AnswerBytes, Yield)
+      Status = Connection->readResponse(ConnectTime, AnswerBytes, Yield)
                    .m_Head.m_Status;
     } catch (const core::Error &) {
       // No answer is a miss.
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -225,7 +225,7 @@
       m_Context, toTcp("127.0.0.1", static_cast<std::uint16_t>(m_StorePort)),
       OperatorTimeout, Yield);
   Connection->sendRequest(Request, OperatorTimeout, Yield);
-  Connection->readWhole(OperatorTimeout, std::size_t(64) << 20, Yield);
+  Connection->readResponse(OperatorTimeout, std::size_t(64) << 20, Yield);
 }
 
 void Deployment::put(const std::string &Key, const std::string &Value,
@@ -399,7 +399,7 @@
       OperatorTimeout, Yield);
   Connection->sendRequest(Request, OperatorTimeout, Yield);
   auto Answer =
-      Connection->readWhole(OperatorTimeout, std::size_t(1) << 20, Yield);
+      Connection->readResponse(OperatorTimeout, std::size_t(1) << 20, Yield);
   if (Answer.m_Head.m_Status != 200)
     return "";
   json::value Item = json::parse(Answer.m_Body);
--- a/Tests/Soak/SoakTarget.cpp
+++ b/Tests/Soak/SoakTarget.cpp
@@ -165,12 +165,12 @@
   if (m_IsDisturbed)
     m_Book.targetTrouble(Id);
   if (headerOf(Request, "Expect-Replica") != m_Name)
-    return Call.sendWhole(refusal(421, Id), Yield);
+    return Call.sendResponse(refusal(421, Id), Yield);
   if (m_Running.size() >= Places + QueueLimit || happens(m_How.m_Refuses)) {
     m_Book.targetTrouble(Id);
     http::ResponseMessage Out = refusal(503, Id);
     state(Out.m_Head, Id, std::nullopt);
-    return Call.sendWhole(std::move(Out), Yield);
+    return Call.sendResponse(std::move(Out), Yield);
   }
   if (happens(m_How.m_Tires)) {
     m_Book.targetTrouble(Id);
@@ -179,7 +179,7 @@
           LeastRest +
               std::chrono::milliseconds(std::uniform_int_distribution<int>(
                   0, RestSpreadMs)(m_Random)));
-    return Call.sendWhole(std::move(Out), Yield);
+    return Call.sendResponse(std::move(Out), Yield);
   }
   std::string Bad = badContentOf(Request);
   if (Request.m_Body != bodyOf(Bad.empty() ? Id : Bad))
@@ -221,14 +221,14 @@
   state(Out.m_Head, Id, std::nullopt);
   Out.m_Body = answerTo(Id);
   if (MustFail)
-    return Call.sendWhole(std::move(Out), Yield);
+    return Call.sendResponse(std::move(Out), Yield);
   if (m_Pool == "engine")
     return stream(Call, Id, MustBreak, Yield);
   if (!MustBreak)
-    return Call.sendWhole(std::move(Out), Yield);
+    return Call.sendResponse(std::move(Out), Yield);
   Out.m_Head.m_ContentLength = Out.m_Body.size();
   Call.startStream(Out.m_Head, Yield);
-  Call.sendPiece(Out.m_Body.substr(0, Out.m_Body.size() / 2), Yield);
+  Call.sendBodyData(Out.m_Body.substr(0, Out.m_Body.size() / 2), Yield);
   Call.abort();
 }
 
@@ -247,10 +247,10 @@
     std::string Event = eventOf(Id, Next);
     if (MustBreak && Next > 1) {
       // Also partway through an event.
-      Call.sendPiece(Event.substr(0, Event.size() / 2), Yield);
+      Call.sendBodyData(Event.substr(0, Event.size() / 2), Yield);
       return Call.abort();
     }
-    Call.sendPiece(Event, Yield);
+    Call.sendBodyData(Event, Yield);
     tests::sleepFor(m_Context, EventPause, Yield);
   }
   Call.finishStream(Yield);
--- a/Tests/StandIns/Application.cpp
+++ b/Tests/StandIns/Application.cpp
@@ -29,10 +29,10 @@
   Head.m_ContentLength = Body.size();
   Call.startStream(Head, Yield);
   if (Break == "within-answer") {
-    Call.sendPiece(Body.substr(0, Body.size() / 2), Yield);
+    Call.sendBodyData(Body.substr(0, Body.size() / 2), Yield);
     return Call.abort();
   }
-  Call.sendPiece(Body, Yield);
+  Call.sendBodyData(Body, Yield);
   Call.finishStream(Yield);
 }
 
--- a/Tests/StandIns/ModelEngine.cpp
+++ b/Tests/StandIns/ModelEngine.cpp
@@ -198,7 +198,7 @@
                          const std::shared_ptr<Job> &Which, std::size_t Next,
                          asio::yield_context Yield) {
   bool IsGone = false;
-  Call.setHangUpHook([&IsGone, Which] {
+  Call.setDisconnectCallback([&IsGone, Which] {
     IsGone = true;
     Which->m_ReaderWake.cancel();
   });
@@ -214,22 +214,22 @@
                             {"text", tokenOf(Which->m_Prompt, Next)}};
         json::object Event{{"choices", json::array{Choice}}};
         ++Next;
-        Call.sendPiece("id: " + std::to_string(Next) +
-                           "\ndata: " + json::serialize(Event) + "\n\n",
-                       Yield);
+        Call.sendBodyData("id: " + std::to_string(Next) +
+                              "\ndata: " + json::serialize(Event) + "\n\n",
+                          Yield);
       }
       if (Which->isOver())
         break;
       waitUntilCancelled(Which->m_ReaderWake, Yield);
     }
     if (!IsGone && Next == Which->m_Tokens) {
-      Call.sendPiece("data: [DONE]\n\n", Yield);
+      Call.sendBodyData("data: [DONE]\n\n", Yield);
       Call.finishStream(Yield);
     }
   } catch (const std::exception &) {
     IsGone = true;
   }
-  Call.setHangUpHook(nullptr);
+  Call.setDisconnectCallback(nullptr);
   --Which->m_Readers;
   if (IsGone || Next != Which->m_Tokens)
     Call.abort();
@@ -240,10 +240,10 @@
 void ModelEngine::answerWhole(http::Exchange &Call,
                               const std::shared_ptr<Job> &Which,
                               asio::yield_context Yield) {
-  Call.setHangUpHook([Which] { Which->cancel(); });
+  Call.setDisconnectCallback([Which] { Which->cancel(); });
   while (!Which->isOver())
     waitUntilCancelled(Which->m_ReaderWake, Yield);
-  Call.setHangUpHook(nullptr);
+  Call.setDisconnectCallback(nullptr);
   if (Which->m_Produced != Which->m_Tokens)
     return Call.abort();
   std::string Text;
--- a/Tests/StandIns/Platform.cpp
+++ b/Tests/StandIns/Platform.cpp
@@ -138,8 +138,8 @@
 json::object Platform::toJson(const std::string &Key, const Item &What) const {
   return {{"privateKey", Key},
           {"value", core::toBase64(What.m_Value)},
-          {"rev", What.m_Modified},
-          {"createRevision", What.m_Modified},
+          {"rev", What.m_ModRevision},
+          {"createRevision", What.m_ModRevision},
           {"lease", What.m_Lease}};
 }
 
@@ -180,7 +180,8 @@
     const json::object &Condition = Each.as_object();
     std::string Key = textOf(Condition, "privateKey");
     auto Found = m_Items.find(Key);
-    std::int64_t Stands = Found == m_Items.end() ? 0 : Found->second.m_Modified;
+    std::int64_t Stands =
+        Found == m_Items.end() ? 0 : Found->second.m_ModRevision;
     IsMet = IsMet && Stands == integerOf(Condition, "rev");
     if (Found != m_Items.end())
       Current.push_back(toJson(Key, Found->second));
@@ -276,7 +277,7 @@
   auto Wake = std::make_shared<asio::steady_timer>(m_Context);
   auto Place = m_Watchers.insert(m_Watchers.end(), Wake);
   bool IsGone = false;
-  Call.setHangUpHook([&IsGone, Wake] {
+  Call.setDisconnectCallback([&IsGone, Wake] {
     IsGone = true;
     Wake->cancel();
   });
@@ -310,7 +311,7 @@
     ++m_Revision;
     std::optional<Item> Now = What;
     if (Now)
-      Now->m_Modified = m_Revision;
+      Now->m_ModRevision = m_Revision;
     put(Key, Now);
   };
   asio::spawn(m_Context, Later, asio::detached);
--- a/Tests/StandIns/Platform.h
+++ b/Tests/StandIns/Platform.h
@@ -33,7 +33,7 @@
 private:
   struct Item {
     std::string m_Value;
-    std::int64_t m_Modified = 0;
+    std::int64_t m_ModRevision = 0;
     std::int64_t m_Lease = 0;
   };
   struct Change {
--- a/Tests/StandIns/StandIn.cpp
+++ b/Tests/StandIns/StandIn.cpp
@@ -42,7 +42,7 @@
   Out.m_Head.m_Status = Status;
   Out.m_Head.m_Headers.set("Content-Type", "application/json");
   Out.m_Body = boost::json::serialize(Body) + "\n";
-  Call.sendWhole(std::move(Out), Yield);
+  Call.sendResponse(std::move(Out), Yield);
 }
 
 } // namespace yardrill::standins
--- a/Tests/Support/ChangingStore.h
+++ b/Tests/Support/ChangingStore.h
@@ -45,7 +45,7 @@
       std::lock_guard<std::mutex> Lock(m_Mutex);
       if (m_Changes.empty())
         continue;
-      m_Last = m_Changes.back().m_Modified;
+      m_Last = m_Changes.back().m_ModRevision;
       Notify(std::exchange(m_Changes, {}));
     }
   }
@@ -82,7 +82,7 @@
 private:
   void put(platform::Entry Entry) {
     m_Revisions[Entry.m_Key] =
-        Entry.m_IsDeleted ? platform::Revision() : Entry.m_Modified;
+        Entry.m_IsDeleted ? platform::Revision() : Entry.m_ModRevision;
     m_Values[Entry.m_Key] = Entry.m_Value;
     m_Changes.push_back(std::move(Entry));
   }
--- a/Tests/Support/SharedStore.h
+++ b/Tests/Support/SharedStore.h
@@ -49,7 +49,7 @@
       std::vector<platform::Entry> News = changesAfter(After);
       if (News.empty())
         continue;
-      After = News.back().m_Modified;
+      After = News.back().m_ModRevision;
       if (!Notify(News))
         return;
     }
@@ -66,7 +66,7 @@
     platform::SwapResult Out;
     const platform::Entry &Current = m_Entries[Swap.m_Key];
     platform::Revision Stands =
-        Current.m_IsDeleted ? platform::Revision() : Current.m_Modified;
+        Current.m_IsDeleted ? platform::Revision() : Current.m_ModRevision;
     if (Stands != Swap.m_Expected) {
       Out.m_Current = Current;
       return Out;
@@ -113,7 +113,7 @@
     failIfDown();
     std::vector<platform::Entry> Out;
     for (const platform::Entry &Each : m_Changes)
-      if (After < Each.m_Modified)
+      if (After < Each.m_ModRevision)
         Out.push_back(Each);
     return Out;
   }
--- a/Tests/Support/SpreadFleet.cpp
+++ b/Tests/Support/SpreadFleet.cpp
@@ -29,12 +29,12 @@
       m_Fetcher(Context, m_Own, m_Codec, m_Mirror, m_Metrics, SmallLinkRate),
       m_Link(Context, m_Linked.m_Port, m_Own.m_Port) {
   m_Mirror.subscribe([this](const Entry &Change) {
-    m_Told[Change.m_Key] = Change.m_Modified;
+    m_Told[Change.m_Key] = Change.m_ModRevision;
   });
 }
 
 gateway::FetchCandidate SpreadMember::asFetchCandidate() const {
-  return {m_Linked, m_Mirror.revision(), m_Mirror.wholeRevision()};
+  return {m_Linked, m_Mirror.revision(), m_Mirror.completeRevision()};
 }
 
 bool SpreadMember::holds(const std::string &Key, Revision At) const {
@@ -73,7 +73,7 @@
   std::vector<gateway::FetchCandidate> Ahead;
   for (const auto &Other : m_Members)
     if (Own.revision() < Other->mirror().revision() ||
-        Own.wholeRevision() < Other->mirror().wholeRevision())
+        Own.completeRevision() < Other->mirror().completeRevision())
       Ahead.push_back(Other->asFetchCandidate());
   Which.fetcher().fetchIfDue(Ahead, false, core::steadyNow());
 }
--- a/Tests/Support/TestClient.cpp
+++ b/Tests/Support/TestClient.cpp
@@ -44,7 +44,7 @@
     Out.m_Status = Head.m_Status;
     Out.m_Headers = Head.m_Headers;
     while (true) {
-      std::string Piece = Connection->readPiece(CallTimeout, Yield);
+      std::string Piece = Connection->readBodyData(CallTimeout, Yield);
       if (Piece.empty())
         return;
       Out.m_Body += Piece;
