--- a/Libraries/LibConfig/InstanceSettings.cpp
+++ b/Libraries/LibConfig/InstanceSettings.cpp
@@ -105,8 +105,8 @@
 
 static void readIdentities(YamlReader &Reader, IdentityLimits &Out) {
   Out.m_Identities = size(Reader, "identities", 100000);
-  Out.m_AnswerBytes = size(Reader, "answer_bytes", 16777216);
-  Out.m_OneAnswerBytes = size(Reader, "one_answer_bytes", 262144);
+  Out.m_MaxStoreBytes = size(Reader, "answer_bytes", 16777216);
+  Out.m_MaxStoredResponseBytes = size(Reader, "one_answer_bytes", 262144);
   Out.m_Retention = Reader.milliseconds("retention_ms", AnyTime, 600000);
 }
 
--- a/Libraries/LibConfig/InstanceSettings.h
+++ b/Libraries/LibConfig/InstanceSettings.h
@@ -32,10 +32,10 @@
 };
 
 struct IdentityLimits {
-  std::size_t m_Identities = 0;     ///< More: 429 `identities-full`, not run.
-  std::size_t m_AnswerBytes = 0;    ///< Kept answers in all.
-  std::size_t m_OneAnswerBytes = 0; ///< A larger answer is not kept.
-  core::Duration m_Retention{};     ///< How long an identity is remembered.
+  std::size_t m_Identities = 0;    ///< More: 429 `identities-full`, not run.
+  std::size_t m_MaxStoreBytes = 0; ///< Kept answers in all.
+  std::size_t m_MaxStoredResponseBytes = 0; ///< A larger answer is not kept.
+  core::Duration m_Retention{}; ///< How long an identity is remembered.
 };
 
 struct PlatformSettings {
--- a/Libraries/LibDecision/Action.h
+++ b/Libraries/LibDecision/Action.h
@@ -55,7 +55,7 @@
 };
 
 /// Record in the platform's service that this instance is the key's home,
-/// unless somebody is already; ClaimAnswered follows.
+/// unless somebody is already; ClaimCompleted follows.
 struct Claim {
   core::RequestId m_Request;
   std::string m_Identity;
--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -285,7 +285,7 @@
   }
 }
 
-void DecisionCore::on(const ClaimAnswered &What, core::TimePoint Now) {
+void DecisionCore::on(const ClaimCompleted &What, core::TimePoint Now) {
   auto Found = m_Requests.find(What.m_Request);
   if (Found == m_Requests.end())
     return;
--- a/Libraries/LibDecision/DecisionCore.h
+++ b/Libraries/LibDecision/DecisionCore.h
@@ -48,7 +48,7 @@
   void on(const ResponseStarted &What, core::TimePoint Now);
   void on(const ResponseEnded &What, core::TimePoint Now);
   void on(const RefusalSettled &What, core::TimePoint Now);
-  void on(const ClaimAnswered &What, core::TimePoint Now);
+  void on(const ClaimCompleted &What, core::TimePoint Now);
   void on(const TargetStateChanged &What, core::TimePoint Now);
   void on(const InstanceCountChanged &What, core::TimePoint Now);
   void on(const TimePassed &What, core::TimePoint Now);
--- a/Libraries/LibDecision/Event.h
+++ b/Libraries/LibDecision/Event.h
@@ -122,7 +122,7 @@
   Unavailable, ///< Not made, or perhaps made without our knowing.
 };
 
-struct ClaimAnswered {
+struct ClaimCompleted {
   core::RequestId m_Request;
   ClaimOutcome m_Outcome = ClaimOutcome::Unavailable;
   InstanceRef m_Owner; ///< Of a held claim.
@@ -160,7 +160,7 @@
 using Event =
     std::variant<InstanceStarted, ConfigurationAccepted, RequestArrived,
                  CallerDisconnected, ConnectFailed, ResponseStarted,
-                 ResponseEnded, RefusalSettled, ClaimAnswered,
+                 ResponseEnded, RefusalSettled, ClaimCompleted,
                  TargetStateChanged, InstanceCountChanged, TimePassed,
                  StopRequested, ThresholdCommand, ThresholdReport,
                  ThresholdRecordRead, ThresholdRecordWritten, MemberGone>;
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -94,7 +94,7 @@
   virtual void prepare(http::RequestMessage &Request,
                        const ForwardDescription &What) const = 0;
   /// Names the request in an answer that the gateway itself makes.
-  virtual void prepare(http::ResponseHead &Answer,
+  virtual void prepare(http::ResponseHead &Response,
                        const RequestDescription &To) const = 0;
   virtual ResponseDescription
   describe(const http::ResponseHead &Head) const = 0;
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -60,7 +60,7 @@
           m_Targets, m_Settings.m_DataHall, m_Settings.m_Placement,
           {[this](core::RequestId Request, const routing::Target &Where) {
              GatewayRequest &Sent = *m_OpenRequests.at(Request);
-             m_Rollouts.sent(Sent.routeHash(), Where);
+             m_Rollouts.recordSent(Sent.routeHash(), Where);
              Sent.assignTarget(Where);
              m_Peers->scheduleReport();
            },
@@ -135,11 +135,11 @@
         m_Context, m_Settings.m_MetricsAddress->toTcp(), http::ServerLimits(),
         [this](http::Exchange &Call, asio::yield_context Yield) {
           updateGauges();
-          http::ResponseMessage Answer = http::emptyResponse(200);
-          Answer.m_Head.m_Headers.set("Content-Type",
-                                      "text/plain; version=0.0.4");
-          Answer.m_Body = m_Metrics.exposition();
-          Call.sendResponse(std::move(Answer), Yield);
+          http::ResponseMessage Response = http::emptyResponse(200);
+          Response.m_Head.m_Headers.set("Content-Type",
+                                        "text/plain; version=0.0.4");
+          Response.m_Body = m_Metrics.exposition();
+          Call.sendResponse(std::move(Response), Yield);
         },
         http::emptyResponse);
   m_Peers = std::make_unique<PeerService>(
--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -299,17 +299,17 @@
                              asio::yield_context Yield) {
   m_Status = Status;
   m_Reason = Reason;
-  http::ResponseMessage Answer;
-  Answer.m_Head.m_Status = Status;
-  m_Owner.m_Wire.prepare(Answer.m_Head, m_Description);
+  http::ResponseMessage Response;
+  Response.m_Head.m_Status = Status;
+  m_Owner.m_Wire.prepare(Response.m_Head, m_Description);
   if (RetryAfter > core::Duration::zero()) {
     char Text[32];
     std::snprintf(Text, sizeof Text, "%.3f", core::toSeconds(RetryAfter));
-    Answer.m_Head.m_Headers.set("Retry-After", Text);
+    Response.m_Head.m_Headers.set("Retry-After", Text);
   }
   try {
     if (!m_IsCallerGone)
-      m_Caller.sendResponse(std::move(Answer), Yield);
+      m_Caller.sendResponse(std::move(Response), Yield);
   } catch (const Error &) {
     m_IsCallerGone = true;
   }
--- a/Libraries/LibGateway/GatewayRequest.h
+++ b/Libraries/LibGateway/GatewayRequest.h
@@ -63,7 +63,7 @@
   http::ResponseHead readMatchingHead(http::ClientConnection &Connection,
                                       boost::asio::yield_context Yield);
   /// Keeps a failure back where another target may do better.
-  AttemptOutcome relayWhole(http::ResponseMessage Answer,
+  AttemptOutcome relayWhole(http::ResponseMessage Response,
                             boost::asio::yield_context Yield);
   void noteEvents(std::size_t Count);
   /// Whether another target may be tried after \p Last.
--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -169,14 +169,14 @@
   return Result;
 }
 
-AttemptOutcome GatewayRequest::relayWhole(http::ResponseMessage Answer,
+AttemptOutcome GatewayRequest::relayWhole(http::ResponseMessage Response,
                                           asio::yield_context Yield) {
-  if (Answer.m_Head.m_Status >= 500 && m_Route->isRetryable()) {
+  if (Response.m_Head.m_Status >= 500 && m_Route->isRetryable()) {
     m_Reason = "target-failed";
-    m_FailureResponse = std::move(Answer);
+    m_FailureResponse = std::move(Response);
     return AttemptOutcome::Failed;
   }
-  return m_Relay.sendResponse(std::move(Answer), Yield);
+  return m_Relay.sendResponse(std::move(Response), Yield);
 }
 
 void GatewayRequest::noteEvents(std::size_t Count) {
@@ -253,10 +253,11 @@
     return;
   if (IsWhole && m_Relay.status() >= 500)
     IsFailure = true;
-  m_Owner.m_Rollouts.answered(routeHash(), *m_Target,
-                              IsFailure ? rollout::ResponseQuality::Failed
+  m_Owner.m_Rollouts.recordResponse(routeHash(), *m_Target,
+                                    IsFailure
+                                        ? rollout::ResponseQuality::Failed
                                         : rollout::ResponseQuality::Succeeded,
-                              normalizedDuration(Took));
+                                    normalizedDuration(Took));
 }
 
 core::Duration GatewayRequest::normalizedDuration(core::Duration Took) const {
--- a/Libraries/LibGateway/MirrorFetcher.cpp
+++ b/Libraries/LibGateway/MirrorFetcher.cpp
@@ -166,10 +166,10 @@
   Request.m_Method = "GET";
   Request.m_Target =
       MirrorServer::ChangesPath + std::to_string(m_Mirror.revision().value());
-  auto Answer = exchange(From, std::move(Request), Yield);
-  if (!Answer)
+  auto Response = exchange(From, std::move(Request), Yield);
+  if (!Response)
     return backOff(m_Changes);
-  auto Transfer = MirrorUpdate::decode(*Answer);
+  auto Transfer = MirrorUpdate::decode(*Response);
   Transfer.applyTo(m_Mirror);
   core::LogLine("store-heard-from-peer")
       .add("peer", From.toString())
@@ -177,7 +177,7 @@
       .add("entries", Transfer.m_Entries.size())
       .add("is_whole", Transfer.m_IsSnapshot)
       .add("values_wanted", m_Mirror.pendingValues().size())
-      .add("bytes", Answer->size())
+      .add("bytes", Response->size())
       .add("took_us", core::steadyNow() - Begin);
 }
 
@@ -192,11 +192,11 @@
   Request.m_Method = "POST";
   Request.m_Target = MirrorServer::ValuePath;
   Request.m_Body = m_Codec.encodeSigned(Query.encode());
-  auto Answer = exchange(From, std::move(Request), Yield);
-  m_WasRefused = !Answer;
-  if (!Answer)
+  auto Response = exchange(From, std::move(Request), Yield);
+  m_WasRefused = !Response;
+  if (!Response)
     return backOff(m_Values);
-  auto Transfer = ValueTransfer::decode(*Answer);
+  auto Transfer = ValueTransfer::decode(*Response);
   core::Duration Took = core::steadyNow() - Begin;
   m_Mirror.supplyValue(
       {Key, applyTransfer(Key, Transfer), Transfer.m_ModRevision});
@@ -205,7 +205,7 @@
       .add("key", Key)
       .add("revision", Transfer.m_ModRevision)
       .add("base", Transfer.m_Base)
-      .add("bytes", Answer->size())
+      .add("bytes", Response->size())
       .add("took_us", Took);
 }
 
@@ -237,16 +237,18 @@
                                                     FetchTimeout, Yield);
   Request.m_Headers.set("Host", From.toString());
   Connection->sendRequest(Request, FetchTimeout, Yield);
-  auto Answer = Connection->readResponse(FetchTimeout, MaxTransferBytes, Yield);
+  auto Response =
+      Connection->readResponse(FetchTimeout, MaxTransferBytes, Yield);
   m_Metrics.count("yardrill_peer_transfer_bytes_received_total",
-                  Answer.m_Body.size());
+                  Response.m_Body.size());
   // It is busy with others, or has not what its report will soon deny.
-  if (Answer.m_Head.m_Status == 503 || Answer.m_Head.m_Status == 404)
+  if (Response.m_Head.m_Status == 503 || Response.m_Head.m_Status == 404)
     return std::nullopt;
-  if (Answer.m_Head.m_Status != 200)
+  if (Response.m_Head.m_Status != 200)
     throw Error(ErrorKind::Unavailable,
-                "the peer answered " + std::to_string(Answer.m_Head.m_Status));
-  auto Payload = m_Codec.decodeSigned(Answer.m_Body);
+                "the peer answered " +
+                    std::to_string(Response.m_Head.m_Status));
+  auto Payload = m_Codec.decodeSigned(Response.m_Body);
   if (const auto *Reason = std::get_if<peer::DropReason>(&Payload))
     throw Error(ErrorKind::Protocol, peer::toString(*Reason));
   return std::string(std::get<std::string_view>(Payload));
--- a/Libraries/LibGateway/MirrorServer.cpp
+++ b/Libraries/LibGateway/MirrorServer.cpp
@@ -20,7 +20,7 @@
       m_Server(http::Server::create(
           Context, Address.toTcp(), http::ServerLimits(),
           [this](http::Exchange &Call, asio::yield_context Yield) {
-            send(Call, answer(Call.request()), Yield);
+            send(Call, respondTo(Call.request()), Yield);
           },
           http::emptyResponse)) {
   m_Mirror.setReplacedCallback(
@@ -28,13 +28,13 @@
 }
 
 http::ResponseMessage
-MirrorServer::answer(const http::RequestMessage &Request) {
+MirrorServer::respondTo(const http::RequestMessage &Request) {
   static const std::string Prefix = ChangesPath;
   const std::string &Target = Request.m_Target;
   if (Target == ValuePath)
-    return answerValue(Request.m_Body);
+    return valueResponse(Request.m_Body);
   if (Target.compare(0, Prefix.size(), Prefix) == 0)
-    return answerChanges(Target.substr(Prefix.size()));
+    return changesResponse(Target.substr(Prefix.size()));
   return http::emptyResponse(404);
 }
 
@@ -47,7 +47,7 @@
   return platform::Revision(Value);
 }
 
-http::ResponseMessage MirrorServer::answerChanges(const std::string &Since) {
+http::ResponseMessage MirrorServer::changesResponse(const std::string &Since) {
   auto After = toRevision(Since);
   if (!After)
     return http::emptyResponse(404);
@@ -79,7 +79,7 @@
   return false;
 }
 
-http::ResponseMessage MirrorServer::answerValue(const std::string &Body) {
+http::ResponseMessage MirrorServer::valueResponse(const std::string &Body) {
   auto Payload = m_Codec.decodeSigned(Body);
   if (std::holds_alternative<peer::DropReason>(Payload))
     return http::emptyResponse(403);
@@ -113,13 +113,13 @@
                      static_cast<double>(Value));
 }
 
-void MirrorServer::send(http::Exchange &Call, http::ResponseMessage Answer,
+void MirrorServer::send(http::Exchange &Call, http::ResponseMessage Response,
                         asio::yield_context Yield) {
   m_Metrics.count("yardrill_peer_transfer_bytes_sent_total",
-                  Answer.m_Body.size());
+                  Response.m_Body.size());
   setOpen(m_Open + 1);
   try {
-    Call.sendResponse(std::move(Answer), Yield);
+    Call.sendResponse(std::move(Response), Yield);
   } catch (...) {
     setOpen(m_Open - 1);
     throw;
--- a/Libraries/LibGateway/MirrorServer.h
+++ b/Libraries/LibGateway/MirrorServer.h
@@ -41,17 +41,17 @@
                double LinkBytesPerSecond);
 
 private:
-  http::ResponseMessage answer(const http::RequestMessage &Request);
-  http::ResponseMessage answerChanges(const std::string &Since);
+  http::ResponseMessage respondTo(const http::RequestMessage &Request);
+  http::ResponseMessage changesResponse(const std::string &Since);
   /// The answer to whoever needs everything; made once for each revision. All
   /// instances of a fleet that starts ask for it within a second.
   const std::string &snapshotBody();
-  http::ResponseMessage answerValue(const std::string &Body);
+  http::ResponseMessage valueResponse(const std::string &Body);
   http::ResponseMessage signedResponse(std::string_view Payload) const;
   /// Whether the link bears \p Bytes more now; counts a refusal.
   bool tryUpload(std::size_t Bytes);
   /// Counts what a peer is sent. \throws core::Error when the peer is gone.
-  void send(http::Exchange &Call, http::ResponseMessage Answer,
+  void send(http::Exchange &Call, http::ResponseMessage Response,
             boost::asio::yield_context Yield);
   void setOpen(std::size_t Value);
 
--- a/Libraries/LibGateway/QuotaProtocol.h
+++ b/Libraries/LibGateway/QuotaProtocol.h
@@ -27,12 +27,12 @@
 
   /// Asks the owner that \p Draw has to ask next. Tokens of an answer that is
   /// not waited for any more are kept for others.
-  void ask(const routing::QuotaAcquisition &Draw, ResponseHandler Answered,
+  void ask(const routing::QuotaAcquisition &Draw, ResponseHandler OnResponse,
            core::TimePoint Now);
   /// Takes a message of another instance.
   void handle(const config::Endpoint &From, const peer::QuotaRequest &Ask,
               core::TimePoint Now);
-  void handle(const config::Endpoint &From, const peer::QuotaResponse &Answer,
+  void handle(const config::Endpoint &From, const peer::QuotaResponse &Response,
               core::TimePoint Now);
   /// Asks other owners to take over their parts of debts made here. To be
   /// called after each decision of the book.
@@ -41,18 +41,18 @@
   void upkeep(core::TimePoint Now);
 
 private:
-  routing::QuotaResponse answerTo(const peer::QuotaRequest &Ask,
-                                  core::TimePoint Now);
+  routing::QuotaResponse responseTo(const peer::QuotaRequest &Ask,
+                                    core::TimePoint Now);
   /// \returns its number.
   std::uint64_t expect(const config::Endpoint &Owner,
-                       routing::AccountHash Account, ResponseHandler Answered,
+                       routing::AccountHash Account, ResponseHandler OnResponse,
                        core::TimePoint Now);
 
   struct Pending {
     config::Endpoint m_Owner;
     routing::AccountHash m_Account = 0;
     core::TimePoint m_AskedAt{};
-    ResponseHandler m_Answered;
+    ResponseHandler m_OnResponse;
   };
 
   routing::DistributedQuota &m_Book;
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -40,8 +40,8 @@
   const config::Endpoint &From = Message.m_From.m_Peer;
   if (const auto *Ask = std::get_if<peer::QuotaRequest>(&Message.m_Body))
     return m_Desk.handle(From, *Ask, Now);
-  if (const auto *Answer = std::get_if<peer::QuotaResponse>(&Message.m_Body))
-    m_Desk.handle(From, *Answer, Now);
+  if (const auto *Response = std::get_if<peer::QuotaResponse>(&Message.m_Body))
+    m_Desk.handle(From, *Response, Now);
 }
 
 void QuotaService::upkeep(bool IsListConfirmed, core::TimePoint Now) {
@@ -74,7 +74,7 @@
 
   core::Timer m_Timer;
   bool m_IsOver = false;
-  std::optional<routing::QuotaResponse> m_Answer;
+  std::optional<routing::QuotaResponse> m_Response;
 };
 
 } // namespace
@@ -84,21 +84,21 @@
   auto Waits = std::make_shared<Wait>(m_Context);
   m_Desk.ask(
       Draw,
-      [Waits](const routing::QuotaResponse &Answer) {
+      [Waits](const routing::QuotaResponse &Response) {
         if (Waits->m_IsOver)
           return false;
-        Waits->m_Answer = Answer;
+        Waits->m_Response = Response;
         Waits->m_Timer.cancel();
         return true;
       },
       core::steadyNow());
   boost::system::error_code Ignored;
-  if (!Waits->m_Answer)
+  if (!Waits->m_Response)
     Waits->m_Timer.async_wait(Yield[Ignored]);
   Waits->m_IsOver = true;
   core::TimePoint Now = core::steadyNow();
-  if (Waits->m_Answer)
-    return m_Book.handleResponse(Draw, *Waits->m_Answer, Now);
+  if (Waits->m_Response)
+    return m_Book.handleResponse(Draw, *Waits->m_Response, Now);
   return m_Book.handleTimeout(Draw, Now);
 }
 
--- a/Libraries/LibGateway/RequestInfo.cpp
+++ b/Libraries/LibGateway/RequestInfo.cpp
@@ -55,14 +55,14 @@
 }
 
 void RequestInfo::logCompletion(const char *Event,
-                                unsigned AnswerStatus) const {
+                                unsigned ResponseStatus) const {
   core::LogLine Line(Event);
   core::TimePoint Now = core::steadyNow();
   Line.add("request", m_Description.m_Id)
       .add("route", m_Route ? m_Route->m_Name : "")
       .add("tier", m_Tier)
       .add("pool", m_Pool)
-      .add("status", m_Status != 0 ? m_Status : AnswerStatus)
+      .add("status", m_Status != 0 ? m_Status : ResponseStatus)
       .add("reason", m_Reason)
       .add("tries", m_Timing.attempts())
       .add("total_us", Now - m_Timing.arrivedAt());
--- a/Libraries/LibGateway/RequestInfo.h
+++ b/Libraries/LibGateway/RequestInfo.h
@@ -42,8 +42,8 @@
   void logDispatch(const routing::KnownTarget *Known,
                    platform::Revision StoreRevision) const;
   void logTargetRefusal(unsigned TargetStatus) const;
-  /// \param AnswerStatus of a target's answer that was passed on.
-  void logCompletion(const char *Event, unsigned AnswerStatus) const;
+  /// \param ResponseStatus of a target's answer that was passed on.
+  void logCompletion(const char *Event, unsigned ResponseStatus) const;
   void countCompletion(metrics::MetricsRegistry &Metrics) const;
 };
 
--- a/Libraries/LibGateway/ResponseRelay.cpp
+++ b/Libraries/LibGateway/ResponseRelay.cpp
@@ -21,11 +21,11 @@
   }
 }
 
-AttemptOutcome ResponseRelay::sendResponse(http::ResponseMessage Answer,
+AttemptOutcome ResponseRelay::sendResponse(http::ResponseMessage Response,
                                            asio::yield_context Yield) {
-  m_Status = Answer.m_Head.m_Status;
+  m_Status = Response.m_Head.m_Status;
   try {
-    m_Caller.sendResponse(std::move(Answer), Yield);
+    m_Caller.sendResponse(std::move(Response), Yield);
   } catch (const core::Error &) {
     return AttemptOutcome::CallerGone;
   }
--- a/Libraries/LibGateway/ResponseRelay.h
+++ b/Libraries/LibGateway/ResponseRelay.h
@@ -42,7 +42,7 @@
                                      const http::ResponseHead &Head,
                                      boost::asio::yield_context Yield) const;
   /// \returns Complete or CallerGone.
-  AttemptOutcome sendResponse(http::ResponseMessage Answer,
+  AttemptOutcome sendResponse(http::ResponseMessage Response,
                               boost::asio::yield_context Yield);
   /// Bytes as they come. \throws core::Error when the target's answer breaks.
   AttemptOutcome relayBytes(http::ClientConnection &From,
--- a/Libraries/LibGateway/RolloutService.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -106,17 +106,20 @@
   return IsActive ? &Found->second : nullptr;
 }
 
-void RolloutService::sent(std::uint32_t Route, const routing::Target &Where) {
+void RolloutService::recordSent(std::uint32_t Route,
+                                const routing::Target &Where) {
   Pool *Which = findActive(Where.m_Pool);
   if (!Which)
     return;
   PoolRollout &State = Which->m_State;
-  State.participant().sent(Route, State.isCanary(Where), core::steadyNow());
+  State.participant().recordSent(Route, State.isCanary(Where),
+                                 core::steadyNow());
 }
 
-void RolloutService::answered(std::uint32_t Route, const routing::Target &Where,
-                              rollout::ResponseQuality How,
-                              core::Duration Time) {
+void RolloutService::recordResponse(std::uint32_t Route,
+                                    const routing::Target &Where,
+                                    rollout::ResponseQuality How,
+                                    core::Duration Time) {
   Pool *Which = findActive(Where.m_Pool);
   if (!Which)
     return;
@@ -125,7 +128,7 @@
   Key.m_Side = State.isCanary(Where) ? rollout::Side::New : rollout::Side::Old;
   Key.m_Target = Where.run().hash();
   Key.m_Route = Route;
-  State.participant().answered(Key, How, Time, core::steadyNow());
+  State.participant().recordResponse(Key, How, Time, core::steadyNow());
 }
 
 //===----------------------------------------------------------------------===//
@@ -264,10 +267,10 @@
       .add("worst_score", Says.m_Worst.m_Score)
       .add("worst_route", Says.m_Worst.m_Route)
       .add("least_good", Says.m_MinGoodScore)
-      .add("new_answers", Says.m_NewAnswers)
+      .add("new_answers", Says.m_NewResponses)
       .add("new_failures", Says.m_NewFailures)
       .add("new_targets", Says.m_NewTargets)
-      .add("old_answers", Says.m_OldAnswers)
+      .add("old_answers", Says.m_OldResponses)
       .add("old_failures", Says.m_OldFailures)
       .add("new_places", Targets.m_NewSlots)
       .add("old_places", Targets.m_OldSlots)
--- a/Libraries/LibGateway/RolloutService.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -53,9 +53,9 @@
 
   /// \returns null where all versions are alike.
   const routing::VersionGate *gateOf(const core::PoolName &Pool) const;
-  void sent(std::uint32_t Route, const routing::Target &Where);
-  void answered(std::uint32_t Route, const routing::Target &Where,
-                rollout::ResponseQuality How, core::Duration Time);
+  void recordSent(std::uint32_t Route, const routing::Target &Where);
+  void recordResponse(std::uint32_t Route, const routing::Target &Where,
+                      rollout::ResponseQuality How, core::Duration Time);
 
   /// Whether upkeep() is needed.
   bool isBusy() const;
--- a/Libraries/LibInstance/ClaimKeeper.cpp
+++ b/Libraries/LibInstance/ClaimKeeper.cpp
@@ -12,7 +12,7 @@
 namespace json = boost::json;
 using core::Error;
 using core::ErrorKind;
-using decision::ClaimAnswered;
+using decision::ClaimCompleted;
 using decision::ClaimOutcome;
 
 static const char ClaimPrefix[] = "/yardrill/claims/";
@@ -29,10 +29,10 @@
   return json::serialize(Out);
 }
 
-ClaimAnswered ClaimKeeper::judge(const decision::Claim &What,
-                                 const std::string &Standing,
-                                 const std::string &Value) const {
-  ClaimAnswered Out;
+ClaimCompleted ClaimKeeper::judge(const decision::Claim &What,
+                                  const std::string &Standing,
+                                  const std::string &Value) const {
+  ClaimCompleted Out;
   Out.m_Request = What.m_Request;
   if (Standing == Value) {
     Out.m_Outcome = ClaimOutcome::Won;
@@ -72,10 +72,10 @@
   m_LeaseUntil = Now + LeasePeriod;
 }
 
-ClaimAnswered ClaimKeeper::swap(const decision::Claim &What,
-                                const std::string &Key,
-                                const std::string &Value,
-                                boost::asio::yield_context Yield) {
+ClaimCompleted ClaimKeeper::swap(const decision::Claim &What,
+                                 const std::string &Key,
+                                 const std::string &Value,
+                                 boost::asio::yield_context Yield) {
   platform::CompareAndSwap Swap;
   Swap.m_Key = Key;
   Swap.m_Puts.push_back({Key, Value, lease(Yield)});
@@ -88,10 +88,10 @@
   return judge(What, Result.m_Current->m_Value, Value);
 }
 
-ClaimAnswered ClaimKeeper::readBack(const decision::Claim &What,
-                                    const std::string &Key,
-                                    const std::string &Value,
-                                    boost::asio::yield_context Yield) {
+ClaimCompleted ClaimKeeper::readBack(const decision::Claim &What,
+                                     const std::string &Key,
+                                     const std::string &Value,
+                                     boost::asio::yield_context Yield) {
   core::Timer Pause(Yield.get_executor());
   for (int Try = 0; Try < ReadBackTries; ++Try) {
     try {
@@ -106,17 +106,17 @@
     Pause.async_wait(Yield[Ignored]);
   }
   // Absent is no proof: the write may be on its way still.
-  ClaimAnswered Out;
+  ClaimCompleted Out;
   Out.m_Request = What.m_Request;
   Out.m_MayTakeEffect = true;
   return Out;
 }
 
-ClaimAnswered ClaimKeeper::claim(const decision::Claim &What,
-                                 boost::asio::yield_context Yield) {
+ClaimCompleted ClaimKeeper::claim(const decision::Claim &What,
+                                  boost::asio::yield_context Yield) {
   std::string Key = ClaimPrefix + core::sha256Hex(What.m_Identity);
   std::string Value = toValue(m_Self, What.m_Request);
-  ClaimAnswered Unavailable;
+  ClaimCompleted Unavailable;
   Unavailable.m_Request = What.m_Request;
   try {
     return swap(What, Key, Value, Yield);
--- a/Libraries/LibInstance/ClaimKeeper.h
+++ b/Libraries/LibInstance/ClaimKeeper.h
@@ -22,21 +22,22 @@
       : m_Service(Service), m_Self(std::move(Self)), m_Retention(Retention) {}
 
   /// Never throws core::Error: a failure is an outcome.
-  decision::ClaimAnswered claim(const decision::Claim &What,
-                                boost::asio::yield_context Yield);
+  decision::ClaimCompleted claim(const decision::Claim &What,
+                                 boost::asio::yield_context Yield);
 
 private:
-  decision::ClaimAnswered swap(const decision::Claim &What,
-                               const std::string &Key, const std::string &Value,
-                               boost::asio::yield_context Yield);
+  decision::ClaimCompleted swap(const decision::Claim &What,
+                                const std::string &Key,
+                                const std::string &Value,
+                                boost::asio::yield_context Yield);
   /// After a lost answer: did the write take effect?
-  decision::ClaimAnswered readBack(const decision::Claim &What,
-                                   const std::string &Key,
-                                   const std::string &Value,
-                                   boost::asio::yield_context Yield);
-  decision::ClaimAnswered judge(const decision::Claim &What,
-                                const std::string &Standing,
-                                const std::string &Value) const;
+  decision::ClaimCompleted readBack(const decision::Claim &What,
+                                    const std::string &Key,
+                                    const std::string &Value,
+                                    boost::asio::yield_context Yield);
+  decision::ClaimCompleted judge(const decision::Claim &What,
+                                 const std::string &Standing,
+                                 const std::string &Value) const;
   platform::LeaseId lease(boost::asio::yield_context Yield);
   void grant(core::TimePoint Now, boost::asio::yield_context Yield);
 
--- a/Libraries/LibInstance/Instance.cpp
+++ b/Libraries/LibInstance/Instance.cpp
@@ -148,9 +148,9 @@
 // Operators
 //===----------------------------------------------------------------------===//
 
-static OperatorAnswer problemAnswer(unsigned Status, const char *Reason,
-                                    const std::string &Type,
-                                    const std::string &Detail) {
+static OperatorResponse problemResponse(unsigned Status, const char *Reason,
+                                        const std::string &Type,
+                                        const std::string &Detail) {
   json::object Body{{"type", "urn:yardrill:problem:" + Type},
                     {"status", Status},
                     {"detail", Detail}};
@@ -158,7 +158,7 @@
           json::serialize(Body) + "\n"};
 }
 
-OperatorAnswer Instance::handleOperator(const OperatorRequest &Request) {
+OperatorResponse Instance::handleOperator(const OperatorRequest &Request) {
   if (Request.m_Path == "/healthz")
     return {200, "OK", "text/plain", "ok\n"};
   if (Request.m_Path == "/readyz") {
@@ -177,7 +177,7 @@
     return Request.m_Method == "PUT" || Request.m_Method == "POST"
                ? publish(Request)
                : readConfiguration();
-  return problemAnswer(404, "Not Found", "unknown-path", Request.m_Path);
+  return problemResponse(404, "Not Found", "unknown-path", Request.m_Path);
 }
 
 void Instance::updateGauges() {
@@ -193,12 +193,12 @@
   Set("yardrill_configuration_version", m_Configuration.version().value());
 }
 
-OperatorAnswer Instance::readConfiguration() const {
+OperatorResponse Instance::readConfiguration() const {
   ConfigurationEnvelope Envelope = m_Configuration.envelope();
   return {200, "OK", "application/json", Envelope.toJson() + "\n"};
 }
 
-static OperatorAnswer faultyAnswer(const config::FaultyDocument &Failure) {
+static OperatorResponse errorResponse(const config::FaultyDocument &Failure) {
   json::array Faults;
   for (const config::Fault &F : Failure.faults())
     Faults.push_back(json::object{{"line", F.m_Line},
@@ -213,7 +213,7 @@
           json::serialize(Body) + "\n"};
 }
 
-OperatorAnswer Instance::publish(const OperatorRequest &Request) {
+OperatorResponse Instance::publish(const OperatorRequest &Request) {
   PublishRequest Wanted;
   std::uint64_t Base = 0;
   const std::string &Text = Request.m_Base;
@@ -221,8 +221,8 @@
       std::from_chars(Text.data(), Text.data() + Text.size(), Base);
   if (Code != std::errc() || Last != Text.data() + Text.size() ||
       Request.m_Change.empty())
-    return problemAnswer(400, "Bad Request", "usage",
-                         "base (a version) and change (an id) are required");
+    return problemResponse(400, "Bad Request", "usage",
+                           "base (a version) and change (an id) are required");
   Wanted.m_Base = core::ConfigurationVersion(Base);
   Wanted.m_Change = Request.m_Change;
   Wanted.m_Text = Request.m_Body;
@@ -231,15 +231,15 @@
     return {200, "OK", "application/json",
             "{\"version\":" + std::to_string(Version.value()) + "}\n"};
   } catch (const config::FaultyDocument &Failure) {
-    return faultyAnswer(Failure);
+    return errorResponse(Failure);
   } catch (const core::Error &Failure) {
     if (Failure.kind() == core::ErrorKind::Policy)
-      return problemAnswer(422, "Unprocessable Content", "policy",
-                           Failure.detail());
+      return problemResponse(422, "Unprocessable Content", "policy",
+                             Failure.detail());
     bool IsConflict = Failure.kind() == core::ErrorKind::Conflict;
-    return problemAnswer(IsConflict ? 409 : 503,
-                         IsConflict ? "Conflict" : "Service Unavailable",
-                         core::toString(Failure.kind()), Failure.detail());
+    return problemResponse(IsConflict ? 409 : 503,
+                           IsConflict ? "Conflict" : "Service Unavailable",
+                           core::toString(Failure.kind()), Failure.detail());
   }
 }
 
--- a/Libraries/LibInstance/Instance.h
+++ b/Libraries/LibInstance/Instance.h
@@ -34,11 +34,11 @@
 
   void wire();
   void route(const decision::Action &What);
-  OperatorAnswer handleOperator(const OperatorRequest &Request);
+  OperatorResponse handleOperator(const OperatorRequest &Request);
   /// What is only worth counting when somebody looks.
   void updateGauges();
-  OperatorAnswer publish(const OperatorRequest &Request);
-  OperatorAnswer readConfiguration() const;
+  OperatorResponse publish(const OperatorRequest &Request);
+  OperatorResponse readConfiguration() const;
   std::string statusJson() const;
 
   config::InstanceSettings m_Settings;
--- a/Libraries/LibInstance/OpenRequest.cpp
+++ b/Libraries/LibInstance/OpenRequest.cpp
@@ -127,7 +127,7 @@
   bool IsKept = false;
   if (Outcome == ResponseOutcome::Complete && m_IsKeeping &&
       !m_IsTooLargeToKeep)
-    IsKept = m_Duty.m_Answers.keep(m_Id, std::move(m_Kept));
+    IsKept = m_Duty.m_Responses.keep(m_Id, std::move(m_Kept));
   // Before the decision thread hears of it, so that logs of several instances
   // can be compared: a shed that this end allows is always logged later.
   logLine("target-finished");
@@ -227,7 +227,7 @@
   if (!m_IsKeeping || m_IsTooLargeToKeep)
     return;
   m_Kept.m_Body += Piece;
-  if (m_Kept.m_Body.size() > m_Duty.m_Answers.mostBytesOfOne()) {
+  if (m_Kept.m_Body.size() > m_Duty.m_Responses.mostBytesOfOne()) {
     m_IsTooLargeToKeep = true;
     m_Kept.m_Body.clear();
   }
@@ -266,14 +266,14 @@
 
 void OpenRequest::sendKept(core::RequestId Original,
                            asio::yield_context Yield) {
-  StoredAnswer Stored = m_Duty.m_Answers.find(Original);
+  StoredResponse Stored = m_Duty.m_Responses.find(Original);
   if (!Stored) {
     sendProblem(toProblem(RefusalKind::ResponseNotStored, 0), Yield);
     return finish("answer-not-kept");
   }
-  http::ResponseMessage Answer = *Stored;
-  m_Status = Answer.m_Head.m_Status;
-  passOn([&] { m_Caller.sendResponse(std::move(Answer), Yield); });
+  http::ResponseMessage Response = *Stored;
+  m_Status = Response.m_Head.m_Status;
+  passOn([&] { m_Caller.sendResponse(std::move(Response), Yield); });
   finish("complete-again");
 }
 
--- a/Libraries/LibInstance/OperatorDuty.cpp
+++ b/Libraries/LibInstance/OperatorDuty.cpp
@@ -31,7 +31,7 @@
              cxxtools::http::Reply &Reply) override;
 
 private:
-  OperatorAnswer answer(cxxtools::http::Request &Request) const;
+  OperatorResponse answer(cxxtools::http::Request &Request) const;
   bool isAllowed(const cxxtools::http::Request &Request) const;
 
   const std::string &m_Token;
@@ -67,7 +67,7 @@
          core::isEqualConstantTime(Text.substr(BearerPrefix.size()), m_Token);
 }
 
-OperatorAnswer
+OperatorResponse
 OperatorResponder::answer(cxxtools::http::Request &Request) const {
   if (!isAllowed(Request))
     return {401, "Unauthorized", "application/json",
@@ -93,10 +93,10 @@
 void OperatorResponder::reply(std::ostream &Out,
                               cxxtools::http::Request &Request,
                               cxxtools::http::Reply &Reply) {
-  OperatorAnswer Answer = answer(Request);
-  Reply.httpReturn(Answer.m_Status, Answer.m_Reason);
-  Reply.setHeader("Content-Type", Answer.m_ContentType.c_str());
-  Out << Answer.m_Body;
+  OperatorResponse Response = answer(Request);
+  Reply.httpReturn(Response.m_Status, Response.m_Reason);
+  Reply.setHeader("Content-Type", Response.m_ContentType.c_str());
+  Out << Response.m_Body;
 }
 
 class OperatorDuty::Implementation {
--- a/Libraries/LibInstance/OperatorDuty.h
+++ b/Libraries/LibInstance/OperatorDuty.h
@@ -24,7 +24,7 @@
   std::string m_Change;
 };
 
-struct OperatorAnswer {
+struct OperatorResponse {
   unsigned m_Status = 200;
   std::string m_Reason = "OK";
   std::string m_ContentType = "application/json";
@@ -34,7 +34,7 @@
 /// Serves one handler; called on several threads.
 class OperatorDuty {
 public:
-  using Handler = std::function<OperatorAnswer(const OperatorRequest &)>;
+  using Handler = std::function<OperatorResponse(const OperatorRequest &)>;
 
   /// \param Token bearer token for everything but /healthz and /readyz.
   /// \throws core::Error of kind AddressInUse.
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerDuty.cpp
@@ -124,10 +124,10 @@
     Request.m_Headers.set("Host", From.toString());
     m_Signature.sign(Request, core::wallSeconds().count());
     Connection->sendRequest(Request, FetchTimeout, Yield);
-    auto Answer =
+    auto Response =
         Connection->readResponse(FetchTimeout, MostEnvelopeBytes, Yield);
-    if (Answer.m_Head.m_Status == 200)
-      m_Configuration.offer(ConfigurationEnvelope::parse(Answer.m_Body));
+    if (Response.m_Head.m_Status == 200)
+      m_Configuration.offer(ConfigurationEnvelope::parse(Response.m_Body));
   } catch (const std::exception &Failure) {
     core::LogLine("configuration-fetch-failed", core::LogLevel::Warning)
         .add("peer", From.toString())
--- /dev/null
+++ b/Libraries/LibInstance/ResponseStore.cpp
@@ -0,0 +1,33 @@
+#include "LibInstance/ResponseStore.h"
+
+namespace yardrill::instance {
+
+bool ResponseStore::keep(core::RequestId Runner,
+                         http::ResponseMessage Response) {
+  std::size_t Size = Response.m_Body.size();
+  if (Size > m_MostBytesOfOne || Size > m_MostBytes)
+    return false;
+  while (m_Bytes + Size > m_MostBytes)
+    forget(m_ByAge.front());
+  auto Age = m_ByAge.insert(m_ByAge.end(), Runner);
+  m_Bytes += Size;
+  m_Responses[Runner] = {
+      std::make_shared<const http::ResponseMessage>(std::move(Response)), Age};
+  return true;
+}
+
+StoredResponse ResponseStore::find(core::RequestId Runner) const {
+  auto Found = m_Responses.find(Runner);
+  return Found == m_Responses.end() ? nullptr : Found->second.m_Response;
+}
+
+void ResponseStore::forget(core::RequestId Runner) {
+  auto Found = m_Responses.find(Runner);
+  if (Found == m_Responses.end())
+    return;
+  m_Bytes -= Found->second.m_Response->m_Body.size();
+  m_ByAge.erase(Found->second.m_Age);
+  m_Responses.erase(Found);
+}
+
+} // namespace yardrill::instance
--- a/Libraries/LibInstance/AnswerStore.h
+++ b/Libraries/LibInstance/ResponseStore.h
@@ -1,6 +1,7 @@
-//===-- AnswerStore.h - Whole answers kept for repeated identities --------===//
-#ifndef YARDRILL_LIBINSTANCE_ANSWERSTORE_H
-#define YARDRILL_LIBINSTANCE_ANSWERSTORE_H
+//===-- ResponseStore.h - Whole answers kept for repeated identities
+//--------===//
+#ifndef YARDRILL_LIBINSTANCE_RESPONSESTORE_H
+#define YARDRILL_LIBINSTANCE_RESPONSESTORE_H
 
 #include "LibCore/StrongType.h"
 #include "LibHTTP/Message.h"
@@ -12,25 +13,25 @@
 
 namespace yardrill::instance {
 
-using StoredAnswer = std::shared_ptr<const http::ResponseMessage>;
+using StoredResponse = std::shared_ptr<const http::ResponseMessage>;
 
 /// Bounded by bytes. When full the oldest answers go first; who asks for one
 /// of those is told that it ran and that its answer is not kept.
-class AnswerStore {
+class ResponseStore {
 public:
-  AnswerStore(std::size_t MostBytes, std::size_t MostBytesOfOne)
+  ResponseStore(std::size_t MostBytes, std::size_t MostBytesOfOne)
       : m_MostBytes(MostBytes), m_MostBytesOfOne(MostBytesOfOne) {}
 
   /// \returns false when the answer is too large to keep.
-  bool keep(core::RequestId Runner, http::ResponseMessage Answer);
-  StoredAnswer find(core::RequestId Runner) const;
+  bool keep(core::RequestId Runner, http::ResponseMessage Response);
+  StoredResponse find(core::RequestId Runner) const;
   void forget(core::RequestId Runner);
 
   std::size_t mostBytesOfOne() const { return m_MostBytesOfOne; }
 
 private:
   struct Kept {
-    StoredAnswer m_Answer;
+    StoredResponse m_Response;
     std::list<core::RequestId>::iterator m_Age;
   };
 
@@ -38,7 +39,7 @@
   std::size_t m_MostBytesOfOne;
   std::size_t m_Bytes = 0;
   std::list<core::RequestId> m_ByAge;
-  std::unordered_map<core::RequestId, Kept> m_Answers;
+  std::unordered_map<core::RequestId, Kept> m_Responses;
 };
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/TrafficDuty.cpp
+++ b/Libraries/LibInstance/TrafficDuty.cpp
@@ -69,8 +69,8 @@
       m_Tickets(Settings.m_Peers.m_Key, Self,
                 Settings.m_Identities.m_Retention),
       m_Signature(Settings.m_Peers.m_Key),
-      m_Answers(Settings.m_Identities.m_AnswerBytes,
-                Settings.m_Identities.m_OneAnswerBytes),
+      m_Responses(Settings.m_Identities.m_MaxStoreBytes,
+                  Settings.m_Identities.m_MaxStoredResponseBytes),
       m_Targets(m_Thread.context(), {Settings.m_Targets.m_ConnectTimeout,
                                      Settings.m_Targets.m_IdleConnections}) {
   auto Reject = [this](unsigned Status) {
@@ -152,7 +152,7 @@
 
 void TrafficDuty::take(decision::Action What) {
   if (const auto *Old = std::get_if<decision::DiscardStoredResponse>(&What))
-    return m_Answers.forget(Old->m_Original);
+    return m_Responses.forget(Old->m_Original);
   core::RequestId Id = std::visit(RequestOf(), What);
   auto Found = m_Open.find(Id);
   if (Found != m_Open.end())
@@ -220,14 +220,14 @@
     Tickets.emplace_back(m_Tickets.issue(Account.m_Name, Now));
   auto Lifetime =
       std::chrono::duration_cast<std::chrono::seconds>(m_Tickets.lifetime());
-  http::ResponseMessage Answer;
-  Answer.m_Head.m_Status = 200;
-  Answer.m_Head.m_Headers.set("Content-Type", "application/json");
-  Answer.m_Body =
+  http::ResponseMessage Response;
+  Response.m_Head.m_Status = 200;
+  Response.m_Head.m_Headers.set("Content-Type", "application/json");
+  Response.m_Body =
       boost::json::serialize(boost::json::object{
           {"tickets", Tickets}, {"expires_in_seconds", Lifetime.count()}}) +
       "\n";
-  Caller.sendResponse(std::move(Answer), Yield);
+  Caller.sendResponse(std::move(Response), Yield);
 }
 
 //===----------------------------------------------------------------------===//
@@ -259,11 +259,11 @@
 
 void TrafficDuty::sendConfiguration(http::Exchange &Peer,
                                     asio::yield_context Yield) {
-  http::ResponseMessage Answer;
-  Answer.m_Head.m_Status = 200;
-  Answer.m_Head.m_Headers.set("Content-Type", "application/json");
-  Answer.m_Body = m_Configuration.envelope().toJson();
-  Peer.sendResponse(std::move(Answer), Yield);
+  http::ResponseMessage Response;
+  Response.m_Head.m_Status = 200;
+  Response.m_Head.m_Headers.set("Content-Type", "application/json");
+  Response.m_Body = m_Configuration.envelope().toJson();
+  Peer.sendResponse(std::move(Response), Yield);
 }
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/TrafficDuty.h
+++ b/Libraries/LibInstance/TrafficDuty.h
@@ -15,10 +15,10 @@
 #include "LibDecision/Event.h"
 #include "LibHTTP/ConnectionPool.h"
 #include "LibHTTP/Server.h"
-#include "LibInstance/AnswerStore.h"
 #include "LibInstance/ConfigurationKeeper.h"
 #include "LibInstance/PeerSignature.h"
 #include "LibInstance/RequestReader.h"
+#include "LibInstance/ResponseStore.h"
 #include "LibInstance/TicketSigner.h"
 #include "LibMetrics/MetricsRegistry.h"
 
@@ -85,7 +85,7 @@
   core::MPSCQueue<decision::Action> m_Actions;
   TicketSigner m_Tickets;
   PeerSignature m_Signature;
-  AnswerStore m_Answers;
+  ResponseStore m_Responses;
   http::ConnectionPool m_Targets;
   std::unordered_map<core::RequestId, OpenRequest *> m_Open;
   std::uint64_t m_NextRequest = 1;
--- a/Libraries/LibRollout/Comparison.cpp
+++ b/Libraries/LibRollout/Comparison.cpp
@@ -30,7 +30,7 @@
   for (const auto &[Key, Counts] : Sum) {
     Sides &Of = m_Failures[Key.m_Route];
     Count &Into = (Key.m_Side == Side::New ? Of.m_New : Of.m_Old)[Key.m_Target];
-    Into.m_All += Counts.answers();
+    Into.m_All += Counts.total();
     Into.m_Bad += Counts.m_Failures;
   }
 }
@@ -191,9 +191,9 @@
   for (const auto &[Route, Of] : m_Failures) {
     Count Old = sum(Of.m_Old);
     Count New = sum(Of.m_New);
-    Out.m_OldAnswers += static_cast<std::uint32_t>(Old.m_All);
+    Out.m_OldResponses += static_cast<std::uint32_t>(Old.m_All);
     Out.m_OldFailures += static_cast<std::uint32_t>(Old.m_Bad);
-    Out.m_NewAnswers += static_cast<std::uint32_t>(New.m_All);
+    Out.m_NewResponses += static_cast<std::uint32_t>(New.m_All);
     Out.m_NewFailures += static_cast<std::uint32_t>(New.m_Bad);
     if (Old.m_All > 0)
       Out.m_MinGoodScore = std::min(Out.m_MinGoodScore, -score(New, Old));
--- a/Libraries/LibRollout/Coordinator.cpp
+++ b/Libraries/LibRollout/Coordinator.cpp
@@ -57,7 +57,7 @@
   for (const auto &[Key, Counts] : Told.m_Counts) {
     ResponseCounts &Held = Participant.m_Counts[Key];
     // A report that overtook another one.
-    if (Held.answers() < Counts.answers())
+    if (Held.total() < Counts.total())
       Held = Counts;
   }
   if (Participant.m_LastReport.m_Number <= Told.m_Number) {
@@ -113,7 +113,7 @@
                                                     core::Duration Age) {
   double Part = core::toSeconds(Age) / core::toSeconds(m_Order.m_BakeTime);
   bool IsUnsuspected = !m_Judgement.isSuspect() &&
-                       m_Judgement.m_NewAnswers >= MinResponses &&
+                       m_Judgement.m_NewResponses >= MinResponses &&
                        m_Judgement.m_MinGoodScore > -MaxScoreAgainst;
   bool MayMove =
       m_Judgement.isGood() || (Part >= LateSamplePart && IsUnsuspected);
--- a/Libraries/LibRollout/Evidence.cpp
+++ b/Libraries/LibRollout/Evidence.cpp
@@ -26,8 +26,8 @@
     m_Times[I] += Other.m_Times[I];
 }
 
-void Evidence::addAnswer(const ResponseCountsKey &Where, ResponseQuality How,
-                         core::Duration Time) {
+void Evidence::addResponse(const ResponseCountsKey &Where, ResponseQuality How,
+                           core::Duration Time) {
   ResponseCounts &Counts = m_Counts[Where];
   if (How == ResponseQuality::Failed)
     ++Counts.m_Failures;
--- a/Libraries/LibRollout/Evidence.h
+++ b/Libraries/LibRollout/Evidence.h
@@ -40,7 +40,7 @@
   std::array<std::uint32_t, TimeBinCount> m_Times{};
 
   std::uint32_t successes() const;
-  std::uint32_t answers() const { return successes() + m_Failures; }
+  std::uint32_t total() const { return successes() + m_Failures; }
   void add(const ResponseCounts &Other);
 };
 
@@ -54,8 +54,8 @@
 class Evidence {
 public:
   /// \param Time that the answer took, at the size that all are brought to.
-  void addAnswer(const ResponseCountsKey &Where, ResponseQuality How,
-                 core::Duration Time);
+  void addResponse(const ResponseCountsKey &Where, ResponseQuality How,
+                   core::Duration Time);
   const ResponseCountsByKey &cells() const { return m_Counts; }
 
 private:
--- a/Libraries/LibRollout/Judge.cpp
+++ b/Libraries/LibRollout/Judge.cpp
@@ -20,7 +20,7 @@
       for (std::size_t I = 0; I < TimeBinCount; ++I)
         Grown.m_Times[I] -= Old->second.m_Times[I];
     }
-    if (Grown.answers() > 0)
+    if (Grown.total() > 0)
       Out.emplace(Key, Grown);
   }
   return Out;
@@ -34,7 +34,7 @@
                                        const ResponseCountsByKey &Sum) {
   std::uint32_t Old = 0;
   for (const auto &[Key, Counts] : Span)
-    Old += Key.m_Side == Side::Old ? Counts.answers() : 0;
+    Old += Key.m_Side == Side::Old ? Counts.total() : 0;
   if (Old >= MinOldResponses)
     return Span;
   for (const auto &[Key, Counts] : Sum)
--- a/Libraries/LibRollout/Judge.h
+++ b/Libraries/LibRollout/Judge.h
@@ -29,10 +29,10 @@
   /// The least that speaks for the version being as good, over all routes that
   /// the old one serves.
   double m_MinGoodScore = 0;
-  std::uint32_t m_NewAnswers = 0;
+  std::uint32_t m_NewResponses = 0;
   std::uint32_t m_NewFailures = 0;
   std::uint32_t m_NewTargets = 0; ///< That answered.
-  std::uint32_t m_OldAnswers = 0;
+  std::uint32_t m_OldResponses = 0;
   std::uint32_t m_OldFailures = 0;
 
   /// One version in 1e5 that is no worse scores so high at one look. A roll-out
--- a/Libraries/LibRollout/Participant.cpp
+++ b/Libraries/LibRollout/Participant.cpp
@@ -51,9 +51,10 @@
   m_SampleBudget.sent(Route, IsNew, IsSampling ? m_Permit.m_Share : 0);
 }
 
-void Participant::answered(const ResponseCountsKey &Where, ResponseQuality How,
-                           core::Duration Time, core::TimePoint Now) {
-  m_Evidence.addAnswer(Where, How, Time);
+void Participant::recordResponse(const ResponseCountsKey &Where,
+                                 ResponseQuality How, core::Duration Time,
+                                 core::TimePoint Now) {
+  m_Evidence.addResponse(Where, How, Time);
   m_Changed.insert(Where);
   checkLocalResponses(Where, How, Now);
 }
--- a/Libraries/LibRollout/Participant.h
+++ b/Libraries/LibRollout/Participant.h
@@ -30,8 +30,8 @@
 
   void applyPermit(const Permit &Given, core::TimePoint Now);
   void sent(std::uint32_t Route, bool IsNew, core::TimePoint Now);
-  void answered(const ResponseCountsKey &Where, ResponseQuality How,
-                core::Duration Time, core::TimePoint Now);
+  void recordResponse(const ResponseCountsKey &Where, ResponseQuality How,
+                      core::Duration Time, core::TimePoint Now);
   /// The next report. \param RunningOld see Report.
   Report report(std::uint32_t RunningOld, core::TimePoint Now);
 
--- a/Libraries/LibRouting/DistributedQuota.cpp
+++ b/Libraries/LibRouting/DistributedQuota.cpp
@@ -144,7 +144,7 @@
 }
 
 QuotaStep DistributedQuota::handleResponse(QuotaAcquisition &Draw,
-                                           const QuotaResponse &Answer,
+                                           const QuotaResponse &Response,
                                            core::TimePoint Now) {
   config::Endpoint Owner = Draw.m_RemainingOwners.back();
   Draw.m_RemainingOwners.pop_back();
@@ -154,15 +154,15 @@
   if (Found == m_AccountStates.end())
     return QuotaStep::Granted;
   AccountState &Of = Found->second;
-  switch (Answer.m_Verdict) {
+  switch (Response.m_Verdict) {
   case QuotaVerdict::Granted:
     Draw.m_Owner = Owner;
     Draw.m_Source = QuotaSource::Owner;
-    if (Answer.m_Tokens > Draw.m_Tokens)
-      cacheGrant(Owner, Draw.m_Account, Answer.m_Tokens - Draw.m_Tokens, Now);
+    if (Response.m_Tokens > Draw.m_Tokens)
+      cacheGrant(Owner, Draw.m_Account, Response.m_Tokens - Draw.m_Tokens, Now);
     return QuotaStep::Granted;
   case QuotaVerdict::Refused:
-    recordRefusal(Of, Owner, Draw, Answer.m_RetryAfter, Now);
+    recordRefusal(Of, Owner, Draw, Response.m_RetryAfter, Now);
     break;
   case QuotaVerdict::NotOwner:
     break;
--- a/Libraries/LibRouting/DistributedQuota.h
+++ b/Libraries/LibRouting/DistributedQuota.h
@@ -82,8 +82,8 @@
 
   QuotaStep begin(QuotaAcquisition &Draw, core::TimePoint Now);
   /// The owner that was to be asked has answered.
-  QuotaStep handleResponse(QuotaAcquisition &Draw, const QuotaResponse &Answer,
-                           core::TimePoint Now);
+  QuotaStep handleResponse(QuotaAcquisition &Draw,
+                           const QuotaResponse &Response, core::TimePoint Now);
   /// It has not, within Patience.
   QuotaStep handleTimeout(QuotaAcquisition &Draw, core::TimePoint Now);
   /// Keeps what an owner granted too late, to be used or given back.
--- a/Tests/LibHTTP/ServerTest.cpp
+++ b/Tests/LibHTTP/ServerTest.cpp
@@ -34,9 +34,9 @@
           asio::steady_timer Timer(m_Context, WorkTime);
           boost::system::error_code Ignored;
           Timer.async_wait(Yield[Ignored]);
-          ResponseMessage Answer;
-          Answer.m_Head.m_Status = 200;
-          Call.sendResponse(std::move(Answer), Yield);
+          ResponseMessage Response;
+          Response.m_Head.m_Status = 200;
+          Call.sendResponse(std::move(Response), Yield);
         },
         [](unsigned Status) {
           ResponseMessage Out;
@@ -69,8 +69,8 @@
                                        "Content-Length: 6\r\n\r\nonetwo";
     for (int I = 0; I < RequestsOfCaller; ++I) {
       asio::async_write(To, asio::buffer(Request), Yield);
-      char Answer[256];
-      To.async_read_some(asio::buffer(Answer), Yield);
+      char Response[256];
+      To.async_read_some(asio::buffer(Response), Yield);
     }
     ++m_Done;
   }
--- a/Tests/LibInstance/ClaimKeeperTest.cpp
+++ b/Tests/LibInstance/ClaimKeeperTest.cpp
@@ -87,11 +87,11 @@
     return {core::IncarnationId(Incarnation), {"127.0.0.1", 8082}};
   }
 
-  ClaimAnswered claim(std::uint64_t By, std::uint64_t Request,
-                      const std::string &Identity = "key") {
+  ClaimCompleted claim(std::uint64_t By, std::uint64_t Request,
+                       const std::string &Identity = "key") {
     boost::asio::io_context Context;
     ClaimKeeper Keeper(m_Service, home(By), std::chrono::minutes(10));
-    ClaimAnswered Out;
+    ClaimCompleted Out;
     boost::asio::spawn(
         Context,
         [&](boost::asio::yield_context Yield) {
@@ -105,7 +105,7 @@
 public:
   void testWonAndHeld() {
     CPPUNIT_ASSERT(claim(1, 5).m_Outcome == ClaimOutcome::Won);
-    ClaimAnswered Second = claim(2, 5);
+    ClaimCompleted Second = claim(2, 5);
     CPPUNIT_ASSERT(Second.m_Outcome == ClaimOutcome::Held);
     CPPUNIT_ASSERT(Second.m_Owner == home(1));
     CPPUNIT_ASSERT_EQUAL(std::uint16_t(8082), Second.m_Owner.m_Peer.m_Port);
@@ -120,7 +120,7 @@
 
   void testLostBeforeWriteMayStand() {
     m_Service.m_NextWrite = Mishap::LostBeforeWrite;
-    ClaimAnswered Out = claim(1, 5);
+    ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
@@ -128,14 +128,14 @@
   void testReadsDownMayStand() {
     m_Service.m_NextWrite = Mishap::LostAfterWrite;
     m_Service.m_AreReadsDown = true;
-    ClaimAnswered Out = claim(1, 5);
+    ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
 
   void testRefusedDoesNotStand() {
     m_Service.m_NextWrite = Mishap::Refused;
-    ClaimAnswered Out = claim(1, 5);
+    ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(!Out.m_MayTakeEffect);
   }
--- a/Tests/LibRollout/ParticipantTest.cpp
+++ b/Tests/LibRollout/ParticipantTest.cpp
@@ -122,10 +122,10 @@
     Participant Own(order(), core::Duration::zero(), m_Now);
     give(Own, Traffic::New);
     for (std::uint32_t I = 0; I < 8; ++I)
-      Own.answered(key(Side::New, I),
-                   I % 2 == 0 ? ResponseQuality::Failed
-                              : ResponseQuality::Succeeded,
-                   milliseconds(50), m_Now);
+      Own.recordResponse(key(Side::New, I),
+                         I % 2 == 0 ? ResponseQuality::Failed
+                                    : ResponseQuality::Succeeded,
+                         milliseconds(50), m_Now);
     CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
   }
 
@@ -133,26 +133,26 @@
     Participant Own(order(), core::Duration::zero(), m_Now);
     Coordinator Leads(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 40; ++I) {
-      Own.answered(key(Side::Old, I % 4), ResponseQuality::Succeeded,
-                   milliseconds(50), m_Now);
-      Own.answered(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
-                   milliseconds(50), m_Now);
+      Own.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
+                         milliseconds(50), m_Now);
+      Own.recordResponse(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
+                         milliseconds(50), m_Now);
     }
     Report Told = Own.report(0, m_Now);
     for (int I = 0; I < 5; ++I)
       Leads.handleReport(core::IncarnationId(1), Told, m_Now);
     m_Now += milliseconds(200);
     Leads.decide({16, 16}, seconds(1), m_Now);
-    CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_NewAnswers);
-    CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_OldAnswers);
+    CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_NewResponses);
+    CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_OldResponses);
   }
 
   void testLostCountsAreReportedAgain() {
     Participant Own(order(), core::Duration::zero(), m_Now);
     Coordinator Leads(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 60; ++I)
-      Own.answered(key(Side::Old, I), ResponseQuality::Succeeded,
-                   milliseconds(50), m_Now);
+      Own.recordResponse(key(Side::Old, I), ResponseQuality::Succeeded,
+                         milliseconds(50), m_Now);
     Own.report(0, m_Now); // Lost.
     for (int I = 0; I < 8; ++I) {
       Report Told = Own.report(0, m_Now);
@@ -160,7 +160,7 @@
       Leads.handleReport(core::IncarnationId(1), Told, m_Now);
     }
     Leads.decide({16, 16}, seconds(1), m_Now);
-    CPPUNIT_ASSERT_EQUAL(60U, Leads.judgement().m_OldAnswers);
+    CPPUNIT_ASSERT_EQUAL(60U, Leads.judgement().m_OldResponses);
   }
 
   void testCompletesOnlyWhenDrained() {
@@ -172,10 +172,10 @@
                       m_Now);
     };
     for (std::uint32_t I = 0; I < 100; ++I) {
-      Own.answered(key(Side::Old, I % 4), ResponseQuality::Succeeded,
-                   milliseconds(50), m_Now);
-      Own.answered(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
-                   milliseconds(50), m_Now);
+      Own.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
+                         milliseconds(50), m_Now);
+      Own.recordResponse(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
+                         milliseconds(50), m_Now);
     }
     Tell(3);
     m_Now += seconds(7);
--- a/Tests/Support/QuotaFleet.cpp
+++ b/Tests/Support/QuotaFleet.cpp
@@ -35,7 +35,7 @@
   bool m_IsAnswer = false;
   bool m_IsCharge = false;
   routing::QuotaRequest m_Ask;
-  routing::QuotaResponse m_Answer;
+  routing::QuotaResponse m_Response;
 };
 
 struct CallerRequest {
@@ -214,12 +214,13 @@
       Answer.m_IsAnswer = true;
       Answer.m_Ask = What.m_Ask;
       Answer.m_IsCharge = What.m_IsCharge;
-      Answer.m_Answer = What.m_IsCharge ? charge(Book, What.m_Ask)
-                                        : Book.handleRequest(What.m_Ask, m_Now);
+      Answer.m_Response = What.m_IsCharge
+                              ? charge(Book, What.m_Ask)
+                              : Book.handleRequest(What.m_Ask, m_Now);
       return send(What.m_From, Answer);
     }
     if (What.m_IsCharge) {
-      if (What.m_Answer.m_Verdict == routing::QuotaVerdict::Granted)
+      if (What.m_Response.m_Verdict == routing::QuotaVerdict::Granted)
         Book.settleCharge(What.m_Ask.m_Account, What.m_Ask.m_Tokens, m_Now);
       return;
     }
@@ -229,8 +230,9 @@
                        Open->second.m_Draw.m_RemainingOwners.back() == Owner;
     if (IsWaitedFor)
       return settle(What.m_Draw, Book.handleResponse(Open->second.m_Draw,
-                                                     What.m_Answer, m_Now));
-    Book.cacheGrant(Owner, What.m_Ask.m_Account, What.m_Answer.m_Tokens, m_Now);
+                                                     What.m_Response, m_Now));
+    Book.cacheGrant(Owner, What.m_Ask.m_Account, What.m_Response.m_Tokens,
+                    m_Now);
   }
 
   void giveUpWaiting() {
--- a/Tests/Support/RolloutFleet.cpp
+++ b/Tests/Support/RolloutFleet.cpp
@@ -218,7 +218,8 @@
       Running Ended = m_Running.top();
       m_Running.pop();
       Instance &By = m_Instances[Ended.m_Instance];
-      By.m_Participant->answered(Ended.m_Key, Ended.m_How, Ended.m_Time, m_Now);
+      By.m_Participant->recordResponse(Ended.m_Key, Ended.m_How, Ended.m_Time,
+                                       m_Now);
       if (Ended.m_Key.m_Side == Side::Old && By.m_RunningOld > 0)
         --By.m_RunningOld;
     }
