--- a/Libraries/LibGateway/BackpressureService.cpp
+++ b/Libraries/LibGateway/BackpressureService.cpp
@@ -42,15 +42,15 @@
   return Out;
 }
 
-void BackpressureService::noteStated(const routing::Target &Which,
-                                     const routing::TargetBackpressure &Terms,
-                                     core::TimePoint Now) {
-  if (Terms.isEmpty() && m_Targets.throttles().isEmpty())
+void BackpressureService::noteStated(
+    const routing::Target &Which,
+    const routing::TargetBackpressure &Backpressure, core::TimePoint Now) {
+  if (Backpressure.isEmpty() && m_Targets.throttles().isEmpty())
     return;
   routing::TargetIncarnation Run = Which.run();
-  bool IsNews = m_Targets.throttles().update(Run, Terms, Now);
-  if (IsNews || Terms.m_Backoff || Terms.m_IsLimitUnreadable)
-    logChange(Run, Terms);
+  bool IsNews = m_Targets.throttles().update(Run, Backpressure, Now);
+  if (IsNews || Backpressure.m_Backoff || Backpressure.m_IsLimitUnreadable)
+    logChange(Run, Backpressure);
   // A rest is asked of this instance alone.
   if (!IsNews)
     return;
@@ -84,14 +84,14 @@
 }
 
 void BackpressureService::send(const UpdatesByPeer &To) {
-  for (const auto &[Address, Terms] : To)
-    for (std::size_t First = 0; First < Terms.size();
+  for (const auto &[Address, Backpressure] : To)
+    for (std::size_t First = 0; First < Backpressure.size();
          First += peer::BackpressureUpdate::MaxEntries) {
-      std::size_t End =
-          std::min(Terms.size(), First + peer::BackpressureUpdate::MaxEntries);
+      std::size_t End = std::min(Backpressure.size(),
+                                 First + peer::BackpressureUpdate::MaxEntries);
       m_Send(Address, peer::BackpressureUpdate{
-                          {Terms.begin() + static_cast<long>(First),
-                           Terms.begin() + static_cast<long>(End)}});
+                          {Backpressure.begin() + static_cast<long>(First),
+                           Backpressure.begin() + static_cast<long>(End)}});
     }
 }
 
--- a/Libraries/LibGateway/BackpressureService.h
+++ b/Libraries/LibGateway/BackpressureService.h
@@ -30,7 +30,7 @@
 
   /// An answer to this instance said so.
   void noteStated(const routing::Target &Which,
-                  const routing::TargetBackpressure &Terms,
+                  const routing::TargetBackpressure &Backpressure,
                   core::TimePoint Now);
   /// Takes a message of another instance.
   void handle(const peer::PeerMessage &Message, core::TimePoint Now);
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -173,7 +173,7 @@
     m_Quarantine.upkeep(Now);
     m_Quotas.upkeep(m_Peers->isListConfirmed(), Now);
     // A process that has found the others does without a record.
-    if (m_Roster.recorded().empty())
+    if (m_Membership.recorded().empty())
       updateQuotaOwners();
     updateMembershipRecord(Now);
   });
@@ -260,7 +260,7 @@
 }
 
 void Gateway::updateQuotaOwners() {
-  FleetMembers Owners = m_Roster.recorded();
+  FleetMembers Owners = m_Membership.recorded();
   // Nothing is recorded before a fleet has started for the first time. A
   // process that starts in another fleet waits until it has found the others.
   bool IsFound = m_Settings.m_IsFirstStart || m_Peers->isDiscoveryDone();
@@ -270,13 +270,13 @@
     return;
   core::LogLine("quota-owners")
       .add("instances", Owners.size())
-      .add("is_recorded", !m_Roster.recorded().empty());
+      .add("is_recorded", !m_Membership.recorded().empty());
 }
 
 void Gateway::updateMembershipRecord(core::TimePoint Now) {
   if (!m_Follower.isConnected() || !m_Peers->isRecordWriter())
     return;
-  if (auto List = m_Roster.proposeUpdate(m_Peers->heard(), Now))
+  if (auto List = m_Membership.proposeUpdate(m_Peers->heard(), Now))
     m_MembershipRecord.write(*List, Now);
 }
 
@@ -485,11 +485,11 @@
   Set("yardrill_peers", m_Peers->peers().all().size());
   Set("yardrill_peers_missing", m_Peers->missingCount());
   Set("yardrill_target_connections_opened", m_Connections.opened());
-  Set("yardrill_quarantined_contents", m_Quarantine.book().quarantined());
+  Set("yardrill_quarantined_contents", m_Quarantine.table().quarantined());
   Set("yardrill_limited_targets", m_Targets.throttles().limited());
   Set("yardrill_resting_targets",
       m_Targets.throttles().backedOff(core::steadyNow()));
-  Set("yardrill_suspected_contents", m_Quarantine.book().size());
+  Set("yardrill_suspected_contents", m_Quarantine.table().size());
   Set("yardrill_store_connected", m_Follower.isConnected() ? 1 : 0);
   Set("yardrill_store_revision",
       static_cast<std::size_t>(m_Mirror.revision().value()));
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -114,7 +114,7 @@
   core::SteadyTimerService m_Timers;
   metrics::MetricsRegistry m_Metrics;
   MembershipRecord m_MembershipRecord;
-  FleetMembership m_Roster;
+  FleetMembership m_Membership;
   platform::StoreMirror m_Mirror;
   StoreFollower m_Follower;
   routing::RoutingTableHandle m_Table;
--- a/Libraries/LibGateway/GatewayStoreUpdates.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -11,8 +11,8 @@
 
 void Gateway::applyEntry(const platform::Entry &Change) {
   if (m_MembershipRecord.isRecordKey(Change.m_Key)) {
-    m_Roster.setRecorded(m_MembershipRecord.read(Change));
-    m_Peers->setRecorded(m_Roster.recorded());
+    m_Membership.setRecorded(m_MembershipRecord.read(Change));
+    m_Peers->setRecorded(m_Membership.recorded());
     return updateQuotaOwners();
   }
   if (m_Quarantine.isRecordKey(Change.m_Key))
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -35,7 +35,7 @@
     core::LogLine(IsQuarantined ? "content-quarantined" : "content-released",
                   core::LogLevel::Warning)
         .add("content", Content)
-        .add("targets_ended", book().incriminatingIncarnations(Content));
+        .add("targets_ended", table().incriminatingIncarnations(Content));
   };
   return Out;
 }
@@ -48,7 +48,7 @@
       .add("birth", Which.m_StartTime)
       .add("pool", Which.m_Pool)
       .add("content", Content)
-      .add("targets_ended", book().incriminatingIncarnations(Content));
+      .add("targets_ended", table().incriminatingIncarnations(Content));
 }
 
 void QuarantineService::noteSuccess(const ContentDigest &Content) {
--- a/Libraries/LibGateway/QuarantineService.h
+++ b/Libraries/LibGateway/QuarantineService.h
@@ -39,13 +39,13 @@
   void noteSuccess(const quarantine::ContentDigest &Content);
   /// Whether it must not be sent to any target.
   bool isQuarantined(const quarantine::ContentDigest &Content) const {
-    return m_Gossip.book().isQuarantined(Content);
+    return m_Gossip.table().isQuarantined(Content);
   }
   /// Whether more than one target ended under it.
   bool isSuspect(const quarantine::ContentDigest &Content) const {
-    return m_Gossip.book().isSuspect(Content);
+    return m_Gossip.table().isSuspect(Content);
   }
-  const quarantine::QuarantineTable &book() const { return m_Gossip.book(); }
+  const quarantine::QuarantineTable &table() const { return m_Gossip.table(); }
 
   /// Takes a message of another instance.
   void handle(const peer::PeerMessage &Message);
--- a/Libraries/LibGateway/QuotaProtocol.cpp
+++ b/Libraries/LibGateway/QuotaProtocol.cpp
@@ -17,10 +17,10 @@
 }
 
 void QuotaProtocol::sendCharges(core::TimePoint Now) {
-  for (const routing::QuotaCharge &Each : m_Book.takeCharges()) {
+  for (const routing::QuotaCharge &Each : m_Quota.takeCharges()) {
     auto Taken = [this, Each](const routing::QuotaResponse &Response) {
       if (Response.m_Verdict == QuotaVerdict::Granted)
-        m_Book.settleCharge(Each.m_Account, Each.m_Tokens, core::steadyNow());
+        m_Quota.settleCharge(Each.m_Account, Each.m_Tokens, core::steadyNow());
       return true;
     };
     std::uint64_t Number = expect(Each.m_Owner, Each.m_Account, Taken, Now);
@@ -43,10 +43,10 @@
 routing::QuotaResponse QuotaProtocol::responseTo(const peer::QuotaRequest &Ask,
                                                  core::TimePoint Now) {
   if (!Ask.m_IsCharge)
-    return m_Book.handleRequest({Ask.m_Account, Ask.m_Tokens, Ask.m_Returned},
-                                Now);
+    return m_Quota.handleRequest({Ask.m_Account, Ask.m_Tokens, Ask.m_Returned},
+                                 Now);
   routing::QuotaResponse Out;
-  if (m_Book.charge(Ask.m_Account, Ask.m_Tokens, Now))
+  if (m_Quota.charge(Ask.m_Account, Ask.m_Tokens, Now))
     Out.m_Verdict = QuotaVerdict::Granted;
   return Out;
 }
@@ -84,11 +84,11 @@
   Says.m_RetryAfter =
       core::Duration(static_cast<std::int64_t>(Response.m_RetryAfterUs));
   if (!Asked.m_OnResponse(Says))
-    m_Book.cacheGrant(From, Asked.m_Account, Says.m_Tokens, Now);
+    m_Quota.cacheGrant(From, Asked.m_Account, Says.m_Tokens, Now);
 }
 
 void QuotaProtocol::upkeep(core::TimePoint Now) {
-  for (const routing::QuotaReturn &Each : m_Book.takeUnusedGrants(Now))
+  for (const routing::QuotaReturn &Each : m_Quota.takeUnusedGrants(Now))
     m_Send(Each.m_Owner,
            peer::QuotaRequest{0, Each.m_Account, 0, Each.m_Tokens, false});
   for (auto Each = m_Pending.begin(); Each != m_Pending.end();) {
--- a/Libraries/LibGateway/QuotaProtocol.h
+++ b/Libraries/LibGateway/QuotaProtocol.h
@@ -21,9 +21,9 @@
   /// \returns false when the answer is not waited for any more.
   using ResponseHandler = std::function<bool(const routing::QuotaResponse &)>;
 
-  QuotaProtocol(routing::DistributedQuota &Book,
+  QuotaProtocol(routing::DistributedQuota &Quota,
                 metrics::MetricsRegistry &Metrics, Sender Send)
-      : m_Book(Book), m_Metrics(Metrics), m_Send(std::move(Send)) {}
+      : m_Quota(Quota), m_Metrics(Metrics), m_Send(std::move(Send)) {}
 
   /// Asks the owner that \p Draw has to ask next. Tokens of an answer that is
   /// not waited for any more are kept for others.
@@ -55,7 +55,7 @@
     ResponseHandler m_OnResponse;
   };
 
-  routing::DistributedQuota &m_Book;
+  routing::DistributedQuota &m_Quota;
   metrics::MetricsRegistry &m_Metrics;
   Sender m_Send;
   std::uint64_t m_NextRequestId = 1;
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -16,12 +16,12 @@
                            metrics::MetricsRegistry &Metrics,
                            QuotaProtocol::Sender Send)
     : m_Context(Context),
-      m_Book(Settings.m_PeerAddress, Settings.m_QuotaTolerance,
-             Settings.m_IsFirstStart, core::randomBits()),
-      m_Desk(m_Book, Metrics, std::move(Send)) {}
+      m_Quota(Settings.m_PeerAddress, Settings.m_QuotaTolerance,
+              Settings.m_IsFirstStart, core::randomBits()),
+      m_Protocol(m_Quota, Metrics, std::move(Send)) {}
 
 void QuotaService::setAccounts(const std::vector<routing::Account> &Accounts) {
-  m_Book.setAccounts(Accounts, core::steadyNow());
+  m_Quota.setAccounts(Accounts, core::steadyNow());
 }
 
 bool QuotaService::setOwners(const FleetMembers &Instances) {
@@ -31,7 +31,7 @@
   std::vector<config::Endpoint> Members;
   for (const auto &[Address, Hall] : m_Owners)
     Members.push_back(Address);
-  m_Book.setRing(routing::ConsistentHashRing(Members), core::steadyNow());
+  m_Quota.setRing(routing::ConsistentHashRing(Members), core::steadyNow());
   return true;
 }
 
@@ -39,28 +39,28 @@
   core::TimePoint Now = core::steadyNow();
   const config::Endpoint &From = Message.m_From.m_Peer;
   if (const auto *Ask = std::get_if<peer::QuotaRequest>(&Message.m_Body))
-    return m_Desk.handle(From, *Ask, Now);
+    return m_Protocol.handle(From, *Ask, Now);
   if (const auto *Response = std::get_if<peer::QuotaResponse>(&Message.m_Body))
-    m_Desk.handle(From, *Response, Now);
+    m_Protocol.handle(From, *Response, Now);
 }
 
 void QuotaService::upkeep(bool IsListConfirmed, core::TimePoint Now) {
-  m_Book.setListConfirmed(IsListConfirmed);
+  m_Quota.setListConfirmed(IsListConfirmed);
   if (IsListConfirmed != m_IsListConfirmed)
     core::LogLine(IsListConfirmed ? "quota-list-confirmed"
                                   : "quota-list-unconfirmed",
                   core::LogLevel::Warning)
         .add("owners", m_Owners.size());
   m_IsListConfirmed = IsListConfirmed;
-  m_Desk.upkeep(Now);
+  m_Protocol.upkeep(Now);
 }
 
 bool QuotaService::draw(routing::QuotaAcquisition &Draw,
                         asio::yield_context Yield) {
-  QuotaStep Step = m_Book.begin(Draw, core::steadyNow());
+  QuotaStep Step = m_Quota.begin(Draw, core::steadyNow());
   while (Step == QuotaStep::Ask)
     Step = ask(Draw, Yield);
-  m_Desk.sendCharges(core::steadyNow());
+  m_Protocol.sendCharges(core::steadyNow());
   return Step == QuotaStep::Granted;
 }
 
@@ -82,7 +82,7 @@
 QuotaStep QuotaService::ask(routing::QuotaAcquisition &Draw,
                             asio::yield_context Yield) {
   auto Waits = std::make_shared<Wait>(m_Context);
-  m_Desk.ask(
+  m_Protocol.ask(
       Draw,
       [Waits](const routing::QuotaResponse &Response) {
         if (Waits->m_IsOver)
@@ -98,12 +98,12 @@
   Waits->m_IsOver = true;
   core::TimePoint Now = core::steadyNow();
   if (Waits->m_Response)
-    return m_Book.handleResponse(Draw, *Waits->m_Response, Now);
-  return m_Book.handleTimeout(Draw, Now);
+    return m_Quota.handleResponse(Draw, *Waits->m_Response, Now);
+  return m_Quota.handleTimeout(Draw, Now);
 }
 
 void QuotaService::giveBack(const routing::QuotaAcquisition &Draw) {
-  m_Book.giveBack(Draw, core::steadyNow());
+  m_Quota.giveBack(Draw, core::steadyNow());
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -39,8 +39,8 @@
                          boost::asio::yield_context Yield);
 
   boost::asio::io_context &m_Context;
-  routing::DistributedQuota m_Book;
-  QuotaProtocol m_Desk;
+  routing::DistributedQuota m_Quota;
+  QuotaProtocol m_Protocol;
   FleetMembers m_Owners;
   bool m_IsListConfirmed = true;
 };
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerDuty.cpp
@@ -19,7 +19,7 @@
 static const std::size_t SmallFleet = 8;
 static const std::size_t FewPeers = 3;
 static const std::size_t OthersInHeartbeat = 2;
-static const std::size_t MostHinted = 64;
+static const std::size_t MaxHintedPeers = 64;
 static const std::chrono::seconds FetchTimeout(2);
 static const std::size_t MostEnvelopeBytes = 4UL * 1024 * 1024;
 
@@ -99,7 +99,7 @@
 void PeerDuty::takeHeartbeat(const peer::PeerMessage &Message,
                              const peer::Heartbeat &Beat) {
   for (const decision::InstanceRef &Other : Beat.m_RecentPeers)
-    if (!(Other == m_Self) && m_HintedPeers.size() < MostHinted &&
+    if (!(Other == m_Self) && m_HintedPeers.size() < MaxHintedPeers &&
         m_Directory.all().count(Other.m_Incarnation) == 0)
       m_HintedPeers.insert(Other.m_Peer);
   if (!(m_Configuration.version() < Beat.m_Version) || m_IsFetching)
--- a/Libraries/LibInstance/PlatformDuty.cpp
+++ b/Libraries/LibInstance/PlatformDuty.cpp
@@ -17,7 +17,7 @@
 
 static const char ConfigurationKey[] = "/yardrill/configuration";
 static const std::chrono::milliseconds InitialBackoff(100);
-static const std::chrono::seconds LongestPause(5);
+static const std::chrono::seconds MaxBackoff(5);
 static const std::chrono::seconds MetricsPeriod(1);
 static const int ResolveTries = 5;
 static const std::chrono::seconds PublishTimeout(20);
@@ -116,7 +116,7 @@
 }
 
 void PlatformDuty::followConfiguration(asio::yield_context Yield) {
-  platform::Backoff Pauses(InitialBackoff, LongestPause, core::randomBits());
+  platform::Backoff Pauses(InitialBackoff, MaxBackoff, core::randomBits());
   auto Take = [this](const platform::Entry &Item) {
     try {
       if (Item.m_Key == ConfigurationKey && !Item.m_IsDeleted)
@@ -149,7 +149,7 @@
 }
 
 void PlatformDuty::followInstances(asio::yield_context Yield) {
-  platform::Backoff Pauses(InitialBackoff, LongestPause, core::randomBits());
+  platform::Backoff Pauses(InitialBackoff, MaxBackoff, core::randomBits());
   while (true) {
     try {
       m_List.reset(
--- a/Libraries/LibInstance/ResponseStore.cpp
+++ b/Libraries/LibInstance/ResponseStore.cpp
@@ -5,9 +5,9 @@
 bool ResponseStore::keep(core::RequestId Runner,
                          http::ResponseMessage Response) {
   std::size_t Size = Response.m_Body.size();
-  if (Size > m_MostBytesOfOne || Size > m_MostBytes)
+  if (Size > m_MaxResponseBytes || Size > m_MaxBytes)
     return false;
-  while (m_Bytes + Size > m_MostBytes)
+  while (m_Bytes + Size > m_MaxBytes)
     forget(m_ByAge.front());
   auto Age = m_ByAge.insert(m_ByAge.end(), Runner);
   m_Bytes += Size;
--- a/Libraries/LibInstance/ResponseStore.h
+++ b/Libraries/LibInstance/ResponseStore.h
@@ -19,15 +19,15 @@
 /// of those is told that it ran and that its answer is not kept.
 class ResponseStore {
 public:
-  ResponseStore(std::size_t MostBytes, std::size_t MostBytesOfOne)
-      : m_MostBytes(MostBytes), m_MostBytesOfOne(MostBytesOfOne) {}
+  ResponseStore(std::size_t MaxBytes, std::size_t MaxResponseBytes)
+      : m_MaxBytes(MaxBytes), m_MaxResponseBytes(MaxResponseBytes) {}
 
   /// \returns false when the answer is too large to keep.
   bool keep(core::RequestId Runner, http::ResponseMessage Response);
   StoredResponse find(core::RequestId Runner) const;
   void forget(core::RequestId Runner);
 
-  std::size_t mostBytesOfOne() const { return m_MostBytesOfOne; }
+  std::size_t mostBytesOfOne() const { return m_MaxResponseBytes; }
 
 private:
   struct Kept {
@@ -35,8 +35,8 @@
     std::list<core::RequestId>::iterator m_Age;
   };
 
-  std::size_t m_MostBytes;
-  std::size_t m_MostBytesOfOne;
+  std::size_t m_MaxBytes;
+  std::size_t m_MaxResponseBytes;
   std::size_t m_Bytes = 0;
   std::list<core::RequestId> m_ByAge;
   std::unordered_map<core::RequestId, Kept> m_Responses;
--- a/Libraries/LibPlatform/StoreMirror.cpp
+++ b/Libraries/LibPlatform/StoreMirror.cpp
@@ -17,16 +17,16 @@
   if (Update.m_IsValueOmitted)
     return markPending(Update);
   auto PendingValue = m_PendingValues.find(Update.m_Key);
-  bool IsWanted = PendingValue != m_PendingValues.end();
-  if (!Known && !IsWanted && Update.m_IsDeleted)
+  bool IsPending = PendingValue != m_PendingValues.end();
+  if (!Known && !IsPending && Update.m_IsDeleted)
     return;
   // The change was remembered when it was first told of.
-  bool IsRecorded =
-      IsWanted && PendingValue->second.m_NewestRevision == Update.m_ModRevision;
-  if (IsWanted &&
+  bool IsRecorded = IsPending && PendingValue->second.m_NewestRevision ==
+                                     Update.m_ModRevision;
+  if (IsPending &&
       !(Update.m_ModRevision < PendingValue->second.m_NewestRevision))
     m_PendingValues.erase(PendingValue);
-  else if (IsWanted)
+  else if (IsPending)
     PendingValue->second.m_OldestRevision = std::max(
         PendingValue->second.m_OldestRevision, next(Update.m_ModRevision));
   if (!IsRecorded)
--- a/Libraries/LibQuarantine/Gossip.cpp
+++ b/Libraries/LibQuarantine/Gossip.cpp
@@ -23,18 +23,18 @@
 
 void Gossip::noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
                             core::TimePoint Now) {
-  m_Book.noteTargetExit(Content, Run, Now);
+  m_Table.noteTargetExit(Content, Run, Now);
   broadcastUpdates(Now);
 }
 
 void Gossip::noteSuccess(const ContentDigest &Content, core::TimePoint Now) {
-  m_Book.noteSuccess(Content, Now);
+  m_Table.noteSuccess(Content, Now);
   broadcastUpdates(Now);
 }
 
 void Gossip::merge(const std::vector<Observation> &Seen, core::TimePoint Now) {
   for (const Observation &Each : Seen)
-    m_Book.merge(Each, Now);
+    m_Table.merge(Each, Now);
   broadcastUpdates(Now);
 }
 
@@ -43,7 +43,7 @@
 //===----------------------------------------------------------------------===//
 
 void Gossip::broadcastUpdates(core::TimePoint Now) {
-  std::vector<Observation> News = m_Book.takeUpdates();
+  std::vector<Observation> News = m_Table.takeUpdates();
   if (News.empty())
     return;
   m_Hooks.m_Broadcast(News);
@@ -71,8 +71,8 @@
   m_LastGossipAt = Now;
   std::vector<Observation> Unrecorded;
   for (const ContentDigest &Each :
-       m_Book.suspectedContents(MinIncarnationsToStore))
-    for (const Observation &Seen : m_Book.observations(Each))
+       m_Table.suspectedContents(MinIncarnationsToStore))
+    for (const Observation &Seen : m_Table.observations(Each))
       if (m_Stored.count(Seen) == 0)
         Unrecorded.push_back(Seen);
   if (!Unrecorded.empty())
@@ -81,7 +81,7 @@
 
 void Gossip::upkeep(core::TimePoint Now) {
   rebroadcast(Now);
-  if (m_Book.size() > 0)
+  if (m_Table.size() > 0)
     gossipUnstored(Now);
 }
 
@@ -101,20 +101,20 @@
 
 std::string Gossip::storedText() const {
   std::vector<ContentDigest> Suspects =
-      m_Book.suspectedContents(MinIncarnationsToStore);
+      m_Table.suspectedContents(MinIncarnationsToStore);
   if (Suspects.size() > MaxStoredContents)
     Suspects.resize(MaxStoredContents);
   std::vector<Observation> Out;
   for (const ContentDigest &Each : Suspects)
-    for (const Observation &Seen : m_Book.observations(Each))
+    for (const Observation &Seen : m_Table.observations(Each))
       Out.push_back(Seen);
   // What was excused stays: whoever missed that must hear of it. Not what came
   // since, or each end of a target would be written for popular contents.
   for (const Observation &Each : m_Stored)
-    if (m_Book.incriminatingIncarnations(Each.m_Content) <
+    if (m_Table.incriminatingIncarnations(Each.m_Content) <
         MinIncarnationsToStore)
       Out.push_back({Each.m_Content, Each.m_Incarnation,
-                     m_Book.isCleared(Each.m_Content, Each.m_Incarnation)});
+                     m_Table.isCleared(Each.m_Content, Each.m_Incarnation)});
   std::size_t Most = MaxStoredContents * QuarantineTable::MaxIncarnations;
   if (Out.size() > Most)
     Out.resize(Most);
--- a/Libraries/LibQuarantine/Gossip.h
+++ b/Libraries/LibQuarantine/Gossip.h
@@ -32,7 +32,7 @@
 class Gossip {
 public:
   explicit Gossip(GossipHooks Hooks)
-      : m_Hooks(std::move(Hooks)), m_Book(m_Hooks.m_Changed) {}
+      : m_Hooks(std::move(Hooks)), m_Table(m_Hooks.m_Changed) {}
 
   // What is seen here, as in QuarantineTable.
   void noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
@@ -47,7 +47,7 @@
   /// Tells again what is due. To be called a few times a second.
   void upkeep(core::TimePoint Now);
 
-  const QuarantineTable &book() const { return m_Book; }
+  const QuarantineTable &table() const { return m_Table; }
 
 private:
   /// Observations on their way to all others.
@@ -62,7 +62,7 @@
   void gossipUnstored(core::TimePoint Now);
 
   GossipHooks m_Hooks;
-  QuarantineTable m_Book;
+  QuarantineTable m_Table;
   std::set<Observation> m_Stored; ///< In the store's entry.
   std::deque<PendingBroadcast> m_PendingBroadcasts;
   core::TimePoint m_LastGossipAt{};
--- a/Libraries/LibRouting/TargetThrottle.cpp
+++ b/Libraries/LibRouting/TargetThrottle.cpp
@@ -5,15 +5,15 @@
 
 namespace yardrill::routing {
 
-bool TargetThrottle::update(const TargetBackpressure &Terms,
+bool TargetThrottle::update(const TargetBackpressure &Backpressure,
                             core::TimePoint Now) {
   // A longer rest is not shortened by what a later answer asks for.
-  if (Terms.m_Backoff)
-    m_BackoffUntil = std::max(m_BackoffUntil, Now + *Terms.m_Backoff);
-  bool IsNews = Terms.m_IsLeaving && setLeaving();
+  if (Backpressure.m_Backoff)
+    m_BackoffUntil = std::max(m_BackoffUntil, Now + *Backpressure.m_Backoff);
+  bool IsNews = Backpressure.m_IsLeaving && setLeaving();
   // What says nothing of a limit leaves the one that was named.
-  if (!Terms.m_IsLimitUnreadable && !Terms.m_IsLimitUnspecified)
-    IsNews = m_Limit.apply({Terms.m_RequestsPerSecond, Now}) || IsNews;
+  if (!Backpressure.m_IsLimitUnreadable && !Backpressure.m_IsLimitUnspecified)
+    IsNews = m_Limit.apply({Backpressure.m_RequestsPerSecond, Now}) || IsNews;
   return IsNews;
 }
 
--- a/Libraries/LibRouting/TargetThrottle.h
+++ b/Libraries/LibRouting/TargetThrottle.h
@@ -26,7 +26,7 @@
 public:
   /// Takes in the terms of an answer to this instance. \returns whether other
   /// instances should hear of it.
-  bool update(const TargetBackpressure &Terms, core::TimePoint Now);
+  bool update(const TargetBackpressure &Backpressure, core::TimePoint Now);
 
   /// It said so to another instance. \returns whether that is new.
   bool setLeaving();
--- a/Libraries/LibRouting/TargetThrottleTable.cpp
+++ b/Libraries/LibRouting/TargetThrottleTable.cpp
@@ -14,14 +14,14 @@
 static constexpr std::chrono::minutes LeavingStateLifetime{10};
 
 bool TargetThrottleTable::update(const TargetIncarnation &Run,
-                                 const TargetBackpressure &Terms,
+                                 const TargetBackpressure &Backpressure,
                                  core::TimePoint Now) {
   Entry *Known = find(Run, Now);
-  if (!Known && Terms.isEmpty())
+  if (!Known && Backpressure.isEmpty())
     return false;
   Entry &Of = Known ? *Known : findOrCreate(Run, Now);
   Of.m_HeardAt = Now;
-  bool IsChanged = Of.m_Throttle.update(Terms, Now);
+  bool IsChanged = Of.m_Throttle.update(Backpressure, Now);
   if (IsChanged) {
     recordChange(Run, Of, Now);
     Of.m_ReportUntil = Now + ChangeReportTime;
--- a/Libraries/LibRouting/TargetThrottleTable.h
+++ b/Libraries/LibRouting/TargetThrottleTable.h
@@ -37,8 +37,8 @@
 
   /// Takes in the terms of an answer to this instance. \returns whether other
   /// instances should hear of it.
-  bool update(const TargetIncarnation &Run, const TargetBackpressure &Terms,
-              core::TimePoint Now);
+  bool update(const TargetIncarnation &Run,
+              const TargetBackpressure &Backpressure, core::TimePoint Now);
   /// Takes in what another instance knows. \returns whether it is news.
   bool update(const BackpressureReport &Told, core::TimePoint Now);
   /// The senders may be others now.
--- a/Tests/LibGateway/BackpressureServiceTest.cpp
+++ b/Tests/LibGateway/BackpressureServiceTest.cpp
@@ -116,9 +116,9 @@
     hear(3, std::numeric_limits<std::uint64_t>::max());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.throttles().limited());
     hear(2, 5000);
-    auto Terms = m_Targets.throttles().reportOf(core::TargetName("a"));
-    CPPUNIT_ASSERT_EQUAL(2.0, Terms.m_Limit.m_PerSecond.value_or(0));
-    CPPUNIT_ASSERT(Terms.m_Limit.m_At == m_Now - milliseconds(5));
+    auto Backpressure = m_Targets.throttles().reportOf(core::TargetName("a"));
+    CPPUNIT_ASSERT_EQUAL(2.0, Backpressure.m_Limit.m_PerSecond.value_or(0));
+    CPPUNIT_ASSERT(Backpressure.m_Limit.m_At == m_Now - milliseconds(5));
   }
 };
 
--- a/Tests/LibQuarantine/GossipTest.cpp
+++ b/Tests/LibQuarantine/GossipTest.cpp
@@ -52,8 +52,8 @@
     B.noteTargetExit(m_Content, 11, m_Now);
     C.noteTargetExit(m_Content, 12, m_Now);
     C.merge(Told, m_Now);
-    CPPUNIT_ASSERT(C.book().isQuarantined(m_Content));
-    CPPUNIT_ASSERT(!A.book().isQuarantined(m_Content));
+    CPPUNIT_ASSERT(C.table().isQuarantined(m_Content));
+    CPPUNIT_ASSERT(!A.table().isQuarantined(m_Content));
   }
 
   void testBroadcastsRepeatedly() {
@@ -91,8 +91,8 @@
     Before.noteTargetExit({3, 4}, 10, m_Now);
     Gossip After(counting());
     CPPUNIT_ASSERT(After.mergeStored(Before.storedText(), m_Now));
-    CPPUNIT_ASSERT(After.book().isQuarantined(m_Content));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), After.book().size());
+    CPPUNIT_ASSERT(After.table().isQuarantined(m_Content));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), After.table().size());
     CPPUNIT_ASSERT_EQUAL(Before.storedText(), After.storedText());
   }
 
@@ -104,11 +104,11 @@
     CPPUNIT_ASSERT(Lifted);
     Gossip Missed = Which;
     CPPUNIT_ASSERT(Which.mergeStored(*Lifted, m_Now));
-    CPPUNIT_ASSERT(!Which.book().isQuarantined(m_Content));
+    CPPUNIT_ASSERT(!Which.table().isQuarantined(m_Content));
     // Its next writing still says so.
     CPPUNIT_ASSERT_EQUAL(*Lifted, Which.storedText());
     CPPUNIT_ASSERT(Missed.mergeStored(Which.storedText(), m_Now));
-    CPPUNIT_ASSERT(!Missed.book().isQuarantined(m_Content));
+    CPPUNIT_ASSERT(!Missed.table().isQuarantined(m_Content));
     CPPUNIT_ASSERT(!withContentCleared(*Lifted, {7, 7}));
   }
 
--- a/Tests/LibQuarantine/QuarantineTableTest.cpp
+++ b/Tests/LibQuarantine/QuarantineTableTest.cpp
@@ -34,56 +34,56 @@
 public:
   void testThreeRunsQuarantine() {
     std::vector<bool> Changes;
-    QuarantineTable Book(
+    QuarantineTable Table(
         [&](const ContentDigest &, bool Is) { Changes.push_back(Is); });
-    Book.noteTargetExit(content(1), 10, m_Now);
-    Book.noteTargetExit(content(1), 11, m_Now);
-    CPPUNIT_ASSERT(!Book.isQuarantined(content(1)));
-    Book.noteTargetExit(content(1), 12, m_Now);
-    CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
-    CPPUNIT_ASSERT(!Book.isQuarantined(content(2)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Book.quarantined());
+    Table.noteTargetExit(content(1), 10, m_Now);
+    Table.noteTargetExit(content(1), 11, m_Now);
+    CPPUNIT_ASSERT(!Table.isQuarantined(content(1)));
+    Table.noteTargetExit(content(1), 12, m_Now);
+    CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
+    CPPUNIT_ASSERT(!Table.isQuarantined(content(2)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Table.quarantined());
     CPPUNIT_ASSERT(Changes == std::vector<bool>{true});
     // It holds, however long.
-    Book.noteTargetExit(content(2), 10, m_Now + std::chrono::hours(100));
-    CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
+    Table.noteTargetExit(content(2), 10, m_Now + std::chrono::hours(100));
+    CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
   }
 
   /// Several attempts of one content may run at a target that ends, and
   /// several instances see the end of each.
   void testDuplicateReportsCountOnce() {
-    QuarantineTable Book;
+    QuarantineTable Table;
     for (int I = 0; I < 5; ++I)
-      Book.noteTargetExit(content(1), 10, m_Now);
-    Book.merge({content(1), 10, false}, m_Now);
+      Table.noteTargetExit(content(1), 10, m_Now);
+    Table.merge({content(1), 10, false}, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         Book.incriminatingIncarnations(content(1)));
+                         Table.incriminatingIncarnations(content(1)));
   }
 
   void testSuccessClearsEarlierIncarnations() {
     std::vector<bool> Changes;
-    QuarantineTable Book(
+    QuarantineTable Table(
         [&](const ContentDigest &, bool Is) { Changes.push_back(Is); });
     for (IncarnationHash Run : {10, 11, 12})
-      Book.noteTargetExit(content(1), Run, m_Now);
-    Book.noteSuccess(content(1), m_Now);
+      Table.noteTargetExit(content(1), Run, m_Now);
+    Table.noteSuccess(content(1), m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0),
-                         Book.incriminatingIncarnations(content(1)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), Book.quarantined());
+                         Table.incriminatingIncarnations(content(1)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), Table.quarantined());
     CPPUNIT_ASSERT((Changes == std::vector<bool>{true, false}));
   }
 
   void testRecentSuccessClearsLaterReports() {
-    QuarantineTable Book;
-    Book.noteSuccess(content(1), m_Now);
-    Book.takeUpdates();
+    QuarantineTable Table;
+    Table.noteSuccess(content(1), m_Now);
+    Table.takeUpdates();
     m_Now += seconds(20);
     for (IncarnationHash Run : {10, 11, 12})
-      Book.merge({content(1), Run, false}, m_Now);
+      Table.merge({content(1), Run, false}, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0),
-                         Book.incriminatingIncarnations(content(1)));
+                         Table.incriminatingIncarnations(content(1)));
     // The others have not seen the answer.
-    std::vector<Observation> News = Book.takeUpdates();
+    std::vector<Observation> News = Table.takeUpdates();
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), News.size());
     for (const Observation &Each : News)
       CPPUNIT_ASSERT(Each.m_IsCleared);
@@ -91,22 +91,22 @@
 
   /// A new version of the targets may end under what the last one served.
   void testOldSuccessIsIgnored() {
-    QuarantineTable Book;
-    Book.noteSuccess(content(1), m_Now);
+    QuarantineTable Table;
+    Table.noteSuccess(content(1), m_Now);
     m_Now += seconds(31);
     for (IncarnationHash Run : {10, 11, 12})
-      Book.noteTargetExit(content(1), Run, m_Now);
-    CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
+      Table.noteTargetExit(content(1), Run, m_Now);
+    CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
   }
 
   void testClearedIncarnationsStayCleared() {
-    QuarantineTable Book;
-    Book.merge({content(1), 10, true}, m_Now);
-    Book.noteTargetExit(content(1), 10, m_Now);
-    Book.merge({content(1), 10, false}, m_Now);
+    QuarantineTable Table;
+    Table.merge({content(1), 10, true}, m_Now);
+    Table.noteTargetExit(content(1), 10, m_Now);
+    Table.merge({content(1), 10, false}, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0),
-                         Book.incriminatingIncarnations(content(1)));
-    CPPUNIT_ASSERT(Book.isCleared(content(1), 10));
+                         Table.incriminatingIncarnations(content(1)));
+    CPPUNIT_ASSERT(Table.isCleared(content(1), 10));
   }
 
   void testMergeIsOrderIndependent() {
@@ -119,55 +119,55 @@
     std::mt19937 Random(1);
     for (int Round = 0; Round < 50; ++Round) {
       std::shuffle(All.begin(), All.end(), Random);
-      QuarantineTable Book;
+      QuarantineTable Table;
       for (const Observation &Each : All)
-        Book.merge(Each, m_Now);
+        Table.merge(Each, m_Now);
       for (const Observation &Each : All)
-        Book.merge(Each, m_Now);
+        Table.merge(Each, m_Now);
       CPPUNIT_ASSERT_EQUAL(std::size_t(3),
-                           Book.incriminatingIncarnations(content(1)));
+                           Table.incriminatingIncarnations(content(1)));
     }
   }
 
   void testOnlyLocalChangesAreUpdates() {
-    QuarantineTable Book;
-    Book.merge({content(1), 10, false}, m_Now);
-    CPPUNIT_ASSERT(Book.takeUpdates().empty());
-    Book.noteTargetExit(content(1), 10, m_Now);
-    CPPUNIT_ASSERT(Book.takeUpdates().empty());
-    Book.noteTargetExit(content(1), 11, m_Now);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Book.takeUpdates().size());
-    CPPUNIT_ASSERT(Book.takeUpdates().empty());
+    QuarantineTable Table;
+    Table.merge({content(1), 10, false}, m_Now);
+    CPPUNIT_ASSERT(Table.takeUpdates().empty());
+    Table.noteTargetExit(content(1), 10, m_Now);
+    CPPUNIT_ASSERT(Table.takeUpdates().empty());
+    Table.noteTargetExit(content(1), 11, m_Now);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Table.takeUpdates().size());
+    CPPUNIT_ASSERT(Table.takeUpdates().empty());
   }
 
   /// Somebody who sends another body each time must not push out what is
   /// quarantined.
   void testLeastSuspectedContentsAreEvicted() {
-    QuarantineTable Book;
+    QuarantineTable Table;
     for (IncarnationHash Run : {10, 11, 12})
-      Book.noteTargetExit(content(1), Run, m_Now);
+      Table.noteTargetExit(content(1), Run, m_Now);
     for (std::uint64_t I = 2; I < 5000; ++I)
-      Book.noteTargetExit(content(I), 10, m_Now + milliseconds(I));
-    CPPUNIT_ASSERT_EQUAL(QuarantineTable::MaxContents, Book.size());
-    CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
+      Table.noteTargetExit(content(I), 10, m_Now + milliseconds(I));
+    CPPUNIT_ASSERT_EQUAL(QuarantineTable::MaxContents, Table.size());
+    CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         Book.incriminatingIncarnations(content(4999)));
+                         Table.incriminatingIncarnations(content(4999)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0),
-                         Book.incriminatingIncarnations(content(2)));
+                         Table.incriminatingIncarnations(content(2)));
   }
 
   void testManyRunsAreBounded() {
-    QuarantineTable Book;
+    QuarantineTable Table;
     for (IncarnationHash Run = 0; Run < 100; ++Run)
-      Book.noteTargetExit(content(1), Run, m_Now);
+      Table.noteTargetExit(content(1), Run, m_Now);
     CPPUNIT_ASSERT_EQUAL(QuarantineTable::MaxIncarnations,
-                         Book.observations(content(1)).size());
+                         Table.observations(content(1)).size());
     // Excused ones give way.
-    Book.noteSuccess(content(1), m_Now);
+    Table.noteSuccess(content(1), m_Now);
     m_Now += seconds(60);
     for (IncarnationHash Run : {200, 201, 202})
-      Book.noteTargetExit(content(1), Run, m_Now);
-    CPPUNIT_ASSERT(Book.isQuarantined(content(1)));
+      Table.noteTargetExit(content(1), Run, m_Now);
+    CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
   }
 };
 
--- a/Tests/LibRouting/QuotaTest.cpp
+++ b/Tests/LibRouting/QuotaTest.cpp
@@ -142,17 +142,17 @@
 
   void testOwnersTogetherGrantTheLimit() {
     // Six instances, three of them owners; each first asks one of them.
-    std::map<config::Endpoint, DistributedQuota> Books;
+    std::map<config::Endpoint, DistributedQuota> Quotas;
     for (const config::Endpoint &Each : members(6))
-      Books.emplace(Each, bookOf(Each, 6));
+      Quotas.emplace(Each, bookOf(Each, 6));
     double Taken = 0;
     for (int I = 0; I < 800; ++I) {
       m_Now += milliseconds(10);
-      for (auto &[Self, Book] : Books) {
+      for (auto &[Self, Book] : Quotas) {
         QuotaAcquisition Draw = draw(50);
         QuotaStep Step = Book.begin(Draw, m_Now);
         while (Step == QuotaStep::Ask) {
-          DistributedQuota &Owner = Books.at(Draw.m_RemainingOwners.back());
+          DistributedQuota &Owner = Quotas.at(Draw.m_RemainingOwners.back());
           Step = Book.handleResponse(
               Draw, Owner.handleRequest({m_Account, 50, 0}, m_Now), m_Now);
         }
--- a/Tests/LibRouting/SharedRateLimitTest.cpp
+++ b/Tests/LibRouting/SharedRateLimitTest.cpp
@@ -32,7 +32,7 @@
 
   core::TimePoint m_Now{std::chrono::hours(1)};
   std::size_t m_Senders = 1;
-  TargetThrottleTable m_Book{
+  TargetThrottleTable m_Throttles{
       [this](const TargetIncarnation &) { return m_Senders; }};
   TargetIncarnation m_Incarnation{core::TargetName("a"),
                                   core::TargetStartTime(7)};
@@ -47,8 +47,8 @@
     int Out = 0;
     core::TimePoint End = m_Now + Time;
     for (; m_Now < End; m_Now += milliseconds(10))
-      if (m_Book.isOpen(m_Incarnation, m_Now)) {
-        m_Book.recordSent(m_Incarnation, m_Now);
+      if (m_Throttles.isOpen(m_Incarnation, m_Now)) {
+        m_Throttles.recordSent(m_Incarnation, m_Now);
         ++Out;
       }
     return Out;
@@ -56,20 +56,20 @@
 
 public:
   void testSenderKeepsItsRate() {
-    m_Book.update(m_Incarnation, limited(2), m_Now);
+    m_Throttles.update(m_Incarnation, limited(2), m_Now);
     int Sent = sentIn(seconds(20));
     CPPUNIT_ASSERT(Sent >= 38 && Sent <= 41);
     m_Senders = 3;
-    m_Book.invalidateSenders();
+    m_Throttles.invalidateSenders();
     Sent = sentIn(seconds(30));
     CPPUNIT_ASSERT(Sent >= 18 && Sent <= 22);
     m_Senders = 0;
-    m_Book.invalidateSenders();
+    m_Throttles.invalidateSenders();
     CPPUNIT_ASSERT_EQUAL(0, sentIn(seconds(30)));
   }
 
   void testIdleTimeEarnsLimitedCredit() {
-    m_Book.update(m_Incarnation, limited(1), m_Now);
+    m_Throttles.update(m_Incarnation, limited(1), m_Now);
     m_Now += seconds(60);
     // One at once, and the next earlier by the tolerance.
     CPPUNIT_ASSERT_EQUAL(1, sentIn(milliseconds(600)));
@@ -78,55 +78,56 @@
   }
 
   void testNewSenderWaitsOneInterval() {
-    m_Book.update(m_Incarnation, limited(1), m_Now);
+    m_Throttles.update(m_Incarnation, limited(1), m_Now);
     CPPUNIT_ASSERT_EQUAL(0, sentIn(milliseconds(990)));
     m_Now += seconds(10);
     m_Senders = 0;
-    m_Book.invalidateSenders();
-    CPPUNIT_ASSERT(!m_Book.isOpen(m_Incarnation, m_Now));
+    m_Throttles.invalidateSenders();
+    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now));
     m_Senders = 1;
-    m_Book.invalidateSenders();
+    m_Throttles.invalidateSenders();
     CPPUNIT_ASSERT_EQUAL(0, sentIn(milliseconds(990)));
   }
 
   void testIntervalFollowsTheLimit() {
-    m_Book.update(m_Incarnation, limited(0.5), m_Now);
+    m_Throttles.update(m_Incarnation, limited(0.5), m_Now);
     CPPUNIT_ASSERT_EQUAL(1, sentIn(milliseconds(2010)));
-    m_Book.update(m_Incarnation, limited(10), m_Now);
+    m_Throttles.update(m_Incarnation, limited(10), m_Now);
     int Sent = sentIn(seconds(1));
     CPPUNIT_ASSERT(Sent >= 9 && Sent <= 11);
-    m_Book.update(m_Incarnation, limited(0.5), m_Now);
+    m_Throttles.update(m_Incarnation, limited(0.5), m_Now);
     CPPUNIT_ASSERT(sentIn(seconds(2)) <= 1);
   }
 
   void testNewestUpdateWins() {
-    m_Book.update({m_Incarnation, {3.0, m_Now - milliseconds(500)}}, m_Now);
-    CPPUNIT_ASSERT(m_Book.update({m_Incarnation, {2.0, m_Now}}, m_Now));
+    m_Throttles.update({m_Incarnation, {3.0, m_Now - milliseconds(500)}},
+                       m_Now);
+    CPPUNIT_ASSERT(m_Throttles.update({m_Incarnation, {2.0, m_Now}}, m_Now));
     // Told later, heard earlier.
-    CPPUNIT_ASSERT(!m_Book.update(
+    CPPUNIT_ASSERT(!m_Throttles.update(
         {m_Incarnation, {5.0, m_Now - milliseconds(10)}}, m_Now));
-    CPPUNIT_ASSERT_EQUAL(2.0,
-                         *m_Book.reportOf(m_Incarnation).m_Limit.m_PerSecond);
+    CPPUNIT_ASSERT_EQUAL(
+        2.0, *m_Throttles.reportOf(m_Incarnation).m_Limit.m_PerSecond);
     m_Now += seconds(3);
-    CPPUNIT_ASSERT(m_Book.update(m_Incarnation, {}, m_Now));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Book.limited());
+    CPPUNIT_ASSERT(m_Throttles.update(m_Incarnation, {}, m_Now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Throttles.limited());
     // An ended limit does not come back from a slow peer.
     CPPUNIT_ASSERT(
-        !m_Book.update({m_Incarnation, {2.0, m_Now - seconds(1)}}, m_Now));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Book.limited());
+        !m_Throttles.update({m_Incarnation, {2.0, m_Now - seconds(1)}}, m_Now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Throttles.limited());
   }
 
   void testReorderedResponseDoesNotClearLimit() {
-    m_Book.update(m_Incarnation, limited(1), m_Now);
+    m_Throttles.update(m_Incarnation, limited(1), m_Now);
     // It was made before the limit was named.
     CPPUNIT_ASSERT(
-        !m_Book.update(m_Incarnation, {}, m_Now + milliseconds(200)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Book.limited());
-    CPPUNIT_ASSERT(m_Book.update(m_Incarnation, {}, m_Now + seconds(2)));
+        !m_Throttles.update(m_Incarnation, {}, m_Now + milliseconds(200)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.limited());
+    CPPUNIT_ASSERT(m_Throttles.update(m_Incarnation, {}, m_Now + seconds(2)));
   }
 
   void testZeroLimitIsStillProbed() {
-    m_Book.update(m_Incarnation, limited(0), m_Now);
+    m_Throttles.update(m_Incarnation, limited(0), m_Now);
     int Sent = sentIn(seconds(40));
     CPPUNIT_ASSERT(Sent >= 9 && Sent <= 10);
   }
@@ -134,130 +135,132 @@
   void testUnreadableLimitChangesNothing() {
     TargetBackpressure Unreadable;
     Unreadable.m_IsLimitUnreadable = true;
-    CPPUNIT_ASSERT(!m_Book.update(m_Incarnation, Unreadable, m_Now));
-    CPPUNIT_ASSERT(m_Book.isOpen(m_Incarnation, m_Now));
-    m_Book.update(m_Incarnation, limited(1), m_Now);
+    CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, Unreadable, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now));
+    m_Throttles.update(m_Incarnation, limited(1), m_Now);
     CPPUNIT_ASSERT(
-        !m_Book.update(m_Incarnation, Unreadable, m_Now + seconds(5)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Book.limited());
+        !m_Throttles.update(m_Incarnation, Unreadable, m_Now + seconds(5)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.limited());
     TargetBackpressure Refusal;
     Refusal.m_IsLimitUnspecified = true;
-    CPPUNIT_ASSERT(!m_Book.update(m_Incarnation, Refusal, m_Now + seconds(5)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Book.limited());
+    CPPUNIT_ASSERT(
+        !m_Throttles.update(m_Incarnation, Refusal, m_Now + seconds(5)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.limited());
   }
 
   void testNoStateWithoutBackpressure() {
     for (int I = 0; I < 1000; ++I) {
-      CPPUNIT_ASSERT(!m_Book.update(m_Incarnation, {}, m_Now));
-      CPPUNIT_ASSERT(m_Book.isOpen(m_Incarnation, m_Now));
-      m_Book.recordSent(m_Incarnation, m_Now);
+      CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, {}, m_Now));
+      CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now));
+      m_Throttles.recordSent(m_Incarnation, m_Now);
     }
-    CPPUNIT_ASSERT(m_Book.isEmpty());
-    CPPUNIT_ASSERT(m_Book.dueReports(m_Now).empty());
+    CPPUNIT_ASSERT(m_Throttles.isEmpty());
+    CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).empty());
   }
 
   void testIncarnationsHaveSeparateThrottles() {
     m_Senders = 0;
-    m_Book.update(m_Incarnation, limited(1), m_Now);
-    CPPUNIT_ASSERT(!m_Book.isOpen(m_Incarnation, m_Now));
-    CPPUNIT_ASSERT(
-        m_Book.isOpen({m_Incarnation.m_Name, core::TargetStartTime(8)}, m_Now));
+    m_Throttles.update(m_Incarnation, limited(1), m_Now);
+    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.isOpen(
+        {m_Incarnation.m_Name, core::TargetStartTime(8)}, m_Now));
   }
 
   void testLimitIsReportedUntilCleared() {
-    CPPUNIT_ASSERT(m_Book.update(m_Incarnation, limited(1), m_Now));
+    CPPUNIT_ASSERT(m_Throttles.update(m_Incarnation, limited(1), m_Now));
     m_Now += seconds(20);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Book.dueReports(m_Now).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.dueReports(m_Now).size());
     // One that is no sender hears of it from the others.
     m_Senders = 0;
-    m_Book.invalidateSenders();
-    m_Book.isOpen(m_Incarnation, m_Now);
-    CPPUNIT_ASSERT(m_Book.dueReports(m_Now).empty());
+    m_Throttles.invalidateSenders();
+    m_Throttles.isOpen(m_Incarnation, m_Now);
+    CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).empty());
     m_Senders = 1;
-    m_Book.invalidateSenders();
-    CPPUNIT_ASSERT(m_Book.update(m_Incarnation, {}, m_Now));
-    CPPUNIT_ASSERT(!m_Book.dueReports(m_Now).at(0).m_Limit.m_PerSecond);
-    CPPUNIT_ASSERT(m_Book.dueReports(m_Now + seconds(10)).empty());
+    m_Throttles.invalidateSenders();
+    CPPUNIT_ASSERT(m_Throttles.update(m_Incarnation, {}, m_Now));
+    CPPUNIT_ASSERT(!m_Throttles.dueReports(m_Now).at(0).m_Limit.m_PerSecond);
+    CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now + seconds(10)).empty());
   }
 
   void testUnreportedLimitExpires() {
     m_Senders = 0;
-    m_Book.update({m_Incarnation, {1.0, m_Now}}, m_Now);
-    m_Book.removeStale(m_Now + seconds(29));
-    CPPUNIT_ASSERT(!m_Book.isOpen(m_Incarnation, m_Now));
-    m_Book.removeStale(m_Now + seconds(30));
-    CPPUNIT_ASSERT(m_Book.isOpen(m_Incarnation, m_Now));
+    m_Throttles.update({m_Incarnation, {1.0, m_Now}}, m_Now);
+    m_Throttles.removeStale(m_Now + seconds(29));
+    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now));
+    m_Throttles.removeStale(m_Now + seconds(30));
+    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now));
     // One that may send finds out by itself.
     m_Senders = 1;
-    m_Book.update({m_Incarnation, {1.0, m_Now}}, m_Now);
-    m_Book.removeStale(m_Now + seconds(300));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Book.limited());
+    m_Throttles.update({m_Incarnation, {1.0, m_Now}}, m_Now);
+    m_Throttles.removeStale(m_Now + seconds(300));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.limited());
   }
 
   void testClearedStateExpiresUnderTraffic() {
-    m_Book.update(m_Incarnation, limited(1), m_Now);
+    m_Throttles.update(m_Incarnation, limited(1), m_Now);
     m_Now += seconds(5);
-    m_Book.update(m_Incarnation, {}, m_Now);
+    m_Throttles.update(m_Incarnation, {}, m_Now);
     for (int I = 0; I < 30; ++I) {
-      CPPUNIT_ASSERT(!m_Book.isEmpty());
+      CPPUNIT_ASSERT(!m_Throttles.isEmpty());
       m_Now += seconds(1);
-      m_Book.update(m_Incarnation, {}, m_Now);
-      m_Book.removeStale(m_Now);
+      m_Throttles.update(m_Incarnation, {}, m_Now);
+      m_Throttles.removeStale(m_Now);
     }
-    CPPUNIT_ASSERT(m_Book.isEmpty());
+    CPPUNIT_ASSERT(m_Throttles.isEmpty());
     // A rest that is over as well.
     TargetBackpressure Tired;
     Tired.m_Backoff = seconds(3);
-    m_Book.update(m_Incarnation, Tired, m_Now);
-    m_Book.removeStale(m_Now);
-    CPPUNIT_ASSERT(!m_Book.isEmpty());
-    m_Book.removeStale(m_Now + seconds(3));
-    CPPUNIT_ASSERT(m_Book.isEmpty());
+    m_Throttles.update(m_Incarnation, Tired, m_Now);
+    m_Throttles.removeStale(m_Now);
+    CPPUNIT_ASSERT(!m_Throttles.isEmpty());
+    m_Throttles.removeStale(m_Now + seconds(3));
+    CPPUNIT_ASSERT(m_Throttles.isEmpty());
   }
 
   void testBackoffIsLocal() {
     TargetBackpressure Tired;
     Tired.m_Backoff = seconds(3);
-    CPPUNIT_ASSERT(!m_Book.update(m_Incarnation, Tired, m_Now));
-    CPPUNIT_ASSERT(m_Book.dueReports(m_Now).empty());
-    CPPUNIT_ASSERT(!m_Book.isOpen(m_Incarnation, m_Now + milliseconds(2999)));
-    CPPUNIT_ASSERT(m_Book.isOpen(m_Incarnation, m_Now + seconds(3)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Book.backedOff(m_Now));
-    CPPUNIT_ASSERT(m_Book.availability(m_Incarnation, m_Now)->m_At ==
+    CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, Tired, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).empty());
+    CPPUNIT_ASSERT(
+        !m_Throttles.isOpen(m_Incarnation, m_Now + milliseconds(2999)));
+    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now + seconds(3)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.backedOff(m_Now));
+    CPPUNIT_ASSERT(m_Throttles.availability(m_Incarnation, m_Now)->m_At ==
                    m_Now + seconds(3));
     // A new run has none.
-    CPPUNIT_ASSERT(
-        m_Book.isOpen({m_Incarnation.m_Name, core::TargetStartTime(8)}, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.isOpen(
+        {m_Incarnation.m_Name, core::TargetStartTime(8)}, m_Now));
   }
 
   void testLongerBackoffIsNotShortened() {
     TargetBackpressure Tired;
     Tired.m_Backoff = std::chrono::hours(1);
-    m_Book.update(m_Incarnation, Tired, m_Now);
+    m_Throttles.update(m_Incarnation, Tired, m_Now);
     Tired.m_Backoff = milliseconds(10);
-    m_Book.update(m_Incarnation, Tired, m_Now);
-    m_Book.update(m_Incarnation, {}, m_Now + seconds(1));
-    m_Book.removeStale(m_Now + seconds(3599));
-    CPPUNIT_ASSERT(!m_Book.isOpen(m_Incarnation, m_Now + seconds(3599)));
-    CPPUNIT_ASSERT(m_Book.isOpen(m_Incarnation, m_Now + seconds(3600)));
+    m_Throttles.update(m_Incarnation, Tired, m_Now);
+    m_Throttles.update(m_Incarnation, {}, m_Now + seconds(1));
+    m_Throttles.removeStale(m_Now + seconds(3599));
+    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now + seconds(3599)));
+    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now + seconds(3600)));
   }
 
   void testLeavingIsPermanent() {
     TargetBackpressure Leaving;
     Leaving.m_IsLeaving = true;
-    CPPUNIT_ASSERT(m_Book.update(m_Incarnation, Leaving, m_Now));
-    CPPUNIT_ASSERT(m_Book.dueReports(m_Now).at(0).m_IsLeaving);
-    CPPUNIT_ASSERT(!m_Book.update(m_Incarnation, Leaving, m_Now));
-    CPPUNIT_ASSERT(!m_Book.update(m_Incarnation, {}, m_Now + seconds(2)));
-    m_Book.removeStale(m_Now + seconds(100));
-    CPPUNIT_ASSERT(!m_Book.isOpen(m_Incarnation, m_Now + seconds(100)));
-    CPPUNIT_ASSERT(!m_Book.availability(m_Incarnation, m_Now));
-    CPPUNIT_ASSERT(m_Book.isLeaving(m_Incarnation));
+    CPPUNIT_ASSERT(m_Throttles.update(m_Incarnation, Leaving, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).at(0).m_IsLeaving);
+    CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, Leaving, m_Now));
+    CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, {}, m_Now + seconds(2)));
+    m_Throttles.removeStale(m_Now + seconds(100));
+    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now + seconds(100)));
+    CPPUNIT_ASSERT(!m_Throttles.availability(m_Incarnation, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.isLeaving(m_Incarnation));
     // Told by another instance: not told on.
     TargetIncarnation Other{core::TargetName("b")};
-    CPPUNIT_ASSERT(m_Book.update({Other, {}, true}, m_Now));
-    CPPUNIT_ASSERT(!m_Book.isOpen(Other, m_Now));
-    CPPUNIT_ASSERT(m_Book.dueReports(m_Now).size() == 1);
+    CPPUNIT_ASSERT(m_Throttles.update({Other, {}, true}, m_Now));
+    CPPUNIT_ASSERT(!m_Throttles.isOpen(Other, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).size() == 1);
   }
 
   void testInstancesAgreeOnSenders() {
--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -120,17 +120,18 @@
     Head.m_Headers = {{"server-limit", " 1.4 "},
                       {"Server-Leaving", "1"},
                       {"Retry-After", "3"}};
-    routing::TargetBackpressure Terms = m_Dialect.describe(Head).m_Backpressure;
-    CPPUNIT_ASSERT_EQUAL(1.4, Terms.m_RequestsPerSecond.value());
-    CPPUNIT_ASSERT(Terms.m_IsLeaving);
+    routing::TargetBackpressure Backpressure =
+        m_Dialect.describe(Head).m_Backpressure;
+    CPPUNIT_ASSERT_EQUAL(1.4, Backpressure.m_RequestsPerSecond.value());
+    CPPUNIT_ASSERT(Backpressure.m_IsLeaving);
     // Only one that turns a request away asks for rest.
-    CPPUNIT_ASSERT(!Terms.m_Backoff);
+    CPPUNIT_ASSERT(!Backpressure.m_Backoff);
     Head.m_Status = 503;
     Head.m_Headers = {{"Retry-After", "2.5"}, {"Server-Limit", "0"}};
-    Terms = m_Dialect.describe(Head).m_Backpressure;
-    CPPUNIT_ASSERT(Terms.m_Backoff == std::chrono::milliseconds(2500));
-    CPPUNIT_ASSERT_EQUAL(0.0, Terms.m_RequestsPerSecond.value());
-    CPPUNIT_ASSERT(!Terms.m_IsLimitUnspecified);
+    Backpressure = m_Dialect.describe(Head).m_Backpressure;
+    CPPUNIT_ASSERT(Backpressure.m_Backoff == std::chrono::milliseconds(2500));
+    CPPUNIT_ASSERT_EQUAL(0.0, Backpressure.m_RequestsPerSecond.value());
+    CPPUNIT_ASSERT(!Backpressure.m_IsLimitUnspecified);
     // Another target has the address.
     Head.m_Status = 421;
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
@@ -156,10 +157,11 @@
     for (const char *Text : {"", "-1", "-0.0", "nan", "inf", "1e300", "many",
                              "1,4", "0x10", "1.4 a second"}) {
       Head.m_Headers = {{"Server-Limit", Text}, {"Retry-After", Text}};
-      routing::TargetBackpressure Terms =
+      routing::TargetBackpressure Backpressure =
           m_Dialect.describe(Head).m_Backpressure;
-      CPPUNIT_ASSERT(!Terms.m_RequestsPerSecond && Terms.m_IsLimitUnreadable);
-      CPPUNIT_ASSERT(!Terms.m_Backoff);
+      CPPUNIT_ASSERT(!Backpressure.m_RequestsPerSecond &&
+                     Backpressure.m_IsLimitUnreadable);
+      CPPUNIT_ASSERT(!Backpressure.m_Backoff);
     }
     Head.m_Headers = {{"Server-Limit", "2"}, {"server-limit", "3"}};
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnreadable);
--- a/Tests/Support/QuarantineFleet.cpp
+++ b/Tests/Support/QuarantineFleet.cpp
@@ -274,7 +274,7 @@
 
 bool Fleet::isRefused(const Request &What) const {
   const Gossip &Own = *m_Instances[What.m_Instance].m_Gossip;
-  return Own.book().incriminatingIncarnations(What.m_Content) >=
+  return Own.table().incriminatingIncarnations(What.m_Content) >=
          m_Day.m_RefusedFrom;
 }
 
@@ -355,7 +355,7 @@
   if (!IsGone) {
     At.m_Gossip->noteTargetExit(What->m_Content, Run, m_Now);
     bool IsSentOn = m_Day.m_IsSuspectSentOn ||
-                    !At.m_Gossip->book().isSuspect(What->m_Content);
+                    !At.m_Gossip->table().isSuspect(What->m_Content);
     if (What->m_Runs < MaxIncarnations && IsSentOn)
       return send(What);
   }
