--- a/Libraries/LibGateway/BackpressureService.cpp
+++ b/Libraries/LibGateway/BackpressureService.cpp
@@ -27,18 +27,19 @@
 
 /// \returns none for what no instance says.
 static std::optional<BackpressureReport>
-fromMessage(const peer::BackpressureEntry &Told, core::TimePoint Now) {
-  if (!std::isfinite(Told.m_PerSecond) || Told.m_PerSecond < 0)
+fromMessage(const peer::BackpressureEntry &Received, core::TimePoint Now) {
+  if (!std::isfinite(Received.m_PerSecond) || Received.m_PerSecond < 0)
     return std::nullopt;
   BackpressureReport Out;
-  Out.m_Incarnation = {core::TargetName(Told.m_Target),
-                       core::TargetStartTime(Told.m_StartTime)};
-  if (Told.m_IsLimited)
-    Out.m_Limit.m_PerSecond = Told.m_PerSecond;
+  Out.m_Incarnation = {core::TargetName(Received.m_Target),
+                       core::TargetStartTime(Received.m_StartTime)};
+  if (Received.m_IsLimited)
+    Out.m_Limit.m_PerSecond = Received.m_PerSecond;
   // Longer ago than this machine runs: before all that it heard itself.
-  auto Longest = static_cast<std::uint64_t>(Now.time_since_epoch().count());
-  Out.m_Limit.m_At = Now - core::Duration(std::min(Told.m_LimitAgeUs, Longest));
-  Out.m_IsLeaving = Told.m_IsLeaving;
+  auto MaxAge = static_cast<std::uint64_t>(Now.time_since_epoch().count());
+  Out.m_Limit.m_At =
+      Now - core::Duration(std::min(Received.m_LimitAgeUs, MaxAge));
+  Out.m_IsLeaving = Received.m_IsLeaving;
   return Out;
 }
 
@@ -47,32 +48,32 @@
     const routing::TargetBackpressure &Backpressure, core::TimePoint Now) {
   if (Backpressure.isEmpty() && m_Targets.throttles().isEmpty())
     return;
-  routing::TargetIncarnation Run = Which.run();
-  bool IsNews = m_Targets.throttles().update(Run, Backpressure, Now);
-  if (IsNews || Backpressure.m_Backoff || Backpressure.m_IsLimitUnreadable)
-    logChange(Run, Backpressure);
+  routing::TargetIncarnation Incarnation = Which.run();
+  bool IsChanged = m_Targets.throttles().update(Incarnation, Backpressure, Now);
+  if (IsChanged || Backpressure.m_Backoff || Backpressure.m_IsLimitUnreadable)
+    logChange(Incarnation, Backpressure);
   // A rest is asked of this instance alone.
-  if (!IsNews)
+  if (!IsChanged)
     return;
-  UpdatesByPeer To;
-  add(m_Targets.throttles().reportOf(Run), Now, To);
-  send(To);
+  UpdatesByPeer Updates;
+  add(m_Targets.throttles().reportOf(Incarnation), Now, Updates);
+  send(Updates);
 }
 
 void BackpressureService::handle(const peer::PeerMessage &Message,
                                  core::TimePoint Now) {
-  const auto *News = std::get_if<peer::BackpressureUpdate>(&Message.m_Body);
-  if (!News)
+  const auto *Update = std::get_if<peer::BackpressureUpdate>(&Message.m_Body);
+  if (!Update)
     return;
-  for (const peer::BackpressureEntry &Each : News->m_Entries) {
-    std::optional<BackpressureReport> Told = fromMessage(Each, Now);
-    if (Told && m_Targets.throttles().update(*Told, Now))
-      logChange(Told->m_Incarnation, {});
+  for (const peer::BackpressureEntry &Each : Update->m_Entries) {
+    std::optional<BackpressureReport> Received = fromMessage(Each, Now);
+    if (Received && m_Targets.throttles().update(*Received, Now))
+      logChange(Received->m_Incarnation, {});
   }
 }
 
 void BackpressureService::add(const BackpressureReport &What,
-                              core::TimePoint Now, UpdatesByPeer &To) {
+                              core::TimePoint Now, UpdatesByPeer &Updates) {
   const routing::KnownTarget *Known =
       m_Targets.findByIncarnation(What.m_Incarnation);
   if (!Known)
@@ -80,11 +81,11 @@
   for (const config::Endpoint &Each :
        m_Targets.subsetInstances(Known->m_Target.m_Pool))
     if (!(Each == m_Self))
-      To[Each].push_back(toMessage(What, Now));
+      Updates[Each].push_back(toMessage(What, Now));
 }
 
-void BackpressureService::send(const UpdatesByPeer &To) {
-  for (const auto &[Address, Backpressure] : To)
+void BackpressureService::send(const UpdatesByPeer &Updates) {
+  for (const auto &[Address, Backpressure] : Updates)
     for (std::size_t First = 0; First < Backpressure.size();
          First += peer::BackpressureUpdate::MaxEntries) {
       std::size_t End = std::min(Backpressure.size(),
@@ -96,20 +97,20 @@
 }
 
 void BackpressureService::logChange(
-    const routing::TargetIncarnation &Run,
-    const routing::TargetBackpressure &Said) const {
-  BackpressureReport Known = m_Targets.throttles().reportOf(Run);
+    const routing::TargetIncarnation &Incarnation,
+    const routing::TargetBackpressure &Stated) const {
+  BackpressureReport Known = m_Targets.throttles().reportOf(Incarnation);
   core::LogLine Line("target-terms", core::LogLevel::Warning);
-  Line.add("target", Run.m_Name)
-      .add("birth", Run.m_StartTime)
+  Line.add("target", Incarnation.m_Name)
+      .add("birth", Incarnation.m_StartTime)
       .add("is_leaving", Known.m_IsLeaving);
   if (Known.m_Limit.m_PerSecond)
     Line.add("limit_per_second", *Known.m_Limit.m_PerSecond)
-        .add("is_sender", m_Targets.throttles().isSender(Run));
-  if (Said.m_IsLimitUnreadable)
+        .add("is_sender", m_Targets.throttles().isSender(Incarnation));
+  if (Stated.m_IsLimitUnreadable)
     Line.add("is_limit_unreadable", true);
-  if (Said.m_Backoff)
-    Line.add("rest_us", *Said.m_Backoff);
+  if (Stated.m_Backoff)
+    Line.add("rest_us", *Stated.m_Backoff);
 }
 
 void BackpressureService::upkeep(core::TimePoint Now) {
@@ -119,10 +120,10 @@
   if (Now - m_LastSentAt < ResendPeriod)
     return;
   m_LastSentAt = Now;
-  UpdatesByPeer To;
+  UpdatesByPeer Updates;
   for (const BackpressureReport &Each : m_Targets.throttles().dueReports(Now))
-    add(Each, Now, To);
-  send(To);
+    add(Each, Now, Updates);
+  send(Updates);
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/BackpressureService.h
+++ b/Libraries/LibGateway/BackpressureService.h
@@ -43,11 +43,11 @@
 
   /// Adds what is known of a run to the news for all that work with it.
   void add(const routing::BackpressureReport &What, core::TimePoint Now,
-           UpdatesByPeer &To);
-  void send(const UpdatesByPeer &To);
+           UpdatesByPeer &Updates);
+  void send(const UpdatesByPeer &Updates);
   /// \param Said now by the target itself, beside what is known.
-  void logChange(const routing::TargetIncarnation &Run,
-                 const routing::TargetBackpressure &Said) const;
+  void logChange(const routing::TargetIncarnation &Incarnation,
+                 const routing::TargetBackpressure &Stated) const;
 
   config::Endpoint m_Self;
   routing::TargetDirectory &m_Targets;
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -21,9 +21,9 @@
   }
 }
 
-EventSplitter::Events EventSplitter::push(std::string_view Piece) {
+EventSplitter::Events EventSplitter::push(std::string_view Data) {
   Events Out;
-  m_Partial += Piece;
+  m_Partial += Data;
   std::size_t Begin = 0;
   std::size_t End = m_Partial.find(EventEnd);
   while (End != std::string::npos) {
--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -18,7 +18,7 @@
   };
 
   /// \returns the events that \p Piece completes.
-  Events push(std::string_view Piece);
+  Events push(std::string_view Data);
   /// True when the bytes so far end within an event.
   bool hasPartial() const { return !m_Partial.empty(); }
   /// Drops what is left of an event that will not be completed.
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -59,9 +59,9 @@
       m_Dispatcher(
           m_Targets, m_Settings.m_DataHall, m_Settings.m_Placement,
           {[this](core::RequestId Request, const routing::Target &Where) {
-             GatewayRequest &Sent = *m_OpenRequests.at(Request);
-             m_Rollouts.recordSent(Sent.routeHash(), Where);
-             Sent.assignTarget(Where);
+             GatewayRequest &Dispatched = *m_OpenRequests.at(Request);
+             m_Rollouts.recordSent(Dispatched.routeHash(), Where);
+             Dispatched.assignTarget(Where);
              m_Peers->scheduleReport();
            },
            [this](core::RequestId Request) {
@@ -97,15 +97,15 @@
 
 Gateway::~Gateway() {
   for (const auto &[Id, Request] : m_OpenRequests)
-    Request->ownerIsGone();
+    Request->notifyOwnerDestroyed();
 }
 
 static http::ServerLimits toServerLimits(const routing::CallerLimits &Limits,
-                                         std::size_t MostConnections) {
+                                         std::size_t MaxConnections) {
   http::ServerLimits Out;
   Out.m_HeaderBytes = Limits.m_HeaderBytes;
   Out.m_BodyBytes = Limits.m_BodyBytes;
-  Out.m_OpenConnections = MostConnections;
+  Out.m_OpenConnections = MaxConnections;
   Out.m_ReadTimeout = Limits.m_HeaderTimeout;
   Out.m_IdleTimeout = Limits.m_IdleTimeout;
   return Out;
@@ -147,8 +147,8 @@
       PeerServiceHooks{
           [this](peer::LoadReport &Report) { describeLoad(Report); },
           [this] { updatePeerLoads(); }, [this] { return largestPoolSize(); },
-          [this](const routing::FleetSubset &Share) {
-            m_Targets.setSubset(Share);
+          [this](const routing::FleetSubset &Subset) {
+            m_Targets.setSubset(Subset);
             updateQuotaOwners();
           },
           [this](const peer::PeerMessage &Message) {
@@ -193,9 +193,9 @@
     return Seed == m_Settings.m_PeerAddress;
   };
   bool IsSeed = std::any_of(Seeds.begin(), Seeds.end(), IsOwn);
-  bool HasNobodyToAsk = std::all_of(Seeds.begin(), Seeds.end(), IsOwn);
+  bool HasNoOtherSeed = std::all_of(Seeds.begin(), Seeds.end(), IsOwn);
   bool IsFirst = m_Settings.m_IsFirstStart;
-  if (HasNobodyToAsk || (IsFirst && IsSeed))
+  if (HasNoOtherSeed || (IsFirst && IsSeed))
     return core::Duration::zero();
   std::uniform_int_distribution<std::int64_t> Delay(
       (IsFirst ? MinStartDelay : MinRestartDelay).count(),
@@ -204,11 +204,11 @@
 }
 
 bool Gateway::mustWaitForPeers(core::Duration SinceStart) const {
-  bool IsTold = m_Mirror.revision() != platform::Revision();
-  core::Duration Least =
-      IsTold ? std::max(m_StartDelay, FollowerDecisionDelay) : m_StartDelay;
-  if (IsTold || SinceStart < Least)
-    return SinceStart < Least;
+  bool HasState = m_Mirror.revision() != platform::Revision();
+  core::Duration MinDelay =
+      HasState ? std::max(m_StartDelay, FollowerDecisionDelay) : m_StartDelay;
+  if (HasState || SinceStart < MinDelay)
+    return SinceStart < MinDelay;
   return SinceStart < m_StartDelay + PeerTransferTimeout &&
          m_Peers->hasPeerWithState();
 }
@@ -247,13 +247,13 @@
 
 void Gateway::describeLoad(peer::LoadReport &Report) const {
   for (const routing::KnownTarget *Known : m_Targets.busyTargets()) {
-    const routing::TargetLoad &Own = Known->m_LocalLoad;
-    peer::TargetLoadEntry Use;
-    Use.m_Target = Known->m_Hash;
-    Use.m_Running = static_cast<std::uint16_t>(Own.m_Running);
-    Use.m_PendingPromptTokens =
-        static_cast<std::uint32_t>(Own.m_PendingPromptTokens);
-    Report.m_Targets.push_back(Use);
+    const routing::TargetLoad &LocalLoad = Known->m_LocalLoad;
+    peer::TargetLoadEntry LoadEntry;
+    LoadEntry.m_Target = Known->m_Hash;
+    LoadEntry.m_Running = static_cast<std::uint16_t>(LocalLoad.m_Running);
+    LoadEntry.m_PendingPromptTokens =
+        static_cast<std::uint32_t>(LocalLoad.m_PendingPromptTokens);
+    Report.m_Targets.push_back(LoadEntry);
   }
   Report.m_IsStoreConnected = m_Follower.isConnected();
   Report.m_HasWaitingRequests = m_Dispatcher.waiting() > 0;
@@ -263,8 +263,9 @@
   FleetMembers Owners = m_Membership.recorded();
   // Nothing is recorded before a fleet has started for the first time. A
   // process that starts in another fleet waits until it has found the others.
-  bool IsFound = m_Settings.m_IsFirstStart || m_Peers->isDiscoveryDone();
-  if (Owners.empty() && IsFound)
+  bool IsDiscoveryDone =
+      m_Settings.m_IsFirstStart || m_Peers->isDiscoveryDone();
+  if (Owners.empty() && IsDiscoveryDone)
     Owners = m_Peers->heard();
   if (!m_Quotas.setOwners(Owners))
     return;
@@ -362,10 +363,10 @@
   for (const LivePeer *Peer : m_Peers->peers().groupPeers()) {
     const peer::LoadReport &Report = Peer->m_Report;
     m_HasWaitingPeers = m_HasWaitingPeers || Report.m_HasWaitingRequests;
-    for (const peer::TargetLoadEntry &Use : Report.m_Targets) {
-      routing::TargetLoad &Sum = Sums[Use.m_Target];
-      Sum.m_Running += Use.m_Running;
-      Sum.m_PendingPromptTokens += Use.m_PendingPromptTokens;
+    for (const peer::TargetLoadEntry &LoadEntry : Report.m_Targets) {
+      routing::TargetLoad &Sum = Sums[LoadEntry.m_Target];
+      Sum.m_Running += LoadEntry.m_Running;
+      Sum.m_PendingPromptTokens += LoadEntry.m_PendingPromptTokens;
     }
   }
   m_Targets.setRemoteLoad(Sums);
@@ -392,11 +393,11 @@
          Now - m_StoppingSince > AcceptPeriodWhenStopping;
 }
 
-void Gateway::stop(std::function<void()> Finished) {
+void Gateway::stop(std::function<void()> OnStopped) {
   if (m_StoppingSince != core::TimePoint())
     return;
   m_StoppingSince = core::steadyNow();
-  m_OnStopped = std::move(Finished);
+  m_OnStopped = std::move(OnStopped);
   m_CallerServer->disableKeepAlive();
   m_Peers->setStopping();
   scheduleTick();
@@ -406,19 +407,19 @@
 }
 
 void Gateway::pollStop(core::TimePoint Now) {
-  core::Duration Passed = Now - m_StoppingSince;
-  if (Passed < AcceptPeriodWhenStopping || !m_OnStopped)
+  core::Duration Elapsed = Now - m_StoppingSince;
+  if (Elapsed < AcceptPeriodWhenStopping || !m_OnStopped)
     return;
   m_CallerServer->stopAccepting();
   bool IsIdle = m_CallerServer->openRequests() == 0;
-  if (!IsIdle && Passed < m_Settings.m_StopGrace - StopMargin)
+  if (!IsIdle && Elapsed < m_Settings.m_StopGrace - StopMargin)
     return;
   core::LogLine("instance-stopped")
       .add("instance", m_Settings.m_Name)
       .add("open_requests", m_OpenRequests.size());
-  std::function<void()> Finished = std::move(m_OnStopped);
+  std::function<void()> OnStopped = std::move(m_OnStopped);
   m_OnStopped = nullptr;
-  Finished();
+  OnStopped();
 }
 
 void Gateway::place(const routing::PlacementRequest &What) {
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -49,7 +49,7 @@
   void start();
   /// Not ready from now on; what arrives is served for a while longer, and
   /// \p Finished is called once nothing is left or the grace is nearly over.
-  void stop(std::function<void()> Finished);
+  void stop(std::function<void()> OnStopped);
   /// New settings; addresses stay as they were.
   void reload(const GatewaySettings &Settings);
 
@@ -66,7 +66,7 @@
   bool mustWaitForPeers(core::Duration SinceStart) const;
   void applyEntry(const platform::Entry &Change);
   /// \param At of its announcement.
-  void applyTarget(const routing::Target &Seen, platform::Revision At);
+  void applyTarget(const routing::Target &Update, platform::Revision At);
   void applyConfiguration(routing::RoutingTableHandle Next);
   /// Targets of the largest pool that the configuration names.
   std::size_t largestPoolSize() const;
--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -24,9 +24,9 @@
 static constexpr double RetryAfterSpreadSeconds = 0.35;
 /// Of the time until a target takes requests again, those who wait for it are
 /// spread over so much more.
-static constexpr double ClosedSpreadShare = 0.25;
+static constexpr double DelaySpreadRatio = 0.25;
 /// Another target may be there sooner.
-static constexpr double MaxClosedSeconds = 5;
+static constexpr double MaxDelaySeconds = 5;
 /// News that excuses a request is here by then.
 static constexpr std::chrono::seconds QuarantinedRetryAfter{2};
 /// How often a request that came before the configuration looks for it.
@@ -44,7 +44,7 @@
 }
 
 GatewayRequest::~GatewayRequest() {
-  if (m_IsOwnerGone)
+  if (m_IsOwnerDestroyed)
     return;
   m_Owner.m_Dispatcher.withdraw(m_Id);
   m_Owner.m_OpenRequests.erase(m_Id);
@@ -61,7 +61,7 @@
   m_WakeTimer.cancel();
 }
 
-void GatewayRequest::callerHungUp() {
+void GatewayRequest::handleCallerDisconnect() {
   m_IsCallerGone = true;
   if (m_Connection)
     m_Connection->close();
@@ -74,12 +74,12 @@
 
 core::Duration GatewayRequest::retryAfter() const {
   core::TimePoint Now = core::steadyNow();
-  double Closed = 0;
-  if (auto OpensAt = m_Owner.availableAt(m_Pool, Now))
-    Closed = std::min(core::toSeconds(*OpensAt - Now), MaxClosedSeconds);
+  double Delay = 0;
+  if (auto AvailableAt = m_Owner.availableAt(m_Pool, Now))
+    Delay = std::min(core::toSeconds(*AvailableAt - Now), MaxDelaySeconds);
   std::uniform_real_distribution<double> Spread(
-      0, RetryAfterSpreadSeconds + Closed * ClosedSpreadShare);
-  return core::fromSeconds(FirstRetryAfterSeconds + Closed +
+      0, RetryAfterSpreadSeconds + Delay * DelaySpreadRatio);
+  return core::fromSeconds(FirstRetryAfterSeconds + Delay +
                            Spread(m_Owner.m_Random));
 }
 
@@ -108,34 +108,34 @@
   // what stands against it was excused.
   if (isQuarantined())
     return 503;
-  if (drawQuota(Admitted.m_Charge, Yield))
+  if (acquireQuota(Admitted.m_Charge, Yield))
     return 0;
   m_Reason = "over-quota";
   return 429;
 }
 
 quarantine::ContentDigest GatewayRequest::contentDigest() const {
-  const http::RequestMessage &Asked = m_Caller.request();
+  const http::RequestMessage &Request = m_Caller.request();
   quarantine::Content What;
   if (m_Account)
     What.m_Account = m_Account->m_Name.value();
   What.m_Host = m_Description.m_Host;
-  What.m_Method = Asked.m_Method;
-  What.m_Target = Asked.m_Target;
-  What.m_Body = Asked.m_Body;
+  What.m_Method = Request.m_Method;
+  What.m_Target = Request.m_Target;
+  What.m_Body = Request.m_Body;
   return quarantine::ContentDigest::of(What);
 }
 
-bool GatewayRequest::drawQuota(std::uint32_t Tokens,
-                               asio::yield_context Yield) {
+bool GatewayRequest::acquireQuota(std::uint32_t Tokens,
+                                  asio::yield_context Yield) {
   if (!m_Account)
     return true;
-  m_Draw.m_Account = routing::hashOf(m_Account->m_Name);
-  m_Draw.m_Tokens = Tokens;
-  bool IsGranted = m_Owner.m_Quotas.draw(m_Draw, Yield);
+  m_Acquisition.m_Account = routing::hashOf(m_Account->m_Name);
+  m_Acquisition.m_Tokens = Tokens;
+  bool IsGranted = m_Owner.m_Quotas.draw(m_Acquisition, Yield);
   if (!IsGranted)
     logQuota("quota-refused");
-  else if (m_Draw.m_Source == routing::QuotaSource::Alone)
+  else if (m_Acquisition.m_Source == routing::QuotaSource::Alone)
     logQuota("quota-alone");
   return IsGranted;
 }
@@ -150,39 +150,39 @@
   m_Target.reset();
   m_IsRefused = false;
   const routing::Pool *Pool = m_Table->findPool(m_Pool);
-  routing::PlacementRequest Wanted;
-  Wanted.m_Request = m_Id;
-  Wanted.m_Pool = m_Pool;
-  Wanted.m_Route = routeHash();
-  Wanted.m_Priority = {m_Tier, m_Route->m_Tier};
-  Wanted.m_IsInference = Pool && Pool->m_IsInference;
-  Wanted.m_PromptTokens = m_Description.m_PromptTokens;
-  Wanted.m_TriedTargets = m_TriedTargets;
-  if (Wanted.m_IsInference) {
+  routing::PlacementRequest Placement;
+  Placement.m_Request = m_Id;
+  Placement.m_Pool = m_Pool;
+  Placement.m_Route = routeHash();
+  Placement.m_Priority = {m_Tier, m_Route->m_Tier};
+  Placement.m_IsInference = Pool && Pool->m_IsInference;
+  Placement.m_PromptTokens = m_Description.m_PromptTokens;
+  Placement.m_TriedTargets = m_TriedTargets;
+  if (Placement.m_IsInference) {
     // The estimate is right at the median; without one, half of the most.
     double Tokens = m_Description.m_ExpectedTokens != 0
                         ? static_cast<double>(m_Description.m_ExpectedTokens)
                         : static_cast<double>(m_Description.m_OutputTokens) / 2;
-    Wanted.m_ExpectedEvents = Tokens / Pool->m_TokensPerEvent;
+    Placement.m_ExpectedEvents = Tokens / Pool->m_TokensPerEvent;
   }
-  Wanted.m_ArrivedAt = m_Timing.arrivedAt();
-  Wanted.m_EndsAt = m_EndsAt;
-  Wanted.m_FirstByteDue = m_EndsAt;
+  Placement.m_ArrivedAt = m_Timing.arrivedAt();
+  Placement.m_EndsAt = m_EndsAt;
+  Placement.m_FirstByteDue = m_EndsAt;
   if (m_Route->m_FirstByteObjective > core::Duration::zero())
-    Wanted.m_FirstByteDue =
+    Placement.m_FirstByteDue =
         m_Timing.arrivedAt() + m_Route->m_FirstByteObjective;
-  Wanted.m_FirstEventDeadline = m_EndsAt;
+  Placement.m_FirstEventDeadline = m_EndsAt;
   if (m_Route->m_Kind == routing::RouteKind::Stream)
-    Wanted.m_FirstEventDeadline =
+    Placement.m_FirstEventDeadline =
         std::min(m_EndsAt, m_Timing.arrivedAt() + callerTimeout());
   if (m_Relay.isStarted()) {
     // It began; what counts is that it goes on before its caller gives it up.
-    Wanted.m_FirstEventDeadline =
+    Placement.m_FirstEventDeadline =
         std::min(m_EndsAt, core::steadyNow() + callerTimeout());
-    Wanted.m_FirstByteDue = Wanted.m_FirstEventDeadline;
+    Placement.m_FirstByteDue = Placement.m_FirstEventDeadline;
   }
-  m_PendingPromptTokens = Wanted.m_PromptTokens;
-  m_Owner.place(Wanted);
+  m_PendingPromptTokens = Placement.m_PromptTokens;
+  m_Owner.place(Placement);
   while (!m_Target && !m_IsRefused && !m_IsCallerGone &&
          timeLeft() > core::Duration::zero()) {
     boost::system::error_code Ignored;
@@ -203,23 +203,23 @@
 }
 
 void GatewayRequest::run(asio::yield_context Yield) {
-  m_Caller.setDisconnectCallback([this] { callerHungUp(); });
+  m_Caller.setDisconnectCallback([this] { handleCallerDisconnect(); });
   waitForConfiguration(Yield);
   unsigned Status = admit(Yield);
   if (Status != 0) {
     core::Duration Wait = core::Duration::zero();
     if (Status == 429)
-      Wait = m_Draw.m_RetryAfter.value_or(retryAfter());
+      Wait = m_Acquisition.m_RetryAfter.value_or(retryAfter());
     if (Status == 503)
       Wait = isQuarantined() ? QuarantinedRetryAfter : retryAfter();
     return respond(Status, m_Reason, Wait, Yield);
   }
   m_Owner.m_Retries.of(m_Pool).recordRequest(m_Timing.arrivedAt());
-  AttemptOutcome Last = AttemptOutcome::NotSent;
+  AttemptOutcome Outcome = AttemptOutcome::NotSent;
   while (true) {
     if (!waitForTarget(Yield)) {
       if (m_IsCallerGone)
-        Last = AttemptOutcome::CallerGone;
+        Outcome = AttemptOutcome::CallerGone;
       break;
     }
     // Others may have seen it end targets while it waited.
@@ -229,40 +229,41 @@
       break;
     }
     m_Timing.noteAttempt(core::steadyNow());
-    Last = runAttempt(Yield);
-    noteAttempt(Last);
-    if (Last == AttemptOutcome::Complete ||
-        Last == AttemptOutcome::CallerGone || !shouldRetry(Last))
+    Outcome = runAttempt(Yield);
+    noteAttempt(Outcome);
+    if (Outcome == AttemptOutcome::Complete ||
+        Outcome == AttemptOutcome::CallerGone || !shouldRetry(Outcome))
       break;
   }
-  if (Last == AttemptOutcome::Complete || Last == AttemptOutcome::CallerGone) {
-    m_Reason = Last == AttemptOutcome::Complete ? "complete" : "caller-gone";
+  if (Outcome == AttemptOutcome::Complete ||
+      Outcome == AttemptOutcome::CallerGone) {
+    m_Reason = Outcome == AttemptOutcome::Complete ? "complete" : "caller-gone";
     return finish("request-finished");
   }
-  finishFailed(Last, Yield);
+  finishFailed(Outcome, Yield);
 }
 
 //===----------------------------------------------------------------------===//
 // After a target
 //===----------------------------------------------------------------------===//
 
-bool GatewayRequest::shouldRetry(AttemptOutcome Last) {
+bool GatewayRequest::shouldRetry(AttemptOutcome Outcome) {
   if (m_IsCallerGone || timeLeft() < MinRetryTime || isQuarantined())
     return false;
-  if (Last == AttemptOutcome::Failed &&
+  if (Outcome == AttemptOutcome::Failed &&
       (!m_Route->isRetryable() ||
        m_PossibleExecutions >= m_Route->m_MaxAttempts))
     return false;
   // Sent on at once, it would end the next target before its caller returns; an
   // innocent one is served on that return.
-  if (Last == AttemptOutcome::Failed &&
+  if (Outcome == AttemptOutcome::Failed &&
       m_Owner.m_Quarantine.isSuspect(m_Content))
     return false;
   // A stream without an id to go on from can't be taken up elsewhere.
   if (m_Relay.isStarted() && m_Relay.lastEventId().empty())
     return false;
   // Where no byte arrived nothing counts against the budget.
-  if (Last == AttemptOutcome::NotSent)
+  if (Outcome == AttemptOutcome::NotSent)
     return m_Timing.attempts() < MaxAttempts;
   if (m_Owner.tryReserveRetry(m_Pool))
     return true;
@@ -272,26 +273,27 @@
   return false;
 }
 
-void GatewayRequest::finishFailed(AttemptOutcome Last,
+void GatewayRequest::finishFailed(AttemptOutcome Outcome,
                                   asio::yield_context Yield) {
   if (m_Relay.isStarted()) {
     // Never let half an answer look whole.
     m_Caller.abort();
     return finish("request-broken-off");
   }
-  bool IsOver = timeLeft() <= core::Duration::zero();
-  if (m_FailureResponse && Last == AttemptOutcome::Failed) {
+  bool HasTimedOut = timeLeft() <= core::Duration::zero();
+  if (m_FailureResponse && Outcome == AttemptOutcome::Failed) {
     m_Reason = "target-failed";
     m_Relay.sendResponse(std::move(*m_FailureResponse), Yield);
     return finish("request-finished");
   }
   if (m_PossibleExecutions > 0)
-    return respond(IsOver ? 504 : 502, m_Reason, core::Duration::zero(), Yield);
-  m_Owner.m_Quotas.giveBack(m_Draw);
+    return respond(HasTimedOut ? 504 : 502, m_Reason, core::Duration::zero(),
+                   Yield);
+  m_Owner.m_Quotas.giveBack(m_Acquisition);
   if (m_IsRefused)
     m_Reason = m_Owner.availableAt(m_Pool, core::steadyNow()) ? "targets-closed"
                                                               : "no-target";
-  respond(503, IsOver ? "time-over" : m_Reason, retryAfter(), Yield);
+  respond(503, HasTimedOut ? "time-over" : m_Reason, retryAfter(), Yield);
 }
 
 void GatewayRequest::respond(unsigned Status, const char *Reason,
--- a/Libraries/LibGateway/GatewayRequest.h
+++ b/Libraries/LibGateway/GatewayRequest.h
@@ -37,7 +37,7 @@
   void refuse();
   /// The gateway ends before this request, whose coroutine is unwound only with
   /// the loop.
-  void ownerIsGone() { m_IsOwnerGone = true; }
+  void notifyOwnerDestroyed() { m_IsOwnerDestroyed = true; }
 
 private:
   /// A target stops at the deadline it was given and says so; its own word is
@@ -47,7 +47,7 @@
   /// \returns the status that ends the request here, or 0 to go on.
   unsigned admit(boost::asio::yield_context Yield);
   /// \returns whether the request is within its account's quota.
-  bool drawQuota(std::uint32_t Tokens, boost::asio::yield_context Yield);
+  bool acquireQuota(std::uint32_t Tokens, boost::asio::yield_context Yield);
   quarantine::ContentDigest contentDigest() const;
   /// How long the caller waits for an event of a stream.
   core::Duration callerTimeout() const;
@@ -63,24 +63,24 @@
   http::ResponseHead readMatchingHead(http::ClientConnection &Connection,
                                       boost::asio::yield_context Yield);
   /// Keeps a failure back where another target may do better.
-  AttemptOutcome relayWhole(http::ResponseMessage Response,
-                            boost::asio::yield_context Yield);
+  AttemptOutcome relayBuffered(http::ResponseMessage Response,
+                               boost::asio::yield_context Yield);
   void noteEvents(std::size_t Count);
   /// Whether another target may be tried after \p Last.
-  bool shouldRetry(AttemptOutcome Last);
-  void finishFailed(AttemptOutcome Last, boost::asio::yield_context Yield);
+  bool shouldRetry(AttemptOutcome Outcome);
+  void finishFailed(AttemptOutcome Outcome, boost::asio::yield_context Yield);
   void respond(unsigned Status, const char *Reason, core::Duration RetryAfter,
                boost::asio::yield_context Yield);
   core::Duration timeLeft() const;
   core::Duration retryAfter() const;
-  void callerHungUp();
-  void noteAttempt(AttemptOutcome Last);
+  void handleCallerDisconnect();
+  void noteAttempt(AttemptOutcome Outcome);
   /// Whether it must go to no target, also one that was chosen.
   bool isQuarantined();
   /// Finds out whether the target ended under the request.
   void noteBrokenResponse(boost::asio::yield_context Yield);
   /// Tells roll-outs how the try turned out.
-  void reportRolloutOutcome(AttemptOutcome Last, core::TimePoint Now);
+  void reportRolloutOutcome(AttemptOutcome Outcome, core::TimePoint Now);
   core::Duration normalizedDuration(core::Duration Took) const;
   void finish(const char *Event) const;
 
@@ -92,7 +92,7 @@
   core::Timer m_WakeTimer;
   bool m_IsRefused = false;
   bool m_IsCallerGone = false;
-  bool m_IsOwnerGone = false;
+  bool m_IsOwnerDestroyed = false;
   http::ClientConnection *m_Connection = nullptr;
   std::set<routing::TargetIncarnation> m_TriedTargets;
   unsigned m_PossibleExecutions = 0;       ///< Tries that may have run.
--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -117,28 +117,28 @@
 AttemptOutcome GatewayRequest::exchange(http::ClientConnection &Connection,
                                         asio::yield_context Yield) {
   Connection.allowCloseDelimitedBody();
-  ForwardDescription What;
-  What.m_Target = m_Target->m_Name;
-  What.m_TimeLeft = timeLeft();
+  ForwardDescription Forward;
+  Forward.m_Target = m_Target->m_Name;
+  Forward.m_TimeLeft = timeLeft();
   if (m_Account)
-    What.m_Account = m_Account->m_Name;
-  What.m_LastEvent = m_Description.m_LastEvent;
+    Forward.m_Account = m_Account->m_Name;
+  Forward.m_LastEvent = m_Description.m_LastEvent;
   if (!m_Relay.lastEventId().empty())
-    What.m_LastEvent = m_Relay.lastEventId();
-  m_Owner.m_Wire.prepare(m_Caller.request(), What);
+    Forward.m_LastEvent = m_Relay.lastEventId();
+  m_Owner.m_Wire.prepare(m_Caller.request(), Forward);
   m_HasResponseStarted = false;
   Connection.sendRequest(m_Caller.request(), timeLeft(), Yield);
   http::ResponseHead Head = readMatchingHead(Connection, Yield);
   m_HasResponseStarted = true;
-  ResponseDescription Says = m_Owner.m_Wire.describe(Head);
-  m_Owner.m_Backpressure.noteStated(*m_Target, Says.m_Backpressure,
+  ResponseDescription Info = m_Owner.m_Wire.describe(Head);
+  m_Owner.m_Backpressure.noteStated(*m_Target, Info.m_Backpressure,
                                     core::steadyNow());
   AttemptOutcome Result = AttemptOutcome::Failed;
   bool IsSuccess = Head.m_Status >= 200 && Head.m_Status < 300;
-  if (Says.m_IsNotRun) {
-    m_Reason = Says.m_IsMisdirected ? "target-replaced" : "target-refused";
+  if (Info.m_IsNotRun) {
+    m_Reason = Info.m_IsMisdirected ? "target-replaced" : "target-refused";
     logTargetRefusal(Head.m_Status);
-    if (Says.m_IsMisdirected) {
+    if (Info.m_IsMisdirected) {
       m_Owner.m_Targets.recordReplacement(m_Target->run());
       m_Owner.m_ExitDetector.noteTargetExit(m_Target->run());
     }
@@ -147,7 +147,7 @@
       // Its reason is for us alone.
     }
     Result = AttemptOutcome::NotRun;
-  } else if (IsSuccess && (!Says.m_IsSigned || Says.m_IsEncoded)) {
+  } else if (IsSuccess && (!Info.m_IsSigned || Info.m_IsEncoded)) {
     m_Reason = "unsigned-answer";
     return AttemptOutcome::Failed;
   } else if (IsSuccess && isEventStream(Head)) {
@@ -160,17 +160,18 @@
     return AttemptOutcome::Failed;
   } else if (Head.m_ContentLength &&
              *Head.m_ContentLength <= MaxBufferedBytes) {
-    Result = relayWhole(m_Relay.readResponse(Connection, Head, Yield), Yield);
+    Result =
+        relayBuffered(m_Relay.readResponse(Connection, Head, Yield), Yield);
   } else {
     Result = m_Relay.relayBytes(Connection, Head, Yield);
   }
   m_KeepAliveTime =
-      Says.m_KeepAlive.value_or(DefaultKeepAlive) - KeepAliveMargin;
+      Info.m_KeepAlive.value_or(DefaultKeepAlive) - KeepAliveMargin;
   return Result;
 }
 
-AttemptOutcome GatewayRequest::relayWhole(http::ResponseMessage Response,
-                                          asio::yield_context Yield) {
+AttemptOutcome GatewayRequest::relayBuffered(http::ResponseMessage Response,
+                                             asio::yield_context Yield) {
   if (Response.m_Head.m_Status >= 500 && m_Route->isRetryable()) {
     m_Reason = "target-failed";
     m_FailureResponse = std::move(Response);
@@ -205,32 +206,33 @@
 // What the try says
 //===----------------------------------------------------------------------===//
 
-void GatewayRequest::noteAttempt(AttemptOutcome Last) {
+void GatewayRequest::noteAttempt(AttemptOutcome Outcome) {
   core::TimePoint Now = core::steadyNow();
-  routing::TargetIncarnation Run = m_Target->run();
-  reportRolloutOutcome(Last, Now);
-  m_Owner.m_Targets.recordEnd(Run, m_PendingPromptTokens);
-  m_TriedTargets.insert(Run);
-  bool IsShort = !m_Timing.hasEventInAttempt();
-  switch (Last) {
+  routing::TargetIncarnation Incarnation = m_Target->run();
+  reportRolloutOutcome(Outcome, Now);
+  m_Owner.m_Targets.recordEnd(Incarnation, m_PendingPromptTokens);
+  m_TriedTargets.insert(Incarnation);
+  bool HasNoEvents = !m_Timing.hasEventInAttempt();
+  switch (Outcome) {
   case AttemptOutcome::Complete:
-    m_Owner.m_Targets.recordSuccess(Run);
+    m_Owner.m_Targets.recordSuccess(Incarnation);
     if (m_Relay.status() < MinFailureStatus)
       m_Owner.m_Quarantine.noteSuccess(m_Content);
-    if (IsShort)
-      m_Owner.m_Targets.recordServiceTime(Run,
+    if (HasNoEvents)
+      m_Owner.m_Targets.recordServiceTime(Incarnation,
                                           Now - m_Timing.attemptStartedAt());
     break;
   case AttemptOutcome::NotSent:
-    m_Owner.m_Targets.recordFailure(Run, routing::TargetFailure::Unreachable,
-                                    Now);
+    m_Owner.m_Targets.recordFailure(Incarnation,
+                                    routing::TargetFailure::Unreachable, Now);
     break;
   case AttemptOutcome::NotRun:
-    m_Owner.m_Targets.recordFailure(Run, routing::TargetFailure::Refused, Now);
+    m_Owner.m_Targets.recordFailure(Incarnation,
+                                    routing::TargetFailure::Refused, Now);
     break;
   case AttemptOutcome::Failed:
     ++m_PossibleExecutions;
-    m_Owner.m_Targets.recordFailure(Run,
+    m_Owner.m_Targets.recordFailure(Incarnation,
                                     m_HasResponseStarted
                                         ? routing::TargetFailure::Failed
                                         : routing::TargetFailure::Unreachable,
@@ -242,16 +244,17 @@
   m_Owner.handleFreedSlot();
 }
 
-void GatewayRequest::reportRolloutOutcome(AttemptOutcome Last,
+void GatewayRequest::reportRolloutOutcome(AttemptOutcome Outcome,
                                           core::TimePoint Now) {
-  bool IsFailure = Last == AttemptOutcome::Failed;
-  bool IsWhole = Last == AttemptOutcome::Complete;
+  bool IsFailure = Outcome == AttemptOutcome::Failed;
+  bool IsComplete = Outcome == AttemptOutcome::Complete;
   core::Duration Took = Now - m_Timing.attemptStartedAt();
   // Callers leave what is slow: that they did says as much.
-  bool IsLeft = Last == AttemptOutcome::CallerGone && Took >= MinMeaningfulWait;
-  if (!IsFailure && !IsWhole && !IsLeft)
+  bool HasCallerLeft =
+      Outcome == AttemptOutcome::CallerGone && Took >= MinMeaningfulWait;
+  if (!IsFailure && !IsComplete && !HasCallerLeft)
     return;
-  if (IsWhole && m_Relay.status() >= 500)
+  if (IsComplete && m_Relay.status() >= 500)
     IsFailure = true;
   m_Owner.m_Rollouts.recordResponse(routeHash(), *m_Target,
                                     IsFailure
--- a/Libraries/LibGateway/GatewayStoreUpdates.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -20,9 +20,9 @@
   if (m_Rollouts.takeRecord(Change))
     return scheduleRolloutUpkeep();
   core::TimePoint Begin = core::steadyNow();
-  StoreUpdate News;
+  StoreUpdate Decoded;
   try {
-    News = m_Wire.read(Change);
+    Decoded = m_Wire.read(Change);
   } catch (const Error &Failure) {
     core::LogLine("store-entry-unreadable", core::LogLevel::Error)
         .add("key", Change.m_Key)
@@ -33,49 +33,50 @@
       m_Targets.withdraw(*Name, core::steadyNow());
     return;
   }
-  if (auto *Seen = std::get_if<ConfigurationUpdate>(&News)) {
+  if (auto *Update = std::get_if<ConfigurationUpdate>(&Decoded)) {
     core::LogLine("configuration-read")
-        .add("version", Seen->m_Table->version())
+        .add("version", Update->m_Table->version())
         .add("revision", Change.m_ModRevision)
         .add("bytes", Change.m_Value.size())
         .add("took_us", core::steadyNow() - Begin);
-    return applyConfiguration(std::move(Seen->m_Table));
+    return applyConfiguration(std::move(Update->m_Table));
   }
-  if (const auto *Seen = std::get_if<TargetUpdate>(&News))
-    return applyTarget(Seen->m_Target, Change.m_ModRevision);
-  if (const auto *Gone = std::get_if<TargetRemoval>(&News)) {
+  if (const auto *Update = std::get_if<TargetUpdate>(&Decoded))
+    return applyTarget(Update->m_Target, Change.m_ModRevision);
+  if (const auto *Removal = std::get_if<TargetRemoval>(&Decoded)) {
     core::LogLine("target-gone")
-        .add("target", Gone->m_Target)
+        .add("target", Removal->m_Target)
         .add("revision", Change.m_ModRevision);
-    if (routing::KnownTarget *Known = m_Targets.find(Gone->m_Target))
+    if (routing::KnownTarget *Known = m_Targets.find(Removal->m_Target))
       m_ExitDetector.noteTargetExit(Known->m_Target.run());
-    m_Targets.withdraw(Gone->m_Target, core::steadyNow());
+    m_Targets.withdraw(Removal->m_Target, core::steadyNow());
     return;
   }
-  if (const auto *Seen = std::get_if<RolloutOrderUpdate>(&News))
-    m_Rollouts.setOrder(Seen->m_Order.m_Pool, Seen->m_Order);
-  if (const auto *Gone = std::get_if<RolloutOrderRemoval>(&News))
-    m_Rollouts.setOrder(Gone->m_Pool, std::nullopt);
-  if (const auto *Seen = std::get_if<RolloutStatusUpdate>(&News))
-    m_Rollouts.setStatus(Seen->m_Pool, Seen->m_Status,
+  if (const auto *Update = std::get_if<RolloutOrderUpdate>(&Decoded))
+    m_Rollouts.setOrder(Update->m_Order.m_Pool, Update->m_Order);
+  if (const auto *Removal = std::get_if<RolloutOrderRemoval>(&Decoded))
+    m_Rollouts.setOrder(Removal->m_Pool, std::nullopt);
+  if (const auto *Update = std::get_if<RolloutStatusUpdate>(&Decoded))
+    m_Rollouts.setStatus(Update->m_Pool, Update->m_Status,
                          Change.m_IsDeleted ? platform::Revision()
                                             : Change.m_ModRevision);
   scheduleRolloutUpkeep();
 }
 
-void Gateway::applyTarget(const routing::Target &Seen, platform::Revision At) {
-  routing::AnnouncementEffect Effect = m_Targets.announce(Seen);
+void Gateway::applyTarget(const routing::Target &Update,
+                          platform::Revision At) {
+  routing::AnnouncementEffect Effect = m_Targets.announce(Update);
   if (Effect == routing::AnnouncementEffect::Nothing)
     return;
   core::LogLine("target-seen")
-      .add("target", Seen.m_Name)
-      .add("birth", Seen.m_StartTime)
-      .add("pool", Seen.m_Pool)
-      .add("address", Seen.m_Address.toString())
-      .add("is_leaving", Seen.m_IsLeaving)
+      .add("target", Update.m_Name)
+      .add("birth", Update.m_StartTime)
+      .add("pool", Update.m_Pool)
+      .add("address", Update.m_Address.toString())
+      .add("is_leaving", Update.m_IsLeaving)
       .add("revision", At);
   if (Effect == routing::AnnouncementEffect::NewRun)
-    m_Connections.closeIdle(Seen.m_Address.toTcp());
+    m_Connections.closeIdle(Update.m_Address.toTcp());
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/RequestAdmission.h
+++ b/Libraries/LibGateway/RequestAdmission.h
@@ -28,7 +28,7 @@
       : m_Table(Table), m_Now(Now) {}
 
   /// \param Point uniformly distributed; it chooses among a route's pools.
-  AdmissionResult admit(const RequestDescription &Said, std::uint64_t Point);
+  AdmissionResult admit(const RequestDescription &Request, std::uint64_t Point);
 
 private:
   AdmissionResult refuse(unsigned Status, const char *Reason) const;
--- a/Libraries/LibGateway/RequestInfo.cpp
+++ b/Libraries/LibGateway/RequestInfo.cpp
@@ -12,13 +12,13 @@
   core::LogLine Line(Event);
   Line.add("request", m_Description.m_Id)
       .add("account", m_Account->m_Name)
-      .add("tokens", m_Draw.m_Tokens)
+      .add("tokens", m_Acquisition.m_Tokens)
       .add("limit_per_second", m_Account->m_TokensPerSecond)
       .add("limit_burst", m_Account->m_Burst)
-      .add("quota_from", toString(m_Draw.m_Source))
+      .add("quota_from", toString(m_Acquisition.m_Source))
       .add("took_us", core::steadyNow() - m_Timing.arrivedAt());
-  if (m_Draw.m_RetryAfter)
-    Line.add("retry_after_us", *m_Draw.m_RetryAfter);
+  if (m_Acquisition.m_RetryAfter)
+    Line.add("retry_after_us", *m_Acquisition.m_RetryAfter);
 }
 
 void RequestInfo::logDispatch(const routing::KnownTarget *Known,
@@ -36,8 +36,8 @@
       .add("store_revision", StoreRevision);
   if (m_Account)
     Line.add("account", m_Account->m_Name)
-        .add("tokens", m_Draw.m_Tokens)
-        .add("quota_from", toString(m_Draw.m_Source));
+        .add("tokens", m_Acquisition.m_Tokens)
+        .add("quota_from", toString(m_Acquisition.m_Source));
   if (Known)
     Line.add("running_own", Known->m_LocalLoad.m_Running)
         .add("running_others", Known->m_RemoteLoad.m_Running)
@@ -71,7 +71,7 @@
                                                 m_Route->m_MaxEventGap, Now)));
   if (m_Timing.hasFirstEvent())
     Line.add("first_event_us", m_Timing.timeToFirstEvent())
-        .add("longest_pause_us", m_Timing.longestPause())
+        .add("longest_pause_us", m_Timing.maxEventGap())
         .add("prompt_tokens", m_Description.m_PromptTokens);
   if (m_Table)
     Line.add("configuration", m_Table->version());
--- a/Libraries/LibGateway/RequestInfo.h
+++ b/Libraries/LibGateway/RequestInfo.h
@@ -26,8 +26,8 @@
   const routing::Account *m_Account = nullptr;
   core::PoolName m_Pool;
   core::TierNumber m_Tier{1};
-  routing::QuotaAcquisition m_Draw;    ///< From the account's quota.
-  quarantine::ContentDigest m_Content; ///< Since it was admitted.
+  routing::QuotaAcquisition m_Acquisition; ///< From the account's quota.
+  quarantine::ContentDigest m_Content;     ///< Since it was admitted.
   ResponseTiming m_Timing{core::steadyNow()};
   std::optional<routing::Target> m_Target; ///< Chosen for the current try.
   unsigned m_Status = 0;                   ///< Of an answer of our own.
--- a/Libraries/LibGateway/ResponseRelay.cpp
+++ b/Libraries/LibGateway/ResponseRelay.cpp
@@ -14,10 +14,10 @@
   Out.m_Head = Head;
   Out.m_Head.m_Headers.removeHopByHop();
   while (true) {
-    std::string Piece = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
-    if (Piece.empty())
+    std::string Data = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
+    if (Data.empty())
       return Out;
-    Out.m_Body += Piece;
+    Out.m_Body += Data;
   }
 }
 
@@ -36,16 +36,16 @@
                           asio::yield_context Yield) {
   if (m_IsStarted)
     return;
-  http::ResponseHead Own = Head;
-  Own.m_Headers.removeHopByHop();
+  http::ResponseHead Forwarded = Head;
+  Forwarded.m_Headers.removeHopByHop();
   m_Status = Head.m_Status;
   m_IsStarted = true;
-  m_Caller.startStream(Own, Yield);
+  m_Caller.startStream(Forwarded, Yield);
 }
 
-bool ResponseRelay::pass(const http::ResponseHead &Head,
-                         const std::string &Bytes, bool IsEnd,
-                         asio::yield_context Yield) {
+bool ResponseRelay::forward(const http::ResponseHead &Head,
+                            const std::string &Bytes, bool IsEnd,
+                            asio::yield_context Yield) {
   try {
     start(Head, Yield);
     m_Caller.sendBodyData(Bytes, Yield);
@@ -61,9 +61,9 @@
                                          const http::ResponseHead &Head,
                                          asio::yield_context Yield) {
   while (true) {
-    std::string Piece = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
-    bool IsEnd = Piece.empty();
-    if (!pass(Head, Piece, IsEnd, Yield))
+    std::string Data = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
+    bool IsEnd = Data.empty();
+    if (!forward(Head, Data, IsEnd, Yield))
       return AttemptOutcome::CallerGone;
     if (IsEnd)
       return AttemptOutcome::Complete;
@@ -74,20 +74,20 @@
                                           const http::ResponseHead &Head,
                                           asio::yield_context Yield) {
   m_Events.dropPartial();
-  http::ResponseHead Streamed = Head;
+  http::ResponseHead StreamHead = Head;
   // Whole events only, perhaps of several targets: their sum is not known.
-  Streamed.m_ContentLength.reset();
+  StreamHead.m_ContentLength.reset();
   while (true) {
-    std::string Piece = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
-    bool IsEnd = Piece.empty();
+    std::string Data = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
+    bool IsEnd = Data.empty();
     if (IsEnd && m_Events.hasPartial())
       return AttemptOutcome::Failed;
-    EventSplitter::Events Whole = m_Events.push(Piece);
-    if (Whole.m_Count > 0)
-      m_Hooks.m_OnEvents(Whole.m_Count);
+    EventSplitter::Events CompleteEvents = m_Events.push(Data);
+    if (CompleteEvents.m_Count > 0)
+      m_Hooks.m_OnEvents(CompleteEvents.m_Count);
     else if (!IsEnd)
       continue;
-    if (!pass(Streamed, Whole.m_Bytes, IsEnd, Yield))
+    if (!forward(StreamHead, CompleteEvents.m_Bytes, IsEnd, Yield))
       return AttemptOutcome::CallerGone;
     if (IsEnd)
       return AttemptOutcome::Complete;
--- a/Libraries/LibGateway/ResponseRelay.h
+++ b/Libraries/LibGateway/ResponseRelay.h
@@ -64,8 +64,8 @@
   void start(const http::ResponseHead &Head, boost::asio::yield_context Yield);
   /// Sends \p Bytes, or the end of the answer. \returns false when the caller
   /// is gone.
-  bool pass(const http::ResponseHead &Head, const std::string &Bytes,
-            bool IsEnd, boost::asio::yield_context Yield);
+  bool forward(const http::ResponseHead &Head, const std::string &Bytes,
+               bool IsEnd, boost::asio::yield_context Yield);
 
   http::Exchange &m_Caller;
   ResponseRelayHooks m_Hooks;
--- a/Libraries/LibGateway/ResponseTiming.cpp
+++ b/Libraries/LibGateway/ResponseTiming.cpp
@@ -42,7 +42,7 @@
 }
 
 Lateness ResponseTiming::lateness(core::Duration Objective,
-                                  core::Duration PauseLimit,
+                                  core::Duration EventGapLimit,
                                   core::TimePoint Now) const {
   core::Duration Took = m_FirstEventAt.value_or(Now) - m_ArrivedAt;
   if (Objective > core::Duration::zero() && Took > Objective) {
@@ -51,9 +51,9 @@
     return (m_AttemptStartedAt - m_ArrivedAt) * 2 > Took ? Lateness::Waited
                                                          : Lateness::Target;
   }
-  bool IsPaused =
-      PauseLimit > core::Duration::zero() && m_MaxEventGap > PauseLimit;
-  return IsPaused ? Lateness::Pause : Lateness::None;
+  bool HasLongGap =
+      EventGapLimit > core::Duration::zero() && m_MaxEventGap > EventGapLimit;
+  return HasLongGap ? Lateness::Pause : Lateness::None;
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/ResponseTiming.h
+++ b/Libraries/LibGateway/ResponseTiming.h
@@ -42,13 +42,13 @@
     return *m_FirstEventAt - m_ArrivedAt;
   }
   /// Between events at one target.
-  core::Duration longestPause() const { return m_MaxEventGap; }
+  core::Duration maxEventGap() const { return m_MaxEventGap; }
   unsigned attempts() const { return m_Attempts; }
   /// That the current try has brought.
   std::size_t eventsInAttempt() const { return m_EventsInAttempt; }
 
   /// Of an answer that is complete at \p Now. A limit of zero is none.
-  Lateness lateness(core::Duration Objective, core::Duration PauseLimit,
+  Lateness lateness(core::Duration Objective, core::Duration EventGapLimit,
                     core::TimePoint Now) const;
 
 private:
--- a/Libraries/LibGateway/Rotation.cpp
+++ b/Libraries/LibGateway/Rotation.cpp
@@ -23,8 +23,8 @@
 
 std::size_t Rotation::next() {
   assert(m_Size > 0);
-  m_At = (m_At + m_Stride) % m_Size;
-  return m_At;
+  m_Position = (m_Position + m_Stride) % m_Size;
+  return m_Position;
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/Rotation.h
+++ b/Libraries/LibGateway/Rotation.h
@@ -18,7 +18,7 @@
 private:
   std::size_t m_Size = 0;
   std::size_t m_Stride = 1;
-  std::size_t m_At = 0;
+  std::size_t m_Position = 0;
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/TargetExitDetector.cpp
+++ b/Libraries/LibGateway/TargetExitDetector.cpp
@@ -11,39 +11,40 @@
 void TargetExitDetector::noteBrokenResponse(
     const routing::Target &Which, const quarantine::ContentDigest &Content,
     asio::yield_context Yield) {
-  auto [Place, IsNew] = m_BrokenResponses.try_emplace(Which.run());
+  auto [It, IsNew] = m_BrokenResponses.try_emplace(Which.run());
   if (IsNew)
-    Place->second = std::make_shared<BrokenResponses>(m_Context, Which);
+    It->second = std::make_shared<BrokenResponses>(m_Context, Which);
   // Kept alive while this coroutine waits.
-  BrokenResponsesHandle Known = Place->second;
-  Known->m_Contents.push_back(Content);
-  Known->m_LastAt = core::steadyNow();
-  if (Known->m_HasExited)
-    return reportExit(*Known);
-  if (!Known->m_IsProbing)
-    return probe(Known, Yield);
+  BrokenResponsesHandle Broken = It->second;
+  Broken->m_Contents.push_back(Content);
+  Broken->m_LastBrokenAt = core::steadyNow();
+  if (Broken->m_HasExited)
+    return reportExit(*Broken);
+  if (!Broken->m_IsProbing)
+    return probe(Broken, Yield);
   boost::system::error_code Ignored;
-  Known->m_ProbeDone.async_wait(Yield[Ignored]);
+  Broken->m_ProbeDone.async_wait(Yield[Ignored]);
 }
 
 void TargetExitDetector::probe(const BrokenResponsesHandle &Which,
                                asio::yield_context Yield) {
   Which->m_IsProbing = true;
   Which->m_ProbeDone.expires_at(core::Timer::time_point::max());
-  ProbeResult Seen = m_Hooks.m_Probe(Which->m_Which, Yield);
+  ProbeResult Result = m_Hooks.m_Probe(Which->m_Target, Yield);
   Which->m_IsProbing = false;
-  if (Seen == ProbeResult::Gone)
+  if (Result == ProbeResult::Gone)
     Which->m_HasExited = true;
   // It outlived them: what becomes of it later says nothing of them.
-  if (Seen == ProbeResult::Listens)
+  if (Result == ProbeResult::Listens)
     Which->m_Contents.clear();
   if (Which->m_HasExited)
     reportExit(*Which);
   Which->m_ProbeDone.cancel();
 }
 
-void TargetExitDetector::noteTargetExit(const routing::TargetIncarnation &Run) {
-  auto Found = m_BrokenResponses.find(Run);
+void TargetExitDetector::noteTargetExit(
+    const routing::TargetIncarnation &Incarnation) {
+  auto Found = m_BrokenResponses.find(Incarnation);
   if (Found == m_BrokenResponses.end())
     return;
   Found->second->m_HasExited = true;
@@ -54,13 +55,13 @@
   std::vector<quarantine::ContentDigest> Contents;
   Contents.swap(Which.m_Contents);
   for (const quarantine::ContentDigest &Each : Contents)
-    m_Hooks.m_ReportExit(Which.m_Which, Each);
+    m_Hooks.m_ReportExit(Which.m_Target, Each);
 }
 
 void TargetExitDetector::upkeep(core::TimePoint Now) {
   for (auto Each = m_BrokenResponses.begin();
        Each != m_BrokenResponses.end();) {
-    bool IsOld = Now - Each->second->m_LastAt > ExitNoticeTimeout;
+    bool IsOld = Now - Each->second->m_LastBrokenAt > ExitNoticeTimeout;
     Each = IsOld ? m_BrokenResponses.erase(Each) : std::next(Each);
   }
 }
--- a/Libraries/LibGateway/TargetExitDetector.h
+++ b/Libraries/LibGateway/TargetExitDetector.h
@@ -56,7 +56,7 @@
   /// Others say that the run has ended: nobody listens at its address, another
   /// run answers there, or its announcement is gone. Counts for answers after
   /// which a new connection said nothing.
-  void noteTargetExit(const routing::TargetIncarnation &Run);
+  void noteTargetExit(const routing::TargetIncarnation &Incarnation);
   /// Forgets what nothing was heard of for a while. To be called a few times a
   /// second.
   void upkeep(core::TimePoint Now);
@@ -65,13 +65,13 @@
   /// Answers of one run that broke off lately.
   struct BrokenResponses {
     BrokenResponses(boost::asio::io_context &Context, routing::Target Which)
-        : m_Which(std::move(Which)), m_ProbeDone(Context) {}
+        : m_Target(std::move(Which)), m_ProbeDone(Context) {}
 
-    routing::Target m_Which;
+    routing::Target m_Target;
     std::vector<quarantine::ContentDigest> m_Contents; ///< Not told yet.
     bool m_IsProbing = false;
     bool m_HasExited = false;
-    core::TimePoint m_LastAt{};
+    core::TimePoint m_LastBrokenAt{};
     core::Timer m_ProbeDone; ///< Cancelled when it is known.
   };
   using BrokenResponsesHandle = std::shared_ptr<BrokenResponses>;
--- a/Tests/LibGateway/BackpressureServiceTest.cpp
+++ b/Tests/LibGateway/BackpressureServiceTest.cpp
@@ -40,10 +40,10 @@
     Out.m_RequestsPerSecond = PerSecond;
     return Out;
   }
-  void hear(double PerSecond, std::uint64_t AgeUs) {
-    peer::BackpressureEntry Told{"a", 0, true, PerSecond, AgeUs, false};
+  void receive(double PerSecond, std::uint64_t AgeUs) {
+    peer::BackpressureEntry Entry{"a", 0, true, PerSecond, AgeUs, false};
     peer::PeerMessage Message;
-    Message.m_Body = peer::BackpressureUpdate{{Told}};
+    Message.m_Body = peer::BackpressureUpdate{{Entry}};
     m_Service.handle(Message, m_Now);
   }
 
@@ -58,10 +58,10 @@
     m_Service.noteStated(announce("a"), limited(2), m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Sent.size());
     CPPUNIT_ASSERT(m_Sent[0].first == m_Other);
-    const peer::BackpressureEntry &Told = m_Sent[0].second.m_Entries.at(0);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Told.m_Target);
-    CPPUNIT_ASSERT(Told.m_IsLimited && Told.m_PerSecond == 2);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), Told.m_LimitAgeUs);
+    const peer::BackpressureEntry &Entry = m_Sent[0].second.m_Entries.at(0);
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Entry.m_Target);
+    CPPUNIT_ASSERT(Entry.m_IsLimited && Entry.m_PerSecond == 2);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), Entry.m_LimitAgeUs);
     // The same again is no news.
     m_Service.noteStated(announce("a"), limited(2), m_Now + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Sent.size());
@@ -86,9 +86,9 @@
       m_Service.upkeep(m_Now);
     }
     // A rest is for this instance alone.
-    routing::TargetBackpressure Tired;
-    Tired.m_Backoff = seconds(3);
-    m_Service.noteStated(Which, Tired, m_Now);
+    routing::TargetBackpressure BackoffOnly;
+    BackoffOnly.m_Backoff = seconds(3);
+    m_Service.noteStated(Which, BackoffOnly, m_Now);
     m_Service.upkeep(m_Now);
     CPPUNIT_ASSERT(m_Sent.empty());
   }
@@ -101,8 +101,8 @@
     m_Sent.clear();
     m_Service.upkeep(m_Now + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), m_Sent.size());
-    for (const auto &[To, News] : m_Sent)
-      CPPUNIT_ASSERT(News.m_Entries.size() <=
+    for (const auto &[To, Update] : m_Sent)
+      CPPUNIT_ASSERT(Update.m_Entries.size() <=
                      peer::BackpressureUpdate::MaxEntries);
   }
 
@@ -110,12 +110,12 @@
     announce("a");
     for (double Bad : {std::numeric_limits<double>::quiet_NaN(),
                        std::numeric_limits<double>::infinity(), -1.0})
-      hear(Bad, 0);
+      receive(Bad, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Targets.throttles().limited());
     // Heard before all else, whatever the age.
-    hear(3, std::numeric_limits<std::uint64_t>::max());
+    receive(3, std::numeric_limits<std::uint64_t>::max());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.throttles().limited());
-    hear(2, 5000);
+    receive(2, 5000);
     auto Backpressure = m_Targets.throttles().reportOf(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(2.0, Backpressure.m_Limit.m_PerSecond.value_or(0));
     CPPUNIT_ASSERT(Backpressure.m_Limit.m_At == m_Now - milliseconds(5));
--- a/Tests/LibGateway/GatewayTest.cpp
+++ b/Tests/LibGateway/GatewayTest.cpp
@@ -102,12 +102,12 @@
   void testRetriesAfterTargetRefusal() {
     // Whichever target a request comes to first refuses it.
     std::set<std::string> Seen;
-    auto Make = [&Seen](const Request &Read) {
+    auto Script = [&Seen](const Request &Read) {
       bool IsFirst = Seen.insert(idOf(Read)).second;
       return IsFirst ? notExecuted(Read) : whole(Read, "answer");
     };
-    addTarget(Make);
-    addTarget(Make);
+    addTarget(Script);
+    addTarget(Script);
     start();
     for (int I = 0; I < 6; ++I)
       CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
@@ -197,15 +197,15 @@
   }
 
   void testResumesStreamAtAnotherTarget() {
-    auto Make = [](const Request &Read) {
+    auto Script = [](const Request &Read) {
       if (!Read["Last-Event-Id"].empty())
         return streamHead(Read) + chunk("id: 2\ndata: b\n\n") +
                chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n";
       // Stops partway through the second event.
       return streamHead(Read) + chunk("id: 1\ndata: a\n\nid: 2\nda") + "!";
     };
-    addTarget(Make);
-    addTarget(Make);
+    addTarget(Script);
+    addTarget(Script);
     start();
     Reply Got = send(request("/stream/x"));
     CPPUNIT_ASSERT(Got.isWhole());
--- a/Tests/LibGateway/ResponseTimingTest.cpp
+++ b/Tests/LibGateway/ResponseTimingTest.cpp
@@ -17,62 +17,62 @@
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr milliseconds Objective{400};
-  static constexpr milliseconds PauseLimit{200};
+  static constexpr milliseconds EventGapLimit{200};
   core::TimePoint m_Start{std::chrono::hours(1)};
 
   core::TimePoint at(int Ms) const { return m_Start + milliseconds(Ms); }
-  Lateness latenessOf(const ResponseTiming &Times, int Ms) const {
-    return Times.lateness(Objective, PauseLimit, at(Ms));
+  Lateness latenessOf(const ResponseTiming &Timing, int Ms) const {
+    return Timing.lateness(Objective, EventGapLimit, at(Ms));
   }
 
 public:
   void testInTime() {
-    ResponseTiming Times(m_Start);
-    Times.noteAttempt(at(10));
-    CPPUNIT_ASSERT(!Times.noteEvents(1, at(400)));
-    CPPUNIT_ASSERT(*Times.noteEvents(2, at(500)) == milliseconds(50));
-    CPPUNIT_ASSERT(latenessOf(Times, 2000) == Lateness::None);
-    CPPUNIT_ASSERT(Times.timeToFirstEvent() == milliseconds(400));
+    ResponseTiming Timing(m_Start);
+    Timing.noteAttempt(at(10));
+    CPPUNIT_ASSERT(!Timing.noteEvents(1, at(400)));
+    CPPUNIT_ASSERT(*Timing.noteEvents(2, at(500)) == milliseconds(50));
+    CPPUNIT_ASSERT(latenessOf(Timing, 2000) == Lateness::None);
+    CPPUNIT_ASSERT(Timing.timeToFirstEvent() == milliseconds(400));
   }
   void testWaitedForASlot() {
-    ResponseTiming Times(m_Start);
-    Times.noteAttempt(at(300));
-    Times.noteEvents(1, at(500));
-    CPPUNIT_ASSERT(latenessOf(Times, 600) == Lateness::Waited);
+    ResponseTiming Timing(m_Start);
+    Timing.noteAttempt(at(300));
+    Timing.noteEvents(1, at(500));
+    CPPUNIT_ASSERT(latenessOf(Timing, 600) == Lateness::Waited);
   }
   void testSlowAtTheTarget() {
-    ResponseTiming Times(m_Start);
-    Times.noteAttempt(at(100));
-    Times.noteEvents(1, at(500));
-    CPPUNIT_ASSERT(latenessOf(Times, 600) == Lateness::Target);
+    ResponseTiming Timing(m_Start);
+    Timing.noteAttempt(at(100));
+    Timing.noteEvents(1, at(500));
+    CPPUNIT_ASSERT(latenessOf(Timing, 600) == Lateness::Target);
   }
   void testRetried() {
-    ResponseTiming Times(m_Start);
-    Times.noteAttempt(at(1));
-    Times.noteAttempt(at(350));
-    Times.noteEvents(1, at(500));
-    CPPUNIT_ASSERT(latenessOf(Times, 600) == Lateness::Again);
-    CPPUNIT_ASSERT_EQUAL(2U, Times.attempts());
+    ResponseTiming Timing(m_Start);
+    Timing.noteAttempt(at(1));
+    Timing.noteAttempt(at(350));
+    Timing.noteEvents(1, at(500));
+    CPPUNIT_ASSERT(latenessOf(Timing, 600) == Lateness::Again);
+    CPPUNIT_ASSERT_EQUAL(2U, Timing.attempts());
   }
   void testPausesAreMeasuredWithinOneAttempt() {
-    ResponseTiming Times(m_Start);
-    Times.noteAttempt(at(1));
-    Times.noteEvents(1, at(100));
+    ResponseTiming Timing(m_Start);
+    Timing.noteAttempt(at(1));
+    Timing.noteEvents(1, at(100));
     // It goes on elsewhere; the time between is no pause of a target.
-    Times.noteAttempt(at(200));
-    CPPUNIT_ASSERT(!Times.hasEventInAttempt());
-    Times.noteEvents(1, at(900));
-    CPPUNIT_ASSERT(latenessOf(Times, 1000) == Lateness::None);
-    Times.noteEvents(1, at(1101));
-    CPPUNIT_ASSERT(latenessOf(Times, 1200) == Lateness::Pause);
+    Timing.noteAttempt(at(200));
+    CPPUNIT_ASSERT(!Timing.hasEventInAttempt());
+    Timing.noteEvents(1, at(900));
+    CPPUNIT_ASSERT(latenessOf(Timing, 1000) == Lateness::None);
+    Timing.noteEvents(1, at(1101));
+    CPPUNIT_ASSERT(latenessOf(Timing, 1200) == Lateness::Pause);
   }
   void testShortAnswer() {
-    ResponseTiming Times(m_Start);
-    Times.noteAttempt(at(1));
-    CPPUNIT_ASSERT(latenessOf(Times, 400) == Lateness::None);
-    CPPUNIT_ASSERT(latenessOf(Times, 401) == Lateness::Target);
+    ResponseTiming Timing(m_Start);
+    Timing.noteAttempt(at(1));
+    CPPUNIT_ASSERT(latenessOf(Timing, 400) == Lateness::None);
+    CPPUNIT_ASSERT(latenessOf(Timing, 401) == Lateness::Target);
     // Without an objective nothing is late.
-    CPPUNIT_ASSERT(Times.lateness({}, {}, at(5000)) == Lateness::None);
+    CPPUNIT_ASSERT(Timing.lateness({}, {}, at(5000)) == Lateness::None);
   }
 };
 
--- a/Tests/LibGateway/RotationTest.cpp
+++ b/Tests/LibGateway/RotationTest.cpp
@@ -21,35 +21,35 @@
 public:
   void testVisitsAllBeforeRepeating() {
     for (std::size_t Size = 1; Size <= 450; ++Size) {
-      Rotation Turns;
-      Turns.setSize(Size);
-      std::set<std::size_t> Met;
+      Rotation Indexes;
+      Indexes.setSize(Size);
+      std::set<std::size_t> Visited;
       for (std::size_t I = 0; I < Size; ++I)
-        Met.insert(Turns.next());
-      CPPUNIT_ASSERT_EQUAL(Size, Met.size());
+        Visited.insert(Indexes.next());
+      CPPUNIT_ASSERT_EQUAL(Size, Visited.size());
     }
   }
 
   void testFirstIndexesSpreadOverTheList() {
     for (std::size_t Size : {80, 264, 281, 440}) {
-      Rotation Turns;
-      Turns.setSize(Size);
+      Rotation Indexes;
+      Indexes.setSize(Size);
       // A tenth of the turns meets each quarter of the list.
       std::set<std::size_t> Quarters;
       for (std::size_t I = 0; I < Size / 10; ++I)
-        Quarters.insert(Turns.next() * 4 / Size);
+        Quarters.insert(Indexes.next() * 4 / Size);
       CPPUNIT_ASSERT_EQUAL(std::size_t(4), Quarters.size());
     }
   }
 
   void testSizeMayChange() {
-    Rotation Turns;
-    Turns.setSize(100);
+    Rotation Indexes;
+    Indexes.setSize(100);
     for (int I = 0; I < 70; ++I)
-      Turns.next();
-    Turns.setSize(3);
+      Indexes.next();
+    Indexes.setSize(3);
     for (int I = 0; I < 9; ++I)
-      CPPUNIT_ASSERT(Turns.next() < 3);
+      CPPUNIT_ASSERT(Indexes.next() < 3);
   }
 };
 
--- a/Tests/LibGateway/TargetBackoffTest.cpp
+++ b/Tests/LibGateway/TargetBackoffTest.cpp
@@ -31,7 +31,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t Targets = 3;
-  static constexpr milliseconds Rest{2000};
+  static constexpr milliseconds Backoff{2000};
   /// Requests that are on their way when the answer comes.
   static constexpr milliseconds InFlightTime{500};
   static constexpr std::size_t MaxInBackoff = 2;
@@ -41,22 +41,23 @@
       Fleet.target(Target).state({"Retry-After: 2\r\n", true});
     });
   }
-  struct Answered {
+  struct TimedReply {
     Reply m_Reply;
     core::TimePoint m_At;
   };
   /// Sends for so long, 25 requests a second, whatever becomes of them.
-  static std::vector<Answered> sendFor(GatewayFleet &Fleet, milliseconds Time) {
+  static std::vector<TimedReply> sendFor(GatewayFleet &Fleet,
+                                         milliseconds Time) {
     core::TimePoint End = core::steadyNow() + Time;
-    std::vector<std::future<Answered>> Calls;
+    std::vector<std::future<TimedReply>> Calls;
     while (core::steadyNow() < End) {
       Calls.push_back(std::async(std::launch::async, [&] {
         Reply Got = Fleet.send(0, "/again/x", "");
-        return Answered{Got, core::steadyNow()};
+        return TimedReply{Got, core::steadyNow()};
       }));
       std::this_thread::sleep_for(milliseconds(40));
     }
-    std::vector<Answered> Out;
+    std::vector<TimedReply> Out;
     for (auto &Each : Calls)
       Out.push_back(Each.get());
     return Out;
@@ -81,22 +82,22 @@
       auto Last = std::upper_bound(Asked.begin(), Asked.end(), Now);
       if (Last == Asked.begin())
         return Now;
-      First = std::min(First, *std::prev(Last) + Rest);
+      First = std::min(First, *std::prev(Last) + Backoff);
     }
     return First;
   }
   /// Arrivals in each rest of a target that turns everything away.
   static std::size_t
   maxInBackoff(const std::vector<core::TimePoint> &Arrivals) {
-    std::size_t Most = 0;
+    std::size_t Max = 0;
     for (const core::TimePoint &Asked : Arrivals)
-      Most = std::max(Most, static_cast<std::size_t>(std::count_if(
-                                Arrivals.begin(), Arrivals.end(),
-                                [&](const core::TimePoint &Each) {
-                                  return Each > Asked + InFlightTime &&
-                                         Each < Asked + Rest;
-                                })));
-    return Most;
+      Max = std::max(Max, static_cast<std::size_t>(std::count_if(
+                              Arrivals.begin(), Arrivals.end(),
+                              [&](const core::TimePoint &Each) {
+                                return Each > Asked + InFlightTime &&
+                                       Each < Asked + Backoff;
+                              })));
+    return Max;
   }
 
 public:
@@ -106,13 +107,13 @@
     CPPUNIT_ASSERT(Fleet.areAllReady());
     for (std::size_t I = 0; I < Targets; ++I)
       refuseRequests(Fleet, I);
-    std::vector<Answered> Got = sendFor(Fleet, milliseconds(4500));
+    std::vector<TimedReply> Got = sendFor(Fleet, milliseconds(4500));
     for (std::size_t I = 0; I < Targets; ++I)
       CPPUNIT_ASSERT(maxInBackoff(Fleet.arrivalsAt(I)) <= MaxInBackoff);
     // Those who are refused come back when the first rest is over, and not all
     // at once.
     std::set<std::string> Times;
-    for (const Answered &Each : Got) {
+    for (const TimedReply &Each : Got) {
       CPPUNIT_ASSERT_EQUAL(503U, Each.m_Reply.m_Status);
       std::string Text = Each.m_Reply.header("Retry-After");
       Times.insert(Text);
@@ -151,7 +152,7 @@
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", "").m_Status);
     Fleet.withTargets([&] { Fleet.target(0).state({}); });
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", "").m_Status);
-    std::this_thread::sleep_for(Rest);
+    std::this_thread::sleep_for(Backoff);
     CPPUNIT_ASSERT_EQUAL(200U, Fleet.send(0, "/again/x", "").m_Status);
   }
 
--- a/Tests/LibGateway/TargetExitDetectorTest.cpp
+++ b/Tests/LibGateway/TargetExitDetectorTest.cpp
@@ -20,7 +20,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context m_Context;
-  ProbeResult m_Presence = ProbeResult::Gone;
+  ProbeResult m_ProbeResult = ProbeResult::Gone;
   int m_Probes = 0;
   std::vector<ContentDigest> m_Reported;
   int m_Returned = 0;
@@ -32,7 +32,7 @@
       ++m_Probes;
       core::Timer Pause(m_Context, std::chrono::milliseconds(5));
       Pause.async_wait(Yield);
-      return m_Presence;
+      return m_ProbeResult;
     };
     Out.m_ReportExit = [this](const routing::Target &,
                               const ContentDigest &Content) {
@@ -74,7 +74,7 @@
   }
 
   void testListeningTargetHasNotExited() {
-    m_Presence = ProbeResult::Listens;
+    m_ProbeResult = ProbeResult::Listens;
     breakResponse(1);
     run();
     // It ends later, for a reason of its own.
@@ -83,7 +83,7 @@
   }
 
   void testLaterNoticeDecidesAfterInconclusiveProbe() {
-    m_Presence = ProbeResult::Unknown;
+    m_ProbeResult = ProbeResult::Unknown;
     breakResponse(1);
     run();
     CPPUNIT_ASSERT(m_Reported.empty());
@@ -97,7 +97,7 @@
   }
 
   void testConcurrentBrokenResponsesShareOneProbe() {
-    m_Presence = ProbeResult::Listens;
+    m_ProbeResult = ProbeResult::Listens;
     for (std::uint64_t I = 0; I < 6; ++I)
       breakResponse(I);
     run();
@@ -106,7 +106,7 @@
   }
 
   void testForgetsOldBrokenResponses() {
-    m_Presence = ProbeResult::Unknown;
+    m_ProbeResult = ProbeResult::Unknown;
     breakResponse(1);
     run();
     m_Detector.upkeep(core::steadyNow() + std::chrono::seconds(7));
--- a/Tests/LibGateway/TargetLimitTest.cpp
+++ b/Tests/LibGateway/TargetLimitTest.cpp
@@ -74,14 +74,14 @@
   /// Most arrivals within the window, of those after \p Since.
   static std::size_t worstWindow(const std::vector<core::TimePoint> &Arrivals,
                                  core::TimePoint Since) {
-    std::size_t Most = 0;
+    std::size_t Max = 0;
     auto First = std::lower_bound(Arrivals.begin(), Arrivals.end(), Since);
     for (auto Last = First; Last != Arrivals.end(); ++Last) {
       while (*Last - *First > Window)
         ++First;
-      Most = std::max(Most, static_cast<std::size_t>(Last - First) + 1);
+      Max = std::max(Max, static_cast<std::size_t>(Last - First) + 1);
     }
-    return Most;
+    return Max;
   }
   static std::size_t countSince(const std::vector<core::TimePoint> &Arrivals,
                                 core::TimePoint Since) {
