--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -13,42 +13,45 @@
 namespace asio = boost::asio;
 using core::Error;
 
-/// How often waiting requests and stops are looked at.
+/// Period in which waiting requests and a stop are checked.
 static constexpr std::chrono::milliseconds TickPeriod{20};
-/// How often roll-outs are looked after.
+/// Period of the upkeep of rollouts.
 static constexpr std::chrono::milliseconds RolloutPeriod{50};
-/// How often what rarely changes is looked at.
+/// Period of the upkeep of state that rarely changes.
 static constexpr std::chrono::milliseconds UpkeepPeriod{250};
-/// Peers and the store answer a start within a tenth of a second; after this
-/// time they are away, and requests are refused at once.
+/// Time after the start in which requests wait for a configuration. Peers and
+/// the store supply it within 100 ms, unless they are unreachable.
 static constexpr std::chrono::milliseconds ConfigurationTimeout{400};
-/// How long a stopping instance still takes requests: the balancer needs two
-/// seconds to notice that it is not ready.
+/// Time in which a stopping instance still accepts requests: the load balancer
+/// needs two seconds to notice that it is not ready.
 static constexpr std::chrono::milliseconds AcceptPeriodWhenStopping{3000};
-/// A stopping instance ends this long before it would be killed.
+/// Time between the end of a stop and the kill.
 static constexpr std::chrono::milliseconds StopMargin{300};
-/// A fleet that starts for the first time has time before its first request:
-/// the seeds ask the store, and the others ask them.
+/// Range of the delay before an instance asks the store at a fleet's first
+/// start. Seeds ask at once, and the others receive the state from them.
 static constexpr core::Duration MinStartDelay = std::chrono::milliseconds(1500);
 static constexpr core::Duration MaxStartDelay = std::chrono::seconds(4);
-/// A process that starts again asks its peers first, which answer within some
-/// tens of milliseconds if any is there, and with a tenth of the store's bytes;
-/// otherwise it asks the store without a longer wait, since callers wait too.
+/// Range of the delay before a restarted process asks the store. Peers respond
+/// sooner, and with a tenth of the store's bytes; callers wait meanwhile.
 static constexpr core::Duration MinRestartDelay = std::chrono::milliseconds(40);
 static constexpr core::Duration MaxRestartDelay = std::chrono::milliseconds(90);
-/// What a process that was told everything waits until it knows whether it is
-/// one of those that follow the store; meanwhile it hears the news from peers.
+/// Delay before a process that has received the state asks the store: by then
+/// it knows whether it is selected as a follower. Peers send it updates
+/// meanwhile.
 static constexpr core::Duration FollowerDecisionDelay =
     std::chrono::milliseconds(1500);
-/// Within this time a peer that has everything has passed it on.
+/// Time within which a peer that has the state supplies it.
 static constexpr core::Duration PeerTransferTimeout = std::chrono::seconds(1);
-/// A new connection to a target takes about a millisecond; a full queue of
-/// connections drops the opening packet for seconds.
+/// Connecting takes about a millisecond, or seconds if a full accept queue
+/// drops the SYN.
 static constexpr std::chrono::milliseconds ConnectTimeout{350};
+/// Idle connections kept for each target.
 static constexpr std::size_t MaxIdleConnections = 64;
-/// A connection on which nothing was asked is kept for so long: its target has
-/// not said when it closes it.
+/// Time for which a probe's connection is kept. Its target has not yet stated
+/// when it closes idle connections.
 static constexpr std::chrono::seconds ProbedConnectionIdleTime{1};
+/// Changes kept for peers that are behind; a peer further behind gets a
+/// snapshot.
 static constexpr std::size_t MaxMirrorChanges = 4096;
 
 Gateway::Gateway(asio::io_context &Context, GatewaySettings Settings,
@@ -72,7 +75,7 @@
            }}),
       m_Connections(Context, {ConnectTimeout, MaxIdleConnections}),
       m_Retries(m_Settings.m_Retries,
-                // Nothing was spent before a deployment's first start.
+                // No retry was sent before a deployment's first start.
                 m_Settings.m_IsFirstStart ? core::TimePoint() : m_StartedAt),
       m_ExitDetector(Context, exitDetectorHooks()),
       m_Backpressure(
@@ -172,7 +175,7 @@
     m_Backpressure.upkeep(Now);
     m_Quarantine.upkeep(Now);
     m_Quotas.upkeep(m_Peers->isListConfirmed(), Now);
-    // A process that has found the others does without a record.
+    // Without a record, the quota owners are the discovered instances.
     if (m_Membership.recorded().empty())
       updateQuotaOwners();
     updateMembershipRecord(Now);
@@ -222,7 +225,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What the store and the peers say
+// Updates from the store and from peers
 //===----------------------------------------------------------------------===//
 
 void Gateway::applyConfiguration(routing::RoutingTableHandle Next) {
@@ -261,8 +264,8 @@
 
 void Gateway::updateQuotaOwners() {
   FleetMembers Owners = m_Membership.recorded();
-  // Nothing is recorded before a fleet has started for the first time. A
-  // process that starts in another fleet waits until it has found the others.
+  // There is no record before a fleet's first start. A process that starts in
+  // any other fleet waits until it has discovered the instances.
   bool IsDiscoveryDone =
       m_Settings.m_IsFirstStart || m_Peers->isDiscoveryDone();
   if (Owners.empty() && IsDiscoveryDone)
@@ -282,7 +285,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Targets that end
+// Target exits and quarantine
 //===----------------------------------------------------------------------===//
 
 TargetExitDetectorHooks Gateway::exitDetectorHooks() {
@@ -324,7 +327,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Roll-outs
+// Rollouts and loads of peers
 //===----------------------------------------------------------------------===//
 
 RolloutHooks Gateway::rolloutHooks() {
@@ -332,8 +335,8 @@
   Out.m_Send = [this](const config::Endpoint &To, const peer::PeerBody &Body) {
     m_Peers->send(To, Body);
   };
-  // The one that keeps the list of instances, too. Others may think otherwise
-  // for a while.
+  // The writer of the membership record coordinates. Instances may disagree for
+  // a while about which one it is.
   Out.m_Coordinator = [this]() -> std::optional<config::Endpoint> {
     if (m_Follower.isConnected() && m_Peers->isRecordWriter())
       return m_Settings.m_PeerAddress;
@@ -373,7 +376,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Stopping
+// Readiness and stop
 //===----------------------------------------------------------------------===//
 
 bool Gateway::isJustStarted() const {
@@ -422,6 +425,10 @@
   OnStopped();
 }
 
+//===----------------------------------------------------------------------===//
+// Dispatch of requests
+//===----------------------------------------------------------------------===//
+
 void Gateway::place(const routing::PlacementRequest &What) {
   m_Peers->notifyIfChanged();
   m_Dispatcher.place(What, core::steadyNow());
@@ -467,7 +474,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Figures
+// Retry budget and metrics
 //===----------------------------------------------------------------------===//
 
 bool Gateway::tryReserveRetry(const core::PoolName &Pool) {
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,8 +1,8 @@
-//===-- Gateway.h - One instance in front of targets that others run ------===//
+//===-- Gateway.h - One gateway instance ----------------------------------===//
 //
-// One loop on one thread carries requests, decides and follows the store: on a
-// quarter of a core each hand-off between threads is dearer than what it would
-// spread (docs/design/0005-platform.md).
+// One event loop on one thread relays requests, dispatches them and follows the
+// store: on a quarter of a core, handing work between threads costs more than
+// running it in parallel saves (docs/design/0005-platform.md).
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_GATEWAY_H
@@ -38,6 +38,9 @@
 
 class GatewayRequest;
 
+/// Accepts requests of callers, sends each to a target and relays its response.
+/// Owns the servers, the connections to targets, peers and the store, and the
+/// state that each GatewayRequest works on.
 class Gateway {
 public:
   class Builder;
@@ -46,11 +49,12 @@
   Gateway(const Gateway &) = delete;
   Gateway &operator=(const Gateway &) = delete;
 
+  /// Begins to exchange reports with peers and to follow the store.
   void start();
-  /// Not ready from now on; what arrives is served for a while longer, and
-  /// \p Finished is called once nothing is left or the grace is nearly over.
+  /// Reports not ready, and accepts requests for a while longer. Calls
+  /// \p OnStopped once no request is open or the stop grace is nearly over.
   void stop(std::function<void()> OnStopped);
-  /// New settings; addresses stay as they were.
+  /// Applies new retry limits, stop grace and seeds; other settings stay.
   void reload(const GatewaySettings &Settings);
 
 private:
@@ -59,49 +63,62 @@
   Gateway(boost::asio::io_context &Context, GatewaySettings Settings,
           const Dialect &Wire, platform::KeyValueService &Store);
 
+  /// Creates the servers and the peer service, which bind their addresses.
   void listen();
-  /// How long the store is left alone after the start, whoever is there.
+  /// \returns the time after the start in which the store is not asked, whether
+  /// or not peers respond.
   core::Duration startDelay();
-  /// Whether peers may tell everything sooner, or cheaper, than the store.
+  /// Whether to ask the store later, since peers may supply its state sooner or
+  /// at a lower cost.
   bool mustWaitForPeers(core::Duration SinceStart) const;
+  /// Passes a changed store entry to the component that it concerns.
   void applyEntry(const platform::Entry &Change);
-  /// \param At of its announcement.
+  /// \param At revision of the announcement.
   void applyTarget(const routing::Target &Update, platform::Revision At);
+  /// Puts a configuration in force if it is newer than the current one.
   void applyConfiguration(routing::RoutingTableHandle Next);
-  /// Targets of the largest pool that the configuration names.
+  /// \returns the number of targets of the largest configured pool.
   std::size_t largestPoolSize() const;
+  /// Fills in this instance's load for a report to peers.
   void describeLoad(peer::LoadReport &Report) const;
+  /// Sums up the loads that group peers report for each target.
   void updatePeerLoads();
-  /// Who owns quotas, by what is known of the fleet now.
+  /// Recomputes which instances own quotas from the known fleet members.
   void updateQuotaOwners();
+  /// Corrects the membership record if this instance is its writer.
   void updateMembershipRecord(core::TimePoint Now);
   RolloutHooks rolloutHooks();
-  /// Looks after roll-outs while there are any.
+  /// Schedules upkeep of rollouts while any is active.
   void scheduleRolloutUpkeep();
-  /// Both decide by what the peers said up to now.
+  /// Sends, queues or refuses a request, by the peers' latest reports.
   void place(const routing::PlacementRequest &What);
+  /// Sends waiting requests, by the peers' latest reports.
   void dispatchWaiting(core::TimePoint Now);
-  /// From when a pool that takes nothing now takes one more request.
+  /// \returns the time from which a throttled pool takes one more request; none
+  /// if it takes one now or no such time is known.
   std::optional<core::TimePoint> availableAt(const core::PoolName &Pool,
                                              core::TimePoint Now);
-  /// Gives the place to a request that waits here, or lets the peers know.
+  /// Gives a freed slot to a request that waits here, and reports it soon if
+  /// requests wait at group peers.
   void handleFreedSlot();
-  /// Looks at what waits soon, if anything does: an instance at rest is not
-  /// woken 50 times a second.
+  /// Schedules a tick while requests wait or a stop is under way, so that an
+  /// idle instance is not woken.
   void scheduleTick();
   void tick(core::TimePoint Now);
+  /// Completes a stop once no request is open or its time is up.
   void pollStop(core::TimePoint Now);
-  /// Whether a request that comes now could no longer be finished.
+  /// Whether a stopping instance no longer admits requests, since one that
+  /// arrives now might not complete.
   bool isPastAcceptPeriod(core::TimePoint Now) const;
   bool isReady() const;
-  /// Whether the configuration may still be on its way.
+  /// Whether the first configuration may still arrive.
   bool isJustStarted() const;
   TargetExitDetectorHooks exitDetectorHooks();
   QuarantineHooks quarantineHooks();
-  /// Whether somebody listens at a target's address.
+  /// Opens a connection to find out whether a target still listens.
   ProbeResult probe(const routing::Target &Which,
                     boost::asio::yield_context Yield);
-  /// Counts the retry, if one more is within the budget.
+  /// Counts a retry if the pool's budget allows one. \returns whether it does.
   bool tryReserveRetry(const core::PoolName &Pool);
   http::ResponseMessage readinessResponse() const;
   void updateGauges();
@@ -133,22 +150,24 @@
   std::unique_ptr<http::Server> m_ReadinessServer;
   std::unique_ptr<http::Server> m_MetricsServer;
   std::unordered_map<core::RequestId, GatewayRequest *> m_OpenRequests;
-  bool m_HasWaitingPeers = false; ///< Near peers, for free places.
+  bool m_HasWaitingPeers = false; ///< Whether requests wait at group peers.
   bool m_IsTickScheduled = false;
   bool m_IsRolloutUpkeepScheduled = false;
   std::uint64_t m_NextRequest = 1;
   std::mt19937_64 m_Random;
   core::Duration m_StartDelay{};
-  core::TimePoint m_StoppingSince{};
+  core::TimePoint m_StoppingSince{}; ///< Epoch: not stopping.
   std::function<void()> m_OnStopped;
 };
 
+/// Builds a gateway. The dialect and the store are required and must outlive
+/// it.
 class Gateway::Builder {
 public:
   Builder &settings(GatewaySettings Settings);
   Builder &dialect(const Dialect &Wire);
   Builder &store(platform::KeyValueService &Store);
-  /// \throws core::Error of kind AddressInUse.
+  /// Binds the addresses. \throws core::Error of kind AddressInUse.
   std::unique_ptr<Gateway> build(boost::asio::io_context &Context);
 
 private:
