--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -11,27 +11,27 @@
 namespace asio = boost::asio;
 using core::Error;
 
-/// Least time left for which another target is tried.
+/// Minimum time left for an attempt at another target.
 static constexpr std::chrono::milliseconds MinRetryTime{20};
-/// Callers give a stream up, also before its first event, after a gap of the
-/// longest of these (the platform's word on its clients).
+/// Callers abandon a stream after a gap of the longest of these, also before
+/// its first event (source: the platform's description of its clients).
 static constexpr std::chrono::seconds MinCallerTimeout{2};
 static constexpr int CallerTimeoutPerObjective = 4;
 static constexpr int CallerTimeoutPerPause = 8;
-/// When to come back after a refusal: spread, so that those who were refused
-/// together do not return together.
+/// Retry-After of a refusal, with a random spread so that callers that were
+/// refused together do not return together.
 static constexpr double FirstRetryAfterSeconds = 0.15;
 static constexpr double RetryAfterSpreadSeconds = 0.35;
-/// Of the time until a target takes requests again, those who wait for it are
-/// spread over so much more.
+/// Additional spread, relative to the time until a target takes requests again.
 static constexpr double DelaySpreadRatio = 0.25;
-/// Another target may be there sooner.
+/// Bound of the wait for a throttled target that a Retry-After names, since
+/// another target may become available sooner.
 static constexpr double MaxDelaySeconds = 5;
-/// News that excuses a request is here by then.
+/// Time by which an update that clears a content has arrived.
 static constexpr std::chrono::seconds QuarantinedRetryAfter{2};
-/// How often a request that came before the configuration looks for it.
+/// Period in which a waiting request checks for the first configuration.
 static constexpr std::chrono::milliseconds ConfigurationPollPeriod{5};
-/// Bounds tries at targets that can't be connected to.
+/// Bounds attempts at targets that cannot be connected to.
 static constexpr unsigned MaxAttempts = 4;
 
 GatewayRequest::GatewayRequest(Gateway &Owner, http::Exchange &Caller)
@@ -84,7 +84,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Before a target
+// Admission and placement
 //===----------------------------------------------------------------------===//
 
 unsigned GatewayRequest::admit(asio::yield_context Yield) {
@@ -104,8 +104,8 @@
   if (Admitted.m_Status != 0)
     return Admitted.m_Status;
   m_Content = contentDigest();
-  // It was sent to no target: 503 is true. A later attempt may be served, when
-  // what stands against it was excused.
+  // 503 is correct, since no target received the request. A later attempt may
+  // be served, once the content is cleared.
   if (isQuarantined())
     return 503;
   if (acquireQuota(Admitted.m_Charge, Yield))
@@ -159,7 +159,7 @@
   Placement.m_PromptTokens = m_Description.m_PromptTokens;
   Placement.m_TriedTargets = m_TriedTargets;
   if (Placement.m_IsInference) {
-    // The estimate is right at the median; without one, half of the most.
+    // The caller's estimate is a median. Without it, expect half of the bound.
     double Tokens = m_Description.m_ExpectedTokens != 0
                         ? static_cast<double>(m_Description.m_ExpectedTokens)
                         : static_cast<double>(m_Description.m_OutputTokens) / 2;
@@ -176,7 +176,7 @@
     Placement.m_FirstEventDeadline =
         std::min(m_EndsAt, m_Timing.arrivedAt() + callerTimeout());
   if (m_Relay.isStarted()) {
-    // It began; what counts is that it goes on before its caller gives it up.
+    // A stream that began must continue before its caller abandons it.
     Placement.m_FirstEventDeadline =
         std::min(m_EndsAt, core::steadyNow() + callerTimeout());
     Placement.m_FirstByteDue = Placement.m_FirstEventDeadline;
@@ -222,7 +222,7 @@
         Outcome = AttemptOutcome::CallerGone;
       break;
     }
-    // Others may have seen it end targets while it waited.
+    // Other instances may have reported target exits while it waited.
     if (isQuarantined()) {
       m_Owner.m_Targets.recordEnd(m_Target->run(), m_PendingPromptTokens);
       m_Owner.handleFreedSlot();
@@ -244,7 +244,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// After a target
+// Retries and completion
 //===----------------------------------------------------------------------===//
 
 bool GatewayRequest::shouldRetry(AttemptOutcome Outcome) {
@@ -254,15 +254,15 @@
       (!m_Route->isRetryable() ||
        m_PossibleExecutions >= m_Route->m_MaxAttempts))
     return false;
-  // Sent on at once, it would end the next target before its caller returns; an
-  // innocent one is served on that return.
+  // Sent again at once, a suspect could make the next target exit before its
+  // caller returns. An innocent request is served when its caller returns.
   if (Outcome == AttemptOutcome::Failed &&
       m_Owner.m_Quarantine.isSuspect(m_Content))
     return false;
-  // A stream without an id to go on from can't be taken up elsewhere.
+  // A stream without an event id cannot be resumed at another target.
   if (m_Relay.isStarted() && m_Relay.lastEventId().empty())
     return false;
-  // Where no byte arrived nothing counts against the budget.
+  // An attempt that sent no byte costs no retry budget.
   if (Outcome == AttemptOutcome::NotSent)
     return m_Timing.attempts() < MaxAttempts;
   if (m_Owner.tryReserveRetry(m_Pool))
@@ -276,7 +276,7 @@
 void GatewayRequest::finishFailed(AttemptOutcome Outcome,
                                   asio::yield_context Yield) {
   if (m_Relay.isStarted()) {
-    // Never let half an answer look whole.
+    // Closes the connection, so that the partial response is seen as broken.
     m_Caller.abort();
     return finish("request-broken-off");
   }
--- a/Libraries/LibGateway/GatewayRequest.h
+++ b/Libraries/LibGateway/GatewayRequest.h
@@ -1,4 +1,4 @@
-//===-- GatewayRequest.h - One request from its caller to its answer ------===//
+//===-- GatewayRequest.h - One request from arrival to response -----------===//
 #ifndef YARDRILL_LIBGATEWAY_GATEWAYREQUEST_H
 #define YARDRILL_LIBGATEWAY_GATEWAYREQUEST_H
 
@@ -17,10 +17,10 @@
 
 namespace yardrill::gateway {
 
-/// Lives in its caller's coroutine. It belongs to the process that read it and
-/// to no other, so that it can be sent again only by this code: after a
-/// target's own word that it did not run, when no byte was sent, or when its
-/// route lets it run twice.
+/// Handles one request in its caller's coroutine: admission, attempts at
+/// targets and the response. No other process knows the request, so only this
+/// code can send it again: if no byte was sent, if the target reported that it
+/// did not run it, or if the route lets it run more than once.
 class GatewayRequest : private RequestInfo {
 public:
   GatewayRequest(Gateway &Owner, http::Exchange &Caller);
@@ -28,79 +28,98 @@
   GatewayRequest(const GatewayRequest &) = delete;
   GatewayRequest &operator=(const GatewayRequest &) = delete;
 
-  /// Returns when the caller has its answer or is gone.
+  /// Returns when the caller has received its response or is gone.
   void run(boost::asio::yield_context Yield);
-  /// The dispatcher chose a target.
+  /// Called when the dispatcher has chosen a target.
   void assignTarget(const routing::Target &Where);
+  /// \returns the hash of the request's route; 0 without one.
   std::uint32_t routeHash() const { return m_Route ? m_Route->m_Hash : 0; }
-  /// The dispatcher found none.
+  /// Called when the dispatcher refuses the request.
   void refuse();
-  /// The gateway ends before this request, whose coroutine is unwound only with
-  /// the loop.
+  /// Called by the gateway's destructor: the coroutine is unwound later, with
+  /// the event loop, and must not use the gateway then.
   void notifyOwnerDestroyed() { m_IsOwnerDestroyed = true; }
 
 private:
-  /// A target stops at the deadline it was given and says so; its own word is
-  /// waited for this long beyond.
+  /// Time beyond the deadline for which to wait for a response: a target stops
+  /// at the deadline that it was given, and reports so.
   static constexpr std::chrono::milliseconds ResponseGracePeriod{200};
 
-  /// \returns the status that ends the request here, or 0 to go on.
+  /// \returns 0 if the request is admitted, else the status to respond with.
   unsigned admit(boost::asio::yield_context Yield);
-  /// \returns whether the request is within its account's quota.
+  /// Acquires tokens of the account's quota. \returns whether they were
+  /// granted.
   bool acquireQuota(std::uint32_t Tokens, boost::asio::yield_context Yield);
   quarantine::ContentDigest contentDigest() const;
-  /// How long the caller waits for an event of a stream.
+  /// \returns how long the caller waits for the next event of a stream.
   core::Duration callerTimeout() const;
-  /// Callers that waited for this instance to start come before the store's
-  /// first answer.
+  /// Waits for the first configuration, for requests that arrive while the
+  /// instance starts.
   void waitForConfiguration(boost::asio::yield_context Yield);
+  /// Places the request and waits. \returns whether it was assigned a target.
   bool waitForTarget(boost::asio::yield_context Yield);
+  /// Sends the request to the assigned target and relays the response.
   AttemptOutcome runAttempt(boost::asio::yield_context Yield);
+  /// Runs the attempt on an open connection. \throws core::Error when the
+  /// connection fails or the target does not respond in time.
   AttemptOutcome exchange(http::ClientConnection &Connection,
                           boost::asio::yield_context Yield);
-  /// Reads heads until one answers this request: an answer to an earlier one
-  /// may come late, in the place of the next.
+  /// Reads response heads until one has this request's id: a late response to
+  /// an earlier request may come first.
   http::ResponseHead readMatchingHead(http::ClientConnection &Connection,
                                       boost::asio::yield_context Yield);
-  /// Keeps a failure back where another target may do better.
+  /// Sends a buffered response, or holds a failure back if another target may
+  /// succeed.
   AttemptOutcome relayBuffered(http::ResponseMessage Response,
                                boost::asio::yield_context Yield);
+  /// Records events of the response for metrics and load estimates.
   void noteEvents(std::size_t Count);
-  /// Whether another target may be tried after \p Last.
+  /// Whether to try another target after \p Outcome. Counts the retry in the
+  /// pool's budget if it costs any.
   bool shouldRetry(AttemptOutcome Outcome);
+  /// Ends a request after a failed attempt, or without a target.
   void finishFailed(AttemptOutcome Outcome, boost::asio::yield_context Yield);
+  /// Sends a response of the gateway's own.
+  /// \param RetryAfter zero: no Retry-After header.
   void respond(unsigned Status, const char *Reason, core::Duration RetryAfter,
                boost::asio::yield_context Yield);
+  /// \returns the time until the deadline, negative after it.
   core::Duration timeLeft() const;
+  /// \returns the time after which a refused caller should return, with a
+  /// random part.
   core::Duration retryAfter() const;
   void handleCallerDisconnect();
+  /// Records the outcome of an attempt and frees the target's slot.
   void noteAttempt(AttemptOutcome Outcome);
-  /// Whether it must go to no target, also one that was chosen.
+  /// Whether the request must not be sent to any target; sets the reason if so.
   bool isQuarantined();
-  /// Finds out whether the target ended under the request.
+  /// Finds out whether the target exited while it ran the request.
   void noteBrokenResponse(boost::asio::yield_context Yield);
-  /// Tells roll-outs how the try turned out.
+  /// Reports the outcome of an attempt to the pool's rollout.
   void reportRolloutOutcome(AttemptOutcome Outcome, core::TimePoint Now);
+  /// Scales the duration of a stream to that of a reference request, so that
+  /// targets can be compared.
   core::Duration normalizedDuration(core::Duration Took) const;
+  /// Logs and counts the end of the request.
   void finish(const char *Event) const;
 
   Gateway &m_Owner;
   http::Exchange &m_Caller;
   ResponseRelay m_Relay;
   core::RequestId m_Id;
-  core::TimePoint m_EndsAt;
+  core::TimePoint m_EndsAt; ///< Deadline of the response.
   core::Timer m_WakeTimer;
   bool m_IsRefused = false;
   bool m_IsCallerGone = false;
   bool m_IsOwnerDestroyed = false;
   http::ClientConnection *m_Connection = nullptr;
   std::set<routing::TargetIncarnation> m_TriedTargets;
-  unsigned m_PossibleExecutions = 0;       ///< Tries that may have run.
+  unsigned m_PossibleExecutions = 0;       ///< Attempts that may have run.
   std::uint32_t m_PendingPromptTokens = 0; ///< Counted at the current target.
-  bool m_HasResponseStarted = false;       ///< Of the current try.
-  /// How long the connection may be kept, by the last answer on it.
+  bool m_HasResponseStarted = false;       ///< In the current attempt.
+  /// Time for which the connection may be kept after the last response.
   core::Duration m_KeepAliveTime{};
-  /// A target's own failure, passed on unless another target does better.
+  /// A target's error response, sent unless another target succeeds.
   std::optional<http::ResponseMessage> m_FailureResponse;
 };
 
