--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -1,4 +1,4 @@
-//===-- GatewayRequestAttempt.cpp - One try at one target ---------------===//
+//===-- GatewayRequestAttempt.cpp - One attempt at one target -------------===//
 #include "LibGateway/GatewayRequest.h"
 
 #include "LibCore/Error.h"
@@ -9,22 +9,23 @@
 namespace asio = boost::asio;
 using core::Error;
 
-/// Answers up to this size are read whole before they are passed on, so that
-/// a broken one can still be replaced.
+/// Responses up to this size are buffered before they are sent, so that another
+/// target's response can replace a broken one.
 static constexpr std::uint64_t MaxBufferedBytes = 262144;
-/// A kept connection is used until this long before its target closes it.
+/// Time before the target closes an idle connection in which it is not reused.
 static constexpr std::chrono::milliseconds KeepAliveMargin{500};
+/// Assumed idle time of targets that do not state one.
 static constexpr std::chrono::seconds DefaultKeepAlive{4};
-/// Times of streams are compared between targets as if all had this length. The
-/// unit does not matter, nor what is the same for all; how a prompt's length
-/// weighs against an answer's matters a little.
+/// Expected time of a stream by its prompt and events, and the reference time
+/// to which normalizedDuration() scales. Only their ratios affect comparisons.
 static constexpr double ReferenceMs = 100;
 static constexpr double PromptTokensPerMs = 50;
 static constexpr double EventMs = 25;
 static constexpr double FirstEventMs = 10;
-/// An error of the target's own; it may not have begun to run the request.
+/// Lowest status of a target's errors, which it may return before it runs the
+/// request.
 static constexpr unsigned MinFailureStatus = 500;
-/// A caller that leaves sooner says nothing about its target.
+/// A caller that leaves sooner is no evidence of a slow target.
 static constexpr std::chrono::seconds MinMeaningfulWait{1};
 static const char EventStreamType[] = "text/event-stream";
 
@@ -85,7 +86,7 @@
 }
 
 void GatewayRequest::noteBrokenResponse(asio::yield_context Yield) {
-  // One that leaves ends as it was told to, whatever runs there.
+  // A leaving target exits anyway, whatever requests it runs.
   if (!m_Owner.m_Targets.isLeaving(m_Target->run()))
     m_Owner.m_ExitDetector.noteBrokenResponse(*m_Target, m_Content, Yield);
 }
@@ -103,7 +104,7 @@
         .add("target", m_Target->m_Name)
         .add("status", Head.m_Status);
     while (!Connection.readBodyData(Limit, Yield).empty()) {
-      // Belongs to no request.
+      // Discards the body, which belongs to an earlier request.
     }
   }
 }
@@ -144,7 +145,7 @@
     }
     while (!Connection.readBodyData(timeLeft() + ResponseGracePeriod, Yield)
                 .empty()) {
-      // Its reason is for us alone.
+      // Discards the body: the refusal is not relayed to the caller.
     }
     Result = AttemptOutcome::NotRun;
   } else if (IsSuccess && (!Info.m_IsSigned || Info.m_IsEncoded)) {
@@ -155,7 +156,7 @@
     if (Result == AttemptOutcome::Failed)
       m_Reason = "stream-cut";
   } else if (m_Relay.isStarted()) {
-    // A stream that goes on elsewhere can only go on as a stream.
+    // Only another stream can continue one that began.
     m_Reason = "resume-refused";
     return AttemptOutcome::Failed;
   } else if (Head.m_ContentLength &&
@@ -203,7 +204,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What the try says
+// Evaluation of an attempt
 //===----------------------------------------------------------------------===//
 
 void GatewayRequest::noteAttempt(AttemptOutcome Outcome) {
@@ -249,7 +250,7 @@
   bool IsFailure = Outcome == AttemptOutcome::Failed;
   bool IsComplete = Outcome == AttemptOutcome::Complete;
   core::Duration Took = Now - m_Timing.attemptStartedAt();
-  // Callers leave what is slow: that they did says as much.
+  // A caller that leaves after a while counts as a slow response.
   bool HasCallerLeft =
       Outcome == AttemptOutcome::CallerGone && Took >= MinMeaningfulWait;
   if (!IsFailure && !IsComplete && !HasCallerLeft)
