--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -1,7 +1,7 @@
-//===-- Dialect.h - How requests and answers are written on the wire ------===//
+//===-- Dialect.h - Wire format of requests, responses and entries --------===//
 //
-// The gateway knows what a request says; an implementation knows under which
-// names it says so.
+// The gateway works on the descriptions below; a Dialect knows the names and
+// encodings that stand for them on the wire and in the store.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_DIALECT_H
@@ -22,89 +22,101 @@
 
 namespace yardrill::gateway {
 
-/// What a caller's request says about itself.
+/// Fields of a caller's request that the gateway acts on.
 struct RequestDescription {
-  std::string m_Id; ///< The caller's, unique for each attempt; empty: none.
+  std::string m_Id; ///< Unique for each attempt of the caller; empty: none.
   std::string m_Host;
-  std::string m_Path; ///< Without the query.
-  std::optional<std::string> m_Key;
-  std::optional<core::Duration> m_Deadline; ///< From the request's arrival.
-  std::optional<std::string> m_LastEvent;   ///< Already received by the caller.
-  bool m_HasTokenCounts = false; ///< Whether the two token counts were given.
+  std::string m_Path;                       ///< Without the query.
+  std::optional<std::string> m_Key;         ///< API key of a client account.
+  std::optional<core::Duration> m_Deadline; ///< Relative to the arrival.
+  std::optional<std::string> m_LastEvent;   ///< Id of the last event received.
+  bool m_HasTokenCounts = false;            ///< Whether the next two are given.
   std::uint32_t m_PromptTokens = 0;
-  std::uint32_t m_OutputTokens = 0;   ///< The most that may come.
-  std::uint32_t m_ExpectedTokens = 0; ///< The caller's estimate; 0: none.
+  std::uint32_t m_OutputTokens = 0;   ///< Upper bound of the output.
+  std::uint32_t m_ExpectedTokens = 0; ///< Estimate of the output; 0: none.
 };
 
-/// What a target is told beside the caller's own words.
+/// Fields that the gateway adds to a request when it sends it to a target.
 struct ForwardDescription {
-  core::TargetName m_Target; ///< Any other target must refuse.
-  core::Duration m_TimeLeft{};
+  core::TargetName m_Target;   ///< Any other target must refuse the request.
+  core::Duration m_TimeLeft{}; ///< Time until the request's deadline.
   std::optional<core::AccountName> m_Account;
-  std::optional<std::string> m_LastEvent;
+  std::optional<std::string> m_LastEvent; ///< Event to resume the stream after.
 };
 
-/// What a target's answer says about itself.
+/// Fields of a target's response that the gateway acts on.
 struct ResponseDescription {
-  std::string m_Id;        ///< Of the request it answers.
-  bool m_IsSigned = false; ///< Bears the target's signature.
-  bool m_IsNotRun = false; ///< The target did not run the request.
-  /// It comes from another target than the one the request was meant for.
+  std::string m_Id;        ///< Id of the request that it belongs to.
+  bool m_IsSigned = false; ///< Whether it has the target's signature.
+  bool m_IsNotRun = false; ///< Whether the target did not run the request.
+  /// Whether another target than the addressed one received the request.
   bool m_IsMisdirected = false;
-  bool m_IsEncoded = false; ///< The body is not as the target made it.
-  /// How long the connection may rest before the target closes it.
+  bool m_IsEncoded = false; ///< Whether the body is not as the target made it.
+  /// Time after which the target closes an idle connection.
   std::optional<core::Duration> m_KeepAlive;
   routing::TargetBackpressure m_Backpressure;
 };
 
-/// Something that the store said.
+/// A configuration was published.
 struct ConfigurationUpdate {
   routing::RoutingTableHandle m_Table;
 };
+/// A target was announced, or its announcement was changed.
 struct TargetUpdate {
   routing::Target m_Target;
 };
+/// A target's announcement was removed.
 struct TargetRemoval {
   core::TargetName m_Target;
 };
+/// A rollout order was published for a pool.
 struct RolloutOrderUpdate {
   rollout::Order m_Order;
 };
+/// A pool's rollout order was removed.
 struct RolloutOrderRemoval {
   core::PoolName m_Pool;
 };
-/// What operators read of a pool's roll-out; none: the entry is gone.
+/// A pool's rollout status for operators was published; none: it was removed.
 struct RolloutStatusUpdate {
   core::PoolName m_Pool;
   std::optional<rollout::Status> m_Status;
 };
+/// One decoded change of the store; std::monostate for a change to ignore.
 using StoreUpdate =
     std::variant<std::monostate, ConfigurationUpdate, TargetUpdate,
                  TargetRemoval, RolloutOrderUpdate, RolloutOrderRemoval,
                  RolloutStatusUpdate>;
 
+/// Translates between the gateway's descriptions and the platform's headers and
+/// store entries. Gateway and RolloutWriter call it; platform::PlatformDialect
+/// implements it.
 class Dialect {
 public:
   virtual ~Dialect() = default;
 
+  /// Reads a caller's request.
   virtual RequestDescription
   describe(const http::RequestMessage &Request) const = 0;
-  /// Turns the caller's headers into those for a target: whatever only this
-  /// system may say is replaced. May be used again on its own result.
+  /// Turns the caller's headers into those for a target and replaces headers
+  /// that only the gateway may set. May be applied to its own result, for the
+  /// next attempt.
   virtual void prepare(http::RequestMessage &Request,
                        const ForwardDescription &What) const = 0;
-  /// Names the request in an answer that the gateway itself makes.
+  /// Adds the request's id to a response that the gateway creates.
   virtual void prepare(http::ResponseHead &Response,
                        const RequestDescription &To) const = 0;
+  /// Reads the head of a target's response.
   virtual ResponseDescription
   describe(const http::ResponseHead &Head) const = 0;
-  /// \throws core::Error of kind Protocol for an entry that can't be read.
+  /// Decodes a changed entry of the store.
+  /// \throws core::Error of kind Protocol for a malformed entry.
   virtual StoreUpdate read(const platform::Entry &Change) const = 0;
-  /// The entry that tells operators of a pool's roll-out.
+  /// \returns the entry that shows operators the status of a pool's rollout.
   virtual platform::Put write(const core::PoolName &Pool,
                               const rollout::Status &Status) const = 0;
-  /// Whose announcement an entry is, whether it can be read or not.
-  /// \returns none for an entry that is no target's.
+  /// \returns the target that an entry announces, even if the entry is
+  /// malformed; none if it is not a target's entry.
   virtual std::optional<core::TargetName>
   targetOf(const platform::Entry &Change) const = 0;
 };
