--- a/Libraries/LibGateway/GatewayBuilder.cpp
+++ b/Libraries/LibGateway/GatewayBuilder.cpp
@@ -1,3 +1,4 @@
+//===-- GatewayBuilder.cpp - Builder of the gateway -----------------------===//
 #include "LibGateway/Gateway.h"
 
 #include <cassert>
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -1,4 +1,4 @@
-//===-- GatewaySettings.h - What one instance of the gateway is told ------===//
+//===-- GatewaySettings.h - Settings of one gateway instance --------------===//
 #ifndef YARDRILL_LIBGATEWAY_GATEWAYSETTINGS_H
 #define YARDRILL_LIBGATEWAY_GATEWAYSETTINGS_H
 
@@ -16,32 +16,35 @@
 
 namespace yardrill::gateway {
 
+/// Settings of one instance, which platform/DeploymentSettings reads.
 struct GatewaySettings {
   core::InstanceName m_Name;
   core::DataHallName m_DataHall;
   config::Endpoint m_CallerAddress;
   config::Endpoint m_ReadinessAddress;
-  config::Endpoint m_PeerAddress; ///< UDP and TCP.
+  config::Endpoint m_PeerAddress; ///< Bound for UDP and TCP.
   std::optional<config::Endpoint> m_MetricsAddress;
-  /// Peer addresses of some instances, perhaps out of date.
+  /// Peer addresses of some instances; may be out of date.
   std::vector<config::Endpoint> m_Seeds;
   config::Endpoint m_StoreAddress;
-  /// Of this instance's link: 10 Mbit/s, the smallest machines', unless told.
+  /// Bandwidth of this instance's link; by default that of the smallest
+  /// machines, 10 Mbit/s.
   double m_LinkBytesPerSecond = 1.25e6;
-  std::string m_PeerKey; ///< Tells this deployment's peers from others'.
-  /// The whole deployment starts for the first time: no quota was used yet.
+  std::string m_PeerKey; ///< Signs messages between this deployment's peers.
+  /// Whether the whole deployment starts for the first time, so that no quota
+  /// has been used yet.
   bool m_IsFirstStart = false;
   /// Time between the request to stop and the kill.
   core::Duration m_StopGrace = std::chrono::seconds(8);
-  /// For one pool, summed over all instances.
+  /// Limits for each pool, summed over all instances.
   routing::RetryLimits m_Retries;
-  /// Nothing, unless told.
+  /// Tokens allowed above the accounts' limits; none by default.
   routing::QuotaTolerance m_QuotaTolerance;
-  /// Of requests to a version that may be bad.
+  /// Limits of the requests that a bad version may get during a rollout.
   rollout::ExposureLimits m_Exposure;
-  std::size_t m_MaxConnections = 1024; ///< Of callers.
-  /// Instances of a large fleet that share their targets; 0: by the number of
-  /// targets.
+  std::size_t m_MaxConnections = 1024; ///< From callers.
+  /// Number of instances in a group of a large fleet, which share a subset of
+  /// the targets; 0: derived from the number of targets.
   std::size_t m_GroupSize = 0;
   routing::PlacementPolicy m_Placement =
       routing::PlacementPolicy::LeastPredictedWait;
--- a/Libraries/LibGateway/GatewayStoreUpdates.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -1,5 +1,4 @@
-//===-- GatewayStoreUpdates.cpp - What the store says, and whom it is for
-//---===//
+//===-- GatewayStoreUpdates.cpp - Applies changes of the store ------------===//
 #include "LibGateway/Gateway.h"
 
 #include "LibCore/Error.h"
@@ -28,7 +27,7 @@
         .add("key", Change.m_Key)
         .add("revision", Change.m_ModRevision)
         .add("reason", Failure.what());
-    // What stood there before does not hold any more.
+    // The malformed entry has replaced the target's announcement.
     if (auto Name = m_Wire.targetOf(Change))
       m_Targets.withdraw(*Name, core::steadyNow());
     return;
