--- a/Libraries/LibGateway/ResponseRelay.cpp
+++ b/Libraries/LibGateway/ResponseRelay.cpp
@@ -75,7 +75,8 @@
                                           asio::yield_context Yield) {
   m_Events.dropPartial();
   http::ResponseHead StreamHead = Head;
-  // Whole events only, perhaps of several targets: their sum is not known.
+  // The total length is unknown: partial events are dropped, and several
+  // targets may contribute.
   StreamHead.m_ContentLength.reset();
   while (true) {
     std::string Data = From.readBodyData(m_Hooks.m_TargetTimeout(), Yield);
--- a/Libraries/LibGateway/ResponseRelay.h
+++ b/Libraries/LibGateway/ResponseRelay.h
@@ -1,5 +1,4 @@
-//===-- ResponseRelay.h - A target's answer on its way to the caller
-//--------===//
+//===-- ResponseRelay.h - Relays a target's response to its caller --------===//
 #ifndef YARDRILL_LIBGATEWAY_RESPONSERELAY_H
 #define YARDRILL_LIBGATEWAY_RESPONSERELAY_H
 
@@ -14,56 +13,62 @@
 
 namespace yardrill::gateway {
 
-/// How one try at one target ended.
+/// Outcome of one attempt at one target.
 enum class AttemptOutcome {
-  Complete,   ///< The caller has the whole answer.
-  NotSent,    ///< No byte reached the target.
-  NotRun,     ///< The target said that it did not run the request.
-  Failed,     ///< It may have run; nothing or too little came back.
-  CallerGone, ///< The caller hung up or does not read.
+  Complete,   ///< The caller received the complete response.
+  NotSent,    ///< No byte of the request reached the target.
+  NotRun,     ///< The target reported that it did not run the request.
+  Failed,     ///< The request may have run; its response is missing or broken.
+  CallerGone, ///< The caller disconnected or does not read.
 };
 
 struct ResponseRelayHooks {
-  /// How long the target may still be silent.
+  /// Returns the time for which to wait for the target's next bytes.
   std::function<core::Duration()> m_TargetTimeout;
-  /// So many whole events came, and are about to be passed on.
+  /// Called with the number of complete events received, before they are sent
+  /// to the caller.
   std::function<void(std::size_t)> m_OnEvents;
 };
 
-/// Passes answers on to one caller. An answer that has begun may go on from
-/// another target if it is a stream of events with ids.
+/// Relays responses of targets to one caller, on behalf of GatewayRequest.
+/// Another target may continue a stream of events with ids, so the relay sends
+/// complete events only and keeps the last id.
 class ResponseRelay {
 public:
   ResponseRelay(http::Exchange &Caller, ResponseRelayHooks Hooks)
       : m_Caller(Caller), m_Hooks(std::move(Hooks)) {}
 
-  /// Reads the body of a target's answer. \throws core::Error when it breaks.
+  /// Reads a response into memory. \throws core::Error when it breaks.
   http::ResponseMessage readResponse(http::ClientConnection &From,
                                      const http::ResponseHead &Head,
                                      boost::asio::yield_context Yield) const;
-  /// \returns Complete or CallerGone.
+  /// Sends a buffered response. \returns Complete or CallerGone.
   AttemptOutcome sendResponse(http::ResponseMessage Response,
                               boost::asio::yield_context Yield);
-  /// Bytes as they come. \throws core::Error when the target's answer breaks.
+  /// Relays a body as its bytes arrive. \returns Complete or CallerGone.
+  /// \throws core::Error when the target's response breaks.
   AttemptOutcome relayBytes(http::ClientConnection &From,
                             const http::ResponseHead &Head,
                             boost::asio::yield_context Yield);
-  /// Whole events as they come; Failed when the body ends within one.
-  /// \throws core::Error when the target's answer breaks.
+  /// Relays complete events as they arrive. \returns Complete, CallerGone, or
+  /// Failed when the body ends within an event.
+  /// \throws core::Error when the target's response breaks.
   AttemptOutcome relayEvents(http::ClientConnection &From,
                              const http::ResponseHead &Head,
                              boost::asio::yield_context Yield);
 
-  /// The caller has the head of an answer.
+  /// Whether a streamed response to the caller has begun.
   bool isStarted() const { return m_IsStarted; }
-  /// Of the events passed on; empty: none had an id.
+  /// Id of the last complete event; empty if none had one.
   const std::string &lastEventId() const { return m_Events.lastId(); }
+  /// HTTP status sent to the caller; 0 before a response.
   unsigned status() const { return m_Status; }
 
 private:
+  /// Sends the head of a streamed response, unless one was sent before.
   void start(const http::ResponseHead &Head, boost::asio::yield_context Yield);
-  /// Sends \p Bytes, or the end of the answer. \returns false when the caller
-  /// is gone.
+  /// Sends \p Bytes and, if \p IsEnd, the end of the response. \returns false
+  /// when the caller is gone.
   bool forward(const http::ResponseHead &Head, const std::string &Bytes,
                bool IsEnd, boost::asio::yield_context Yield);
 
