--- a/Libraries/LibGateway/ResponseTiming.h
+++ b/Libraries/LibGateway/ResponseTiming.h
@@ -1,5 +1,4 @@
-//===-- ResponseTiming.h - When one request arrived, went on and came back
-//---===//
+//===-- ResponseTiming.h - Times of one request and its response ----------===//
 #ifndef YARDRILL_LIBGATEWAY_RESPONSETIMING_H
 #define YARDRILL_LIBGATEWAY_RESPONSETIMING_H
 
@@ -10,44 +9,52 @@
 
 namespace yardrill::gateway {
 
-/// Where an answer lost the time that made it late.
+/// Cause of a late response.
 enum class Lateness {
   None,
-  Waited, ///< Half of the time to its first byte or more, for a place.
-  Again,  ///< It was sent to more than one target.
-  Target, ///< The target answered late.
-  Pause,  ///< It came in time, and then stood still for too long.
+  Waited, ///< More than half of the time was spent waiting for a slot.
+  Again,  ///< The request was sent to more than one target.
+  Target, ///< The target responded late.
+  Pause,  ///< The response began in time, then paused for too long.
 };
 
+/// \returns the cause's name as logs show it.
 const char *toString(Lateness What);
 
-/// Pure. Times of one request and its answer.
+/// Records the times of one request and its response, and finds the cause when
+/// the response is late. Reads no clock; callers pass the time.
 class ResponseTiming {
 public:
   explicit ResponseTiming(core::TimePoint ArrivedAt) : m_ArrivedAt(ArrivedAt) {}
 
+  /// Records that an attempt at a target begins.
   void noteAttempt(core::TimePoint Now);
-  /// So many events came at once. \returns the time since the last ones at the
-  /// same target, for each of these; not set for the first.
+  /// Records \p Count events that arrived together. \returns the time since the
+  /// previous events of the attempt, divided by \p Count; none for its first
+  /// events.
   std::optional<core::Duration> noteEvents(std::size_t Count,
                                            core::TimePoint Now);
 
   core::TimePoint arrivedAt() const { return m_ArrivedAt; }
   core::TimePoint attemptStartedAt() const { return m_AttemptStartedAt; }
   bool hasFirstEvent() const { return m_FirstEventAt.has_value(); }
-  /// Whether the current try has brought an event.
+  /// Whether the current attempt has produced an event.
   bool hasEventInAttempt() const { return m_LastEventAt.has_value(); }
-  /// Time to the first event. \pre hasFirstEvent().
+  /// Time from the request's arrival to its first event.
+  /// \pre hasFirstEvent().
   core::Duration timeToFirstEvent() const {
     return *m_FirstEventAt - m_ArrivedAt;
   }
-  /// Between events at one target.
+  /// Longest time between events of the same attempt.
   core::Duration maxEventGap() const { return m_MaxEventGap; }
   unsigned attempts() const { return m_Attempts; }
-  /// That the current try has brought.
+  /// Number of events that the current attempt has produced.
   std::size_t eventsInAttempt() const { return m_EventsInAttempt; }
 
-  /// Of an answer that is complete at \p Now. A limit of zero is none.
+  /// \returns the cause if a response that completes at \p Now is late.
+  /// \param Objective longest time to the first event, or to the end of a
+  /// response without events; zero: no limit.
+  /// \param EventGapLimit longest time between events; zero: no limit.
   Lateness lateness(core::Duration Objective, core::Duration EventGapLimit,
                     core::TimePoint Now) const;
 
@@ -55,7 +62,7 @@
   core::TimePoint m_ArrivedAt;
   core::TimePoint m_AttemptStartedAt{};
   std::optional<core::TimePoint> m_FirstEventAt;
-  std::optional<core::TimePoint> m_LastEventAt; ///< Of the current try.
+  std::optional<core::TimePoint> m_LastEventAt; ///< In this attempt.
   core::Duration m_MaxEventGap{};
   unsigned m_Attempts = 0;
   std::size_t m_EventsInAttempt = 0;
--- a/Tests/LibGateway/ResponseTimingTest.cpp
+++ b/Tests/LibGateway/ResponseTimingTest.cpp
@@ -1,3 +1,4 @@
+//===-- ResponseTimingTest.cpp - Causes of late responses -----------------===//
 #include "LibGateway/ResponseTiming.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -58,7 +59,7 @@
     ResponseTiming Timing(m_Start);
     Timing.noteAttempt(at(1));
     Timing.noteEvents(1, at(100));
-    // It goes on elsewhere; the time between is no pause of a target.
+    // Another target resumes the stream; the gap between attempts is no pause.
     Timing.noteAttempt(at(200));
     CPPUNIT_ASSERT(!Timing.hasEventInAttempt());
     Timing.noteEvents(1, at(900));
@@ -71,7 +72,7 @@
     Timing.noteAttempt(at(1));
     CPPUNIT_ASSERT(latenessOf(Timing, 400) == Lateness::None);
     CPPUNIT_ASSERT(latenessOf(Timing, 401) == Lateness::Target);
-    // Without an objective nothing is late.
+    // Without limits no response is late.
     CPPUNIT_ASSERT(Timing.lateness({}, {}, at(5000)) == Lateness::None);
   }
 };
