--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -1,4 +1,4 @@
-//===-- EventSplitter.h - Whole events out of the bytes of a stream -------===//
+//===-- EventSplitter.h - Splits a byte stream into events ----------------===//
 #ifndef YARDRILL_LIBGATEWAY_EVENTSPLITTER_H
 #define YARDRILL_LIBGATEWAY_EVENTSPLITTER_H
 
@@ -8,25 +8,27 @@
 
 namespace yardrill::gateway {
 
-/// Server-sent events (WHATWG HTML, section 9.2): a target may stop partway
-/// through one, so only whole events are passed on.
+/// Splits a stream of server-sent events (WHATWG HTML, section 9.2) after each
+/// event. A target may stop within an event, so ResponseRelay sends complete
+/// events only.
 class EventSplitter {
 public:
   struct Events {
-    std::string m_Bytes; ///< Of whole events, unchanged.
+    std::string m_Bytes; ///< Complete events, unchanged.
     std::size_t m_Count = 0;
   };
 
   /// \returns the events that \p Piece completes.
   Events push(std::string_view Data);
-  /// True when the bytes so far end within an event.
+  /// Whether the bytes so far end within an event.
   bool hasPartial() const { return !m_Partial.empty(); }
-  /// Drops what is left of an event that will not be completed.
+  /// Drops a partial event that will not be completed.
   void dropPartial() { m_Partial.clear(); }
-  /// The id of the newest whole event; empty: none had one.
+  /// Id of the last complete event that has one; empty if none has.
   const std::string &lastId() const { return m_LastId; }
 
 private:
+  /// Stores the event's id, if it has one.
   void noteId(std::string_view Event);
 
   std::string m_Partial;
--- a/Tests/LibGateway/EventSplitterTest.cpp
+++ b/Tests/LibGateway/EventSplitterTest.cpp
@@ -1,3 +1,4 @@
+//===-- EventSplitterTest.cpp - Event streams and mirror updates ----------===//
 #include "LibGateway/EventSplitter.h"
 
 #include "LibCore/Error.h"
@@ -36,7 +37,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"), Got.m_Bytes);
     CPPUNIT_ASSERT(Splitter.hasPartial());
     CPPUNIT_ASSERT_EQUAL(std::string("1"), Splitter.lastId());
-    // The stream goes on at another target, from the start of that event.
+    // Another target resumes the stream at the start of that event.
     Splitter.dropPartial();
     Got = Splitter.push("id: 2\ndata: b\n\n");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 2\ndata: b\n\n"), Got.m_Bytes);
