--- a/Libraries/LibGateway/TargetExitDetector.cpp
+++ b/Libraries/LibGateway/TargetExitDetector.cpp
@@ -4,8 +4,8 @@
 
 namespace asio = boost::asio;
 
-/// Three missing heartbeats and the way of the news: what has not been heard
-/// of by then is not heard of any more.
+/// Time within which evidence of an exit arrives, if any does: three missed
+/// heartbeats and the delay of the store's update.
 static constexpr std::chrono::seconds ExitNoticeTimeout{6};
 
 void TargetExitDetector::noteBrokenResponse(
@@ -14,7 +14,7 @@
   auto [It, IsNew] = m_BrokenResponses.try_emplace(Which.run());
   if (IsNew)
     It->second = std::make_shared<BrokenResponses>(m_Context, Which);
-  // Kept alive while this coroutine waits.
+  // Kept alive while this coroutine waits, since upkeep() may erase the entry.
   BrokenResponsesHandle Broken = It->second;
   Broken->m_Contents.push_back(Content);
   Broken->m_LastBrokenAt = core::steadyNow();
@@ -34,7 +34,7 @@
   Which->m_IsProbing = false;
   if (Result == ProbeResult::Gone)
     Which->m_HasExited = true;
-  // It outlived them: what becomes of it later says nothing of them.
+  // The target outlived these requests, so they did not cause a later exit.
   if (Result == ProbeResult::Listens)
     Which->m_Contents.clear();
   if (Which->m_HasExited)
--- a/Libraries/LibGateway/TargetExitDetector.h
+++ b/Libraries/LibGateway/TargetExitDetector.h
@@ -1,10 +1,9 @@
-//===-- TargetExitDetector.h - Whether a target ended when an answer broke off
-//----===//
+//===-- TargetExitDetector.h - Detects exits of target processes ----------===//
 //
-// An answer breaks off because its target ended, because its connection was
-// reset, or because the target gave up that one answer. Only a target that has
-// ended refuses connections: its process is gone, and another one is seconds
-// away. The store tells of it too late, after several missing heartbeats.
+// A response breaks because its target exited, because its connection was
+// reset, or because the target gave up that one response. Only an exited target
+// refuses connections: its process is gone, and another one takes seconds to
+// start. The store reports an exit too late, after several missed heartbeats.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_TARGETEXITDETECTOR_H
@@ -24,55 +23,58 @@
 
 namespace yardrill::gateway {
 
-/// What a new connection says of a target.
+/// Outcome of a connection attempt to a target's address.
 enum class ProbeResult {
-  Listens, ///< Somebody answers at its address.
-  Gone,    ///< Nobody listens there.
-  Unknown, ///< Nothing came back.
+  Listens, ///< The connection was accepted.
+  Gone,    ///< The connection was refused, since no process listens.
+  Unknown, ///< The attempt failed otherwise, such as by a timeout.
 };
 
 struct TargetExitDetectorHooks {
-  /// Tries a new connection.
+  /// Tries to open a new connection.
   std::function<ProbeResult(const routing::Target &,
                             boost::asio::yield_context)>
       m_Probe;
-  /// A target ended while a request with that content was under way there.
+  /// Called when a target exited while it ran a request with that content.
   std::function<void(const routing::Target &,
                      const quarantine::ContentDigest &)>
       m_ReportExit;
 };
 
+/// Finds the requests during which a target exited, and reports their contents,
+/// which the quarantine counts. GatewayRequest calls it for broken responses.
 class TargetExitDetector {
 public:
   TargetExitDetector(boost::asio::io_context &Context,
                      TargetExitDetectorHooks Hooks)
       : m_Context(Context), m_Hooks(std::move(Hooks)) {}
 
-  /// An answer of \p Which broke off. Returns once a new connection has said
-  /// what it can; all answers that break off together share one.
+  /// Records that a response of \p Which broke. Returns when a probe has ended,
+  /// or at once if the exit is known; concurrent broken responses share a
+  /// probe.
   void noteBrokenResponse(const routing::Target &Which,
                           const quarantine::ContentDigest &Content,
                           boost::asio::yield_context Yield);
-  /// Others say that the run has ended: nobody listens at its address, another
-  /// run answers there, or its announcement is gone. Counts for answers after
-  /// which a new connection said nothing.
+  /// Records other evidence that an incarnation exited: a refused connection,
+  /// another incarnation at its address, or the removal of its announcement.
+  /// Decides for broken responses whose probe had no result.
   void noteTargetExit(const routing::TargetIncarnation &Incarnation);
-  /// Forgets what nothing was heard of for a while. To be called a few times a
-  /// second.
+  /// Removes broken responses too old for evidence of an exit. To be called a
+  /// few times a second.
   void upkeep(core::TimePoint Now);
 
 private:
-  /// Answers of one run that broke off lately.
+  /// Recent broken responses of one incarnation.
   struct BrokenResponses {
     BrokenResponses(boost::asio::io_context &Context, routing::Target Which)
         : m_Target(std::move(Which)), m_ProbeDone(Context) {}
 
     routing::Target m_Target;
-    std::vector<quarantine::ContentDigest> m_Contents; ///< Not told yet.
+    std::vector<quarantine::ContentDigest> m_Contents; ///< Not reported yet.
     bool m_IsProbing = false;
     bool m_HasExited = false;
     core::TimePoint m_LastBrokenAt{};
-    core::Timer m_ProbeDone; ///< Cancelled when it is known.
+    core::Timer m_ProbeDone; ///< Cancelled when the probe ends.
   };
   using BrokenResponsesHandle = std::shared_ptr<BrokenResponses>;
 
--- a/Tests/LibGateway/TargetExitDetectorTest.cpp
+++ b/Tests/LibGateway/TargetExitDetectorTest.cpp
@@ -1,5 +1,4 @@
-//===-- TargetExitDetectorTest.cpp - Ends of targets, and what looks like one
-//-----===//
+//===-- TargetExitDetectorTest.cpp - Exits of targets and probes ----------===//
 #include "LibGateway/TargetExitDetector.h"
 
 #include <boost/asio/detached.hpp>
@@ -66,7 +65,7 @@
     run();
     CPPUNIT_ASSERT_EQUAL(2, m_Returned);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_Reported.size());
-    // One that is noticed later needs no further connection.
+    // A response that breaks later needs no further probe.
     breakResponse(3);
     run();
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), m_Reported.size());
@@ -77,7 +76,7 @@
     m_ProbeResult = ProbeResult::Listens;
     breakResponse(1);
     run();
-    // It ends later, for a reason of its own.
+    // A later exit has another cause.
     m_Detector.noteTargetExit(target().run());
     CPPUNIT_ASSERT(m_Reported.empty());
   }
