--- a/Libraries/LibGateway/BackpressureService.cpp
+++ b/Libraries/LibGateway/BackpressureService.cpp
@@ -10,6 +10,7 @@
 
 using routing::BackpressureReport;
 
+/// Period in which reports are sent again.
 static constexpr std::chrono::seconds ResendPeriod{1};
 
 static peer::BackpressureEntry toMessage(const BackpressureReport &What,
@@ -25,7 +26,7 @@
   return Out;
 }
 
-/// \returns none for what no instance says.
+/// \returns none if the rate is negative or not finite.
 static std::optional<BackpressureReport>
 fromMessage(const peer::BackpressureEntry &Received, core::TimePoint Now) {
   if (!std::isfinite(Received.m_PerSecond) || Received.m_PerSecond < 0)
@@ -35,7 +36,7 @@
                        core::TargetStartTime(Received.m_StartTime)};
   if (Received.m_IsLimited)
     Out.m_Limit.m_PerSecond = Received.m_PerSecond;
-  // Longer ago than this machine runs: before all that it heard itself.
+  // A limit older than the local clock precedes everything received here.
   auto MaxAge = static_cast<std::uint64_t>(Now.time_since_epoch().count());
   Out.m_Limit.m_At =
       Now - core::Duration(std::min(Received.m_LimitAgeUs, MaxAge));
@@ -52,7 +53,7 @@
   bool IsChanged = m_Targets.throttles().update(Incarnation, Backpressure, Now);
   if (IsChanged || Backpressure.m_Backoff || Backpressure.m_IsLimitUnreadable)
     logChange(Incarnation, Backpressure);
-  // A rest is asked of this instance alone.
+  // A back-off concerns this instance alone.
   if (!IsChanged)
     return;
   UpdatesByPeer Updates;
--- a/Libraries/LibGateway/BackpressureService.h
+++ b/Libraries/LibGateway/BackpressureService.h
@@ -1,9 +1,8 @@
-//===-- BackpressureService.h - What targets say, between instances
-//--------===//
+//===-- BackpressureService.h - Shares targets' backpressure --------------===//
 //
-// An instance that may not send to a limited target hears of the limit, and of
-// its end, from those that may. What changes is told at once, and again every
-// second, since datagrams are lost.
+// An instance that may not send to a limited target learns of the limit, and of
+// its end, from those that may. Changes are sent at once, and again every
+// second since datagrams may be lost.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_BACKPRESSURESERVICE_H
@@ -19,6 +18,8 @@
 
 namespace yardrill::gateway {
 
+/// Applies the backpressure that targets state in responses to the throttles in
+/// the target directory, and exchanges it with the other instances.
 class BackpressureService {
 public:
   using Send =
@@ -28,24 +29,27 @@
                       Send Hook)
       : m_Self(std::move(Self)), m_Targets(Targets), m_Send(std::move(Hook)) {}
 
-  /// An answer to this instance said so.
+  /// Applies what a response to this instance states, and sends it to the other
+  /// instances if it is new.
   void noteStated(const routing::Target &Which,
                   const routing::TargetBackpressure &Backpressure,
                   core::TimePoint Now);
-  /// Takes a message of another instance.
+  /// Applies a message of another instance, if it is a backpressure update.
   void handle(const peer::PeerMessage &Message, core::TimePoint Now);
-  /// Tells again what is due. To be called a few times a second.
+  /// Sends the reports that are due again. To be called a few times a second.
   void upkeep(core::TimePoint Now);
 
 private:
   using UpdatesByPeer =
       std::map<config::Endpoint, std::vector<peer::BackpressureEntry>>;
 
-  /// Adds what is known of a run to the news for all that work with it.
+  /// Adds a report to the updates for all other instances that use the target.
   void add(const routing::BackpressureReport &What, core::TimePoint Now,
            UpdatesByPeer &Updates);
+  /// Sends the updates, split by the size of a datagram.
   void send(const UpdatesByPeer &Updates);
-  /// \param Said now by the target itself, beside what is known.
+  /// \param Stated backpressure in the target's response; empty if another
+  /// instance reported the change.
   void logChange(const routing::TargetIncarnation &Incarnation,
                  const routing::TargetBackpressure &Stated) const;
 
--- a/Tests/LibGateway/BackpressureServiceTest.cpp
+++ b/Tests/LibGateway/BackpressureServiceTest.cpp
@@ -1,3 +1,4 @@
+//===-- BackpressureServiceTest.cpp - Exchange of backpressure ------------===//
 #include "LibGateway/BackpressureService.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -62,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), Entry.m_Target);
     CPPUNIT_ASSERT(Entry.m_IsLimited && Entry.m_PerSecond == 2);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), Entry.m_LimitAgeUs);
-    // The same again is no news.
+    // An unchanged limit is not sent again.
     m_Service.noteStated(announce("a"), limited(2), m_Now + seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Sent.size());
   }
@@ -85,7 +86,7 @@
       m_Service.noteStated(Which, {}, m_Now);
       m_Service.upkeep(m_Now);
     }
-    // A rest is for this instance alone.
+    // A back-off concerns this instance alone.
     routing::TargetBackpressure BackoffOnly;
     BackoffOnly.m_Backoff = seconds(3);
     m_Service.noteStated(Which, BackoffOnly, m_Now);
@@ -112,7 +113,7 @@
                        std::numeric_limits<double>::infinity(), -1.0})
       receive(Bad, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Targets.throttles().limited());
-    // Heard before all else, whatever the age.
+    // An age beyond the local clock counts as its start.
     receive(3, std::numeric_limits<std::uint64_t>::max());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.throttles().limited());
     receive(2, 5000);
