--- a/Libraries/LibGateway/RequestAdmission.h
+++ b/Libraries/LibGateway/RequestAdmission.h
@@ -1,4 +1,4 @@
-//===-- RequestAdmission.h - Whether a request is let in, and as what -----===//
+//===-- RequestAdmission.h - Admits or rejects a request by its route -----===//
 #ifndef YARDRILL_LIBGATEWAY_REQUESTADMISSION_H
 #define YARDRILL_LIBGATEWAY_REQUESTADMISSION_H
 
@@ -9,25 +9,29 @@
 
 namespace yardrill::gateway {
 
-/// A request that was let in, or the answer that ends it.
+/// Data of an admitted request, or the status and reason of a rejection.
 struct AdmissionResult {
-  unsigned m_Status = 0; ///< 0: let in; else the answer's.
-  const char *m_Reason = "";
-  const routing::Route *m_Route = nullptr;     ///< Of the table asked.
-  const routing::Account *m_Account = nullptr; ///< Null: none is known.
+  unsigned m_Status = 0;     ///< 0: admitted; else the response's status.
+  const char *m_Reason = ""; ///< Reason of a rejection, for logs and metrics.
+  const routing::Route *m_Route = nullptr;     ///< Owned by the routing table.
+  const routing::Account *m_Account = nullptr; ///< Null: no known account.
   core::PoolName m_Pool;
   core::TierNumber m_Tier{1};
-  std::uint32_t m_Charge = 0; ///< Tokens to be drawn from its quota.
-  core::TimePoint m_EndsAt{};
+  std::uint32_t m_Charge = 0; ///< Tokens to take from the account's quota.
+  core::TimePoint m_EndsAt{}; ///< Deadline of the response.
 };
 
+/// Checks a request against the routing table: its route, API key, tier and
+/// deadline. GatewayRequest checks the quarantine and the quota afterwards.
 class RequestAdmission {
 public:
   /// \param Table null while no configuration is known.
+  /// \param Now arrival of the request.
   RequestAdmission(const routing::RoutingTable *Table, core::TimePoint Now)
       : m_Table(Table), m_Now(Now) {}
 
-  /// \param Point uniformly distributed; it chooses among a route's pools.
+  /// \param Point uniformly distributed random number that selects one of the
+  /// route's pools.
   AdmissionResult admit(const RequestDescription &Request, std::uint64_t Point);
 
 private:
--- a/Libraries/LibGateway/RequestInfo.h
+++ b/Libraries/LibGateway/RequestInfo.h
@@ -1,8 +1,4 @@
-//===-- RequestInfo.h - What is known of one request ---------------------===//
-//
-// Read by its logs and metrics, which stand apart from what decides.
-//
-//===----------------------------------------------------------------------===//
+//===-- RequestInfo.h - Data of one request for logs and metrics ----------===//
 #ifndef YARDRILL_LIBGATEWAY_REQUESTINFO_H
 #define YARDRILL_LIBGATEWAY_REQUESTINFO_H
 
@@ -19,31 +15,37 @@
 
 namespace yardrill::gateway {
 
+/// Data of one request that its logs and metrics show. Base of GatewayRequest,
+/// kept apart from the code that handles the request.
 struct RequestInfo {
   RequestDescription m_Description;
-  routing::RoutingTableHandle m_Table; ///< In force when it was admitted.
+  routing::RoutingTableHandle m_Table; ///< In force on admission.
   const routing::Route *m_Route = nullptr;
   const routing::Account *m_Account = nullptr;
   core::PoolName m_Pool;
   core::TierNumber m_Tier{1};
-  routing::QuotaAcquisition m_Acquisition; ///< From the account's quota.
-  quarantine::ContentDigest m_Content;     ///< Since it was admitted.
+  routing::QuotaAcquisition m_Acquisition; ///< Tokens taken from the quota.
+  quarantine::ContentDigest m_Content;     ///< Set on admission.
   ResponseTiming m_Timing{core::steadyNow()};
-  std::optional<routing::Target> m_Target; ///< Chosen for the current try.
-  unsigned m_Status = 0;                   ///< Of an answer of our own.
-  const char *m_Reason = "";
+  std::optional<routing::Target> m_Target; ///< Target of the current attempt.
+  unsigned m_Status = 0;     ///< Status of a response by the gateway; 0: none.
+  const char *m_Reason = ""; ///< Outcome, or reason of the last failure.
 
   metrics::RequestLabels labels() const;
 
-  /// What became of its account's quota.
+  /// Logs the result of a quota acquisition. \pre m_Account is not null.
   void logQuota(const char *Event) const;
-  /// What decided for the target, and how old it is.
-  /// \param Known null: it is not known any more.
+  /// Logs that the request is sent to m_Target, with the data that the choice
+  /// was based on.
+  /// \param Known null if the target is no longer known.
+  /// \param StoreRevision revision of the mirrored state.
   void logDispatch(const routing::KnownTarget *Known,
                    platform::Revision StoreRevision) const;
+  /// Logs that the target did not run the request, under the event m_Reason.
   void logTargetRefusal(unsigned TargetStatus) const;
-  /// \param ResponseStatus of a target's answer that was passed on.
+  /// \param ResponseStatus status of a target's response that was relayed.
   void logCompletion(const char *Event, unsigned ResponseStatus) const;
+  /// Records the request's duration and outcome in the metrics.
   void countCompletion(metrics::MetricsRegistry &Metrics) const;
 };
 
