--- a/Libraries/LibGateway/RetryBudgets.cpp
+++ b/Libraries/LibGateway/RetryBudgets.cpp
@@ -2,8 +2,8 @@
 
 namespace yardrill::gateway {
 
-/// Part of the retry allowance that is used: twice as many instances as are
-/// seen may be at work, and one that restarts may have used its part before.
+/// Part of the retry allowance that is spent: twice as many instances as are
+/// visible may be active, and a restarted one may have spent its part before.
 static constexpr double UsableShare = 0.5;
 
 static routing::RetryLimits usableLimits(routing::RetryLimits Limits) {
--- a/Libraries/LibGateway/RetryBudgets.h
+++ b/Libraries/LibGateway/RetryBudgets.h
@@ -1,4 +1,4 @@
-//===-- RetryBudgets.h - The retry budgets of all pools -------------------===//
+//===-- RetryBudgets.h - Retry budgets of all pools -----------------------===//
 #ifndef YARDRILL_LIBGATEWAY_RETRYBUDGETS_H
 #define YARDRILL_LIBGATEWAY_RETRYBUDGETS_H
 
@@ -9,18 +9,22 @@
 
 namespace yardrill::gateway {
 
-/// This instance's part of what all instances may send again.
+/// Limits this instance's retries for each pool, so that all instances together
+/// keep within the configured limits.
 class RetryBudgets {
 public:
-  /// \param Limits of all instances together.
-  /// \param Since from when on this instance has spent nothing.
+  /// \param Limits for all instances together.
+  /// \param Since start of the time in which this instance is known to have
+  /// sent no retry.
   RetryBudgets(const routing::RetryLimits &Limits, core::TimePoint Since);
 
+  /// \returns the pool's budget, created on first use.
   routing::RetryBudget &of(const core::PoolName &Pool);
+  /// Replaces the limits; retries counted so far stay counted.
   void setLimits(const routing::RetryLimits &Limits);
 
 private:
-  routing::RetryLimits m_Limits; ///< Of each pool, as they are used.
+  routing::RetryLimits m_Limits; ///< For one pool; see usableLimits().
   core::TimePoint m_Since;
   std::unordered_map<core::PoolName, routing::RetryBudget> m_Budgets;
 };
--- a/Libraries/LibGateway/UploadBudget.cpp
+++ b/Libraries/LibGateway/UploadBudget.cpp
@@ -4,11 +4,11 @@
 
 namespace yardrill::gateway {
 
-/// The rest is the callers': at the sizes of today they use 5 % of the smallest
-/// links, five times as much in a burst.
+/// Share of the link for uploads. Callers use 5 % of the smallest links, and
+/// five times as much in a burst.
 static constexpr double LinkShare = 0.75;
-/// Small patches may queue up for this long; a report takes as long to tell of
-/// others that could be asked.
+/// Small patches may queue for this long, about the time until a load report
+/// names other instances that the peer can ask.
 static constexpr std::chrono::milliseconds MaxBacklog{100};
 
 UploadBudget::UploadBudget(double LinkBytesPerSecond)
--- a/Libraries/LibGateway/UploadBudget.h
+++ b/Libraries/LibGateway/UploadBudget.h
@@ -1,8 +1,4 @@
-//===-- UploadBudget.h - How much of the link peers may be sent -----------===//
-//
-// Pure. Callers and targets share the link with what peers ask for.
-//
-//===----------------------------------------------------------------------===//
+//===-- UploadBudget.h - Rate limit of uploads to peers -------------------===//
 #ifndef YARDRILL_LIBGATEWAY_UPLOADBUDGET_H
 #define YARDRILL_LIBGATEWAY_UPLOADBUDGET_H
 
@@ -12,18 +8,20 @@
 
 namespace yardrill::gateway {
 
+/// Limits the rate at which MirrorServer sends state to peers, since callers
+/// and targets share the link. Reads no clock; callers pass the time.
 class UploadBudget {
 public:
-  /// \param LinkBytesPerSecond of the instance's link.
+  /// \param LinkBytesPerSecond bandwidth of the instance's link.
   explicit UploadBudget(double LinkBytesPerSecond);
 
-  /// Counts an upload of \p Bytes, unless those before it are still on their
-  /// way: the peer is better served by another one then.
+  /// Reserves bandwidth for an upload of \p Bytes. \returns false while earlier
+  /// uploads are queued: another instance can then serve the peer sooner.
   bool tryTake(std::size_t Bytes, core::TimePoint Now);
 
 private:
-  double m_BytesPerSecond;
-  core::TimePoint m_FreeAt{}; ///< When all that was counted has passed.
+  double m_BytesPerSecond;    ///< Bandwidth for uploads.
+  core::TimePoint m_FreeAt{}; ///< Time at which all reserved uploads are sent.
 };
 
 } // namespace yardrill::gateway
--- a/Tests/LibGateway/UploadBudgetTest.cpp
+++ b/Tests/LibGateway/UploadBudgetTest.cpp
@@ -1,3 +1,4 @@
+//===-- UploadBudgetTest.cpp - Rate limit of uploads to peers -------------===//
 #include "LibGateway/UploadBudget.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -25,7 +26,7 @@
     CPPUNIT_ASSERT(!m_Budget.tryTake(1, m_Now + 400ms));
     CPPUNIT_ASSERT(m_Budget.tryTake(Large, m_Now + 700ms));
     CPPUNIT_ASSERT(!m_Budget.tryTake(Large, m_Now + 700ms));
-    // Rest is not saved up.
+    // Unused bandwidth does not accumulate.
     CPPUNIT_ASSERT(m_Budget.tryTake(Large, m_Now + 10s));
     CPPUNIT_ASSERT(!m_Budget.tryTake(Large, m_Now + 10s));
   }
