--- a/Libraries/LibGateway/Rotation.cpp
+++ b/Libraries/LibGateway/Rotation.cpp
@@ -6,7 +6,7 @@
 
 namespace yardrill::gateway {
 
-/// Multiples of it lie evenly over the list.
+/// Inverse of the golden ratio, whose multiples modulo 1 are evenly spread.
 static constexpr double GoldenRatio = 0.6180339887498949;
 
 void Rotation::setSize(std::size_t Size) {
@@ -15,8 +15,7 @@
   m_Size = Size;
   m_Stride = std::max<std::size_t>(
       1, static_cast<std::size_t>(static_cast<double>(Size) * GoldenRatio));
-  // Only a stride that has no divisor in common with the size meets all: one of
-  // 11 met 24 of 264.
+  // A stride that shares a divisor with the size would skip part of the list.
   while (std::gcd(m_Stride, m_Size) > 1)
     ++m_Stride;
 }
--- a/Libraries/LibGateway/Rotation.h
+++ b/Libraries/LibGateway/Rotation.h
@@ -1,4 +1,4 @@
-//===-- Rotation.h - Everyone's turn, spread over the whole list ----------===//
+//===-- Rotation.h - Visits a list in an evenly spread order --------------===//
 #ifndef YARDRILL_LIBGATEWAY_ROTATION_H
 #define YARDRILL_LIBGATEWAY_ROTATION_H
 
@@ -6,13 +6,14 @@
 
 namespace yardrill::gateway {
 
-/// Pure. Indexes of a list in an order that meets each one once before any
-/// comes again, and whose neighbours lie far apart.
+/// Yields the indexes of a list so that each occurs once before any repeats and
+/// successive ones lie far apart. PeerService spreads its reports to the peers
+/// of other groups by it.
 class Rotation {
 public:
-  /// Goes on from where it stands.
+  /// Changes the size of the list and continues from the last index.
   void setSize(std::size_t Size);
-  /// \pre The size is not 0.
+  /// \returns the next index. \pre The size is not 0.
   std::size_t next();
 
 private:
--- a/Tests/LibGateway/RotationTest.cpp
+++ b/Tests/LibGateway/RotationTest.cpp
@@ -1,7 +1,7 @@
-//===-- RotationTest.cpp - Everyone's turn --------------------------------===//
+//===-- RotationTest.cpp - Order in which a list is visited ---------------===//
 //
-// Far peers were told in strides of 11; where their number was a multiple of
-// 11, an eleventh of them was told again and again, and the others never.
+// Guards against a stride that shares a divisor with the size of the list,
+// which would skip a part of it.
 //
 //===----------------------------------------------------------------------===//
 #include "LibGateway/Rotation.h"
@@ -34,7 +34,7 @@
     for (std::size_t Size : {80, 264, 281, 440}) {
       Rotation Indexes;
       Indexes.setSize(Size);
-      // A tenth of the turns meets each quarter of the list.
+      // The first tenth of the indexes reaches each quarter of the list.
       std::set<std::size_t> Quarters;
       for (std::size_t I = 0; I < Size / 10; ++I)
         Quarters.insert(Indexes.next() * 4 / Size);
