--- a/Tests/LibGateway/GatewayTest.cpp
+++ b/Tests/LibGateway/GatewayTest.cpp
@@ -1,7 +1,7 @@
-//===-- GatewayTest.cpp - Requests through one real gateway ---------------===//
+//===-- GatewayTest.cpp - Requests through one gateway --------------------===//
 //
-// The gateway runs as it is on loopback; the store is a mock, and targets are
-// scripts that write what a test wants, right or wrong.
+// The gateway and its servers are real; the store is a mock, and targets are
+// scripts that send correct or malformed responses.
 //
 //===----------------------------------------------------------------------===//
 #include "GatewayFixture.h"
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT(Seen["Attempt-Id"] == *Asked.m_Headers.find("Attempt-Id"));
     int Left = std::stoi(std::string(Seen["Deadline-Ms"]));
     CPPUNIT_ASSERT(Left > 1500 && Left <= 2000);
-    // A route without keys names no client account.
+    // A request without a key on a public route has no client account.
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/open/x", "")).m_Status);
     CPPUNIT_ASSERT(m_Targets[0]->requests().at(1)["Tenant"].empty());
   }
@@ -82,7 +82,7 @@
     Nameless.m_Headers.remove("Attempt-Id");
     CPPUNIT_ASSERT_EQUAL(400U, send(Nameless).m_Status);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), allRequests());
-    // 50 tokens of a bucket that has just begun to fill, then debt.
+    // The bucket has just begun to fill; 50 tokens leave it in debt.
     eventually(
         [&] { return send(request("/once/x", "poor")).m_Status == 200; });
     Reply Over = send(request("/once/x", "poor"));
@@ -100,7 +100,7 @@
   }
 
   void testRetriesAfterTargetRefusal() {
-    // Whichever target a request comes to first refuses it.
+    // The first target that receives a request refuses it.
     std::set<std::string> Seen;
     auto Script = [&Seen](const Request &Read) {
       bool IsFirst = Seen.insert(idOf(Read)).second;
@@ -122,14 +122,14 @@
     start();
     for (int I = 0; I < 6; ++I) {
       CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
-      // Longer than a target rests after a failure.
+      // Longer than the first cooldown of a target after a failure.
       std::this_thread::sleep_for(std::chrono::milliseconds(150));
     }
     CPPUNIT_ASSERT(m_Targets[0]->requests().size() <= 1);
   }
 
-  /// A call that may run once was lost with a connection that the target's
-  /// earlier run had left behind.
+  /// Guards against non-idempotent requests that are lost on a connection to
+  /// the target's earlier incarnation.
   void testRestartedTargetGetsNewConnections() {
     addTarget([](const Request &Read) { return whole(Read, "answer"); });
     start();
@@ -140,15 +140,15 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
     CPPUNIT_ASSERT_EQUAL(2, m_Targets[0]->m_Accepted.load());
-    // The same run says more of itself.
+    // The same incarnation changes its announcement.
     m_Store.change(keyOf(1), announcement(1, 2) + " ");
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
     CPPUNIT_ASSERT_EQUAL(2, m_Targets[0]->m_Accepted.load());
   }
 
-  /// An entry is overwritten by somebody who is no target, and others are added
-  /// beside it: the sound target serves on, alone.
+  /// Guards against malformed entries that keep a replaced announcement in
+  /// force or stop the use of other targets.
   void testUnreadableAnnouncementRemovesTarget() {
     addTarget([](const Request &Read) { return whole(Read, "one"); });
     addTarget([](const Request &Read) { return whole(Read, "two"); });
@@ -156,7 +156,7 @@
     m_Store.change(keyOf(1), R"({"service":"app"})");
     m_Store.change("servers/other", "\xff\xfe");
     m_Store.change("servers/", announcement(1, 1));
-    // Longer than a missing announcement is waited for.
+    // Longer than a target without its announcement is used.
     std::this_thread::sleep_for(std::chrono::milliseconds(1700));
     std::size_t Before = m_Targets[0]->requests().size();
     for (int I = 0; I < 6; ++I)
@@ -201,7 +201,7 @@
       if (!Read["Last-Event-Id"].empty())
         return streamHead(Read) + chunk("id: 2\ndata: b\n\n") +
                chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n";
-      // Stops partway through the second event.
+      // Breaks within the second event.
       return streamHead(Read) + chunk("id: 1\ndata: a\n\nid: 2\nda") + "!";
     };
     addTarget(Script);
@@ -264,7 +264,7 @@
     asio::post(m_Context, [&] { m_Gateway->stop([&] { IsFinished = true; }); });
     CPPUNIT_ASSERT(eventually([this] { return readiness() == 503; }));
     MayAnswer = true;
-    // Still served, and told to go elsewhere next time.
+    // The request is served, and its connection is closed afterwards.
     Reply Got = send(request("/again/x"));
     CPPUNIT_ASSERT_EQUAL(200U, Got.m_Status);
     CPPUNIT_ASSERT_EQUAL(std::string("close"), Got.header("Connection"));
@@ -285,7 +285,7 @@
       asio::write(Callers.back(), asio::buffer(Text));
     }
     CPPUNIT_ASSERT(eventually([this] { return allRequests() == 4; }));
-    // The others wait for a place.
+    // The other requests wait for a slot.
     tearDown();
   }
 };
--- a/Tests/LibGateway/TargetBackoffTest.cpp
+++ b/Tests/LibGateway/TargetBackoffTest.cpp
@@ -1,17 +1,7 @@
-//===-- TargetBackoffTest.cpp - A target that asks for rest, or leaves
-//-------===//
+//===-- TargetBackoffTest.cpp - Targets that back off or leave ------------===//
 //
-// What users saw: a target turned an instance away and said for how long it
-// wanted nothing from it; that instance sent it request after request in that
-// time.
-//
-// Order of events: several targets of a pool turn requests away at the same
-// time. An instance rests from each for tenths of a second, by its own guess;
-// and while all of them rest, it uses all of them again.
-//
-// Cause: the time that a target asks for was not read, and a rest was a
-// preference that no longer counts where all rest. Evidence: the logs have 49
-// requests sent within a rest, 38 of them while three targets or more rested.
+// Guards against requests to a target within the back-off that it asked for,
+// also while all targets of the pool back off, and to a target that leaves.
 //
 //===----------------------------------------------------------------------===//
 #include "GatewayFleet.h"
@@ -32,7 +22,7 @@
 
   static constexpr std::size_t Targets = 3;
   static constexpr milliseconds Backoff{2000};
-  /// Requests that are on their way when the answer comes.
+  /// Time after a refusal in which requests that are in flight may arrive.
   static constexpr milliseconds InFlightTime{500};
   static constexpr std::size_t MaxInBackoff = 2;
 
@@ -45,7 +35,7 @@
     Reply m_Reply;
     core::TimePoint m_At;
   };
-  /// Sends for so long, 25 requests a second, whatever becomes of them.
+  /// Sends 25 requests a second for \p Time, without waiting for responses.
   static std::vector<TimedReply> sendFor(GatewayFleet &Fleet,
                                          milliseconds Time) {
     core::TimePoint End = core::steadyNow() + Time;
@@ -62,7 +52,7 @@
       Out.push_back(Each.get());
     return Out;
   }
-  /// More requests than one target has places; all are served.
+  /// Sends more requests than one target has slots; all must be served.
   static void sendConcurrently(GatewayFleet &Fleet, std::size_t Gateway) {
     std::vector<std::future<Reply>> Calls;
     for (int I = 0; I < 12; ++I)
@@ -72,8 +62,8 @@
     for (auto &Each : Calls)
       CPPUNIT_ASSERT_EQUAL(200U, Each.get().m_Status);
   }
-  /// When the first of all targets, which all turn everything away, has rested
-  /// by what it asked for until \p Now.
+  /// \returns the earliest end of the back-offs that the targets, which refuse
+  /// all requests, asked for until \p Now.
   static core::TimePoint firstBackoffEnd(GatewayFleet &Fleet,
                                          core::TimePoint Now) {
     core::TimePoint First = core::TimePoint::max();
@@ -86,7 +76,8 @@
     }
     return First;
   }
-  /// Arrivals in each rest of a target that turns everything away.
+  /// \returns the most arrivals within one back-off of a target that refuses
+  /// all requests.
   static std::size_t
   maxInBackoff(const std::vector<core::TimePoint> &Arrivals) {
     std::size_t Max = 0;
@@ -110,8 +101,7 @@
     std::vector<TimedReply> Got = sendFor(Fleet, milliseconds(4500));
     for (std::size_t I = 0; I < Targets; ++I)
       CPPUNIT_ASSERT(maxInBackoff(Fleet.arrivalsAt(I)) <= MaxInBackoff);
-    // Those who are refused come back when the first rest is over, and not all
-    // at once.
+    // Refused callers are told to return after the first back-off, spread out.
     std::set<std::string> Times;
     for (const TimedReply &Each : Got) {
       CPPUNIT_ASSERT_EQUAL(503U, Each.m_Reply.m_Status);
@@ -134,12 +124,12 @@
       refuseRequests(Fleet, I);
     for (std::size_t I = 0; I < Targets; ++I)
       Fleet.send(0, "/again/x", "");
-    // Long enough to be forgotten.
+    // Long enough for the target to be removed.
     Fleet.withTargets([&] { Fleet.target(0).withdrawAnnouncement(); });
     std::this_thread::sleep_for(milliseconds(1500));
     Fleet.withTargets([&] { Fleet.target(0).announceAgain(); });
     std::this_thread::sleep_for(milliseconds(100));
-    // 1.6 s of the 2 s have passed.
+    // 1.6 s of the 2 s of back-off have passed.
     sendFor(Fleet, milliseconds(200));
     CPPUNIT_ASSERT(maxInBackoff(Fleet.arrivalsAt(0)) <= MaxInBackoff);
   }
@@ -156,7 +146,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, Fleet.send(0, "/again/x", "").m_Status);
   }
 
-  /// Before the store says so, and whatever the store says later.
+  /// The target leaves before the store says so, whatever it says later.
   void testLeavingTargetGetsNoRequests() {
     GatewayFleet Fleet(2, 2);
     Fleet.startAll();
@@ -172,7 +162,7 @@
     Fleet.withTargets([&] { Fleet.target(0).announceAgain(); });
     std::this_thread::sleep_for(milliseconds(100));
     sendFor(Fleet, milliseconds(500));
-    // The other instance was told.
+    // The other instance has received the update.
     sendConcurrently(Fleet, 1);
     for (const core::TimePoint &Each : Fleet.arrivalsAt(0))
       CPPUNIT_ASSERT(Each < Since);
--- a/Tests/LibGateway/TargetLimitTest.cpp
+++ b/Tests/LibGateway/TargetLimitTest.cpp
@@ -1,15 +1,7 @@
-//===-- TargetLimitTest.cpp - A target that names a limit for all ---------===//
+//===-- TargetLimitTest.cpp - A rate limit for all instances --------------===//
 //
-// What users saw: targets in need named the requests a second that they take
-// from all instances together, and got almost twice that.
-//
-// Order of events: a target names a limit in its answers. Each instance goes on
-// sending to it as before, and it gets as much as the targets beside it.
-//
-// Cause: what a target says of itself was not read, only guessed from its
-// failures; and a target with a limit does not fail. Evidence: the logs of all
-// instances had as many requests sent to the limited targets as to the others,
-// and no refusal.
+// Guards against instances that together exceed the requests a second which a
+// target states as its limit for all of them.
 //
 //===----------------------------------------------------------------------===//
 #include "GatewayFleet.h"
@@ -21,7 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Callers at every gateway that ask one after the other, with a pause.
+/// One caller at each gateway, which sends one request after the other with a
+/// pause between them.
 class SteadyCallers {
 public:
   SteadyCallers(GatewayFleet &Fleet, milliseconds Pause) : m_Fleet(Fleet) {
@@ -62,16 +55,16 @@
   static constexpr std::size_t Targets = 3;
   static constexpr double Limit = 1.2;
   static constexpr milliseconds Window{4000};
-  /// Until then a process is not sure that it has found the others.
+  /// Time until a process has completed the discovery of the others.
   static constexpr milliseconds SettleTime{3200};
-  /// From the first naming until the limit must hold.
+  /// Time from the first statement of a limit until it must hold.
   static constexpr milliseconds PropagationTime{3000};
   static constexpr milliseconds Pause{60};
 
   static std::size_t maxAllowed() {
     return static_cast<std::size_t>(1.5 * Limit * 4 + 5);
   }
-  /// Most arrivals within the window, of those after \p Since.
+  /// \returns the most arrivals after \p Since within one window.
   static std::size_t worstWindow(const std::vector<core::TimePoint> &Arrivals,
                                  core::TimePoint Since) {
     std::size_t Max = 0;
@@ -89,7 +82,7 @@
         Arrivals.end() -
         std::lower_bound(Arrivals.begin(), Arrivals.end(), Since));
   }
-  /// All gateways are ready and have found each other.
+  /// \returns a fleet whose gateways are ready and have found each other.
   static std::unique_ptr<GatewayFleet> settledFleet() {
     auto Out = std::make_unique<GatewayFleet>(Gateways, Targets);
     Out->startAll();
@@ -116,9 +109,9 @@
     std::this_thread::sleep_for(2 * Window);
     std::vector<core::TimePoint> Arrivals = Fleet.arrivalsAt(0);
     CPPUNIT_ASSERT(worstWindow(Arrivals, Since) <= maxAllowed());
-    // It is in need, not closed: half of what it takes in 8 s, at least.
+    // The target is limited, not closed: at least half of its limit in 8 s.
     CPPUNIT_ASSERT(countSince(Arrivals, Since) >= 5);
-    // The others have room for what it does not take.
+    // The other targets have capacity for the rest.
     CPPUNIT_ASSERT_EQUAL(0, Callers.m_Refused.load());
   }
 
@@ -134,7 +127,7 @@
     std::this_thread::sleep_for(2 * Window);
     for (std::size_t I = 0; I < Targets; ++I)
       CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(I), Since) <= maxAllowed());
-    // Three targets of 1.2 a second over 8 s: half of 28.
+    // Half of 28, the limit of three targets at 1.2 a second over 8 s.
     CPPUNIT_ASSERT(Callers.m_Served >= 14);
   }
 
@@ -145,14 +138,15 @@
     SteadyCallers Callers(Fleet, Pause);
     std::this_thread::sleep_for(PropagationTime);
     core::TimePoint Since = core::steadyNow();
-    // One after the other; each is excused for a while, their sum is not.
+    // One instance restarts after the other. Each alone may exceed the limit
+    // for a while, but their sum may not.
     for (std::size_t I = 0; I < 4; ++I) {
       std::this_thread::sleep_for(milliseconds(1000));
       Fleet.kill(I);
       Fleet.start(I);
     }
     std::this_thread::sleep_for(Window);
-    // One arrival more for each restart: what it had not heard yet.
+    // One more arrival for each restart, before the limit is received.
     CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(0), Since) <= maxAllowed() + 4);
   }
 
@@ -163,7 +157,8 @@
     stateLimit(Fleet, 0);
     std::this_thread::sleep_for(Window);
     Fleet.withTargets([&] { Fleet.target(0).state({}); });
-    // One request finds out, 1.2 come in a second; then all are told.
+    // One response shows the end of the limit, at 1.2 a second; then all
+    // instances are notified.
     std::this_thread::sleep_for(milliseconds(5000));
     core::TimePoint Since = core::steadyNow();
     std::this_thread::sleep_for(milliseconds(2000));
@@ -186,7 +181,7 @@
     CPPUNIT_ASSERT(countSince(Fleet.arrivalsAt(0), Since) > 2 * maxAllowed());
   }
 
-  /// The store forgets a target for a while; the run is the same.
+  /// The announcement is missing for a while; the incarnation is the same.
   void testLapsedAnnouncementDoesNotLiftALimit() {
     auto Settled = settledFleet();
     GatewayFleet &Fleet = *Settled;
