--- a/Tests/LibGateway/EventSplitterTest.cpp
+++ b/Tests/LibGateway/EventSplitterTest.cpp
@@ -48,18 +48,18 @@
     platform::StoreMirror Mirror(10);
     Mirror.replaceAll(platform::Revision(5),
                       {{"k", std::string("v\0w", 3), platform::Revision(4)}});
-    auto Whole = MirrorUpdate::decode(MirrorUpdate::whole(Mirror).encode());
-    CPPUNIT_ASSERT(Whole.m_IsWhole);
+    auto Snapshot = MirrorUpdate::decode(MirrorUpdate::whole(Mirror).encode());
+    CPPUNIT_ASSERT(Snapshot.m_IsWhole);
     platform::StoreMirror Other(10);
-    Whole.applyTo(Other);
+    Snapshot.applyTo(Other);
     CPPUNIT_ASSERT(Other.revision() == platform::Revision(5));
     CPPUNIT_ASSERT_EQUAL(std::string("v\0w", 3), Other.content()[0].m_Value);
     Mirror.apply(platform::Revision(6),
                  {{"k", "", platform::Revision(6), true}});
-    auto Part = MirrorUpdate::decode(
+    auto Changes = MirrorUpdate::decode(
         MirrorUpdate::since(Mirror, Other.revision()).encode());
-    CPPUNIT_ASSERT(!Part.m_IsWhole);
-    Part.applyTo(Other);
+    CPPUNIT_ASSERT(!Changes.m_IsWhole);
+    Changes.applyTo(Other);
     CPPUNIT_ASSERT(Other.content().empty());
     CPPUNIT_ASSERT_THROW(MirrorUpdate::decode("nonsense"), core::Error);
   }
--- a/Tests/LibGateway/GatewayTest.cpp
+++ b/Tests/LibGateway/GatewayTest.cpp
@@ -37,8 +37,8 @@
   void testForwardsRequestAndResponse() {
     addTarget([](const Request &Read) { return whole(Read, "answer"); });
     start();
-    http::RequestMessage Asked = request("/once/x?y=%2f");
-    Reply Got = send(Asked);
+    http::RequestMessage Sent = request("/once/x?y=%2f");
+    Reply Got = send(Sent);
     CPPUNIT_ASSERT_EQUAL(200U, Got.m_Status);
     CPPUNIT_ASSERT_EQUAL(std::string("answer"), Got.m_Body);
     CPPUNIT_ASSERT_EQUAL(std::string("s"), Got.header("Replica-Seal"));
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(Seen["Expect-Replica"] == "i-1");
     CPPUNIT_ASSERT(Seen["Tenant"] == "owner");
     CPPUNIT_ASSERT(Seen["Api-Key"].empty());
-    CPPUNIT_ASSERT(Seen["Attempt-Id"] == *Asked.m_Headers.find("Attempt-Id"));
+    CPPUNIT_ASSERT(Seen["Attempt-Id"] == *Sent.m_Headers.find("Attempt-Id"));
     int Left = std::stoi(std::string(Seen["Deadline-Ms"]));
     CPPUNIT_ASSERT(Left > 1500 && Left <= 2000);
     // A request without a key on a public route has no client account.
--- a/Tests/LibGateway/TargetBackoffTest.cpp
+++ b/Tests/LibGateway/TargetBackoffTest.cpp
@@ -68,9 +68,9 @@
                                          core::TimePoint Now) {
     core::TimePoint First = core::TimePoint::max();
     for (std::size_t I = 0; I < Targets; ++I) {
-      std::vector<core::TimePoint> Asked = Fleet.arrivalsAt(I);
-      auto Last = std::upper_bound(Asked.begin(), Asked.end(), Now);
-      if (Last == Asked.begin())
+      std::vector<core::TimePoint> Refused = Fleet.arrivalsAt(I);
+      auto Last = std::upper_bound(Refused.begin(), Refused.end(), Now);
+      if (Last == Refused.begin())
         return Now;
       First = std::min(First, *std::prev(Last) + Backoff);
     }
@@ -81,12 +81,12 @@
   static std::size_t
   maxInBackoff(const std::vector<core::TimePoint> &Arrivals) {
     std::size_t Max = 0;
-    for (const core::TimePoint &Asked : Arrivals)
+    for (const core::TimePoint &Refused : Arrivals)
       Max = std::max(Max, static_cast<std::size_t>(std::count_if(
                               Arrivals.begin(), Arrivals.end(),
                               [&](const core::TimePoint &Each) {
-                                return Each > Asked + InFlightTime &&
-                                       Each < Asked + Backoff;
+                                return Each > Refused + InFlightTime &&
+                                       Each < Refused + Backoff;
                               })));
     return Max;
   }
