--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -19,8 +19,9 @@
 static constexpr std::chrono::milliseconds RolloutPeriod{50};
 /// Period of the upkeep of state that rarely changes.
 static constexpr std::chrono::milliseconds UpkeepPeriod{250};
-/// Time after the start in which requests wait for a configuration. Peers and
-/// the store supply it within 100 ms, unless they are unreachable.
+/// Time after the start in which requests wait for a configuration; later they
+/// are refused at once. Peers and the store, if reachable, respond within 100
+/// ms.
 static constexpr std::chrono::milliseconds ConfigurationTimeout{400};
 /// Time in which a stopping instance still accepts requests: the load balancer
 /// needs two seconds to notice that it is not ready.
@@ -28,11 +29,13 @@
 /// Time between the end of a stop and the kill.
 static constexpr std::chrono::milliseconds StopMargin{300};
 /// Range of the delay before an instance asks the store at a fleet's first
-/// start. Seeds ask at once, and the others receive the state from them.
+/// start. Seeds ask at once, and the others ask the seeds; a fleet has this
+/// time before its first request.
 static constexpr core::Duration MinStartDelay = std::chrono::milliseconds(1500);
 static constexpr core::Duration MaxStartDelay = std::chrono::seconds(4);
-/// Range of the delay before a restarted process asks the store. Peers respond
-/// sooner, and with a tenth of the store's bytes; callers wait meanwhile.
+/// Range of the delay before a restarted process asks the store. Peers, if any,
+/// respond within tens of milliseconds and with a tenth of the store's bytes;
+/// the delay is no longer than that, since callers wait meanwhile.
 static constexpr core::Duration MinRestartDelay = std::chrono::milliseconds(40);
 static constexpr core::Duration MaxRestartDelay = std::chrono::milliseconds(90);
 /// Delay before a process that has received the state asks the store: by then
--- a/Libraries/LibGateway/UploadBudget.cpp
+++ b/Libraries/LibGateway/UploadBudget.cpp
@@ -4,8 +4,8 @@
 
 namespace yardrill::gateway {
 
-/// Share of the link for uploads. Callers use 5 % of the smallest links, and
-/// five times as much in a burst.
+/// Share of the link for uploads. Callers use about 5 % of the smallest
+/// links, and five times as much in a burst.
 static constexpr double LinkShare = 0.75;
 /// Small patches may queue for this long, about the time until a load report
 /// names other instances that the peer can ask.
