--- a/Libraries/LibCore/Digest.cpp
+++ b/Libraries/LibCore/Digest.cpp
@@ -25,7 +25,7 @@
 
 std::string sha256Hex(std::string_view Text) { return toHex(sha256(Text)); }
 
-static void add(EVP_MD_CTX &Hash, std::string_view Part) {
+static void addLengthPrefixed(EVP_MD_CTX &Hash, std::string_view Part) {
   unsigned char Size[sizeof(std::uint64_t)];
   for (std::size_t I = 0; I < sizeof Size; ++I)
     Size[I] = static_cast<unsigned char>(std::uint64_t(Part.size()) >> (8 * I));
@@ -36,13 +36,13 @@
 std::string
 sha256LengthPrefixed(std::initializer_list<std::string_view> Parts) {
   // Looked up once: that costs as much as hashing a kilobyte.
-  static EVP_MD *const Kind = EVP_MD_fetch(nullptr, "SHA256", nullptr);
+  static EVP_MD *const Sha256 = EVP_MD_fetch(nullptr, "SHA256", nullptr);
   std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> Hash(EVP_MD_CTX_new(),
                                                                EVP_MD_CTX_free);
   std::string Out(SHA256_DIGEST_LENGTH, '\0');
-  EVP_DigestInit_ex2(Hash.get(), Kind, nullptr);
+  EVP_DigestInit_ex2(Hash.get(), Sha256, nullptr);
   for (std::string_view Part : Parts)
-    add(*Hash, Part);
+    addLengthPrefixed(*Hash, Part);
   EVP_DigestFinal_ex(Hash.get(), reinterpret_cast<unsigned char *>(Out.data()),
                      nullptr);
   return Out;
--- a/Libraries/LibCore/LogReader.cpp
+++ b/Libraries/LibCore/LogReader.cpp
@@ -38,10 +38,10 @@
     return std::nullopt;
   std::string_view Rest = Line.substr(At);
   LogEntry Out;
-  std::string_view Before = Line.substr(0, At);
-  while (!Before.empty() && Before.back() == ' ')
-    Before.remove_suffix(1);
-  Out.m_Source = std::string(Before.substr(Before.rfind(' ') + 1));
+  std::string_view Prefix = Line.substr(0, At);
+  while (!Prefix.empty() && Prefix.back() == ' ')
+    Prefix.remove_suffix(1);
+  Out.m_Source = std::string(Prefix.substr(Prefix.rfind(' ') + 1));
   while (!Rest.empty()) {
     std::size_t Equals = Rest.find('=');
     if (Equals == std::string_view::npos)
--- a/Libraries/LibCore/NonBlockingLogWriter.cpp
+++ b/Libraries/LibCore/NonBlockingLogWriter.cpp
@@ -50,8 +50,8 @@
     appendDropReport();
   std::size_t Written = 0;
   while (Written < m_Buffer.size()) {
-    pollfd Wanted{m_Descriptor, POLLOUT, 0};
-    if (poll(&Wanted, 1, 0) != 1 || (Wanted.revents & POLLOUT) == 0)
+    pollfd Poll{m_Descriptor, POLLOUT, 0};
+    if (poll(&Poll, 1, 0) != 1 || (Poll.revents & POLLOUT) == 0)
       break;
     std::size_t Size = std::min(WriteChunkBytes, m_Buffer.size() - Written);
     ssize_t Count = write(m_Descriptor, m_Buffer.data() + Written, Size);
--- a/Libraries/LibCore/NonBlockingLogWriter.h
+++ b/Libraries/LibCore/NonBlockingLogWriter.h
@@ -22,9 +22,9 @@
 /// there is room again. Used on one thread.
 class NonBlockingLogWriter {
 public:
-  NonBlockingLogWriter(int Descriptor, const LogWriterLimits &Budget)
-      : m_Descriptor(Descriptor), m_Limits(Budget),
-        m_LineTokens(Budget.m_Burst) {}
+  NonBlockingLogWriter(int Descriptor, const LogWriterLimits &Limits)
+      : m_Descriptor(Descriptor), m_Limits(Limits),
+        m_LineTokens(Limits.m_Burst) {}
 
   void add(const std::string &Line, TimePoint Now);
   /// Writes what the descriptor takes without waiting.
--- a/Libraries/LibHTTP/ClientConnection.cpp
+++ b/Libraries/LibHTTP/ClientConnection.cpp
@@ -37,22 +37,22 @@
 };
 
 static void throwIfFailed(error_code Failure, ErrorKind Kind,
-                          const char *Doing) {
+                          const char *Operation) {
   if (Failure)
-    throw Error(Kind, std::string(Doing) + ": " + Failure.message());
+    throw Error(Kind, std::string(Operation) + ": " + Failure.message());
 }
 
 /// A machine without power or behind a cut says nothing at all: the kernel's
 /// probes end such a connection after about three seconds.
 static void enableKeepAliveProbes(tcp::socket &Socket) {
-  using Seconds =
+  using IdleTime =
       asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
   using Interval =
       asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
   using Count = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
   error_code Ignored;
   Socket.set_option(asio::socket_base::keep_alive(true), Ignored);
-  Socket.set_option(Seconds(1), Ignored);
+  Socket.set_option(IdleTime(1), Ignored);
   Socket.set_option(Interval(1), Ignored);
   Socket.set_option(Count(2), Ignored);
 }
@@ -138,12 +138,12 @@
 std::string ClientConnection::readBodyData(core::Duration Timeout,
                                            asio::yield_context Yield) {
   auto &Parser = *m_Impl->m_Parser;
-  std::string Piece;
-  while (!Parser.is_done() && Piece.empty()) {
-    Piece.resize(ReadBufferBytes);
+  std::string Data;
+  while (!Parser.is_done() && Data.empty()) {
+    Data.resize(ReadBufferBytes);
     auto &Body = Parser.get().body();
-    Body.data = Piece.data();
-    Body.size = Piece.size();
+    Body.data = Data.data();
+    Body.size = Data.size();
     error_code Failure;
     m_Impl->m_Stream.expires_after(Timeout);
     beast::http::async_read_some(m_Impl->m_Stream, m_Impl->m_Buffer, Parser,
@@ -151,24 +151,24 @@
     if (Failure == beast::http::error::need_buffer)
       Failure = {};
     throwIfFailed(Failure, ErrorKind::OutcomeUnknown, "read body");
-    Piece.resize(ReadBufferBytes - Body.size);
+    Data.resize(ReadBufferBytes - Body.size);
   }
   m_Impl->m_IsResponseComplete = Parser.is_done();
-  return Piece;
+  return Data;
 }
 
 ResponseMessage ClientConnection::readResponse(core::Duration Timeout,
-                                               std::size_t MaximumBytes,
+                                               std::size_t MaxBytes,
                                                asio::yield_context Yield) {
   ResponseMessage Out;
   Out.m_Head = readHead(Timeout, Yield);
   while (true) {
-    std::string Piece = readBodyData(Timeout, Yield);
-    if (Piece.empty())
+    std::string Data = readBodyData(Timeout, Yield);
+    if (Data.empty())
       return Out;
-    if (Out.m_Body.size() + Piece.size() > MaximumBytes)
+    if (Out.m_Body.size() + Data.size() > MaxBytes)
       throw Error(ErrorKind::LimitExceeded, "answer is too large");
-    Out.m_Body += Piece;
+    Out.m_Body += Data;
   }
 }
 
--- a/Libraries/LibHTTP/ClientConnection.h
+++ b/Libraries/LibHTTP/ClientConnection.h
@@ -37,8 +37,8 @@
   /// \throws core::Error of kind OutcomeUnknown when the body is cut short.
   std::string readBodyData(core::Duration Timeout,
                            boost::asio::yield_context Yield);
-  /// readHead() and all pieces; at most \p MaximumBytes.
-  ResponseMessage readResponse(core::Duration Timeout, std::size_t MaximumBytes,
+  /// readHead() and all pieces; at most \p MaxBytes.
+  ResponseMessage readResponse(core::Duration Timeout, std::size_t MaxBytes,
                                boost::asio::yield_context Yield);
 
   /// True when the last answer was read whole and the other side has neither
--- a/Libraries/LibHTTP/ConnectionPool.cpp
+++ b/Libraries/LibHTTP/ConnectionPool.cpp
@@ -38,15 +38,16 @@
 
 void ConnectionPool::closeExpired() {
   core::TimePoint Now = core::steadyNow();
-  auto IsOld = [Now](const IdleConnection &Each) {
+  auto IsExpired = [Now](const IdleConnection &Each) {
     return Each.m_ExpiresAt <= Now;
   };
-  for (auto Place = m_Idle.begin(); Place != m_Idle.end();) {
-    auto &IdleConnections = Place->second;
-    IdleConnections.erase(
-        std::remove_if(IdleConnections.begin(), IdleConnections.end(), IsOld),
-        IdleConnections.end());
-    Place = IdleConnections.empty() ? m_Idle.erase(Place) : std::next(Place);
+  for (auto Position = m_Idle.begin(); Position != m_Idle.end();) {
+    auto &IdleConnections = Position->second;
+    IdleConnections.erase(std::remove_if(IdleConnections.begin(),
+                                         IdleConnections.end(), IsExpired),
+                          IdleConnections.end());
+    Position =
+        IdleConnections.empty() ? m_Idle.erase(Position) : std::next(Position);
   }
 }
 
--- a/Libraries/LibHTTP/Message.cpp
+++ b/Libraries/LibHTTP/Message.cpp
@@ -42,11 +42,11 @@
 void HeaderList::removeHopByHop() {
   // Names listed in Connection are hop-by-hop too (RFC 9110, section 7.6.1).
   if (const std::string *Listed = find("Connection")) {
-    std::string Rest = *Listed;
-    while (!Rest.empty()) {
-      auto Comma = Rest.find(',');
-      std::string Name = Rest.substr(0, Comma);
-      Rest = Comma == std::string::npos ? "" : Rest.substr(Comma + 1);
+    std::string Remaining = *Listed;
+    while (!Remaining.empty()) {
+      auto Comma = Remaining.find(',');
+      std::string Name = Remaining.substr(0, Comma);
+      Remaining = Comma == std::string::npos ? "" : Remaining.substr(Comma + 1);
       auto First = Name.find_first_not_of(" \t");
       auto Last = Name.find_last_not_of(" \t");
       if (First != std::string::npos)
--- a/Libraries/LibHTTP/Server.cpp
+++ b/Libraries/LibHTTP/Server.cpp
@@ -105,14 +105,14 @@
 }
 
 void BeastServer::serve(tcp::socket Socket) {
-  auto Place = m_Connections.insert(
+  auto Position = m_Connections.insert(
       m_Connections.end(), std::make_shared<ServerConnection>(
                                std::move(Socket), m_Limits, m_Handle,
                                m_MakeErrorResponse, m_IsKeepAliveDisabled));
   asio::spawn(
       m_Context,
-      [this, Place](asio::yield_context Yield) {
-        auto Owned = *Place;
+      [this, Position](asio::yield_context Yield) {
+        auto Owned = *Position;
         try {
           Owned->run(Yield);
         } catch (const std::exception &Failure) {
@@ -120,7 +120,7 @@
               .add("reason", Failure.what());
           Owned->abort();
         }
-        m_Connections.erase(Place);
+        m_Connections.erase(Position);
         m_AcceptTimer.cancel();
       },
       asio::detached);
@@ -130,9 +130,9 @@
   m_IsKeepAliveDisabled = m_IsStopping = true;
   m_Acceptor.close();
   m_AcceptTimer.cancel();
-  for (auto &Open : m_Connections)
-    if (Open->isIdle())
-      Open->close();
+  for (auto &Connection : m_Connections)
+    if (Connection->isIdle())
+      Connection->close();
 }
 
 std::unique_ptr<Server> Server::create(asio::io_context &Context,
--- a/Libraries/LibHTTP/Server.h
+++ b/Libraries/LibHTTP/Server.h
@@ -38,13 +38,13 @@
   /// Sends the head at once; the body follows in pieces.
   virtual void startStream(const ResponseHead &Head,
                            boost::asio::yield_context Yield) = 0;
-  virtual void sendBodyData(std::string_view Piece,
+  virtual void sendBodyData(std::string_view Data,
                             boost::asio::yield_context Yield) = 0;
   virtual void finishStream(boost::asio::yield_context Yield) = 0;
   /// Closes the connection, so that an answer in progress is seen as broken.
   virtual void abort() = 0;
   /// \p Hook runs once if the caller closes before the answer is complete.
-  virtual void setDisconnectCallback(std::function<void()> Hook) = 0;
+  virtual void setDisconnectCallback(std::function<void()> Callback) = 0;
   virtual bool isStreamStarted() const = 0;
 };
 
--- a/Libraries/LibHTTP/ServerConnection.cpp
+++ b/Libraries/LibHTTP/ServerConnection.cpp
@@ -158,18 +158,18 @@
   error_code Failure;
   m_Stream.socket().shutdown(tcp::socket::shutdown_send, Failure);
   m_Stream.expires_after(LingerTime);
-  std::size_t Left = m_Limits.m_BodyBytes;
-  while (!Failure && Left > 0) {
+  std::size_t BytesLeft = m_Limits.m_BodyBytes;
+  while (!Failure && BytesLeft > 0) {
     m_Buffer.clear();
     std::size_t Size = m_Stream.async_read_some(
         m_Buffer.prepare(ReadAheadBytes), Yield[Failure]);
-    Left -= std::min(Left, Size);
+    BytesLeft -= std::min(BytesLeft, Size);
   }
 }
 
-void ServerConnection::setDisconnectCallback(std::function<void()> Hook) {
+void ServerConnection::setDisconnectCallback(std::function<void()> Callback) {
   if (m_DisconnectCallback)
-    *m_DisconnectCallback = std::move(Hook);
+    *m_DisconnectCallback = std::move(Callback);
 }
 
 void ServerConnection::watchForDisconnect() {
@@ -181,9 +181,9 @@
     const std::weak_ptr<std::function<void()>> &Weak) {
   m_Stream.socket().async_wait(
       tcp::socket::wait_read, [this, Weak](error_code Failure) {
-        auto Hook = Weak.lock();
+        auto Callback = Weak.lock();
         // Gone: the answer is complete, and perhaps this connection too.
-        if (!Hook || Failure == asio::error::operation_aborted)
+        if (!Callback || Failure == asio::error::operation_aborted)
           return;
         char Byte = 0;
         error_code PeekFailure;
@@ -193,8 +193,8 @@
         if (PeekFailure == asio::error::would_block)
           return waitForDisconnect(Weak);
         // Data means a pipelined request: the caller is still there.
-        if (PeekFailure && *Hook)
-          (*Hook)();
+        if (PeekFailure && *Callback)
+          (*Callback)();
       });
 }
 
@@ -249,14 +249,14 @@
   throwIfWriteFailed(Failure);
 }
 
-void ServerConnection::sendBodyData(std::string_view Piece,
+void ServerConnection::sendBodyData(std::string_view Data,
                                     asio::yield_context Yield) {
   // An empty chunk would end the body.
-  if (Piece.empty() || m_HasNoBody)
+  if (Data.empty() || m_HasNoBody)
     return;
   error_code Failure;
   m_Stream.expires_after(m_Limits.m_WriteTimeout);
-  asio::const_buffer Bytes(Piece.data(), Piece.size());
+  asio::const_buffer Bytes(Data.data(), Data.size());
   if (m_IsChunked)
     asio::async_write(m_Stream, beast::http::make_chunk(Bytes), Yield[Failure]);
   else
--- a/Libraries/LibHTTP/ServerConnection.h
+++ b/Libraries/LibHTTP/ServerConnection.h
@@ -38,11 +38,11 @@
                     boost::asio::yield_context Yield) override;
   void startStream(const ResponseHead &Head,
                    boost::asio::yield_context Yield) override;
-  void sendBodyData(std::string_view Piece,
+  void sendBodyData(std::string_view Data,
                     boost::asio::yield_context Yield) override;
   void finishStream(boost::asio::yield_context Yield) override;
   void abort() override;
-  void setDisconnectCallback(std::function<void()> Hook) override;
+  void setDisconnectCallback(std::function<void()> Callback) override;
   bool isStreamStarted() const override { return m_IsStreamStarted; }
 
 private:
--- a/Libraries/LibPlatform/Backoff.cpp
+++ b/Libraries/LibPlatform/Backoff.cpp
@@ -5,11 +5,11 @@
 namespace yardrill::platform {
 
 core::Duration Backoff::next() {
-  std::uniform_int_distribution<core::Duration::rep> Draw(
+  std::uniform_int_distribution<core::Duration::rep> Distribution(
       m_InitialDelay.count() / 2, m_NextMaxDelay.count());
-  core::Duration Pause(Draw(m_Random));
+  core::Duration Delay(Distribution(m_Random));
   m_NextMaxDelay = std::min(m_NextMaxDelay * 2, m_MaxDelay);
-  return Pause;
+  return Delay;
 }
 
 } // namespace yardrill::platform
--- a/Libraries/LibPlatform/StoreMirror.cpp
+++ b/Libraries/LibPlatform/StoreMirror.cpp
@@ -85,17 +85,17 @@
 void StoreMirror::removeAbsent(Revision At,
                                const std::set<std::string> &Present) {
   // A newer entry was made after the content was read.
-  auto IsMissing = [&](const std::string &Key, Revision Modified) {
-    return Present.count(Key) == 0 && !(At < Modified);
+  auto IsAbsent = [&](const std::string &Key, Revision ModRevision) {
+    return Present.count(Key) == 0 && !(At < ModRevision);
   };
-  std::vector<std::string> Missing;
+  std::vector<std::string> Absent;
   for (const auto &[Key, Known] : m_Entries)
-    if (IsMissing(Key, Known.m_ModRevision))
-      Missing.push_back(Key);
-  for (const auto &[Key, What] : m_PendingValues)
-    if (IsMissing(Key, What.m_NewestRevision) && !find(Key))
-      Missing.push_back(Key);
-  for (const std::string &Key : Missing) {
+    if (IsAbsent(Key, Known.m_ModRevision))
+      Absent.push_back(Key);
+  for (const auto &[Key, Pending] : m_PendingValues)
+    if (IsAbsent(Key, Pending.m_NewestRevision) && !find(Key))
+      Absent.push_back(Key);
+  for (const std::string &Key : Absent) {
     // The revision of the removal is not told; At is the latest it can be.
     Entry Removal{Key, "", At, true};
     m_PendingValues.erase(Key);
@@ -129,8 +129,8 @@
 
 Revision StoreMirror::completeRevision() const {
   Revision Out = m_Revision;
-  for (const auto &[Key, What] : m_PendingValues)
-    Out = std::min(Out, Revision(What.m_OldestRevision.value() - 1));
+  for (const auto &[Key, Pending] : m_PendingValues)
+    Out = std::min(Out, Revision(Pending.m_OldestRevision.value() - 1));
   return Out;
 }
 
@@ -158,7 +158,7 @@
   std::vector<Entry> Out;
   for (const auto &[Key, Known] : m_Entries)
     Out.push_back(current(Key));
-  for (const auto &[Key, What] : m_PendingValues)
+  for (const auto &[Key, Pending] : m_PendingValues)
     if (!find(Key))
       Out.push_back(current(Key));
   return Out;
--- a/Libraries/LibPlatform/StoreMirror.h
+++ b/Libraries/LibPlatform/StoreMirror.h
@@ -45,8 +45,8 @@
   void subscribe(Subscriber Notify) { m_Notify.push_back(std::move(Notify)); }
 
   /// \p Hook gets each entry that was just replaced or removed.
-  void setReplacedCallback(ReplacedCallback Hook) {
-    m_Replaced = std::move(Hook);
+  void setReplacedCallback(ReplacedCallback Callback) {
+    m_Replaced = std::move(Callback);
   }
 
   /// Takes the whole content as of \p At. Entries may be newer than that: a
--- a/Tests/LibCore/LogTest.cpp
+++ b/Tests/LibCore/LogTest.cpp
@@ -10,7 +10,7 @@
   CPPUNIT_TEST(testSpecialCharactersAreEscaped);
   CPPUNIT_TEST_SUITE_END();
 
-  static std::string rest(const LogLine &Line) {
+  static std::string withoutTime(const LogLine &Line) {
     return Line.text().substr(Line.text().find(" event="));
   }
 
@@ -19,13 +19,14 @@
     LogLine Line("test");
     Line.add("request", RequestId(7)).add("pool", "seats").add("empty", "");
     CPPUNIT_ASSERT_EQUAL(
-        std::string(" event=test request=7 pool=seats empty=\"\""), rest(Line));
+        std::string(" event=test request=7 pool=seats empty=\"\""),
+        withoutTime(Line));
   }
 
   void testSpecialCharactersAreEscaped() {
     LogLine Line("test");
     Line.add("value", "a b\nlevel=error \"x\\\x01\x7f");
-    std::string Text = rest(Line);
+    std::string Text = withoutTime(Line);
     CPPUNIT_ASSERT_EQUAL(std::string(" event=test value=\"a b\\x0alevel=error "
                                      "\\\"x\\\\\\x01\\x7f\""),
                          Text);
--- a/Tests/LibCore/MPSCQueueTest.cpp
+++ b/Tests/LibCore/MPSCQueueTest.cpp
@@ -15,15 +15,15 @@
 public:
   void testFullQueueRejectsPush() {
     int Wakes = 0;
-    MPSCQueue<int> Small(4, [&] { ++Wakes; });
+    MPSCQueue<int> Queue(4, [&] { ++Wakes; });
     for (int I = 0; I < 4; ++I)
-      CPPUNIT_ASSERT(Small.tryPush(I));
-    CPPUNIT_ASSERT(!Small.tryPush(4));
+      CPPUNIT_ASSERT(Queue.tryPush(I));
+    CPPUNIT_ASSERT(!Queue.tryPush(4));
     CPPUNIT_ASSERT_EQUAL(1, Wakes);
     std::vector<int> Out;
-    Small.drain([&](int Value) { Out.push_back(Value); });
+    Queue.drain([&](int Value) { Out.push_back(Value); });
     CPPUNIT_ASSERT((Out == std::vector<int>{0, 1, 2, 3}));
-    CPPUNIT_ASSERT(Small.tryPush(5));
+    CPPUNIT_ASSERT(Queue.tryPush(5));
     CPPUNIT_ASSERT_EQUAL(2, Wakes);
   }
 
@@ -31,18 +31,18 @@
     static const int Producers = 4;
     static const int Each = 10000;
     std::atomic<int> Wakes{0};
-    MPSCQueue<int> Small(64, [&] { ++Wakes; });
+    MPSCQueue<int> Queue(64, [&] { ++Wakes; });
     std::vector<std::thread> Threads;
     for (int P = 0; P < Producers; ++P)
       Threads.emplace_back([&, P] {
         for (int I = 0; I < Each; ++I)
-          while (!Small.tryPush(P * Each + I))
+          while (!Queue.tryPush(P * Each + I))
             std::this_thread::yield();
       });
     std::vector<int> Last(Producers, -1);
     int Count = 0;
     while (Count < Producers * Each)
-      Small.drain([&](int Value) {
+      Queue.drain([&](int Value) {
         int P = Value / Each;
         CPPUNIT_ASSERT(Last[static_cast<std::size_t>(P)] < Value);
         Last[static_cast<std::size_t>(P)] = Value;
--- a/Tests/LibCore/NonBlockingLogWriterTest.cpp
+++ b/Tests/LibCore/NonBlockingLogWriterTest.cpp
@@ -51,9 +51,9 @@
   }
 
   void testStalledReaderDoesNotBlock() {
-    LogWriterLimits Budget;
-    Budget.m_Burst = 1e6;
-    NonBlockingLogWriter Log(m_Write, Budget);
+    LogWriterLimits Limits;
+    Limits.m_Burst = 1e6;
+    NonBlockingLogWriter Log(m_Write, Limits);
     std::string Line(1000, 'x');
     // The pipe holds 64 KiB, the buffer 256; the rest is dropped.
     for (int I = 0; I < 1000; ++I) {
@@ -83,11 +83,11 @@
   }
 
   void testLogSinkReceivesLines() {
-    std::string Seen;
-    setLogSink([&Seen](const std::string &Line) { Seen = Line; });
+    std::string Received;
+    setLogSink([&Received](const std::string &Line) { Received = Line; });
     LogLine("something").add("key", 1);
     setLogSink(nullptr);
-    CPPUNIT_ASSERT(Seen.find("event=something key=1") != std::string::npos);
+    CPPUNIT_ASSERT(Received.find("event=something key=1") != std::string::npos);
   }
 };
 
--- a/Tests/LibHTTP/ServerTest.cpp
+++ b/Tests/LibHTTP/ServerTest.cpp
@@ -23,15 +23,15 @@
   asio::io_context m_Context{1};
   std::unique_ptr<Server> m_Server;
   std::thread m_Thread;
-  std::atomic<int> m_HangUps{0};
+  std::atomic<int> m_Disconnects{0};
   std::atomic<int> m_Done{0};
 
-  void start(std::chrono::milliseconds WorkTime) {
+  void start(std::chrono::milliseconds ResponseDelay) {
     m_Server = Server::create(
         m_Context, {asio::ip::make_address("127.0.0.1"), 0}, ServerLimits(),
-        [this, WorkTime](Exchange &Call, asio::yield_context Yield) {
-          Call.setDisconnectCallback([this] { ++m_HangUps; });
-          asio::steady_timer Timer(m_Context, WorkTime);
+        [this, ResponseDelay](Exchange &Call, asio::yield_context Yield) {
+          Call.setDisconnectCallback([this] { ++m_Disconnects; });
+          asio::steady_timer Timer(m_Context, ResponseDelay);
           boost::system::error_code Ignored;
           Timer.async_wait(Yield[Ignored]);
           ResponseMessage Response;
@@ -45,14 +45,14 @@
         });
     m_Thread = std::thread([this] { m_Context.run(); });
   }
-  tcp::socket connect(asio::io_context &Own) const {
-    tcp::socket Out(Own);
+  tcp::socket connect(asio::io_context &ClientContext) const {
+    tcp::socket Out(ClientContext);
     Out.connect({asio::ip::make_address("127.0.0.1"), m_Server->port()});
     Out.set_option(tcp::no_delay(true));
     return Out;
   }
   /// The end of the body comes in a packet of its own, right behind the rest.
-  static void sendInPieces(tcp::socket &To) {
+  static void sendSplitRequest(tcp::socket &To) {
     static const std::string Head =
         "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 6\r\n\r\n";
     asio::write(To, asio::buffer(Head));
@@ -95,14 +95,14 @@
   void testDisconnectIsDetectedAfterSplitBody() {
     start(std::chrono::seconds(30));
     for (int I = 0; I < 50; ++I) {
-      asio::io_context Own;
-      tcp::socket To = connect(Own);
-      sendInPieces(To);
+      asio::io_context ClientContext;
+      tcp::socket To = connect(ClientContext);
+      sendSplitRequest(To);
       std::this_thread::sleep_for(std::chrono::milliseconds(3));
     }
-    for (int I = 0; I < 200 && m_HangUps < 50; ++I)
+    for (int I = 0; I < 200 && m_Disconnects < 50; ++I)
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    CPPUNIT_ASSERT_EQUAL(50, m_HangUps.load());
+    CPPUNIT_ASSERT_EQUAL(50, m_Disconnects.load());
   }
 };
 
--- a/Tests/LibPlatform/CallRateLimiterTest.cpp
+++ b/Tests/LibPlatform/CallRateLimiterTest.cpp
@@ -17,44 +17,44 @@
 
   core::TimePoint m_Now{std::chrono::hours(1)};
 
-  int takeAll(CallRateLimiter &Budget, CallClass Class) {
+  int acquireAll(CallRateLimiter &Limiter, CallClass Class) {
     int Count = 0;
-    while (Budget.tryAcquire(Class, m_Now))
+    while (Limiter.tryAcquire(Class, m_Now))
       ++Count;
     return Count;
   }
 
 public:
   void testBurstThenRate() {
-    CallRateLimiter Budget(20, 40);
-    CPPUNIT_ASSERT_EQUAL(40, takeAll(Budget, CallClass::Control));
+    CallRateLimiter Limiter(20, 40);
+    CPPUNIT_ASSERT_EQUAL(40, acquireAll(Limiter, CallClass::Control));
     m_Now += std::chrono::milliseconds(500);
-    CPPUNIT_ASSERT_EQUAL(10, takeAll(Budget, CallClass::Control));
+    CPPUNIT_ASSERT_EQUAL(10, acquireAll(Limiter, CallClass::Control));
     m_Now += std::chrono::hours(1);
-    CPPUNIT_ASSERT_EQUAL(40, takeAll(Budget, CallClass::Control));
+    CPPUNIT_ASSERT_EQUAL(40, acquireAll(Limiter, CallClass::Control));
   }
 
   void testClaimsLeaveReserveForControl() {
-    CallRateLimiter Budget(20, 40);
-    CPPUNIT_ASSERT_EQUAL(30, takeAll(Budget, CallClass::Claim));
-    CPPUNIT_ASSERT_EQUAL(10, takeAll(Budget, CallClass::Control));
+    CallRateLimiter Limiter(20, 40);
+    CPPUNIT_ASSERT_EQUAL(30, acquireAll(Limiter, CallClass::Claim));
+    CPPUNIT_ASSERT_EQUAL(10, acquireAll(Limiter, CallClass::Control));
   }
 
   void testBackoffGrowsWithJitter() {
-    std::set<core::Duration> Firsts;
+    std::set<core::Duration> FirstDelays;
     for (std::uint64_t Seed = 0; Seed < 50; ++Seed) {
-      Backoff Pauses(std::chrono::milliseconds(100), std::chrono::seconds(5),
+      Backoff Delays(std::chrono::milliseconds(100), std::chrono::seconds(5),
                      Seed);
-      Firsts.insert(Pauses.next());
+      FirstDelays.insert(Delays.next());
       core::Duration Longest{};
       for (int I = 0; I < 50; ++I)
-        Longest = std::max(Longest, Pauses.next());
+        Longest = std::max(Longest, Delays.next());
       CPPUNIT_ASSERT(Longest <= std::chrono::seconds(5));
       CPPUNIT_ASSERT(Longest > std::chrono::seconds(3));
-      Pauses.reset();
-      CPPUNIT_ASSERT(Pauses.next() <= std::chrono::milliseconds(100));
+      Delays.reset();
+      CPPUNIT_ASSERT(Delays.next() <= std::chrono::milliseconds(100));
     }
-    CPPUNIT_ASSERT(Firsts.size() > 40);
+    CPPUNIT_ASSERT(FirstDelays.size() > 40);
   }
 };
 
--- a/Tests/LibPlatform/StoreMirrorTest.cpp
+++ b/Tests/LibPlatform/StoreMirrorTest.cpp
@@ -30,7 +30,7 @@
   static Entry removal(const std::string &Key, std::int64_t At) {
     return {Key, "", Revision(At), true};
   }
-  static Entry detached(const std::string &Key, std::int64_t At) {
+  static Entry valueOmitted(const std::string &Key, std::int64_t At) {
     return {Key, "", Revision(At), false, true};
   }
   static std::string text(const StoreMirror &Mirror) {
@@ -118,13 +118,13 @@
   }
 
   void testOldValueStaysWhilePending() {
-    m_Mirror.apply(Revision(12), {detached("a", 11), put("b", "2", 12)});
+    m_Mirror.apply(Revision(12), {valueOmitted("a", 11), put("b", "2", 12)});
     CPPUNIT_ASSERT_EQUAL(std::string("1"), m_Mirror.find("a")->m_Value);
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("b")->m_Value);
     CPPUNIT_ASSERT(m_Mirror.revision() == Revision(12));
     CPPUNIT_ASSERT(m_Mirror.completeRevision() == Revision(10));
     // An older one than is wanted brings it closer, and never back.
-    m_Mirror.apply(Revision(13), {detached("a", 13)});
+    m_Mirror.apply(Revision(13), {valueOmitted("a", 13)});
     m_Mirror.supplyValue(put("a", "2", 11));
     m_Mirror.supplyValue(put("a", "1", 3));
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("a")->m_Value);
@@ -137,7 +137,8 @@
   }
 
   void testPendingValuesAreForwarded() {
-    m_Mirror.apply(Revision(12), {detached("a", 11), detached("n", 12)});
+    m_Mirror.apply(Revision(12),
+                   {valueOmitted("a", 11), valueOmitted("n", 12)});
     auto Changes = m_Mirror.changesSince(Revision(10));
     CPPUNIT_ASSERT(Changes && Changes->size() == 2);
     StoreMirror Behind(4);
@@ -151,7 +152,8 @@
   }
 
   void testStoreUpdatesResolvePendingValues() {
-    m_Mirror.apply(Revision(12), {detached("a", 11), detached("b", 12)});
+    m_Mirror.apply(Revision(12),
+                   {valueOmitted("a", 11), valueOmitted("b", 12)});
     // A watch that began before what is wanted, and a whole content.
     m_Mirror.apply(Revision(11), {put("a", "2", 11)});
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("a")->m_Value);
@@ -161,11 +163,12 @@
   }
 
   void testRemovalClearsPendingValue() {
-    m_Mirror.apply(Revision(12), {detached("a", 11), detached("n", 12)});
+    m_Mirror.apply(Revision(12),
+                   {valueOmitted("a", 11), valueOmitted("n", 12)});
     m_Mirror.apply(Revision(14), {removal("a", 13), removal("n", 14)});
     CPPUNIT_ASSERT(m_Mirror.pendingValues().empty());
     CPPUNIT_ASSERT_EQUAL(std::string("b=1 "), text(m_Mirror));
-    m_Mirror.apply(Revision(15), {detached("n", 15)});
+    m_Mirror.apply(Revision(15), {valueOmitted("n", 15)});
     m_Mirror.replaceAll(Revision(16), {put("b", "1", 5)});
     CPPUNIT_ASSERT(m_Mirror.pendingValues().empty());
     auto Changes = m_Mirror.changesSince(Revision(14));
--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -44,16 +44,16 @@
 
 public:
   void testParsesRequest() {
-    auto Said = m_Dialect.describe(request());
-    CPPUNIT_ASSERT_EQUAL(std::string("9c41"), Said.m_Id);
-    CPPUNIT_ASSERT_EQUAL(std::string("ficu95.example"), Said.m_Host);
-    CPPUNIT_ASSERT_EQUAL(std::string("/lohu930/2f"), Said.m_Path);
-    CPPUNIT_ASSERT_EQUAL(std::string("secret"), Said.m_Key.value());
-    CPPUNIT_ASSERT(Said.m_Deadline == std::chrono::seconds(12));
-    CPPUNIT_ASSERT(Said.m_HasTokenCounts);
-    CPPUNIT_ASSERT_EQUAL(1460U, Said.m_PromptTokens);
-    CPPUNIT_ASSERT_EQUAL(80U, Said.m_OutputTokens);
-    CPPUNIT_ASSERT(!Said.m_LastEvent);
+    auto Description = m_Dialect.describe(request());
+    CPPUNIT_ASSERT_EQUAL(std::string("9c41"), Description.m_Id);
+    CPPUNIT_ASSERT_EQUAL(std::string("ficu95.example"), Description.m_Host);
+    CPPUNIT_ASSERT_EQUAL(std::string("/lohu930/2f"), Description.m_Path);
+    CPPUNIT_ASSERT_EQUAL(std::string("secret"), Description.m_Key.value());
+    CPPUNIT_ASSERT(Description.m_Deadline == std::chrono::seconds(12));
+    CPPUNIT_ASSERT(Description.m_HasTokenCounts);
+    CPPUNIT_ASSERT_EQUAL(1460U, Description.m_PromptTokens);
+    CPPUNIT_ASSERT_EQUAL(80U, Description.m_OutputTokens);
+    CPPUNIT_ASSERT(!Description.m_LastEvent);
   }
 
   void testInvalidNumbersCountAsMissing() {
@@ -61,9 +61,9 @@
     for (const char *Text : {"", "-1", "1e3", "99999999999999999999", "1 2"}) {
       Bad.m_Headers.set("Deadline-Ms", Text);
       Bad.m_Headers.set("Token-Counts", std::string(Text) + ",4");
-      auto Said = m_Dialect.describe(Bad);
-      CPPUNIT_ASSERT(!Said.m_Deadline);
-      CPPUNIT_ASSERT(!Said.m_HasTokenCounts);
+      auto Description = m_Dialect.describe(Bad);
+      CPPUNIT_ASSERT(!Description.m_Deadline);
+      CPPUNIT_ASSERT(!Description.m_HasTokenCounts);
     }
   }
 
@@ -101,10 +101,11 @@
     Head.m_Headers = {{"Attempt-Id", "9c41"},
                       {"Replica-Seal", "3e1b"},
                       {"Keep-Alive", "timeout=5, max=100"}};
-    auto Says = m_Dialect.describe(Head);
-    CPPUNIT_ASSERT_EQUAL(std::string("9c41"), Says.m_Id);
-    CPPUNIT_ASSERT(Says.m_IsSigned && !Says.m_IsNotRun && !Says.m_IsEncoded);
-    CPPUNIT_ASSERT(Says.m_KeepAlive == std::chrono::seconds(5));
+    auto Response = m_Dialect.describe(Head);
+    CPPUNIT_ASSERT_EQUAL(std::string("9c41"), Response.m_Id);
+    CPPUNIT_ASSERT(Response.m_IsSigned && !Response.m_IsNotRun &&
+                   !Response.m_IsEncoded);
+    CPPUNIT_ASSERT(Response.m_KeepAlive == std::chrono::seconds(5));
     Head.m_Status = 421;
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_IsNotRun);
     Head.m_Status = 503;
@@ -170,8 +171,8 @@
                       {"Server-Leaving", "0"}};
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
     Head.m_Headers = {{"Retry-After", std::string(300, '9')}};
-    auto Rest = m_Dialect.describe(Head).m_Backpressure.m_Backoff;
-    CPPUNIT_ASSERT(!Rest || *Rest <= std::chrono::hours(1));
+    auto Backoff = m_Dialect.describe(Head).m_Backpressure.m_Backoff;
+    CPPUNIT_ASSERT(!Backoff || *Backoff <= std::chrono::hours(1));
   }
 
   void testParsesConfiguration() {
@@ -203,10 +204,10 @@
     CPPUNIT_ASSERT_EQUAL(2U, Second->m_MaxAttempts);
     CPPUNIT_ASSERT(Table->findPool(core::PoolName("huvo11a"))->m_IsInference);
     CPPUNIT_ASSERT(!Table->findPool(core::PoolName("wuno96b"))->m_IsInference);
-    const auto *Owner = Table->findAccountByKey("k2");
-    CPPUNIT_ASSERT(Owner && Owner->m_Tier == core::TierNumber(2));
-    CPPUNIT_ASSERT_EQUAL(77261.0, Owner->m_TokensPerSecond);
-    CPPUNIT_ASSERT_EQUAL(200U, Owner->m_DefaultTokens);
+    const auto *Account = Table->findAccountByKey("k2");
+    CPPUNIT_ASSERT(Account && Account->m_Tier == core::TierNumber(2));
+    CPPUNIT_ASSERT_EQUAL(77261.0, Account->m_TokensPerSecond);
+    CPPUNIT_ASSERT_EQUAL(200U, Account->m_DefaultTokens);
     CPPUNIT_ASSERT_EQUAL(std::size_t(8192), Table->limits().m_HeaderBytes);
   }
 
@@ -216,20 +217,21 @@
                      "zone":"bandung","version":"v1","slots":6,"state":"ready",
                      "coldLeftMs":0,"seq":4})",
                  Revision(1)};
-    auto News = m_Dialect.read(Change);
-    const auto &Seen = std::get<gateway::TargetUpdate>(News).m_Target;
-    CPPUNIT_ASSERT(Seen.m_Name == core::TargetName("i-7f"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Seen.m_Slots);
-    CPPUNIT_ASSERT(!Seen.m_IsLeaving);
+    auto Update = m_Dialect.read(Change);
+    const auto &Target = std::get<gateway::TargetUpdate>(Update).m_Target;
+    CPPUNIT_ASSERT(Target.m_Name == core::TargetName("i-7f"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Target.m_Slots);
+    CPPUNIT_ASSERT(!Target.m_IsLeaving);
     Change.m_Value.replace(Change.m_Value.find("ready"), 5, "draining");
-    News = m_Dialect.read(Change);
-    CPPUNIT_ASSERT(std::get<gateway::TargetUpdate>(News).m_Target.m_IsLeaving);
+    Update = m_Dialect.read(Change);
+    CPPUNIT_ASSERT(
+        std::get<gateway::TargetUpdate>(Update).m_Target.m_IsLeaving);
     Change.m_IsDeleted = true;
-    News = m_Dialect.read(Change);
-    CPPUNIT_ASSERT(std::holds_alternative<gateway::TargetRemoval>(News));
+    Update = m_Dialect.read(Change);
+    CPPUNIT_ASSERT(std::holds_alternative<gateway::TargetRemoval>(Update));
     Change.m_Key = "status/x";
-    News = m_Dialect.read(Change);
-    CPPUNIT_ASSERT(std::holds_alternative<std::monostate>(News));
+    Update = m_Dialect.read(Change);
+    CPPUNIT_ASSERT(std::holds_alternative<std::monostate>(Update));
   }
 
   void testMalformedEntriesThrowTypedErrors() {
--- a/Tests/Platform/MalformedTargetEntryTest.cpp
+++ b/Tests/Platform/MalformedTargetEntryTest.cpp
@@ -32,14 +32,14 @@
   PlatformDialect m_Dialect;
 
   /// As deployments wrote them before runs told their birth.
-  static json::object oldForm() {
+  static json::object oldFormat() {
     return {{"service", "huvo11a"}, {"address", "10.128.0.9:8080"},
             {"zone", "bandung"},    {"version", "v1"},
             {"slots", 6},           {"state", "ready"},
             {"coldLeftMs", 0},      {"seq", 4}};
   }
-  static json::object newForm() {
-    json::object Out = oldForm();
+  static json::object newFormat() {
+    json::object Out = oldFormat();
     Out["born"] = 1796258454000;
     return Out;
   }
@@ -63,47 +63,47 @@
 
 public:
   void testReadsOldAndNewFormats() {
-    CPPUNIT_ASSERT(read(entry(oldForm())).m_StartTime ==
+    CPPUNIT_ASSERT(read(entry(oldFormat())).m_StartTime ==
                    core::TargetStartTime());
-    CPPUNIT_ASSERT(read(entry(newForm())).m_StartTime ==
+    CPPUNIT_ASSERT(read(entry(newFormat())).m_StartTime ==
                    core::TargetStartTime(1796258454000));
-    json::object More = newForm();
+    json::object More = newFormat();
     More["stage"] = "colocated";
     More["models"] = json::array{json::object{{"name", "m"}}};
     CPPUNIT_ASSERT_EQUAL(std::size_t(6), read(entry(More)).m_Slots);
   }
 
   void testMissingFieldsAreRejected() {
-    for (const json::object &Form : {oldForm(), newForm()})
-      for (const auto &Field : Form) {
+    for (const json::object &Format : {oldFormat(), newFormat()})
+      for (const auto &Field : Format) {
         if (Field.key() == "born")
           continue; // That is the old form.
-        json::object Lacking = Form;
-        Lacking.erase(Field.key());
+        json::object Incomplete = Format;
+        Incomplete.erase(Field.key());
         CPPUNIT_ASSERT_MESSAGE(std::string(Field.key()),
-                               !isTarget(entry(Lacking)));
+                               !isTarget(entry(Incomplete)));
       }
   }
 
   void testWrongTypesAreRejected() {
     const json::value Values[] = {nullptr,        true,          json::array{4},
                                   json::object{}, json::array{}, 1.5};
-    for (const auto &Field : newForm())
+    for (const auto &Field : newFormat())
       for (const json::value &Value : Values) {
         if (Field.key() == "coldLeftMs" && Value.is_number())
           continue; // A time may have a fraction.
-        json::object Other = newForm();
+        json::object Other = newFormat();
         Other[Field.key()] = Value;
         CPPUNIT_ASSERT_MESSAGE(json::serialize(Other), !isTarget(entry(Other)));
       }
     for (const char *Name : {"slots", "seq", "coldLeftMs", "born"}) {
-      json::object Other = newForm();
+      json::object Other = newFormat();
       Other[Name] = "4";
       CPPUNIT_ASSERT_MESSAGE(Name, !isTarget(entry(Other)));
     }
     for (const char *Name :
          {"service", "address", "zone", "version", "state"}) {
-      json::object Other = newForm();
+      json::object Other = newFormat();
       Other[Name] = 4;
       CPPUNIT_ASSERT_MESSAGE(Name, !isTarget(entry(Other)));
     }
@@ -111,23 +111,23 @@
 
   void testInvalidStatesAndNumbersAreRejected() {
     for (const char *State : {"", "READY", "ready ", "starting", "gone"}) {
-      json::object Other = newForm();
+      json::object Other = newFormat();
       Other["state"] = State;
       CPPUNIT_ASSERT_MESSAGE(State, !isTarget(entry(Other)));
     }
     for (double Slots : {0.0, -1.0, 1e300, 65536.0}) {
-      json::object Other = newForm();
+      json::object Other = newFormat();
       Other["slots"] = Slots;
       CPPUNIT_ASSERT(!isTarget(entry(Other)));
     }
-    for (double Birth : {-1.0, 1e300, 0.5}) {
-      json::object Other = newForm();
-      Other["born"] = Birth;
+    for (double StartTime : {-1.0, 1e300, 0.5}) {
+      json::object Other = newFormat();
+      Other["born"] = StartTime;
       CPPUNIT_ASSERT(!isTarget(entry(Other)));
     }
     for (const char *Address :
          {"", "10.1.0.9", "10.1.0.9:", "10.1.0.9:99999", "host:80", "::1"}) {
-      json::object Other = newForm();
+      json::object Other = newFormat();
       Other["address"] = Address;
       CPPUNIT_ASSERT_MESSAGE(Address, !isTarget(entry(Other)));
     }
@@ -135,7 +135,7 @@
 
   void testNamesInvalidInHeadersAreRejected() {
     for (const char *Name : {"", "a b", "a\r\nX: 1", "a\tb", "\xc3\xa9"}) {
-      Entry Change = entry(newForm());
+      Entry Change = entry(newFormat());
       Change.m_Key = std::string("servers/") + Name;
       CPPUNIT_ASSERT_MESSAGE(Name, !isTarget(Change));
     }
@@ -147,33 +147,33 @@
   void testRandomEntriesParseOrThrow() {
     routing::TargetDirectory Targets;
     for (int I = 0; I < 4; ++I) {
-      routing::Target Sound = read(entry(newForm()));
-      Sound.m_Name = core::TargetName("sound-" + std::to_string(I));
-      Targets.announce(Sound);
+      routing::Target Valid = read(entry(newFormat()));
+      Valid.m_Name = core::TargetName("sound-" + std::to_string(I));
+      Targets.announce(Valid);
     }
     std::mt19937_64 Random(20261203);
-    std::size_t Readable = 0;
+    std::size_t ParsedCount = 0;
     for (int Round = 0; Round < 20000; ++Round) {
       Entry Change = entry(mutated(Random));
       Change.m_Key = "servers/foreign";
       try {
-        routing::Target Seen = read(Change);
-        CPPUNIT_ASSERT(Seen.m_Slots >= 1 && Seen.m_Slots <= 65535);
-        CPPUNIT_ASSERT(Seen.m_StartTime.value() >= 0);
-        CPPUNIT_ASSERT(Seen.m_Address.m_Port != 0);
-        Targets.announce(Seen);
-        ++Readable;
+        routing::Target Parsed = read(Change);
+        CPPUNIT_ASSERT(Parsed.m_Slots >= 1 && Parsed.m_Slots <= 65535);
+        CPPUNIT_ASSERT(Parsed.m_StartTime.value() >= 0);
+        CPPUNIT_ASSERT(Parsed.m_Address.m_Port != 0);
+        Targets.announce(Parsed);
+        ++ParsedCount;
       } catch (const core::Error &Failure) {
         CPPUNIT_ASSERT(Failure.kind() == core::ErrorKind::Protocol);
         Targets.withdraw(*m_Dialect.targetOf(Change), core::TimePoint());
       }
     }
-    CPPUNIT_ASSERT(Readable > 100 && Readable < 19900);
+    CPPUNIT_ASSERT(ParsedCount > 100 && ParsedCount < 19900);
     for (int I = 0; I < 4; ++I) {
-      auto *Sound =
+      auto *Valid =
           Targets.find(core::TargetName("sound-" + std::to_string(I)));
-      CPPUNIT_ASSERT(Sound && !Sound->m_ExpiredAt);
-      CPPUNIT_ASSERT_EQUAL(std::size_t(6), Sound->m_Target.m_Slots);
+      CPPUNIT_ASSERT(Valid && !Valid->m_ExpiredAt);
+      CPPUNIT_ASSERT_EQUAL(std::size_t(6), Valid->m_Target.m_Slots);
     }
   }
 
@@ -185,7 +185,7 @@
     static const json::value Values[] = {
         nullptr, false,      0,    -7, 1e18,         0.25,
         "ready", "draining", "v2", "", json::array{}};
-    json::object Content = below(Random, 2) == 0 ? oldForm() : newForm();
+    json::object Content = below(Random, 2) == 0 ? oldFormat() : newFormat();
     for (std::size_t Changes = below(Random, 3); Changes > 0; --Changes) {
       auto Field = Content.begin() + below(Random, Content.size());
       if (below(Random, 3) == 0)
--- a/Tests/Platform/StoreClientTest.cpp
+++ b/Tests/Platform/StoreClientTest.cpp
@@ -68,7 +68,7 @@
     return Result.m_Revision;
   }
   /// Drives the stand-in by its control path from within the loop.
-  void controlWithin(const std::string &Json, asio::yield_context Yield) {
+  void sendControl(const std::string &Json, asio::yield_context Yield) {
     auto Connection = http::ClientConnection::connect(
         m_Context, settings().m_Addresses.front(), std::chrono::seconds(1),
         Yield);
@@ -80,7 +80,7 @@
     Connection->sendRequest(Call, std::chrono::seconds(1), Yield);
     Connection->readResponse(std::chrono::seconds(1), 65536, Yield);
   }
-  ErrorKind failureOf(const std::function<void()> &Call) {
+  ErrorKind errorKindOf(const std::function<void()> &Call) {
     try {
       Call();
     } catch (const core::Error &Failure) {
@@ -118,7 +118,7 @@
 
   void testReadsAllPages() {
     run([&](asio::yield_context Yield) {
-      controlWithin(R"({"page_items":3})", Yield);
+      sendControl(R"({"page_items":3})", Yield);
       for (int I = 0; I < 10; ++I)
         put("p/" + std::to_string(I), "v", Yield);
       put("q", "v", Yield);
@@ -153,13 +153,13 @@
     run([&](asio::yield_context Yield) {
       Revision Before = put("k", "v", Yield);
       put("l", "v", Yield);
-      controlWithin(R"({"forget_history":true})", Yield);
+      sendControl(R"({"forget_history":true})", Yield);
       auto Watch = [&] {
         m_Client->watch(
             "", Before, [](const std::vector<Entry> &) { return false; },
             Yield);
       };
-      CPPUNIT_ASSERT(failureOf(Watch) == ErrorKind::Conflict);
+      CPPUNIT_ASSERT(errorKindOf(Watch) == ErrorKind::Conflict);
     });
   }
 
@@ -173,37 +173,37 @@
       CPPUNIT_ASSERT(!m_Client->keepAlive(Lease, Yield));
       CPPUNIT_ASSERT(!m_Client->read("leased", CallClass::Control, Yield));
       auto Put = [&] { put("leased", "v", Yield, 0, Lease); };
-      CPPUNIT_ASSERT(failureOf(Put) == ErrorKind::Unavailable);
+      CPPUNIT_ASSERT(errorKindOf(Put) == ErrorKind::Unavailable);
     });
   }
 
   void testOutageTimeoutAndRateLimitErrors() {
     run([&](asio::yield_context Yield) {
       auto Read = [&] { m_Client->read("k", CallClass::Control, Yield); };
-      controlWithin(R"({"silent":true})", Yield);
-      CPPUNIT_ASSERT(failureOf(Read) == ErrorKind::OutcomeUnknown);
-      controlWithin(R"({"silent":false,"down":true})", Yield);
-      CPPUNIT_ASSERT(failureOf(Read) == ErrorKind::OutcomeUnknown);
-      controlWithin(R"({"down":false,"calls_per_second":1})", Yield);
+      sendControl(R"({"silent":true})", Yield);
+      CPPUNIT_ASSERT(errorKindOf(Read) == ErrorKind::OutcomeUnknown);
+      sendControl(R"({"silent":false,"down":true})", Yield);
+      CPPUNIT_ASSERT(errorKindOf(Read) == ErrorKind::OutcomeUnknown);
+      sendControl(R"({"down":false,"calls_per_second":1})", Yield);
       // The call that met the silence goes on at the stand-in meanwhile.
       asio::steady_timer Pause(m_Context, std::chrono::milliseconds(100));
       Pause.async_wait(Yield);
       Read();
-      CPPUNIT_ASSERT(failureOf(Read) == ErrorKind::Unavailable);
+      CPPUNIT_ASSERT(errorKindOf(Read) == ErrorKind::Unavailable);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(4), m_Client->counters().m_Calls);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), m_Client->counters().m_Failures);
     });
   }
 
   void testRateLimiterRejectsBeforeCalling() {
-    StoreSettings Few = settings();
-    Few.m_CallsPerSecond = 0.1;
-    Few.m_CallBurst = 1;
-    m_Client = std::make_unique<StoreClient>(m_Context, Few);
+    StoreSettings Limited = settings();
+    Limited.m_CallsPerSecond = 0.1;
+    Limited.m_CallBurst = 1;
+    m_Client = std::make_unique<StoreClient>(m_Context, Limited);
     run([&](asio::yield_context Yield) {
       auto Read = [&] { m_Client->read("k", CallClass::Control, Yield); };
       Read();
-      CPPUNIT_ASSERT(failureOf(Read) == ErrorKind::BudgetSpent);
+      CPPUNIT_ASSERT(errorKindOf(Read) == ErrorKind::BudgetSpent);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), m_Client->counters().m_Calls);
     });
   }
