--- a/Libraries/LibHTTP/Message.cpp
+++ b/Libraries/LibHTTP/Message.cpp
@@ -40,7 +40,7 @@
 }
 
 void HeaderList::removeHopByHop() {
-  // Names listed in Connection are hop-by-hop too (RFC 9110, section 7.6.1).
+  // Connection lists further hop-by-hop fields (RFC 9110, section 7.6.1).
   if (const std::string *Listed = find("Connection")) {
     std::string Remaining = *Listed;
     while (!Remaining.empty()) {
--- a/Libraries/LibHTTP/Message.h
+++ b/Libraries/LibHTTP/Message.h
@@ -1,4 +1,4 @@
-//===-- Message.h - HTTP messages as plain data ---------------------------===//
+//===-- Message.h - HTTP requests and responses as plain data -------------===//
 #ifndef YARDRILL_LIBHTTP_MESSAGE_H
 #define YARDRILL_LIBHTTP_MESSAGE_H
 
@@ -15,22 +15,23 @@
   std::string m_Value;
 };
 
-/// Headers in their order; names compare without regard to case (RFC 9110,
-/// section 5.1).
+/// Header fields in the order in which they were added. Names are compared
+/// without regard to case (RFC 9110, section 5.1).
 class HeaderList {
 public:
   HeaderList() = default;
   HeaderList(std::initializer_list<Header> Headers) : m_Headers(Headers) {}
 
-  /// \returns the first value of that name, or null.
+  /// \returns the value of the first field with that name, or null.
   const std::string *find(std::string_view Name) const;
-  /// Whether there is more than one header of that name.
+  /// \returns whether more than one field has that name.
   bool isRepeated(std::string_view Name) const;
   void add(std::string Name, std::string Value);
-  /// Replaces every header of that name by one.
+  /// Replaces all fields with that name by a single one.
   void set(std::string Name, std::string Value);
   void remove(std::string_view Name);
-  /// Removes what concerns one connection only (RFC 9110, section 7.6.1).
+  /// Removes the fields that apply to one connection only (RFC 9110,
+  /// section 7.6.1), as well as Content-Length and Expect.
   void removeHopByHop();
 
   auto begin() const { return m_Headers.begin(); }
@@ -42,7 +43,7 @@
 
 struct RequestMessage {
   std::string m_Method;
-  std::string m_Target; ///< Path and query as sent.
+  std::string m_Target; ///< Path and query, not decoded.
   HeaderList m_Headers;
   std::string m_Body;
 };
@@ -50,7 +51,7 @@
 struct ResponseHead {
   unsigned m_Status = 0;
   HeaderList m_Headers;
-  /// Bytes of the body when known; the body is sent in chunks otherwise.
+  /// Length of the body in bytes; a body of unknown length is sent in chunks.
   std::optional<std::uint64_t> m_ContentLength;
 };
 
@@ -59,7 +60,7 @@
   std::string m_Body;
 };
 
-/// Without headers and body.
+/// \returns a response without headers and body.
 ResponseMessage emptyResponse(unsigned Status);
 
 } // namespace yardrill::http
