--- a/Libraries/LibHTTP/ClientConnection.cpp
+++ b/Libraries/LibHTTP/ClientConnection.cpp
@@ -26,8 +26,8 @@
 
   using Parser = beast::http::response_parser<beast::http::buffer_body>;
 
-  /// FIXME: Beast's time limits stand still while the machine is suspended; a
-  /// call that nobody answers then lasts longer by that time.
+  /// FIXME: Beast's timeouts do not advance while the machine is suspended, so
+  /// a call without a response lasts longer by that time.
   beast::tcp_stream m_Stream;
   beast::flat_buffer m_Buffer;
   std::optional<Parser> m_Parser;
@@ -42,8 +42,8 @@
     throw Error(Kind, std::string(Operation) + ": " + Failure.message());
 }
 
-/// A machine without power or behind a cut says nothing at all: the kernel's
-/// probes end such a connection after about three seconds.
+/// Makes the kernel fail the connection about three seconds after the peer lost
+/// power or the network was partitioned.
 static void enableKeepAliveProbes(tcp::socket &Socket) {
   using IdleTime =
       asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
@@ -120,11 +120,11 @@
     beast::http::async_read_header(m_Impl->m_Stream, m_Impl->m_Buffer, *Parser,
                                    Yield[Failure]);
     throwIfFailed(Failure, ErrorKind::OutcomeUnknown, "read head");
-    // Interim answers (RFC 9110, section 15.2) come before the final one.
+    // Interim responses (RFC 9110, section 15.2) precede the final one.
   } while (Parser->get().result_int() < 200);
   if (!m_Impl->m_AllowsCloseDelimitedBody && !Parser->is_done() &&
       Parser->need_eof() && !Parser->chunked() && !Parser->content_length())
-    throw Error(ErrorKind::OutcomeUnknown, "answer without a length");
+    throw Error(ErrorKind::OutcomeUnknown, "response has no length");
   ResponseHead Head;
   Head.m_Status = Parser->get().result_int();
   for (const auto &Field : Parser->get())
@@ -167,7 +167,7 @@
     if (Data.empty())
       return Out;
     if (Out.m_Body.size() + Data.size() > MaxBytes)
-      throw Error(ErrorKind::LimitExceeded, "answer is too large");
+      throw Error(ErrorKind::LimitExceeded, "response body is too large");
     Out.m_Body += Data;
   }
 }
--- a/Libraries/LibHTTP/ClientConnection.h
+++ b/Libraries/LibHTTP/ClientConnection.h
@@ -1,4 +1,4 @@
-//===-- ClientConnection.h - One HTTP/1.1 connection to a server ----------===//
+//===-- ClientConnection.h - HTTP/1.1 client connection -------------------===//
 #ifndef YARDRILL_LIBHTTP_CLIENTCONNECTION_H
 #define YARDRILL_LIBHTTP_CLIENTCONNECTION_H
 
@@ -12,8 +12,10 @@
 
 namespace yardrill::http {
 
-/// A connection in use by one coroutine. Failures before a byte was sent have
-/// kind Unavailable, later ones OutcomeUnknown.
+/// HTTP/1.1 connection to a server, used by one coroutine at a time. Errors
+/// before the first byte is sent have kind Refused or Unavailable, later ones
+/// OutcomeUnknown: the server may have processed the request. Every timeout
+/// applies to one call.
 class ClientConnection {
 public:
   /// \throws core::Error of kind Refused or Unavailable.
@@ -23,28 +25,33 @@
           boost::asio::yield_context Yield);
   ~ClientConnection();
 
-  /// \throws core::Error of kind OutcomeUnknown: bytes may have arrived.
+  /// \throws core::Error of kind OutcomeUnknown.
   void sendRequest(const RequestMessage &Request, core::Duration Timeout,
                    boost::asio::yield_context Yield);
-  /// Takes answers with neither length nor chunks, whose body ends with the
-  /// connection (RFC 9112, section 6.3). Without this they are an error, since
-  /// a stop of the other side looks like their end.
+  /// Accepts responses with neither a length nor chunked coding, whose body
+  /// ends when the server closes the connection (RFC 9112, section 6.3). By
+  /// default they are an error, since a crash of the server looks like their
+  /// end.
   void allowCloseDelimitedBody();
+  /// Reads the status and headers of the next response, skipping interim (1xx)
+  /// ones.
   /// \throws core::Error of kind OutcomeUnknown.
   ResponseHead readHead(core::Duration Timeout,
                         boost::asio::yield_context Yield);
   /// \returns the next bytes of the body; empty at its end.
-  /// \throws core::Error of kind OutcomeUnknown when the body is cut short.
+  /// \throws core::Error of kind OutcomeUnknown when the body is truncated.
   std::string readBodyData(core::Duration Timeout,
                            boost::asio::yield_context Yield);
-  /// readHead() and all pieces; at most \p MaxBytes.
+  /// Reads a complete response.
+  /// \throws core::Error of kind OutcomeUnknown, or LimitExceeded when the body
+  /// is longer than \p MaxBytes.
   ResponseMessage readResponse(core::Duration Timeout, std::size_t MaxBytes,
                                boost::asio::yield_context Yield);
 
-  /// True when the last answer was read whole and the other side has neither
-  /// closed nor sent anything since.
+  /// \returns true when the last response was read completely and the server
+  /// has since neither closed the connection nor sent anything.
   bool isReusable();
-  /// Closes at once; a coroutine that waits here gets OutcomeUnknown.
+  /// Closes the connection; a pending operation fails with OutcomeUnknown.
   void close();
 
 private:
