--- a/Libraries/LibHTTP/ConnectionPool.h
+++ b/Libraries/LibHTTP/ConnectionPool.h
@@ -1,4 +1,4 @@
-//===-- ConnectionPool.h - Client connections, kept for reuse -------------===//
+//===-- ConnectionPool.h - Pool of reusable client connections ------------===//
 #ifndef YARDRILL_LIBHTTP_CONNECTIONPOOL_H
 #define YARDRILL_LIBHTTP_CONNECTIONPOOL_H
 
@@ -17,34 +17,38 @@
 
 struct ConnectionPoolLimits {
   core::Duration m_ConnectTimeout = std::chrono::seconds(1);
-  std::size_t m_MaxIdlePerAddress = 64; ///< Kept for each address.
+  std::size_t m_MaxIdlePerAddress = 64; ///< Further ones are closed.
 };
 
-/// Hands out connections; used on one thread only.
+/// Opens client connections and keeps idle ones for reuse, by address. Not
+/// synchronized: used on the thread of its io_context.
 class ConnectionPool {
 public:
   ConnectionPool(boost::asio::io_context &Context,
                  const ConnectionPoolLimits &Limits)
       : m_Context(Context), m_Limits(Limits) {}
 
-  /// \param MustBeNew never reuse one: a reused connection may break under the
-  /// first byte, and then nobody knows whether the request arrived.
+  /// Returns the most recently used idle connection, or opens one.
+  /// \param MustBeNew whether to open one in any case. The server may close an
+  /// idle connection while a request is sent on it; whether the request
+  /// arrived is then unknown.
   /// \throws core::Error of kind Refused or Unavailable; no byte was sent.
   std::unique_ptr<ClientConnection>
   acquire(const boost::asio::ip::tcp::endpoint &Address, bool MustBeNew,
           boost::asio::yield_context Yield);
-  /// Takes a connection back whose answer was read whole.
-  /// \param MaxIdleTime when it rested longer, the other side may be closing
-  /// it.
+  /// Keeps a connection for reuse if its response was read completely.
+  /// \param MaxIdleTime after which it is not reused, as the server may be
+  /// closing it.
   void release(const boost::asio::ip::tcp::endpoint &Address,
                std::unique_ptr<ClientConnection> Connection,
                core::Duration MaxIdleTime = std::chrono::hours(1));
-  /// Closes the kept ones of an address: who answers there has changed. A
-  /// request sent on one would end without anybody knowing whether it arrived.
+  /// Closes the idle connections to an address at which another server listens
+  /// now. Whether a request sent on one of them arrived would be unknown.
   void closeIdle(const boost::asio::ip::tcp::endpoint &Address);
-  /// Closes connections that rested for too long.
+  /// Closes connections that were idle for longer than their MaxIdleTime.
   void closeExpired();
 
+  /// \returns the number of connections opened so far.
   std::uint64_t opened() const { return m_Opened; }
 
 private:
