--- a/Libraries/LibHTTP/Server.cpp
+++ b/Libraries/LibHTTP/Server.cpp
@@ -54,9 +54,10 @@
   ServerLimits m_Limits;
   Handler m_Handle;
   ErrorResponseFactory m_MakeErrorResponse;
-  core::Timer m_AcceptTimer; ///< Cancelled when a connection closes.
+  /// Delays the next accept; cancelled when a connection closes.
+  core::Timer m_AcceptTimer;
   std::list<std::shared_ptr<ServerConnection>> m_Connections;
-  bool m_IsKeepAliveDisabled = false; ///< Each connection after its answer.
+  bool m_IsKeepAliveDisabled = false;
   bool m_IsStopping = false;
   std::uint16_t m_Port = 0;
 };
@@ -96,7 +97,7 @@
       serve(std::move(Socket));
       continue;
     }
-    // Out of file descriptors, as a rule: wait for some to be closed.
+    // Usually out of file descriptors: retry when some may be closed.
     core::LogLine("accept-failed", core::LogLevel::Warning)
         .add("reason", Failure.message());
     m_AcceptTimer.expires_after(AcceptRetryDelay);
--- a/Libraries/LibHTTP/Server.h
+++ b/Libraries/LibHTTP/Server.h
@@ -1,6 +1,7 @@
-//===-- Server.h - HTTP/1.1 server with streams and cancellation ----------===//
+//===-- Server.h - HTTP/1.1 server with streaming and cancellation --------===//
 //
-// Boost.Beast underneath; the reason is in docs/design/0001-whole-path.md.
+// Implemented with Boost.Beast, for reasons given in
+// docs/design/0001-whole-path.md.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBHTTP_SERVER_H
@@ -17,17 +18,22 @@
 
 namespace yardrill::http {
 
+/// Limits that protect a server from its callers.
 struct ServerLimits {
-  std::size_t m_HeaderBytes = 16384;
-  std::size_t m_BodyBytes = 8388608;
+  std::size_t m_HeaderBytes = 16384; ///< Maximum for one request.
+  std::size_t m_BodyBytes = 8388608; ///< Maximum for one request.
+  /// Further connections wait in the kernel's listen queue.
   std::size_t m_OpenConnections = 4096;
+  /// Time to read a request, from its first bytes on.
   core::Duration m_ReadTimeout = std::chrono::seconds(10);
-  core::Duration m_WriteTimeout = std::chrono::seconds(30);
+  core::Duration m_WriteTimeout = std::chrono::seconds(30); ///< For one write.
+  /// Time that a connection may wait for its next request.
   core::Duration m_IdleTimeout = std::chrono::seconds(60);
 };
 
-/// One request and its answer, on the server's thread. Every send throws
-/// core::Error (OutcomeUnknown) when the caller is gone or too slow.
+/// One request and its response, passed to a Server's handler and used on the
+/// server's thread. Functions that send throw core::Error of kind
+/// OutcomeUnknown when the caller has disconnected or reads too slowly.
 class Exchange {
 public:
   virtual ~Exchange() = default;
@@ -35,25 +41,27 @@
   virtual RequestMessage &request() = 0;
   virtual void sendResponse(ResponseMessage Response,
                             boost::asio::yield_context Yield) = 0;
-  /// Sends the head at once; the body follows in pieces.
+  /// Sends the head of a response whose body follows with sendBodyData().
   virtual void startStream(const ResponseHead &Head,
                            boost::asio::yield_context Yield) = 0;
   virtual void sendBodyData(std::string_view Data,
                             boost::asio::yield_context Yield) = 0;
   virtual void finishStream(boost::asio::yield_context Yield) = 0;
-  /// Closes the connection, so that an answer in progress is seen as broken.
+  /// Resets the connection, so that the caller sees that a response in progress
+  /// is incomplete.
   virtual void abort() = 0;
-  /// \p Hook runs once if the caller closes before the answer is complete.
+  /// Sets a function that is called once if the caller disconnects before the
+  /// response is complete.
   virtual void setDisconnectCallback(std::function<void()> Callback) = 0;
   virtual bool isStreamStarted() const = 0;
 };
 
-/// Accepts connections and runs a handler for each request, one coroutine a
-/// connection.
+/// HTTP/1.1 server that runs a handler for each request, with one coroutine per
+/// connection on the thread of its io_context.
 class Server {
 public:
   using Handler = std::function<void(Exchange &, boost::asio::yield_context)>;
-  /// Makes the answer to a request that could not be read; the status is one
+  /// Makes the response to a request that could not be read; the status is one
   /// of 400, 408, 413, 431, 501 and 505.
   using ErrorResponseFactory = std::function<ResponseMessage(unsigned Status)>;
 
@@ -68,14 +76,16 @@
 
   virtual std::uint16_t port() const = 0;
   virtual std::size_t openConnections() const = 0;
-  /// Requests of which some bytes have come and whose answers are not complete.
+  /// \returns the number of requests of which at least one byte has arrived and
+  /// whose responses are not complete.
   virtual std::size_t openRequests() const = 0;
-  /// In force from the next request of each connection.
+  /// Sets limits that apply from the next request of each connection.
   virtual void setLimits(const ServerLimits &Limits) = 0;
-  /// Goes on accepting, but closes each connection after its next answer, which
-  /// says so.
+  /// Closes each connection after its next response, which has the header
+  /// `Connection: close`. New connections are still accepted.
   virtual void disableKeepAlive() = 0;
-  /// Accepts nothing new and closes each connection after its answer.
+  /// Stops accepting connections, closes idle ones at once and the others after
+  /// their response.
   virtual void stopAccepting() = 0;
 };
 
