--- a/Libraries/LibHTTP/ServerConnection.cpp
+++ b/Libraries/LibHTTP/ServerConnection.cpp
@@ -15,8 +15,8 @@
 using boost::system::error_code;
 
 static const std::size_t ReadAheadBytes = 4096;
-/// How long a refused connection is read on, so that its answer is not lost
-/// to a reset (RFC 9112, section 9.6).
+/// Time for which a connection is read after an error response, which a reset
+/// could otherwise discard (RFC 9112, section 9.6).
 static const std::chrono::seconds LingerTime(1);
 
 static void copyHead(const ResponseHead &Head,
@@ -32,7 +32,7 @@
 
 void ServerConnection::run(asio::yield_context Yield) {
   m_Stream.socket().set_option(tcp::no_delay(true));
-  // A look at what may not be there must never hold up the whole loop.
+  // waitForDisconnect() peeks: a blocking receive would stall the event loop.
   m_Stream.socket().non_blocking(true);
   while (!m_IsAborted) {
     m_IsIdle = m_Buffer.size() == 0;
@@ -84,7 +84,7 @@
     m_Stream.expires_never();
     if (Failure)
       return NoResponse;
-    // From here on a planned stop waits for it.
+    // From now on a shutdown waits for this request.
     m_IsIdle = false;
   }
   beast::http::request_parser<beast::http::string_body> Parser;
@@ -97,7 +97,7 @@
     stopReadTimer();
     return 505;
   }
-  // A coding that is not understood hides where the body ends (RFC 9112,
+  // With an unknown transfer coding the end of the body is unknown (RFC 9112,
   // section 6.1).
   if (IsHeaderRead && !Parser.chunked() &&
       Parser.get().count(beast::http::field::transfer_encoding) != 0) {
@@ -135,7 +135,7 @@
   if (Failure == beast::http::error::end_of_stream ||
       Failure == beast::http::error::partial_message)
     return IsHeaderRead || m_Buffer.size() != 0 ? 400 : NoResponse;
-  // The parser's own errors are about the text; others, about the socket.
+  // Errors of the parser mean a malformed request, others a failed socket.
   bool IsParserError =
       Failure.category() ==
       make_error_code(beast::http::error::bad_method).category();
@@ -150,7 +150,7 @@
     sendResponse(m_MakeErrorResponse(Status), Yield);
     linger(Yield);
   } catch (const core::Error &) {
-    // The caller left; there is nobody to tell.
+    // The caller has disconnected.
   }
 }
 
@@ -182,17 +182,17 @@
   m_Stream.socket().async_wait(
       tcp::socket::wait_read, [this, Weak](error_code Failure) {
         auto Callback = Weak.lock();
-        // Gone: the answer is complete, and perhaps this connection too.
+        // Without a callback the response is complete; `this` may be deleted.
         if (!Callback || Failure == asio::error::operation_aborted)
           return;
         char Byte = 0;
         error_code PeekFailure;
         m_Stream.socket().receive(asio::buffer(&Byte, 1),
                                   tcp::socket::message_peek, PeekFailure);
-        // The event may be about bytes that were read meanwhile.
+        // The event may be stale: its bytes have been read since.
         if (PeekFailure == asio::error::would_block)
           return waitForDisconnect(Weak);
-        // Data means a pipelined request: the caller is still there.
+        // Data is a pipelined request: the caller is still connected.
         if (PeekFailure && *Callback)
           (*Callback)();
       });
@@ -204,7 +204,7 @@
     return;
   m_IsAborted = true;
   throw core::Error(core::ErrorKind::OutcomeUnknown,
-                    "caller is gone: " + Failure.message());
+                    "write to the caller failed: " + Failure.message());
 }
 
 void ServerConnection::sendResponse(ResponseMessage Response,
@@ -275,7 +275,7 @@
 
 void ServerConnection::abort() {
   m_IsAborted = true;
-  // A reset, so that not even a body delimited by close looks whole.
+  // A reset, so that not even a close-delimited body looks complete.
   error_code Ignored;
   m_Stream.socket().set_option(asio::socket_base::linger(true, 0), Ignored);
   m_Stream.close();
--- a/Libraries/LibHTTP/ServerConnection.h
+++ b/Libraries/LibHTTP/ServerConnection.h
@@ -1,4 +1,4 @@
-//===-- ServerConnection.h - One accepted connection ----------------------===//
+//===-- ServerConnection.h - Connection accepted by a Server --------------===//
 //
 // Internal to LibHTTP.
 //
@@ -15,7 +15,9 @@
 
 namespace yardrill::http {
 
-/// One accepted connection; owns the socket for as long as its coroutine runs.
+/// Connection that a Server accepted. Reads requests, passes them to the
+/// server's handler and is their Exchange, one request after the other. The
+/// limits, functions and flag given to the constructor are the server's.
 class ServerConnection final
     : public Exchange,
       public std::enable_shared_from_this<ServerConnection> {
@@ -29,7 +31,9 @@
         m_MakeErrorResponse(MakeErrorResponse),
         m_IsKeepAliveDisabled(IsKeepAliveDisabled) {}
 
+  /// Serves requests until the connection closes.
   void run(boost::asio::yield_context Yield);
+  /// \returns whether no byte of a next request has arrived yet.
   bool isIdle() const { return m_IsIdle; }
   void close();
 
@@ -46,12 +50,13 @@
   bool isStreamStarted() const override { return m_IsStreamStarted; }
 
 private:
-  /// \returns 0 when a request was read, else the status that refuses it;
-  /// NoResponse when there is nobody to answer.
+  /// \returns 0 when a request was read, the status of the error response when
+  /// it was not, or NoResponse when the caller has disconnected.
   unsigned readRequest(boost::asio::yield_context Yield);
   unsigned statusForReadError(boost::system::error_code Failure,
                               bool IsHeaderRead) const;
   void sendErrorResponse(unsigned Status, boost::asio::yield_context Yield);
+  /// Discards what the caller still sends, for up to LingerTime.
   void linger(boost::asio::yield_context Yield);
   void watchForDisconnect();
   void waitForDisconnect(const std::weak_ptr<std::function<void()>> &Weak);
@@ -62,8 +67,8 @@
 
   static const unsigned NoResponse = 1;
 
-  /// Ends a read that takes too long. The stream's own timer would close the
-  /// socket, and then the caller could not be told.
+  /// Cancels a read that exceeds the read timeout. The stream's own timer would
+  /// close the socket, so that no error response could be sent.
   void startReadTimer();
   void stopReadTimer();
 
@@ -83,7 +88,8 @@
   bool m_IsStreamStarted = false;
   bool m_IsChunked = false;
   bool m_HasNoBody = false;
-  /// Shared with a pending wait, which may outlive this exchange.
+  /// Null between requests. Waits hold it weakly, as they may outlive the
+  /// request.
   std::shared_ptr<std::function<void()>> m_DisconnectCallback;
 };
 
