--- a/Libraries/LibPlatform/Backoff.h
+++ b/Libraries/LibPlatform/Backoff.h
@@ -1,4 +1,4 @@
-//===-- Backoff.h - Growing pauses between tries --------------------------===//
+//===-- Backoff.h - Delays between attempts, with jitter ------------------===//
 #ifndef YARDRILL_LIBPLATFORM_BACKOFF_H
 #define YARDRILL_LIBPLATFORM_BACKOFF_H
 
@@ -8,8 +8,10 @@
 
 namespace yardrill::platform {
 
-/// Doubling pauses, each drawn between nothing and the full length ("full
-/// jitter"), so that instances that failed together do not return together.
+/// Random delays between attempts at a call to the platform. A delay is at
+/// least half the initial one; its upper bound starts at the initial delay and
+/// doubles up to a maximum. The jitter keeps instances that failed together
+/// from retrying together.
 class Backoff {
 public:
   Backoff(core::Duration InitialDelay, core::Duration MaxDelay,
@@ -18,6 +20,7 @@
         m_NextMaxDelay(InitialDelay), m_Random(Seed) {}
 
   core::Duration next();
+  /// Starts again from the initial delay, after a success.
   void reset() { m_NextMaxDelay = m_InitialDelay; }
 
 private:
