--- a/Libraries/LibPlatform/CallRateLimiter.h
+++ b/Libraries/LibPlatform/CallRateLimiter.h
@@ -1,5 +1,4 @@
-//===-- CallRateLimiter.h - How many calls this instance may make
-//--------------===//
+//===-- CallRateLimiter.h - Limits calls to the platform ------------------===//
 #ifndef YARDRILL_LIBPLATFORM_CALLRATELIMITER_H
 #define YARDRILL_LIBPLATFORM_CALLRATELIMITER_H
 
@@ -8,13 +7,15 @@
 
 namespace yardrill::platform {
 
-/// A token bucket. Claims leave a quarter of the burst for control calls, so
-/// that a flood of keyed requests can't stop configuration or leadership.
+/// Token bucket that limits an instance's calls to the key-value service. A
+/// quarter of the burst is reserved for control calls, so that a flood of keyed
+/// requests can't block configuration or leadership.
 class CallRateLimiter {
 public:
   CallRateLimiter(double CallsPerSecond, double Burst);
 
-  /// \returns false when the budget is spent: the call must not be made.
+  /// Takes a token for one call.
+  /// \returns false when there is none: the call must not be made.
   bool tryAcquire(CallClass Class, core::TimePoint Now);
 
 private:
