--- a/Libraries/LibPlatform/KeyValueService.h
+++ b/Libraries/LibPlatform/KeyValueService.h
@@ -1,4 +1,4 @@
-//===-- KeyValueService.h - The platform's key-value service --------------===//
+//===-- KeyValueService.h - Interface of the platform's store -------------===//
 #ifndef YARDRILL_LIBPLATFORM_KEYVALUESERVICE_H
 #define YARDRILL_LIBPLATFORM_KEYVALUESERVICE_H
 
@@ -15,26 +15,28 @@
 namespace yardrill::platform {
 
 using LeaseId = core::StrongType<struct LeaseIdTag, std::int64_t>;
-/// Grows with every change of the store; 0 stands for "absent".
+/// Counter that grows with every change of the store; 0 stands for an absent
+/// key.
 using Revision = core::StrongType<struct RevisionTag, std::int64_t>;
 
+/// A key of the store with its value, or a change of it.
 struct Entry {
   std::string m_Key;
   std::string m_Value;
-  Revision m_ModRevision;
-  bool m_IsDeleted = false; ///< Only in a watch.
-  /// Only between instances: the key has a value of this revision, which is
-  /// not here.
+  Revision m_ModRevision;   ///< Revision of the key's last change.
+  bool m_IsDeleted = false; ///< Set in changes only.
+  /// The key has a value at this revision, but m_Value is empty. Set only in
+  /// entries that another instance sent.
   bool m_IsValueOmitted = false;
 };
 
 struct Put {
   std::string m_Key;
   std::string m_Value;
-  std::optional<LeaseId> m_Lease; ///< The key goes when the lease ends.
+  std::optional<LeaseId> m_Lease; ///< The key is removed when the lease ends.
 };
 
-/// All puts, if the key was last modified at that revision.
+/// Writes that take effect together if a key has the expected revision.
 struct CompareAndSwap {
   std::string m_Key;
   Revision m_Expected; ///< 0: the key must be absent.
@@ -43,17 +45,21 @@
 
 struct SwapResult {
   bool m_IsSwapped = false;
-  Revision m_Revision;            ///< Of the store after the swap.
-  std::optional<Entry> m_Current; ///< What stands instead, when not swapped.
+  Revision m_Revision; ///< Revision of the store after a successful swap.
+  /// Current entry after a failed swap; none when the key is absent.
+  std::optional<Entry> m_Current;
 };
 
-/// Matters more than its number of calls: which calls still go through when
-/// the budget is nearly spent.
-enum class CallClass { Control, Claim };
+/// Priority of a call: near the rate limit only control calls are made.
+enum class CallClass {
+  Control, ///< Configuration, leadership and other state of the instances.
+  Claim,   ///< Claims of keyed requests.
+};
 
-/// Calls wait in the calling coroutine. Every call throws core::Error:
-/// BudgetSpent, Refused and Unavailable mean that nothing was done;
-/// OutcomeUnknown, for a write, that it may take effect, even later.
+/// Key-value store of the platform, with leases and watches. Calls suspend the
+/// calling coroutine and throw core::Error: after BudgetSpent, Refused and
+/// Unavailable nothing was done; after OutcomeUnknown a write may still take
+/// effect, even later.
 class KeyValueService {
 public:
   virtual ~KeyValueService() = default;
@@ -70,13 +76,16 @@
   /// \returns false when the lease has ended.
   virtual bool keepAlive(LeaseId Lease, boost::asio::yield_context Yield) = 0;
   virtual void revoke(LeaseId Lease, boost::asio::yield_context Yield) = 0;
-  /// Calls \p Notify for the changes after \p After, in their order, until it
-  /// returns false. Throws when the watch breaks.
+  /// Calls \p Notify with the changes after \p After, in order, until it
+  /// returns false.
+  /// \throws core::Error when the watch fails; of kind Conflict when the store
+  /// no longer has all changes after \p After.
   virtual void
   watch(const std::string &Prefix, Revision After,
         const std::function<bool(const std::vector<Entry> &)> &Notify,
         boost::asio::yield_context Yield) = 0;
-  /// Revision of the store as of the last answer.
+  /// \returns the newest revision that the store reported; right after
+  /// readPrefix(), the revision up to which its entries have all changes.
   virtual Revision lastRevision() const = 0;
 };
 
