--- a/Libraries/LibPlatform/StoreMirror.cpp
+++ b/Libraries/LibPlatform/StoreMirror.cpp
@@ -5,7 +5,7 @@
 namespace yardrill::platform {
 
 //===----------------------------------------------------------------------===//
-// Taking in
+// Updates
 //===----------------------------------------------------------------------===//
 
 static Revision next(Revision After) { return Revision(After.value() + 1); }
@@ -20,7 +20,7 @@
   bool IsPending = PendingValue != m_PendingValues.end();
   if (!Known && !IsPending && Update.m_IsDeleted)
     return;
-  // The change was remembered when it was first told of.
+  // The change was recorded when it was reported without its value.
   bool IsRecorded = IsPending && PendingValue->second.m_NewestRevision ==
                                      Update.m_ModRevision;
   if (IsPending &&
@@ -84,7 +84,7 @@
 
 void StoreMirror::removeAbsent(Revision At,
                                const std::set<std::string> &Present) {
-  // A newer entry was made after the content was read.
+  // A newer entry was written after the snapshot was read.
   auto IsAbsent = [&](const std::string &Key, Revision ModRevision) {
     return Present.count(Key) == 0 && !(At < ModRevision);
   };
@@ -96,7 +96,7 @@
     if (IsAbsent(Key, Pending.m_NewestRevision) && !find(Key))
       Absent.push_back(Key);
   for (const std::string &Key : Absent) {
-    // The revision of the removal is not told; At is the latest it can be.
+    // The exact revision of the removal is unknown; At is its upper bound.
     Entry Removal{Key, "", At, true};
     m_PendingValues.erase(Key);
     recordChange(Removal);
@@ -124,7 +124,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Telling
+// Queries
 //===----------------------------------------------------------------------===//
 
 Revision StoreMirror::completeRevision() const {
--- a/Libraries/LibPlatform/StoreMirror.h
+++ b/Libraries/LibPlatform/StoreMirror.h
@@ -1,4 +1,4 @@
-//===-- StoreMirror.h - A copy of the store that never goes back ----------===//
+//===-- StoreMirror.h - Local copy of the store's entries -----------------===//
 #ifndef YARDRILL_LIBPLATFORM_STOREMIRROR_H
 #define YARDRILL_LIBPLATFORM_STOREMIRROR_H
 
@@ -14,21 +14,20 @@
 
 namespace yardrill::platform {
 
-/// What the store held at one revision, fed by the store itself or by another
-/// instance that is further on. Answers that come late, twice or out of order
-/// change nothing.
+/// Local copy of the store's entries, updated from the store or from another
+/// instance with a newer revision. Late, repeated and reordered updates change
+/// nothing.
 ///
-/// Another instance may tell of a change without its value (a detached entry).
-/// The older value then stays in force, and the newer one is wanted, until it
-/// is supplied.
+/// Another instance may report a change without its value. The new value is
+/// then pending, and the older one stays in effect, until it is supplied.
 class StoreMirror {
 public:
   using Subscriber = std::function<void(const Entry &)>;
   using ReplacedCallback = std::function<void(Entry)>;
 
-  /// Values of one key that are not here.
+  /// Values of one key that were reported but have not arrived.
   struct PendingValue {
-    Revision m_OldestRevision; ///< The oldest of them is not older than this.
+    Revision m_OldestRevision; ///< Lower bound for the oldest of them.
     Revision m_NewestRevision;
 
     bool operator==(const PendingValue &Other) const {
@@ -38,45 +37,45 @@
   };
   using PendingValueMap = std::map<std::string, PendingValue>;
 
-  /// \param MaxChanges kept for changesSince().
+  /// \param MaxChanges number of changes kept for changesSince().
   explicit StoreMirror(std::size_t MaxChanges) : m_MaxChanges(MaxChanges) {}
 
-  /// \p Notify gets each change, removals included, in the order applied.
+  /// Calls \p Notify with each change, removals included, after it is applied.
   void subscribe(Subscriber Notify) { m_Notify.push_back(std::move(Notify)); }
 
-  /// \p Hook gets each entry that was just replaced or removed.
+  /// Sets a function that receives each entry that was replaced or removed.
   void setReplacedCallback(ReplacedCallback Callback) {
     m_Replaced = std::move(Callback);
   }
 
-  /// Takes the whole content as of \p At. Entries may be newer than that: a
-  /// range is read in several pages.
+  /// Applies a snapshot of all entries at revision \p At. Some may be newer, as
+  /// a range is read in several pages.
   void replaceAll(Revision At, const std::vector<Entry> &Content);
-  /// Takes all changes after revision() up to \p At.
+  /// Applies \p Changes, which are all those after revision() up to \p At.
   void apply(Revision At, const std::vector<Entry> &Changes);
 
-  /// Takes a value that was wanted, or a newer one of the same key.
+  /// Applies a pending value, or a newer value of the same key.
   void supplyValue(const Entry &Value);
 
-  /// 0: nothing was ever taken in.
+  /// \returns the revision up to which changes were applied; 0 before the first
+  /// update.
   Revision revision() const { return m_Revision; }
-  /// Up to which nothing is wanted. While values change faster than they
-  /// arrive it grows with each that does.
+  /// \returns the revision up to which no value is pending. Even while values
+  /// change faster than they arrive, it grows with each that arrives.
   Revision completeRevision() const;
-  /// By key.
+  /// \returns the pending values by key.
   const PendingValueMap &pendingValues() const { return m_PendingValues; }
-  /// \returns null when the key is not here.
+  /// \returns the entry, or null when there is none.
   const Entry *find(const std::string &Key) const;
-  /// All entries; those that are wanted, detached.
+  /// \returns a snapshot of all entries; pending values are omitted.
   std::vector<Entry> content() const;
-  /// The newest change of each key. \returns none when some of the changes are
-  /// no longer kept.
+  /// \returns the newest change of each key after \p After, or none when some
+  /// of these changes are no longer kept.
   std::optional<std::vector<Entry>> changesSince(Revision After) const;
 
 private:
-  /// That a key changed. Its value is looked up when it is asked for: values
-  /// that newer ones replaced are neither kept nor passed on. Twenty versions
-  /// of half a megabyte cost one that missed them 0.5 MB in place of 10.
+  /// Change of a key, without its value. changesSince() looks the value up, so
+  /// that replaced values, which can be large, are neither kept nor sent.
   struct Change {
     std::string m_Key;
     Revision m_ModRevision;
@@ -85,18 +84,19 @@
   void applyEntry(const Entry &Update);
   void markPending(const Entry &Update);
   bool isPending(const Entry &Update) const;
-  /// Puts or removes, and tells the subscribers.
+  /// Stores or removes an entry and notifies the subscribers.
   void store(const Entry &Update);
-  /// Removes what is missing in a content read at \p At.
+  /// Removes the entries that a snapshot read at \p At does not have.
   void removeAbsent(Revision At, const std::set<std::string> &Present);
   bool isPresent(const std::string &Key) const;
+  /// \returns the entry of \p Key, without its value if that is pending.
   /// \pre isPresent(Key).
   Entry current(const std::string &Key) const;
   void recordChange(const Entry &Update);
 
   std::size_t m_MaxChanges;
   Revision m_Revision;
-  /// Changes after this revision are all in m_Changes.
+  /// Revision after which m_Changes has all changes.
   Revision m_HistoryStart;
   std::map<std::string, Entry> m_Entries;
   PendingValueMap m_PendingValues;
