--- a/Libraries/LibCore/NonBlockingLogWriter.cpp
+++ b/Libraries/LibCore/NonBlockingLogWriter.cpp
@@ -8,7 +8,7 @@
 
 namespace yardrill::core {
 
-/// POSIX: a pipe that polls writable takes this much without blocking.
+/// A pipe that polls writable accepts this much without blocking (POSIX).
 static constexpr std::size_t WriteChunkBytes = 4096;
 
 bool NonBlockingLogWriter::tryTakeToken(TimePoint Now) {
--- a/Libraries/LibCore/NonBlockingLogWriter.h
+++ b/Libraries/LibCore/NonBlockingLogWriter.h
@@ -1,5 +1,4 @@
-//===-- NonBlockingLogWriter.h - Log lines that never hold the process up
-//-----------===//
+//===-- NonBlockingLogWriter.h - Log output that never blocks -------------===//
 #ifndef YARDRILL_LIBCORE_NONBLOCKINGLOGWRITER_H
 #define YARDRILL_LIBCORE_NONBLOCKINGLOGWRITER_H
 
@@ -11,24 +10,28 @@
 
 namespace yardrill::core {
 
+/// Limits of a NonBlockingLogWriter. Normal operation stays far below them.
 struct LogWriterLimits {
-  double m_LinesPerSecond = 400; ///< About twenty times the usual volume.
-  double m_Burst = 2000;
-  std::size_t m_BufferBytes = 262144; ///< Waiting for a slow reader.
+  double m_LinesPerSecond = 400;
+  double m_Burst = 2000;              ///< In lines.
+  std::size_t m_BufferBytes = 262144; ///< Buffered for a slow reader.
 };
 
-/// Collects lines and writes them to a descriptor when that takes some. Lines
-/// beyond the budget are dropped and counted; one line says how many, when
-/// there is room again. Used on one thread.
+/// Buffers log lines and writes them to a file descriptor without blocking.
+/// Lines beyond the limits are dropped; a log line reports their number when
+/// there is room again. Not synchronized: the gateway sets it as the log sink
+/// of its only thread.
 class NonBlockingLogWriter {
 public:
   NonBlockingLogWriter(int Descriptor, const LogWriterLimits &Limits)
       : m_Descriptor(Descriptor), m_Limits(Limits),
         m_LineTokens(Limits.m_Burst) {}
 
+  /// Buffers a line, given without its newline, or drops it.
   void add(const std::string &Line, TimePoint Now);
-  /// Writes what the descriptor takes without waiting.
+  /// Writes as much as the descriptor accepts without blocking.
   void flush(TimePoint Now);
+  /// \returns the number of lines dropped so far.
   std::uint64_t droppedLines() const { return m_TotalDropped; }
 
 private:
@@ -40,7 +43,7 @@
   double m_LineTokens;
   TimePoint m_RefilledAt{};
   std::string m_Buffer;
-  std::uint64_t m_UnreportedDropped = 0; ///< Since the last line that said so.
+  std::uint64_t m_UnreportedDropped = 0; ///< Dropped since the last report.
   std::uint64_t m_TotalDropped = 0;
 };
 
