--- a/Libraries/LibCore/Digest.cpp
+++ b/Libraries/LibCore/Digest.cpp
@@ -35,7 +35,7 @@
 
 std::string
 sha256LengthPrefixed(std::initializer_list<std::string_view> Parts) {
-  // Looked up once: that costs as much as hashing a kilobyte.
+  // Fetched once, as a lookup is as slow as hashing a kilobyte.
   static EVP_MD *const Sha256 = EVP_MD_fetch(nullptr, "SHA256", nullptr);
   std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> Hash(EVP_MD_CTX_new(),
                                                                EVP_MD_CTX_free);
@@ -109,7 +109,7 @@
   int Size = EVP_DecodeBlock(reinterpret_cast<unsigned char *>(Out.data()),
                              bytes(Text), static_cast<int>(Text.size()));
   if (Size < 0 || Text.size() % 4 != 0)
-    throw Error(ErrorKind::Protocol, "not base64");
+    throw Error(ErrorKind::Protocol, "text is not base64");
   std::size_t Padding = 0;
   while (Padding < 2 && Padding < Text.size() &&
          Text[Text.size() - 1 - Padding] == '=')
@@ -121,7 +121,7 @@
 std::uint64_t randomBits() {
   std::uint64_t Bits = 0;
   if (RAND_bytes(reinterpret_cast<unsigned char *>(&Bits), sizeof Bits) != 1)
-    throw Error(ErrorKind::Unavailable, "no random source");
+    throw Error(ErrorKind::Unavailable, "random generator failed");
   return Bits;
 }
 
