--- a/Libraries/LibCore/EventLoopThread.cpp
+++ b/Libraries/LibCore/EventLoopThread.cpp
@@ -14,7 +14,7 @@
 
 void EventLoopThread::start() {
   m_Thread = std::thread([this] { run(); });
-  // The kernel takes 15 characters.
+  // Linux limits thread names to 15 characters.
   pthread_setname_np(m_Thread.native_handle(), m_Name.substr(0, 15).c_str());
 }
 
@@ -29,7 +29,7 @@
     try {
       m_Context.run();
     } catch (const std::exception &Failure) {
-      // One request's failure must not end the duty for all others.
+      // An error in one handler must not end the loop for all others.
       LogLine("duty-failure", LogLevel::Error)
           .add("duty", m_Name)
           .add("reason", Failure.what());
--- a/Libraries/LibCore/EventLoopThread.h
+++ b/Libraries/LibCore/EventLoopThread.h
@@ -1,5 +1,4 @@
-//===-- EventLoopThread.h - A thread for one duty
-//------------------------------===//
+//===-- EventLoopThread.h - Thread that runs an event loop ----------------===//
 #ifndef YARDRILL_LIBCORE_EVENTLOOPTHREAD_H
 #define YARDRILL_LIBCORE_EVENTLOOPTHREAD_H
 
@@ -11,8 +10,8 @@
 
 namespace yardrill::core {
 
-/// Runs one event loop on one thread of its own. All state of the duty is
-/// touched on that thread only; others reach it through a Ring.
+/// Thread that runs an event loop. The owner's state is used on this thread
+/// only; other threads send messages to it through an MPSCQueue.
 class EventLoopThread {
 public:
   explicit EventLoopThread(std::string Name);
@@ -25,7 +24,8 @@
   void start();
   void stop();
 
-  /// A Ring's wake hook: runs \p Drain on this thread.
+  /// Makes the function by which an MPSCQueue's producers wake this thread.
+  /// \param Drain runs on this thread after each call of that function.
   std::function<void()> makeWaker(std::function<void()> Drain);
 
 private:
--- a/Libraries/LibCore/MPSCQueue.h
+++ b/Libraries/LibCore/MPSCQueue.h
@@ -1,4 +1,4 @@
-//===-- Ring.h - A bounded ring between two duties ------------------------===//
+//===-- MPSCQueue.h - Bounded queue between threads -----------------------===//
 #ifndef YARDRILL_LIBCORE_MPSCQUEUE_H
 #define YARDRILL_LIBCORE_MPSCQUEUE_H
 
@@ -11,11 +11,12 @@
 
 namespace yardrill::core {
 
-/// Many producers, one consumer, a fixed capacity. A full ring refuses, so
-/// that the producer answers for it; it never blocks and never grows.
+/// Queue with many producers, one consumer and a fixed capacity, by which
+/// threads send messages to an EventLoopThread. tryPush() never blocks: a full
+/// queue rejects the value, and the producer handles the overload.
 template <class T> class MPSCQueue {
 public:
-  /// \param Wake called by a producer when the consumer has to call drain().
+  /// \param Wake makes the consumer call drain(); runs on a producer's thread.
   MPSCQueue(std::size_t Capacity, std::function<void()> Wake)
       : m_Queue(Capacity), m_Wake(std::move(Wake)) {}
   MPSCQueue(const MPSCQueue &) = delete;
@@ -26,7 +27,7 @@
       delete Value;
   }
 
-  /// \returns false when the ring is full; \p Value is then dropped.
+  /// \returns false when the queue is full; \p Value is then dropped.
   bool tryPush(T Value) {
     auto Owned = std::make_unique<T>(std::move(Value));
     if (!m_Queue.bounded_push(Owned.get()))
@@ -37,16 +38,16 @@
     return true;
   }
 
-  /// For values that must not be lost: waits for room. A ring that is sized for
-  /// all that can be under way has none only behind a stalled consumer.
+  /// Blocks until there is room, for values that must not be lost. A queue
+  /// sized for all messages in flight is full only behind a stalled consumer.
   void push(const T &Value) {
     while (!tryPush(Value))
       std::this_thread::sleep_for(FullRetryInterval);
   }
 
-  /// Hands every waiting value to \p Handle, on the consumer's thread.
+  /// Passes all queued values to \p Handle. Runs on the consumer's thread.
   template <class Function> void drain(Function &&Handle) {
-    // Cleared before the first pop: a value pushed later wakes us again.
+    // Cleared before the first pop, so that a later push wakes the consumer.
     m_IsWakePending.store(false);
     T *Value = nullptr;
     while (m_Queue.pop(Value)) {
