--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -1,4 +1,4 @@
-//===-- Error.h - The failures yardrill can report ------------------------===//
+//===-- Error.h - Exception type and kinds of errors ----------------------===//
 #ifndef YARDRILL_LIBCORE_ERROR_H
 #define YARDRILL_LIBCORE_ERROR_H
 
@@ -7,33 +7,35 @@
 
 namespace yardrill::core {
 
-/// Every failure has a kind; the text only adds the particulars.
+/// Kind of an error, by which callers decide what to do. Where it says that
+/// nothing was done, an operation can be repeated safely.
 enum class ErrorKind {
   Usage,          ///< The command line is wrong.
-  Settings,       ///< An instance's settings file is wrong.
-  Configuration,  ///< A fleet configuration is wrong.
-  Conflict,       ///< Somebody else changed the value first.
-  Unavailable,    ///< The other side could not be reached; nothing was done.
-  Refused,        ///< Nobody listens at the address; nothing was done.
-  OutcomeUnknown, ///< The other side may or may not have done it.
-  Protocol,       ///< The other side broke the protocol.
-  BudgetSpent,    ///< A limit of our own was reached; nothing was done.
+  Settings,       ///< An instance's settings file is invalid.
+  Configuration,  ///< A fleet configuration is invalid.
+  Conflict,       ///< The value has changed since it was read.
+  Unavailable,    ///< The peer is unreachable or overloaded; nothing was done.
+  Refused,        ///< No process listens at the address; nothing was done.
+  OutcomeUnknown, ///< The peer may or may not have done it.
+  Protocol,       ///< A message or stored value is malformed.
+  BudgetSpent,    ///< This process's own limit was reached; nothing was done.
   AddressInUse,   ///< A listening address could not be bound.
   LimitExceeded,  ///< A message is larger than allowed.
   Trace,          ///< A recorded trace cannot be read.
-  Policy,         ///< A policy program is wrong.
+  Policy,         ///< A policy program is invalid.
 };
 
-/// The kind's name in lower-case kebab form, as logs and answers show it.
+/// \returns the kind's name as in logs and responses: `outcome-unknown`.
 const char *toString(ErrorKind Kind);
 
-/// Base of all exceptions thrown by yardrill.
+/// Base class of all exceptions that yardrill throws. what() is the kind's name
+/// and the detail: `usage: serve needs --config=FILE`.
 class Error : public std::runtime_error {
 public:
   Error(ErrorKind Kind, const std::string &Detail);
 
   ErrorKind kind() const { return m_Kind; }
-  /// What happened, without the kind's name.
+  /// \returns the description without the kind's name.
   const std::string &detail() const { return m_Detail; }
 
 private:
