--- a/Libraries/LibCore/Log.h
+++ b/Libraries/LibCore/Log.h
@@ -1,4 +1,4 @@
-//===-- Log.h - One line of key=value pairs for each event ----------------===//
+//===-- Log.h - Structured log lines --------------------------------------===//
 #ifndef YARDRILL_LIBCORE_LOG_H
 #define YARDRILL_LIBCORE_LOG_H
 
@@ -14,7 +14,8 @@
 
 enum class LogLevel { Info, Warning, Error };
 
-/// Builds one log line and hands it to glog when destroyed:
+/// Builds a log line of key=value pairs and writes it when destroyed, to glog
+/// or to the log sink:
 /// `LogLine("request-finished").add("request", Id).add("status", 200);`
 class LogLine {
 public:
@@ -23,9 +24,9 @@
   LogLine(const LogLine &) = delete;
   LogLine &operator=(const LogLine &) = delete;
 
-  /// Appends ` Key=Value`. A value with spaces, quotes or control characters
-  /// is quoted and escaped, so that it can neither end the line nor forge a
-  /// key.
+  /// Appends ` Key=Value`. A value that is empty or has characters such as
+  /// spaces, quotes or controls is quoted and escaped, so that it can neither
+  /// end the line nor forge a key. Durations are written in microseconds.
   LogLine &add(std::string_view Key, std::string_view Value);
   LogLine &add(std::string_view Key, const char *Value) {
     return add(Key, std::string_view(Value));
@@ -46,11 +47,12 @@
   std::string m_Text;
 };
 
-/// Hands every line to \p Sink instead of glog; null goes back to glog. For a
-/// process with one thread, whose output must not block it.
+/// Sends all lines to \p Sink instead of glog; null restores glog. Not
+/// synchronized: for processes with one thread, which log output must not
+/// block.
 void setLogSink(std::function<void(const std::string &)> Sink);
 
-/// Sends logs to standard error, without glog's own prefix.
+/// Initializes glog to write to standard error without a prefix of its own.
 void startLogging(const char *ProgramName);
 
 } // namespace yardrill::core
--- a/Libraries/LibCore/LogReader.cpp
+++ b/Libraries/LibCore/LogReader.cpp
@@ -9,7 +9,8 @@
   return Found == m_Fields.end() ? "" : Found->second;
 }
 
-/// Takes one value from the front of \p Rest: up to a space, or in quotes.
+/// Removes a value, quoted or up to a space, from the front of \p Rest.
+/// \returns the value, unescaped.
 static std::string parseValue(std::string_view &Rest) {
   if (Rest.empty() || Rest.front() != '"') {
     std::string Out(Rest.substr(0, Rest.find(' ')));
--- a/Libraries/LibCore/LogReader.h
+++ b/Libraries/LibCore/LogReader.h
@@ -1,4 +1,4 @@
-//===-- LogReader.h - Reads lines that LogLine wrote ----------------------===//
+//===-- LogReader.h - Parser of the lines that LogLine writes -------------===//
 #ifndef YARDRILL_LIBCORE_LOGREADER_H
 #define YARDRILL_LIBCORE_LOGREADER_H
 
@@ -9,19 +9,20 @@
 
 namespace yardrill::core {
 
-/// One line of a log.
+/// Parsed line of a log.
 struct LogEntry {
-  /// The word before `time=`, where a collector of logs put the source's name.
+  /// Word before `time=`, where log collectors put the name of the source;
+  /// empty when there is none.
   std::string m_Source;
-  std::string m_Time; ///< As written: UTC, of fixed width, so it sorts.
+  std::string m_Time; ///< In UTC; sorts as text, since its width is fixed.
   std::string m_Event;
-  std::map<std::string, std::string> m_Fields; ///< All others, unescaped.
+  std::map<std::string, std::string> m_Fields; ///< Other fields, unescaped.
 
-  /// \returns "" when the line has no such field.
+  /// \returns the field's value, or "" when the line has no such field.
   std::string field(const std::string &Name) const;
 };
 
-/// \returns nothing for a line that LogLine did not write.
+/// \returns none for a line that LogLine did not write.
 std::optional<LogEntry> parseLogLine(std::string_view Line);
 
 } // namespace yardrill::core
