--- a/Libraries/LibCore/Time.h
+++ b/Libraries/LibCore/Time.h
@@ -1,4 +1,4 @@
-//===-- Time.h - Clock types ----------------------------------------------===//
+//===-- Time.h - Clock, time points and durations -------------------------===//
 #ifndef YARDRILL_LIBCORE_TIME_H
 #define YARDRILL_LIBCORE_TIME_H
 
@@ -9,10 +9,10 @@
 
 using Duration = std::chrono::microseconds;
 
-/// Monotonic time that goes on while the machine is suspended: CLOCK_BOOTTIME
-/// of clock_gettime(2). By std::chrono::steady_clock, CLOCK_MONOTONIC, all that
-/// was heard before a suspension would look fresh after it, while others have
-/// long taken this instance's place.
+/// Monotonic clock that advances while the machine is suspended: CLOCK_BOOTTIME
+/// of clock_gettime(2). std::chrono::steady_clock (CLOCK_MONOTONIC) does not:
+/// after a suspension, messages received before it would look recent, although
+/// other instances have replaced this one since.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -30,14 +30,14 @@
   }
 };
 
-/// Monotonic time of this machine; means nothing on another one.
+/// Time point of BootClock; it can't be compared between machines.
 using TimePoint = std::chrono::time_point<BootClock, Duration>;
 
 inline TimePoint steadyNow() {
   return std::chrono::time_point_cast<Duration>(BootClock::now());
 }
 
-/// Seconds since the Unix epoch, for what is compared between machines.
+/// \returns seconds since the Unix epoch, which machines can compare.
 inline std::chrono::seconds wallSeconds() {
   return std::chrono::duration_cast<std::chrono::seconds>(
       std::chrono::system_clock::now().time_since_epoch());
@@ -47,7 +47,7 @@
   return std::chrono::duration<double>(Value).count();
 }
 
-/// Rounded towards zero.
+/// Converts seconds to a duration, rounded towards zero to microseconds.
 inline Duration fromSeconds(double Value) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(Value));
--- a/Libraries/LibCore/Timer.h
+++ b/Libraries/LibCore/Timer.h
@@ -1,4 +1,4 @@
-//===-- Timer.h - Waits that end by BootClock -----------------------------===//
+//===-- Timer.h - Asio timer on BootClock ---------------------------------===//
 #ifndef YARDRILL_LIBCORE_TIMER_H
 #define YARDRILL_LIBCORE_TIMER_H
 
@@ -8,9 +8,9 @@
 
 namespace yardrill::core {
 
-/// After a suspension of the machine, a wait that is over ends with the loop's
-/// next event. The kernel's own timers stand still meanwhile, so that a loop
-/// that waits for nothing else would wake late.
+/// Asio timer on BootClock. The kernel timers behind it stop while the machine
+/// is suspended: a wait that expires meanwhile ends with the event loop's next
+/// event, and late if there is no other event.
 using Timer = boost::asio::basic_waitable_timer<BootClock>;
 
 } // namespace yardrill::core
--- a/Libraries/LibCore/TimerService.cpp
+++ b/Libraries/LibCore/TimerService.cpp
@@ -34,7 +34,7 @@
   m_Calls.insert(Timer);
   Timer->async_wait([this, Timer, Notify = std::move(Notify)](
                         boost::system::error_code Failure) {
-    // The service may have ended.
+    // Cancelled: the service may be destroyed.
     if (Failure)
       return;
     m_Calls.erase(Timer);
--- a/Libraries/LibCore/TimerService.h
+++ b/Libraries/LibCore/TimerService.h
@@ -1,4 +1,4 @@
-//===-- TimerService.h - Time that parts subscribe to ---------------------===//
+//===-- TimerService.h - Periodic and delayed calls -----------------------===//
 #ifndef YARDRILL_LIBCORE_TIMERSERVICE_H
 #define YARDRILL_LIBCORE_TIMERSERVICE_H
 
@@ -13,20 +13,22 @@
 
 namespace yardrill::core {
 
-/// Where parts learn the time and ask to be called; a test gives its own.
+/// Clock with periodic and delayed calls; tests may implement their own.
 class TimerService {
 public:
   using Subscriber = std::function<void(TimePoint)>;
 
   virtual ~TimerService() = default;
   virtual TimePoint now() const = 0;
-  /// Calls \p Notify every \p Period until the service ends.
+  /// Calls \p Notify every \p Period until the service is destroyed.
   virtual void subscribe(Duration Period, Subscriber Notify) = 0;
-  /// Calls \p Notify once, after \p Delay, unless the service ends before.
+  /// Calls \p Notify once, after \p Delay, unless the service is destroyed
+  /// before.
   virtual void callAfter(Duration Delay, Subscriber Notify) = 0;
 };
 
-/// Real time, on the thread that runs \p Context.
+/// TimerService on BootClock that makes its calls on the thread that runs
+/// \p Context.
 class SteadyTimerService final : public TimerService {
 public:
   explicit SteadyTimerService(boost::asio::io_context &Context);
@@ -42,7 +44,7 @@
 
   boost::asio::io_context &m_Context;
   std::vector<std::shared_ptr<Subscription>> m_Subscriptions;
-  /// Of calls that are to come; each removes itself.
+  /// Timers of pending delayed calls; each is removed before its call.
   std::set<std::shared_ptr<core::Timer>> m_Calls;
 };
 
