--- a/Libraries/LibCore/StrongType.h
+++ b/Libraries/LibCore/StrongType.h
@@ -1,4 +1,4 @@
-//===-- StrongType.h - Distinct types for ids, names and counts -----------===//
+//===-- StrongType.h - Distinct types for ids, names and numbers ----------===//
 #ifndef YARDRILL_LIBCORE_STRONGTYPE_H
 #define YARDRILL_LIBCORE_STRONGTYPE_H
 
@@ -10,8 +10,8 @@
 
 namespace yardrill::core {
 
-/// A value of type \p Rep that converts to no other StrongType.
-/// \p Tag only tells the types apart.
+/// A value of type \p Rep that converts to no other StrongType. \p Tag makes
+/// types with the same \p Rep distinct.
 template <class Tag, class Rep> class StrongType {
 public:
   StrongType() = default;
@@ -27,7 +27,7 @@
     return m_Value < Other.m_Value;
   }
 
-  /// cereal's hook: the bare value, with no wrapper around it.
+  /// Serializes the bare value; cereal calls these two functions.
   template <class Archive> Rep save_minimal(const Archive &) const {
     return m_Value;
   }
@@ -46,19 +46,19 @@
 }
 
 using RequestId = StrongType<struct RequestIdTag, std::uint64_t>;
-/// One run of one process: drawn at random at start, never used again.
+/// Identifies one run of a process: random, drawn at its start, never reused.
 using IncarnationId = StrongType<struct IncarnationIdTag, std::uint64_t>;
 using ConfigurationVersion =
     StrongType<struct ConfigurationVersionTag, std::uint64_t>;
-/// 1 is served first; a larger number is a lower tier.
+/// Priority tier, counted from 1, which is served first.
 using TierNumber = StrongType<struct TierNumberTag, std::uint32_t>;
 using AccountName = StrongType<struct AccountNameTag, std::string>;
 using PoolName = StrongType<struct PoolNameTag, std::string>;
 using TargetName = StrongType<struct TargetNameTag, std::string>;
-/// Of a target's software.
+/// Version of a target's software.
 using TargetVersion = StrongType<struct TargetVersionTag, std::string>;
-/// When a run of a target started: milliseconds since 1970 by its own clock,
-/// which may be wrong. 0: it does not say.
+/// Start time of a target's incarnation, in milliseconds since the Unix epoch
+/// by the target's clock, which may be wrong; 0 when it is not reported.
 using TargetStartTime = StrongType<struct TargetStartTimeTag, std::int64_t>;
 using InstanceName = StrongType<struct InstanceNameTag, std::string>;
 using DataHallName = StrongType<struct DataHallNameTag, std::string>;
