--- a/Tests/LibCore/DigestTest.cpp
+++ b/Tests/LibCore/DigestTest.cpp
@@ -14,7 +14,7 @@
 
 public:
   void testPublishedVectors() {
-    // FIPS 180-4 example; RFC 4231, test case 2.
+    // FIPS 180-4, example for SHA-256; RFC 4231, test case 2.
     CPPUNIT_ASSERT_EQUAL(
         std::string("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61"
                     "f20015ad"),
--- a/Tests/LibCore/NonBlockingLogWriterTest.cpp
+++ b/Tests/LibCore/NonBlockingLogWriterTest.cpp
@@ -55,7 +55,7 @@
     Limits.m_Burst = 1e6;
     NonBlockingLogWriter Log(m_Write, Limits);
     std::string Line(1000, 'x');
-    // The pipe holds 64 KiB, the buffer 256; the rest is dropped.
+    // The pipe holds 64 KiB and the buffer 256 KiB; other lines are dropped.
     for (int I = 0; I < 1000; ++I) {
       Log.add(Line, m_Now);
       Log.flush(m_Now);
@@ -67,7 +67,7 @@
       if (readAll().find("event=log-lines-dropped count=") != std::string::npos)
         return;
     }
-    CPPUNIT_FAIL("nothing says that lines were dropped");
+    CPPUNIT_FAIL("dropped lines were not reported");
   }
 
   void testLinesOverTheRateLimitAreCounted() {
--- a/Tests/LibHTTP/ServerTest.cpp
+++ b/Tests/LibHTTP/ServerTest.cpp
@@ -1,4 +1,9 @@
-//===-- ServerTest.cpp - The server under callers that do odd things ------===//
+//===-- ServerTest.cpp - Pipelining and disconnects of callers ------------===//
+//
+// Guards against a stalled event loop and a missed disconnect when the data
+// that an event reports has already been read.
+//
+//===----------------------------------------------------------------------===//
 #include "LibHTTP/Server.h"
 
 #include <atomic>
@@ -51,7 +56,7 @@
     Out.set_option(tcp::no_delay(true));
     return Out;
   }
-  /// The end of the body comes in a packet of its own, right behind the rest.
+  /// Sends a request whose body ends in a packet of its own.
   static void sendSplitRequest(tcp::socket &To) {
     static const std::string Head =
         "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 6\r\n\r\n";
@@ -59,8 +64,8 @@
     asio::write(To, asio::buffer("one", 3));
     asio::write(To, asio::buffer("two", 3));
   }
-  /// On the server's own thread, so that the next request is often there before
-  /// the server's write of the last answer has returned.
+  /// Sends requests in succession, on the server's thread, so that the next one
+  /// often arrives before the write of the last response has returned.
   void callMany(asio::yield_context Yield) {
     tcp::socket To(m_Context);
     To.async_connect({asio::ip::make_address("127.0.0.1"), m_Server->port()},
