--- a/Tests/LibPlatform/StoreMirrorTest.cpp
+++ b/Tests/LibPlatform/StoreMirrorTest.cpp
@@ -70,14 +70,14 @@
   void testSnapshotRemovesAbsentEntries() {
     m_Mirror.replaceAll(Revision(20), {put("b", "2", 15), put("c", "1", 16)});
     CPPUNIT_ASSERT_EQUAL(std::string("b=2 c=1 "), text(m_Mirror));
-    // The same once more, at the revision of the removal.
+    // A repeated snapshot at the revision of the removal changes nothing.
     m_Mirror.replaceAll(Revision(20), {put("b", "2", 15), put("c", "1", 16)});
     CPPUNIT_ASSERT_EQUAL(std::string("b=2 c=1 "), text(m_Mirror));
   }
 
   void testSnapshotMayHoldNewerEntries() {
     m_Mirror.apply(Revision(22), {put("d", "1", 22)});
-    // Read from revision 20 on; its second page saw the change of 21.
+    // A later page of the snapshot has the change of b at revision 23.
     m_Mirror.replaceAll(
         Revision(22), {put("a", "1", 3), put("b", "9", 23), put("d", "1", 22)});
     CPPUNIT_ASSERT_EQUAL(std::string("a=1 b=9 d=1 "), text(m_Mirror));
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("b")->m_Value);
     CPPUNIT_ASSERT(m_Mirror.revision() == Revision(12));
     CPPUNIT_ASSERT(m_Mirror.completeRevision() == Revision(10));
-    // An older one than is wanted brings it closer, and never back.
+    // A value between the current and the newest pending one is applied.
     m_Mirror.apply(Revision(13), {valueOmitted("a", 13)});
     m_Mirror.supplyValue(put("a", "2", 11));
     m_Mirror.supplyValue(put("a", "1", 3));
@@ -154,7 +154,7 @@
   void testStoreUpdatesResolvePendingValues() {
     m_Mirror.apply(Revision(12),
                    {valueOmitted("a", 11), valueOmitted("b", 12)});
-    // A watch that began before what is wanted, and a whole content.
+    // Updates from the store: changes of a watch, then a snapshot.
     m_Mirror.apply(Revision(11), {put("a", "2", 11)});
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("a")->m_Value);
     m_Mirror.replaceAll(Revision(11), {put("b", "2", 12)});
