--- a/Tests/Platform/DeploymentSettingsTest.cpp
+++ b/Tests/Platform/DeploymentSettingsTest.cpp
@@ -77,7 +77,7 @@
     Text.replace(Text.find("portRange = [7600,7615]"), 23, "");
     try {
       DeploymentSettings::parse(Text, "local.toml");
-      CPPUNIT_FAIL("accepted");
+      CPPUNIT_FAIL("invalid settings were accepted");
     } catch (const config::FaultyDocument &Failure) {
       CPPUNIT_ASSERT_EQUAL(std::size_t(3), Failure.faults().size());
       CPPUNIT_ASSERT(Failure.kind() == core::ErrorKind::Settings);
@@ -87,7 +87,7 @@
   void testInvalidTomlReportsLine() {
     try {
       DeploymentSettings::parse("a = 1\na = 2\n", "local.toml");
-      CPPUNIT_FAIL("accepted");
+      CPPUNIT_FAIL("invalid settings were accepted");
     } catch (const config::FaultyDocument &Failure) {
       CPPUNIT_ASSERT_EQUAL(2, Failure.faults().front().m_Line);
     }
--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -1,4 +1,4 @@
-//===-- DialectTest.cpp - The wire's names, read and written --------------===//
+//===-- DialectTest.cpp - Headers and store entries of the platform -------===//
 #include "PlatformDialect.h"
 #include "StoreEntries.h"
 
@@ -83,7 +83,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("9c41"),
                          *Out.m_Headers.find("Attempt-Id"));
     CPPUNIT_ASSERT(Out.m_Headers.find("Model") && Out.m_Headers.find("Host"));
-    // Once more for another target, with an account and a place to go on.
+    // The next attempt, at another target, resumes a stream after event 12.
     What.m_Target = core::TargetName("i-8f");
     What.m_Account = core::AccountName("hule930");
     What.m_LastEvent = "12";
@@ -125,7 +125,7 @@
         m_Dialect.describe(Head).m_Backpressure;
     CPPUNIT_ASSERT_EQUAL(1.4, Backpressure.m_RequestsPerSecond.value());
     CPPUNIT_ASSERT(Backpressure.m_IsLeaving);
-    // Only one that turns a request away asks for rest.
+    // Retry-After asks for a back-off only in a 503 response.
     CPPUNIT_ASSERT(!Backpressure.m_Backoff);
     Head.m_Status = 503;
     Head.m_Headers = {{"Retry-After", "2.5"}, {"Server-Limit", "0"}};
@@ -133,12 +133,12 @@
     CPPUNIT_ASSERT(Backpressure.m_Backoff == std::chrono::milliseconds(2500));
     CPPUNIT_ASSERT_EQUAL(0.0, Backpressure.m_RequestsPerSecond.value());
     CPPUNIT_ASSERT(!Backpressure.m_IsLimitUnspecified);
-    // Another target has the address.
+    // 421: another target has the address, so its headers don't apply.
     Head.m_Status = 421;
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
     CPPUNIT_ASSERT(
         m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnspecified);
-    // A signed answer of a run that names no limit says that there is none.
+    // A signed response to a request that ran lifts the limit if it has none.
     Head.m_Status = 200;
     Head.m_Headers = {{"Replica-Seal", "s"}};
     CPPUNIT_ASSERT(
@@ -166,7 +166,7 @@
     }
     Head.m_Headers = {{"Server-Limit", "2"}, {"server-limit", "3"}};
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnreadable);
-    // A date, as HTTP allows, says nothing here.
+    // HTTP allows a date in Retry-After; it is ignored here.
     Head.m_Headers = {{"Retry-After", "Wed, 21 Oct 2015 07:28:00 GMT"},
                       {"Server-Leaving", "0"}};
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
--- a/Tests/Platform/MalformedTargetEntryTest.cpp
+++ b/Tests/Platform/MalformedTargetEntryTest.cpp
@@ -1,8 +1,7 @@
-//===-- MalformedTargetEntryTest.cpp - Announcements that no target wrote
-//---------===//
+//===-- MalformedTargetEntryTest.cpp - Invalid target announcements -------===//
 //
-// Whoever may write to the store may write what looks like a target. Such an
-// entry names no target to use, and spoils none of the others.
+// Guards against store entries of other programs that look like a target's:
+// none may yield a usable target or affect the valid ones.
 //
 //===----------------------------------------------------------------------===//
 #include "PlatformDialect.h"
@@ -31,7 +30,7 @@
 
   PlatformDialect m_Dialect;
 
-  /// As deployments wrote them before runs told their birth.
+  /// \returns an announcement as in older deployments, without a start time.
   static json::object oldFormat() {
     return {{"service", "huvo11a"}, {"address", "10.128.0.9:8080"},
             {"zone", "bandung"},    {"version", "v1"},
@@ -77,7 +76,7 @@
     for (const json::object &Format : {oldFormat(), newFormat()})
       for (const auto &Field : Format) {
         if (Field.key() == "born")
-          continue; // That is the old form.
+          continue; // Optional: the old format does not have it.
         json::object Incomplete = Format;
         Incomplete.erase(Field.key());
         CPPUNIT_ASSERT_MESSAGE(std::string(Field.key()),
@@ -91,7 +90,7 @@
     for (const auto &Field : newFormat())
       for (const json::value &Value : Values) {
         if (Field.key() == "coldLeftMs" && Value.is_number())
-          continue; // A time may have a fraction.
+          continue; // Fractions are allowed.
         json::object Other = newFormat();
         Other[Field.key()] = Value;
         CPPUNIT_ASSERT_MESSAGE(json::serialize(Other), !isTarget(entry(Other)));
@@ -141,9 +140,9 @@
     }
   }
 
-  /// Fields dropped, changed and cut at random: each result is a target whose
-  /// fields hold what they promise, or an error of a known kind; the targets
-  /// that were there before stay as they were.
+  /// Removes, changes and truncates fields at random. Each result must be a
+  /// target with valid fields or a Protocol error, and the targets announced
+  /// before must stay unchanged.
   void testRandomEntriesParseOrThrow() {
     routing::TargetDirectory Targets;
     for (int I = 0; I < 4; ++I) {
--- a/Tests/Platform/StoreClientTest.cpp
+++ b/Tests/Platform/StoreClientTest.cpp
@@ -1,4 +1,4 @@
-//===-- StoreClientTest.cpp - The store's calls against its stand-in ------===//
+//===-- StoreClientTest.cpp - StoreClient against a simulated store -------===//
 #include "StoreClient.h"
 
 #include "LibCore/Error.h"
@@ -39,7 +39,7 @@
     Out.m_LongPollTimeout = std::chrono::milliseconds(100);
     return Out;
   }
-  /// Runs \p Test as a coroutine beside the stand-in, until it returns.
+  /// Runs \p Test as a coroutine on the simulated store's event loop.
   void run(const std::function<void(asio::yield_context)> &Test) {
     std::exception_ptr Failure;
     asio::spawn(
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(Result.m_IsSwapped);
     return Result.m_Revision;
   }
-  /// Drives the stand-in by its control path from within the loop.
+  /// Sends settings to the simulated store's control path.
   void sendControl(const std::string &Json, asio::yield_context Yield) {
     auto Connection = http::ClientConnection::connect(
         m_Context, settings().m_Addresses.front(), std::chrono::seconds(1),
@@ -86,7 +86,7 @@
     } catch (const core::Error &Failure) {
       return Failure.kind();
     }
-    CPPUNIT_FAIL("no error");
+    CPPUNIT_FAIL("the call did not fail");
     return ErrorKind::Usage;
   }
 
@@ -185,7 +185,7 @@
       sendControl(R"({"silent":false,"down":true})", Yield);
       CPPUNIT_ASSERT(errorKindOf(Read) == ErrorKind::OutcomeUnknown);
       sendControl(R"({"down":false,"calls_per_second":1})", Yield);
-      // The call that met the silence goes on at the stand-in meanwhile.
+      // The simulated store still handles the call that got no response.
       asio::steady_timer Pause(m_Context, std::chrono::milliseconds(100));
       Pause.async_wait(Yield);
       Read();
