--- a/Libraries/LibPlatform/KeyValueService.h
+++ b/Libraries/LibPlatform/KeyValueService.h
@@ -53,7 +53,7 @@
 /// Priority of a call: near the rate limit only control calls are made.
 enum class CallClass {
   Control, ///< Configuration, leadership and other state of the instances.
-  Claim,   ///< Claims of keyed requests.
+  Claim    ///< Claims of keyed requests.
 };
 
 /// Key-value store of the platform, with leases and watches. Calls suspend the
