--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -10,11 +10,11 @@
 /// Kind of an error, by which callers decide what to do. Where it says that
 /// nothing was done, an operation can be repeated safely.
 enum class ErrorKind {
-  Usage,          ///< The command line is wrong.
+  Usage,          ///< The command line is invalid.
   Settings,       ///< An instance's settings file is invalid.
   Configuration,  ///< A fleet configuration is invalid.
   Conflict,       ///< The value has changed since it was read.
-  Unavailable,    ///< The peer is unreachable or overloaded; nothing was done.
+  Unavailable,    ///< Peer unreachable or call rejected; nothing was done.
   Refused,        ///< No process listens at the address; nothing was done.
   OutcomeUnknown, ///< The peer may or may not have done it.
   Protocol,       ///< A message or stored value is malformed.
