--- a/Libraries/LibHTTP/ClientConnection.h
+++ b/Libraries/LibHTTP/ClientConnection.h
@@ -14,8 +14,8 @@
 
 /// HTTP/1.1 connection to a server, used by one coroutine at a time. Errors
 /// before the first byte is sent have kind Refused or Unavailable, later ones
-/// OutcomeUnknown: the server may have processed the request. Every timeout
-/// applies to one call.
+/// OutcomeUnknown: the server may have processed the request. Timeouts apply to
+/// each read and write, not to a complete response.
 class ClientConnection {
 public:
   /// \throws core::Error of kind Refused or Unavailable.
