--- a/Libraries/LibGateway/FollowerSelection.cpp
+++ b/Libraries/LibGateway/FollowerSelection.cpp
@@ -10,8 +10,9 @@
 /// away. Asked by all 295 it got 5,490 calls on a day with an outage.
 static constexpr long MaxDoublings = 3;
 
-void FollowerSelection::update(std::size_t Before, core::TimePoint Now) {
-  if (Before >= DesiredFollowers) {
+void FollowerSelection::update(std::size_t FollowersBefore,
+                               core::TimePoint Now) {
+  if (FollowersBefore >= DesiredFollowers) {
     m_TooFewSince.reset();
     m_IsSelected = false;
     return;
--- a/Libraries/LibGateway/FollowerSelection.h
+++ b/Libraries/LibGateway/FollowerSelection.h
@@ -29,7 +29,7 @@
   void setRank(std::size_t Rank) { m_Rank = Rank; }
   /// \param Before of these, how many are heard to follow. To be called several
   /// times a second.
-  void update(std::size_t Before, core::TimePoint Now);
+  void update(std::size_t FollowersBefore, core::TimePoint Now);
   bool isSelected() const { return m_IsSelected; }
 
 private:
--- a/Libraries/LibGateway/MirrorFetcher.cpp
+++ b/Libraries/LibGateway/MirrorFetcher.cpp
@@ -41,10 +41,10 @@
       m_Random(core::randomBits()) {}
 
 template <class Condition>
-static std::vector<FetchCandidate> those(const std::vector<FetchCandidate> &Of,
-                                         const Condition &Fulfil) {
+static std::vector<FetchCandidate>
+filtered(const std::vector<FetchCandidate> &Of, const Condition &Predicate) {
   std::vector<FetchCandidate> Out;
-  std::copy_if(Of.begin(), Of.end(), std::back_inserter(Out), Fulfil);
+  std::copy_if(Of.begin(), Of.end(), std::back_inserter(Out), Predicate);
   return Out;
 }
 
@@ -53,7 +53,7 @@
   platform::Revision Newest;
   for (const FetchCandidate &Each : Of)
     Newest = std::max(Newest, Each.m_CompleteRevision);
-  return those(Of, [Newest](const FetchCandidate &Each) {
+  return filtered(Of, [Newest](const FetchCandidate &Each) {
     return Each.m_CompleteRevision == Newest;
   });
 }
@@ -62,24 +62,25 @@
 // When to ask whom
 //===----------------------------------------------------------------------===//
 
-void MirrorFetcher::fetchIfDue(const Candidates &Ahead, bool IsPatient,
-                               core::TimePoint Now) {
-  fetchChangesIfDue(Ahead, IsPatient, Now);
-  fetchValueIfDue(Ahead, IsPatient, Now);
+void MirrorFetcher::fetchIfDue(const Candidates &PeersAhead,
+                               bool MayWaitForStore, core::TimePoint Now) {
+  fetchChangesIfDue(PeersAhead, MayWaitForStore, Now);
+  fetchValueIfDue(PeersAhead, MayWaitForStore, Now);
 }
 
-void MirrorFetcher::fetchChangesIfDue(const Candidates &Ahead, bool IsPatient,
+void MirrorFetcher::fetchChangesIfDue(const Candidates &PeersAhead,
+                                      bool MayWaitForStore,
                                       core::TimePoint Now) {
   platform::Revision Newest;
-  for (const FetchCandidate &Each : Ahead)
+  for (const FetchCandidate &Each : PeersAhead)
     Newest = std::max(Newest, Each.m_Revision);
   if (!(m_Mirror.revision() < Newest)) {
     m_Changes.m_BehindSince = core::TimePoint();
     return;
   }
-  if (!isFetchDue(m_Changes, IsPatient, Now))
+  if (!isFetchDue(m_Changes, MayWaitForStore, Now))
     return;
-  Candidates Newer = those(Ahead, [Newest](const FetchCandidate &Each) {
+  Candidates Newer = filtered(PeersAhead, [Newest](const FetchCandidate &Each) {
     return Each.m_Revision == Newest;
   });
   config::Endpoint From = chooseSource(Newer).m_Address;
@@ -88,24 +89,24 @@
   });
 }
 
-void MirrorFetcher::fetchValueIfDue(const Candidates &Ahead, bool IsPatient,
-                                    core::TimePoint Now) {
+void MirrorFetcher::fetchValueIfDue(const Candidates &PeersAhead,
+                                    bool MayWaitForStore, core::TimePoint Now) {
   if (m_Mirror.pendingValues().empty()) {
     m_Values.m_BehindSince = core::TimePoint();
     return;
   }
-  const auto &[Key, Wanted] = *m_Mirror.pendingValues().begin();
+  const auto &[Key, Pending] = *m_Mirror.pendingValues().begin();
   // Any that is further on helps, while values change faster than they arrive;
   // the newest are asked first.
-  Candidates Have =
-      those(Ahead, [At = Wanted.m_OldestRevision](const FetchCandidate &Each) {
+  Candidates Sources = filtered(
+      PeersAhead, [At = Pending.m_OldestRevision](const FetchCandidate &Each) {
         return !(Each.m_CompleteRevision < At);
       });
   if (!m_WasRefused)
-    Have = withNewestValues(Have);
-  if (!isFetchDue(m_Values, IsPatient, Now) || Have.empty())
+    Sources = withNewestValues(Sources);
+  if (!isFetchDue(m_Values, MayWaitForStore, Now) || Sources.empty())
     return;
-  config::Endpoint From = chooseSource(Have).m_Address;
+  config::Endpoint From = chooseSource(Sources).m_Address;
   startFetch(m_Values, From,
              [this, From, Key = Key](asio::yield_context Yield) {
                fetchValue(From, Key, Yield);
@@ -114,26 +115,26 @@
 
 const FetchCandidate &MirrorFetcher::chooseSource(const Candidates &From) {
   assert(!From.empty());
-  std::vector<const FetchCandidate *> Choice;
+  std::vector<const FetchCandidate *> Choices;
   for (const FetchCandidate &Each : From)
     if (Each.m_IsInSameHall && !m_WasRefused)
-      Choice.push_back(&Each);
-  if (Choice.empty())
+      Choices.push_back(&Each);
+  if (Choices.empty())
     for (const FetchCandidate &Each : From)
-      Choice.push_back(&Each);
-  std::uniform_int_distribution<std::size_t> Draw(0, Choice.size() - 1);
-  return *Choice[Draw(m_Random)];
+      Choices.push_back(&Each);
+  std::uniform_int_distribution<std::size_t> Draw(0, Choices.size() - 1);
+  return *Choices[Draw(m_Random)];
 }
 
-bool MirrorFetcher::isFetchDue(FetchState &Which, bool IsPatient,
+bool MirrorFetcher::isFetchDue(FetchState &State, bool MayWaitForStore,
                                core::TimePoint Now) const {
-  if (Which.m_BehindSince == core::TimePoint())
-    Which.m_BehindSince = Now;
-  if (Which.m_IsFetching || Now < Which.m_RetryAt)
+  if (State.m_BehindSince == core::TimePoint())
+    State.m_BehindSince = Now;
+  if (State.m_IsFetching || Now < State.m_RetryAt)
     return false;
   // One that knows nothing yet does not wait either.
-  bool MayWait = IsPatient && m_Mirror.revision() != platform::Revision();
-  return !MayWait || Now - Which.m_BehindSince >= StoreGracePeriod;
+  bool MayWait = MayWaitForStore && m_Mirror.revision() != platform::Revision();
+  return !MayWait || Now - State.m_BehindSince >= StoreGracePeriod;
 }
 
 //===----------------------------------------------------------------------===//
@@ -141,11 +142,11 @@
 //===----------------------------------------------------------------------===//
 
 void MirrorFetcher::startFetch(
-    FetchState &Which, const config::Endpoint &From,
+    FetchState &State, const config::Endpoint &From,
     std::function<void(asio::yield_context)> Question) {
-  Which.m_IsFetching = true;
-  auto Run = [&Which, From,
-              Question = std::move(Question)](asio::yield_context Yield) {
+  State.m_IsFetching = true;
+  auto Task = [&State, From,
+               Question = std::move(Question)](asio::yield_context Yield) {
     try {
       Question(Yield);
     } catch (const Error &Failure) {
@@ -153,10 +154,10 @@
           .add("peer", From.toString())
           .add("reason", Failure.what());
     }
-    Which.m_IsFetching = false;
-    Which.m_BehindSince = core::steadyNow();
+    State.m_IsFetching = false;
+    State.m_BehindSince = core::steadyNow();
   };
-  asio::spawn(m_Context, std::move(Run), asio::detached);
+  asio::spawn(m_Context, std::move(Task), asio::detached);
 }
 
 void MirrorFetcher::fetchChanges(const config::Endpoint &From,
@@ -222,12 +223,12 @@
   return applyPatch(Base, Transfer.m_Patch, MaxTransferBytes);
 }
 
-void MirrorFetcher::backOff(FetchState &Which) {
+void MirrorFetcher::backOff(FetchState &State) {
   m_Metrics.count("yardrill_peer_fetches_refused_total");
   std::uniform_int_distribution<std::int64_t> Pause(
       core::Duration(MinRefusalBackoff).count(),
       core::Duration(MaxRefusalBackoff).count());
-  Which.m_RetryAt = core::steadyNow() + core::Duration(Pause(m_Random));
+  State.m_RetryAt = core::steadyNow() + core::Duration(Pause(m_Random));
 }
 
 std::optional<std::string> MirrorFetcher::exchange(const config::Endpoint &From,
--- a/Libraries/LibGateway/MirrorFetcher.h
+++ b/Libraries/LibGateway/MirrorFetcher.h
@@ -47,9 +47,9 @@
 
   /// Asks some of those that are further on, if it is time to.
   /// \param Ahead peers that have what this instance has not.
-  /// \param IsPatient the store itself will probably say the same soon.
-  void fetchIfDue(const std::vector<FetchCandidate> &Ahead, bool IsPatient,
-                  core::TimePoint Now);
+  /// \param MayWaitForStore the store itself will probably say the same soon.
+  void fetchIfDue(const std::vector<FetchCandidate> &PeersAhead,
+                  bool MayWaitForStore, core::TimePoint Now);
 
 private:
   /// Questions of one kind: one at a time.
@@ -60,16 +60,17 @@
   };
   using Candidates = std::vector<FetchCandidate>;
 
-  void fetchChangesIfDue(const Candidates &Ahead, bool IsPatient,
+  void fetchChangesIfDue(const Candidates &PeersAhead, bool MayWaitForStore,
                          core::TimePoint Now);
-  void fetchValueIfDue(const Candidates &Ahead, bool IsPatient,
+  void fetchValueIfDue(const Candidates &PeersAhead, bool MayWaitForStore,
                        core::TimePoint Now);
   /// One of \p From at random, of the own data hall if there is one. Not empty.
   const FetchCandidate &chooseSource(const Candidates &From);
   /// Notes that it is behind. \returns whether to ask now.
-  bool isFetchDue(FetchState &Which, bool IsPatient, core::TimePoint Now) const;
+  bool isFetchDue(FetchState &State, bool MayWaitForStore,
+                  core::TimePoint Now) const;
   /// Runs \p Question; a failure is logged and may be tried again.
-  void startFetch(FetchState &Which, const config::Endpoint &From,
+  void startFetch(FetchState &State, const config::Endpoint &From,
                   std::function<void(boost::asio::yield_context)> Question);
   void fetchChanges(const config::Endpoint &From,
                     boost::asio::yield_context Yield);
@@ -83,7 +84,7 @@
   std::optional<std::string> exchange(const config::Endpoint &From,
                                       http::RequestMessage Request,
                                       boost::asio::yield_context Yield);
-  void backOff(FetchState &Which);
+  void backOff(FetchState &State);
 
   boost::asio::io_context &m_Context;
   const peer::PeerCodec &m_Codec;
--- a/Libraries/LibGateway/MirrorServer.cpp
+++ b/Libraries/LibGateway/MirrorServer.cpp
@@ -51,10 +51,10 @@
   auto After = toRevision(Since);
   if (!After)
     return http::emptyResponse(404);
-  MirrorUpdate News = MirrorUpdate::since(m_Mirror, *After);
+  MirrorUpdate Update = MirrorUpdate::since(m_Mirror, *After);
   http::ResponseMessage Out = http::emptyResponse(200);
-  Out.m_Body =
-      News.m_IsSnapshot ? snapshotBody() : m_Codec.encodeSigned(News.encode());
+  Out.m_Body = Update.m_IsSnapshot ? snapshotBody()
+                                   : m_Codec.encodeSigned(Update.encode());
   if (Out.m_Body.size() > MaxInlineValueBytes && !tryUpload(Out.m_Body.size()))
     return http::emptyResponse(503);
   return Out;
--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -102,12 +102,12 @@
   const auto *Report = std::get_if<peer::LoadReport>(&Message.m_Body);
   if (!Report)
     return handleOther(Message);
-  PeerTable::ReportResult ReportResult = m_Peers.handle(
+  PeerTable::ReportResult Result = m_Peers.handle(
       Message, *Report, core::steadyNow(), core::wallSeconds().count());
-  if (ReportResult.m_Dropped)
-    return drop(*ReportResult.m_Dropped);
+  if (Result.m_Dropped)
+    return drop(*Result.m_Dropped);
   addHintedPeers(*Report);
-  if (ReportResult.m_IsNew) {
+  if (Result.m_IsNew) {
     m_HintedPeers.erase(Message.m_From.m_Peer);
     m_Missing.heard(Message.m_From.m_Peer);
     greetPeer(Message.m_From.m_Peer, *Report);
@@ -165,9 +165,10 @@
   m_Hooks.m_Changed();
 }
 
-void PeerService::addOtherGroupPeers(std::size_t Most,
+void PeerService::addOtherGroupPeers(std::size_t MaxCount,
                                      std::vector<config::Endpoint> &To) {
-  for (std::size_t I = 0; I < std::min(Most, m_OtherGroupAddresses.size()); ++I)
+  for (std::size_t I = 0; I < std::min(MaxCount, m_OtherGroupAddresses.size());
+       ++I)
     To.push_back(m_OtherGroupAddresses[m_OtherGroupRotation.next()]);
 }
 
@@ -180,10 +181,10 @@
     return addOtherGroupPeers(
         (m_OtherGroupAddresses.size() + FollowerRounds - 1) / FollowerRounds,
         To);
-  auto Keeper = m_Peers.firstFollower();
-  if (Keeper && ++m_FullReports % WriterRounds == 0 &&
-      !m_Subset.isGroupPeer(*Keeper))
-    To.push_back(*Keeper);
+  auto Writer = m_Peers.firstFollower();
+  if (Writer && ++m_FullReports % WriterRounds == 0 &&
+      !m_Subset.isGroupPeer(*Writer))
+    To.push_back(*Writer);
 }
 
 void PeerService::setRecorded(FleetMembers Instances) {
@@ -253,12 +254,12 @@
       }));
 }
 
-bool PeerService::isStoreHeard() const {
+bool PeerService::isStoreReachable() const {
   return m_LastReport.m_IsStoreConnected || m_Peers.followers() > 0;
 }
 
 bool PeerService::isListConfirmed() const {
-  return isStoreHeard() ||
+  return isStoreReachable() ||
          m_Peers.groupPeers().size() * 2 >= m_GroupAddresses.size();
 }
 
@@ -321,24 +322,25 @@
 }
 
 void PeerService::expire(core::TimePoint Now) {
-  std::vector<LivePeer> Silent = m_Peers.expire(Now);
-  for (const LivePeer &Gone : Silent)
-    handleSilentPeer(Gone, Now);
-  if (isStoreHeard())
+  std::vector<LivePeer> SilentPeers = m_Peers.expire(Now);
+  for (const LivePeer &LostPeer : SilentPeers)
+    handleSilentPeer(LostPeer, Now);
+  if (isStoreReachable())
     m_Missing.forgetOld(Now);
-  m_IsChanged = m_IsChanged || !Silent.empty();
+  m_IsChanged = m_IsChanged || !SilentPeers.empty();
 }
 
-void PeerService::handleSilentPeer(const LivePeer &Gone, core::TimePoint Now) {
+void PeerService::handleSilentPeer(const LivePeer &LostPeer,
+                                   core::TimePoint Now) {
   // Far peers report only for as long as there is no list.
-  if (!m_Recorded.empty() && !Gone.m_IsGroupPeer)
+  if (!m_Recorded.empty() && !LostPeer.m_IsGroupPeer)
     return;
-  bool HasStopped = Gone.m_Report.m_IsStopping;
+  bool HasStopped = LostPeer.m_Report.m_IsStopping;
   if (!HasStopped)
-    m_Missing.lost(Gone.m_Instance.m_Peer, Now);
+    m_Missing.lost(LostPeer.m_Instance.m_Peer, Now);
   core::LogLine("peer-lost", core::LogLevel::Warning)
-      .add("peer", Gone.m_Report.m_Name)
-      .add("address", Gone.m_Instance.m_Peer.toString())
+      .add("peer", LostPeer.m_Report.m_Name)
+      .add("address", LostPeer.m_Instance.m_Peer.toString())
       .add("has_stopped", HasStopped);
 }
 
@@ -355,13 +357,13 @@
   m_Hooks.m_FillReport(Report);
   if (Report.m_Targets.size() > MaxTargetsInReport)
     Report.m_Targets.resize(MaxTargetsInReport);
-  bool IsNews =
+  bool HasChanges =
       Report.m_Targets != m_LastReport.m_Targets ||
       Report.m_HasWaitingRequests != m_LastReport.m_HasWaitingRequests ||
       Report.m_IsStoreConnected != m_LastReport.m_IsStoreConnected ||
       Report.m_StoreRevision != m_LastReport.m_StoreRevision ||
       Report.m_CompleteRevision != m_LastReport.m_CompleteRevision;
-  if (!IsFull && !IsNews)
+  if (!IsFull && !HasChanges)
     return;
   std::swap(m_LastReport, Report);
   Report = IsFull ? m_LastReport : peer::shortened(m_LastReport);
@@ -374,10 +376,10 @@
 }
 
 void PeerService::addHints(peer::LoadReport &Report) {
-  std::vector<PeerTable::Peers::value_type> Drawn;
+  std::vector<PeerTable::Peers::value_type> Sample;
   std::sample(m_Peers.all().begin(), m_Peers.all().end(),
-              std::back_inserter(Drawn), MaxHintsInReport, m_Random);
-  for (const auto &[Incarnation, Each] : Drawn)
+              std::back_inserter(Sample), MaxHintsInReport, m_Random);
+  for (const auto &[Incarnation, Each] : Sample)
     Report.m_RecentPeers.push_back(Each.m_Instance);
 }
 
@@ -395,24 +397,24 @@
 }
 
 void PeerService::fetchIfBehind(core::TimePoint Now) {
-  std::vector<FetchCandidate> Ahead;
+  std::vector<FetchCandidate> PeersAhead;
   if (m_Mirror.revision().value() < m_Peers.newestRevision() ||
       m_Mirror.completeRevision().value() < m_Peers.newestCompleteRevision())
-    Ahead = peersAhead();
+    PeersAhead = peersAhead();
   // One that does not ask the store has nothing to wait for.
-  bool IsPatient = !Ahead.empty() && mustFollowStore();
-  m_Fetcher.fetchIfDue(Ahead, IsPatient, Now);
+  bool MayWaitForStore = !PeersAhead.empty() && mustFollowStore();
+  m_Fetcher.fetchIfDue(PeersAhead, MayWaitForStore, Now);
 }
 
 std::vector<FetchCandidate> PeerService::peersAhead() const {
   std::vector<FetchCandidate> Out;
   for (const auto &[Incarnation, Each] : m_Peers.all()) {
     platform::Revision Known(Each.m_Report.m_StoreRevision);
-    platform::Revision Whole(Each.m_Report.m_CompleteRevision);
+    platform::Revision Complete(Each.m_Report.m_CompleteRevision);
     bool IsAhead =
-        m_Mirror.revision() < Known || m_Mirror.completeRevision() < Whole;
+        m_Mirror.revision() < Known || m_Mirror.completeRevision() < Complete;
     if (IsAhead && !Each.m_IsSilent)
-      Out.push_back({Each.m_Instance.m_Peer, Known, Whole,
+      Out.push_back({Each.m_Instance.m_Peer, Known, Complete,
                      Each.m_Report.m_DataHall == m_Settings.m_DataHall});
   }
   return Out;
--- a/Libraries/LibGateway/PeerService.h
+++ b/Libraries/LibGateway/PeerService.h
@@ -105,7 +105,8 @@
   /// \param IsFull also when nothing changed, and with hints of other peers.
   void sendReport(const std::vector<config::Endpoint> &To, bool IsFull);
   /// Adds a few of the far peers, each in its turn.
-  void addOtherGroupPeers(std::size_t Most, std::vector<config::Endpoint> &To);
+  void addOtherGroupPeers(std::size_t MaxCount,
+                          std::vector<config::Endpoint> &To);
   /// Whom a full report goes to, beside the near peers.
   void addOtherGroupReceivers(std::vector<config::Endpoint> &To);
   void repartition();
@@ -114,11 +115,11 @@
   /// Works out what depends on who belongs to the fleet.
   void rebuildPeerLists();
   /// Whether this instance or one that it hears follows the store.
-  bool isStoreHeard() const;
+  bool isStoreReachable() const;
   /// Whether the mirror is further on than the last report said.
   bool hasUnreportedRevision() const;
   void expire(core::TimePoint Now);
-  void handleSilentPeer(const LivePeer &Gone, core::TimePoint Now);
+  void handleSilentPeer(const LivePeer &LostPeer, core::TimePoint Now);
   void fetchIfBehind(core::TimePoint Now);
   std::vector<FetchCandidate> peersAhead() const;
   void addHints(peer::LoadReport &Report);
--- a/Libraries/LibGateway/PeerTable.cpp
+++ b/Libraries/LibGateway/PeerTable.cpp
@@ -50,9 +50,9 @@
     return {Dropped, false};
   if (Known == m_Peers.end()) {
     // A process that ended, whose successor this is.
-    auto Earlier = m_ByAddress.find(Message.m_From.m_Peer);
-    if (Earlier != m_ByAddress.end())
-      remove(Earlier->second);
+    auto Predecessor = m_ByAddress.find(Message.m_From.m_Peer);
+    if (Predecessor != m_ByAddress.end())
+      remove(Predecessor->second);
     Known = m_Peers.emplace(From, LivePeer()).first;
     LivePeer &Added = Known->second;
     Added.m_Instance = Message.m_From;
@@ -67,20 +67,20 @@
   return {std::nullopt, IsNew};
 }
 
-void PeerTable::applyReport(LivePeer &Which, const peer::LoadReport &Report) {
-  std::pair<std::uint64_t, core::IncarnationId> Place(
-      Which.m_AddressHash, Which.m_Instance.m_Incarnation);
+void PeerTable::applyReport(LivePeer &Entry, const peer::LoadReport &Report) {
+  std::pair<std::uint64_t, core::IncarnationId> FollowerKey(
+      Entry.m_AddressHash, Entry.m_Instance.m_Incarnation);
   if (Report.m_IsFull) {
     m_IsFleetChanged =
-        m_IsFleetChanged || Which.m_Report.m_DataHall != Report.m_DataHall;
-    Which.m_Report = Report;
+        m_IsFleetChanged || Entry.m_Report.m_DataHall != Report.m_DataHall;
+    Entry.m_Report = Report;
   } else {
-    Which.m_Report = peer::completed(Report, Which.m_Report);
+    Entry.m_Report = peer::completed(Report, Entry.m_Report);
   }
   if (Report.m_IsStoreConnected)
-    m_Followers.insert(Place);
+    m_Followers.insert(FollowerKey);
   else
-    m_Followers.erase(Place);
+    m_Followers.erase(FollowerKey);
   m_NewestRevision = std::max(m_NewestRevision, Report.m_StoreRevision);
   m_NewestCompleteRevision =
       std::max(m_NewestCompleteRevision, Report.m_CompleteRevision);
@@ -99,44 +99,44 @@
   if (Found == m_Peers.end())
     return;
   m_Followers.erase({Found->second.m_AddressHash, Peer});
-  auto Named = m_ByAddress.find(Found->second.m_Instance.m_Peer);
-  if (Named != m_ByAddress.end() && Named->second == Peer)
-    m_ByAddress.erase(Named);
+  auto ByAddress = m_ByAddress.find(Found->second.m_Instance.m_Peer);
+  if (ByAddress != m_ByAddress.end() && ByAddress->second == Peer)
+    m_ByAddress.erase(ByAddress);
   m_Peers.erase(Found);
   m_IsFleetChanged = true;
 }
 
 std::vector<LivePeer> PeerTable::expire(core::TimePoint Now) {
-  std::vector<LivePeer> Silent;
-  for (core::IncarnationId Near : m_GroupPeers) {
-    LivePeer &Each = m_Peers.at(Near);
+  std::vector<LivePeer> SilentPeers;
+  for (core::IncarnationId PeerId : m_GroupPeers) {
+    LivePeer &Each = m_Peers.at(PeerId);
     if (Each.m_IsSilent || Now - Each.m_HeardAt <= GroupPeerTimeout)
       continue;
-    Silent.push_back(Each);
+    SilentPeers.push_back(Each);
     Each.m_IsSilent = true;
-    m_Followers.erase({Each.m_AddressHash, Near});
+    m_Followers.erase({Each.m_AddressHash, PeerId});
   }
   for (auto Each = m_Followers.begin(); Each != m_Followers.end();) {
     bool IsHeard = Now - m_Peers.at(Each->second).m_HeardAt <= FollowerTimeout;
     Each = IsHeard ? std::next(Each) : m_Followers.erase(Each);
   }
   if (Now - m_LastScanAt <= ScanPeriod)
-    return Silent;
+    return SilentPeers;
   m_LastScanAt = Now;
   for (const peer::KnownPeer &Each : m_Directory.expire(Now)) {
-    auto Gone = m_Peers.find(Each.m_Instance.m_Incarnation);
-    if (Gone == m_Peers.end())
+    auto Expired = m_Peers.find(Each.m_Instance.m_Incarnation);
+    if (Expired == m_Peers.end())
       continue;
-    if (!Gone->second.m_IsSilent)
-      Silent.push_back(Gone->second);
+    if (!Expired->second.m_IsSilent)
+      SilentPeers.push_back(Expired->second);
     remove(Each.m_Instance.m_Incarnation);
     rebuildGroupPeers();
   }
-  return Silent;
+  return SilentPeers;
 }
 
-void PeerTable::setSubset(const routing::FleetSubset &Share) {
-  m_Subset = Share;
+void PeerTable::setSubset(const routing::FleetSubset &Subset) {
+  m_Subset = Subset;
   rebuildGroupPeers();
 }
 
@@ -151,8 +151,8 @@
 
 std::vector<const LivePeer *> PeerTable::groupPeers() const {
   std::vector<const LivePeer *> Out;
-  for (core::IncarnationId Near : m_GroupPeers) {
-    const LivePeer &Each = m_Peers.at(Near);
+  for (core::IncarnationId PeerId : m_GroupPeers) {
+    const LivePeer &Each = m_Peers.at(PeerId);
     if (!Each.m_IsSilent)
       Out.push_back(&Each);
   }
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -55,7 +55,7 @@
   /// \returns peers that fell silent since. To be called often; far ones are
   /// looked at once a second.
   std::vector<LivePeer> expire(core::TimePoint Now);
-  void setSubset(const routing::FleetSubset &Share);
+  void setSubset(const routing::FleetSubset &Subset);
 
   const Peers &all() const { return m_Peers; }
   const LivePeer *find(core::IncarnationId Peer) const;
@@ -83,7 +83,7 @@
   }
 
 private:
-  void applyReport(LivePeer &Which, const peer::LoadReport &Report);
+  void applyReport(LivePeer &Entry, const peer::LoadReport &Report);
   void remove(core::IncarnationId Peer);
   void rebuildGroupPeers();
 
--- a/Libraries/LibGateway/PoolRollout.cpp
+++ b/Libraries/LibGateway/PoolRollout.cpp
@@ -108,10 +108,10 @@
   if (!IsNew && excluded().count(What.m_Version) != 0)
     return false;
   // Withdrawn, and not yet written as rolled back.
-  bool IsGivenUp = !m_Order && m_Status &&
-                   m_Status->m_State == State::InProgress &&
-                   m_Status->m_Version == What.m_Version;
-  if (IsGivenUp)
+  bool IsWithdrawn = !m_Order && m_Status &&
+                     m_Status->m_State == State::InProgress &&
+                     m_Status->m_Version == What.m_Version;
+  if (IsWithdrawn)
     return false;
   if (!isActive())
     return true;
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -25,11 +25,11 @@
 
 quarantine::GossipHooks QuarantineService::gossipHooks() {
   quarantine::GossipHooks Out;
-  Out.m_Broadcast = [this](const std::vector<Observation> &Seen) {
-    sendTo(Seen, m_Hooks.m_Others());
+  Out.m_Broadcast = [this](const std::vector<Observation> &Observations) {
+    sendTo(Observations, m_Hooks.m_Others());
   };
-  Out.m_SendToSample = [this](const std::vector<Observation> &Seen) {
-    sendToSample(Seen);
+  Out.m_SendToSample = [this](const std::vector<Observation> &Observations) {
+    sendToSample(Observations);
   };
   Out.m_Changed = [this](const ContentDigest &Content, bool IsQuarantined) {
     core::LogLine(IsQuarantined ? "content-quarantined" : "content-released",
@@ -56,39 +56,40 @@
 }
 
 void QuarantineService::handle(const peer::PeerMessage &Message) {
-  const auto *Told = std::get_if<peer::QuarantineUpdate>(&Message.m_Body);
-  if (!Told)
+  const auto *Update = std::get_if<peer::QuarantineUpdate>(&Message.m_Body);
+  if (!Update)
     return;
-  std::vector<Observation> Seen;
-  for (const peer::QuarantineObservation &Each : Told->m_Observations)
-    Seen.push_back({{Each.m_ContentHigh, Each.m_ContentLow},
-                    Each.m_Incarnation,
-                    Each.m_IsCleared});
-  m_Gossip.merge(Seen, core::steadyNow());
+  std::vector<Observation> Observations;
+  for (const peer::QuarantineObservation &Each : Update->m_Observations)
+    Observations.push_back({{Each.m_ContentHigh, Each.m_ContentLow},
+                            Each.m_Incarnation,
+                            Each.m_IsCleared});
+  m_Gossip.merge(Observations, core::steadyNow());
 }
 
-void QuarantineService::sendTo(const std::vector<Observation> &Seen,
+void QuarantineService::sendTo(const std::vector<Observation> &Observations,
                                const std::vector<config::Endpoint> &To) {
-  for (std::size_t First = 0; First < Seen.size();
+  for (std::size_t First = 0; First < Observations.size();
        First += peer::QuarantineUpdate::MaxObservations) {
     peer::QuarantineUpdate Body;
-    std::size_t End =
-        std::min(Seen.size(), First + peer::QuarantineUpdate::MaxObservations);
+    std::size_t End = std::min(Observations.size(),
+                               First + peer::QuarantineUpdate::MaxObservations);
     for (std::size_t I = First; I < End; ++I)
       Body.m_Observations.push_back(
-          {Seen[I].m_Content.m_High, Seen[I].m_Content.m_Low,
-           Seen[I].m_Incarnation, Seen[I].m_IsCleared});
+          {Observations[I].m_Content.m_High, Observations[I].m_Content.m_Low,
+           Observations[I].m_Incarnation, Observations[I].m_IsCleared});
     for (const config::Endpoint &Each : To)
       m_Hooks.m_Send(Each, Body);
   }
 }
 
-void QuarantineService::sendToSample(const std::vector<Observation> &Seen) {
+void QuarantineService::sendToSample(
+    const std::vector<Observation> &Observations) {
   std::vector<config::Endpoint> Others = m_Hooks.m_Others();
-  std::vector<config::Endpoint> Drawn;
-  std::sample(Others.begin(), Others.end(), std::back_inserter(Drawn),
+  std::vector<config::Endpoint> Sample;
+  std::sample(Others.begin(), Others.end(), std::back_inserter(Sample),
               GossipFanout, m_Random);
-  sendTo(Seen, Drawn);
+  sendTo(Observations, Sample);
 }
 
 void QuarantineService::applyEntry(const platform::Entry &Change) {
--- a/Libraries/LibGateway/QuarantineService.h
+++ b/Libraries/LibGateway/QuarantineService.h
@@ -59,9 +59,9 @@
 
 private:
   quarantine::GossipHooks gossipHooks();
-  void sendTo(const std::vector<quarantine::Observation> &Seen,
+  void sendTo(const std::vector<quarantine::Observation> &Observations,
               const std::vector<config::Endpoint> &To);
-  void sendToSample(const std::vector<quarantine::Observation> &Seen);
+  void sendToSample(const std::vector<quarantine::Observation> &Observations);
 
   QuarantineHooks m_Hooks;
   quarantine::Gossip m_Gossip;
--- a/Libraries/LibGateway/QuotaProtocol.cpp
+++ b/Libraries/LibGateway/QuotaProtocol.cpp
@@ -7,64 +7,68 @@
 /// An answer that has not come by then never comes.
 static constexpr std::chrono::seconds MaxResponseDelay{2};
 
-std::uint64_t QuotaProtocol::expect(const config::Endpoint &Owner,
-                                    routing::AccountHash Account,
-                                    ResponseHandler OnResponse,
-                                    core::TimePoint Now) {
-  std::uint64_t Number = m_NextRequestId++;
-  m_Pending[Number] = {Owner, Account, Now, std::move(OnResponse)};
-  return Number;
+std::uint64_t QuotaProtocol::addPending(const config::Endpoint &Owner,
+                                        routing::AccountHash Account,
+                                        ResponseHandler OnResponse,
+                                        core::TimePoint Now) {
+  std::uint64_t RequestId = m_NextRequestId++;
+  m_Pending[RequestId] = {Owner, Account, Now, std::move(OnResponse)};
+  return RequestId;
 }
 
 void QuotaProtocol::sendCharges(core::TimePoint Now) {
   for (const routing::QuotaCharge &Each : m_Quota.takeCharges()) {
-    auto Taken = [this, Each](const routing::QuotaResponse &Response) {
+    auto OnChargeResponse = [this,
+                             Each](const routing::QuotaResponse &Response) {
       if (Response.m_Verdict == QuotaVerdict::Granted)
         m_Quota.settleCharge(Each.m_Account, Each.m_Tokens, core::steadyNow());
       return true;
     };
-    std::uint64_t Number = expect(Each.m_Owner, Each.m_Account, Taken, Now);
+    std::uint64_t RequestId =
+        addPending(Each.m_Owner, Each.m_Account, OnChargeResponse, Now);
     m_Metrics.count("yardrill_quota_charges_total");
-    m_Send(Each.m_Owner,
-           peer::QuotaRequest{Number, Each.m_Account, Each.m_Tokens, 0, true});
+    m_Send(Each.m_Owner, peer::QuotaRequest{RequestId, Each.m_Account,
+                                            Each.m_Tokens, 0, true});
   }
 }
 
-void QuotaProtocol::ask(const routing::QuotaAcquisition &Draw,
+void QuotaProtocol::ask(const routing::QuotaAcquisition &Acquisition,
                         ResponseHandler OnResponse, core::TimePoint Now) {
-  const config::Endpoint &Owner = Draw.m_RemainingOwners.back();
-  std::uint64_t Number =
-      expect(Owner, Draw.m_Account, std::move(OnResponse), Now);
+  const config::Endpoint &Owner = Acquisition.m_RemainingOwners.back();
+  std::uint64_t RequestId =
+      addPending(Owner, Acquisition.m_Account, std::move(OnResponse), Now);
   m_Metrics.count("yardrill_quota_asks_total");
-  m_Send(Owner,
-         peer::QuotaRequest{Number, Draw.m_Account, Draw.m_Tokens, 0, false});
+  m_Send(Owner, peer::QuotaRequest{RequestId, Acquisition.m_Account,
+                                   Acquisition.m_Tokens, 0, false});
 }
 
-routing::QuotaResponse QuotaProtocol::responseTo(const peer::QuotaRequest &Ask,
-                                                 core::TimePoint Now) {
-  if (!Ask.m_IsCharge)
-    return m_Quota.handleRequest({Ask.m_Account, Ask.m_Tokens, Ask.m_Returned},
-                                 Now);
+routing::QuotaResponse
+QuotaProtocol::responseTo(const peer::QuotaRequest &Request,
+                          core::TimePoint Now) {
+  if (!Request.m_IsCharge)
+    return m_Quota.handleRequest(
+        {Request.m_Account, Request.m_Tokens, Request.m_Returned}, Now);
   routing::QuotaResponse Out;
-  if (m_Quota.charge(Ask.m_Account, Ask.m_Tokens, Now))
+  if (m_Quota.charge(Request.m_Account, Request.m_Tokens, Now))
     Out.m_Verdict = QuotaVerdict::Granted;
   return Out;
 }
 
 void QuotaProtocol::handle(const config::Endpoint &From,
-                           const peer::QuotaRequest &Ask, core::TimePoint Now) {
-  routing::QuotaResponse Says = responseTo(Ask, Now);
+                           const peer::QuotaRequest &Request,
+                           core::TimePoint Now) {
+  routing::QuotaResponse Result = responseTo(Request, Now);
   sendCharges(Now);
-  if (Ask.m_Tokens == 0)
+  if (Request.m_Tokens == 0)
     return;
-  if (Says.m_Verdict == QuotaVerdict::Refused)
+  if (Result.m_Verdict == QuotaVerdict::Refused)
     m_Metrics.count("yardrill_quota_refused_as_owner_total");
   peer::QuotaResponse Response;
-  Response.m_RequestId = Ask.m_RequestId;
-  Response.m_Verdict = static_cast<std::uint8_t>(Says.m_Verdict);
-  Response.m_Tokens = Says.m_Tokens;
+  Response.m_RequestId = Request.m_RequestId;
+  Response.m_Verdict = static_cast<std::uint8_t>(Result.m_Verdict);
+  Response.m_Tokens = Result.m_Tokens;
   Response.m_RetryAfterUs =
-      static_cast<std::uint64_t>(Says.m_RetryAfter.count());
+      static_cast<std::uint64_t>(Result.m_RetryAfter.count());
   m_Send(From, Response);
 }
 
@@ -75,16 +79,16 @@
   // An owner that has started anew may still be asked by its address.
   if (Found == m_Pending.end() || !(Found->second.m_Owner == From))
     return;
-  Pending Asked = std::move(Found->second);
+  Pending Answered = std::move(Found->second);
   m_Pending.erase(Found);
-  routing::QuotaResponse Says;
+  routing::QuotaResponse Result;
   if (Response.m_Verdict <= static_cast<std::uint8_t>(QuotaVerdict::NotOwner))
-    Says.m_Verdict = static_cast<QuotaVerdict>(Response.m_Verdict);
-  Says.m_Tokens = Response.m_Tokens;
-  Says.m_RetryAfter =
+    Result.m_Verdict = static_cast<QuotaVerdict>(Response.m_Verdict);
+  Result.m_Tokens = Response.m_Tokens;
+  Result.m_RetryAfter =
       core::Duration(static_cast<std::int64_t>(Response.m_RetryAfterUs));
-  if (!Asked.m_OnResponse(Says))
-    m_Quota.cacheGrant(From, Asked.m_Account, Says.m_Tokens, Now);
+  if (!Answered.m_OnResponse(Result))
+    m_Quota.cacheGrant(From, Answered.m_Account, Result.m_Tokens, Now);
 }
 
 void QuotaProtocol::upkeep(core::TimePoint Now) {
@@ -92,7 +96,7 @@
     m_Send(Each.m_Owner,
            peer::QuotaRequest{0, Each.m_Account, 0, Each.m_Tokens, false});
   for (auto Each = m_Pending.begin(); Each != m_Pending.end();) {
-    if (Now - Each->second.m_AskedAt <= MaxResponseDelay) {
+    if (Now - Each->second.m_SentAt <= MaxResponseDelay) {
       ++Each;
       continue;
     }
--- a/Libraries/LibGateway/QuotaProtocol.h
+++ b/Libraries/LibGateway/QuotaProtocol.h
@@ -27,10 +27,10 @@
 
   /// Asks the owner that \p Draw has to ask next. Tokens of an answer that is
   /// not waited for any more are kept for others.
-  void ask(const routing::QuotaAcquisition &Draw, ResponseHandler OnResponse,
-           core::TimePoint Now);
+  void ask(const routing::QuotaAcquisition &Acquisition,
+           ResponseHandler OnResponse, core::TimePoint Now);
   /// Takes a message of another instance.
-  void handle(const config::Endpoint &From, const peer::QuotaRequest &Ask,
+  void handle(const config::Endpoint &From, const peer::QuotaRequest &Request,
               core::TimePoint Now);
   void handle(const config::Endpoint &From, const peer::QuotaResponse &Response,
               core::TimePoint Now);
@@ -41,17 +41,17 @@
   void upkeep(core::TimePoint Now);
 
 private:
-  routing::QuotaResponse responseTo(const peer::QuotaRequest &Ask,
+  routing::QuotaResponse responseTo(const peer::QuotaRequest &Request,
                                     core::TimePoint Now);
   /// \returns its number.
-  std::uint64_t expect(const config::Endpoint &Owner,
-                       routing::AccountHash Account, ResponseHandler OnResponse,
-                       core::TimePoint Now);
+  std::uint64_t addPending(const config::Endpoint &Owner,
+                           routing::AccountHash Account,
+                           ResponseHandler OnResponse, core::TimePoint Now);
 
   struct Pending {
     config::Endpoint m_Owner;
     routing::AccountHash m_Account = 0;
-    core::TimePoint m_AskedAt{};
+    core::TimePoint m_SentAt{};
     ResponseHandler m_OnResponse;
   };
 
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -38,8 +38,8 @@
 void QuotaService::handle(const peer::PeerMessage &Message) {
   core::TimePoint Now = core::steadyNow();
   const config::Endpoint &From = Message.m_From.m_Peer;
-  if (const auto *Ask = std::get_if<peer::QuotaRequest>(&Message.m_Body))
-    return m_Protocol.handle(From, *Ask, Now);
+  if (const auto *Request = std::get_if<peer::QuotaRequest>(&Message.m_Body))
+    return m_Protocol.handle(From, *Request, Now);
   if (const auto *Response = std::get_if<peer::QuotaResponse>(&Message.m_Body))
     m_Protocol.handle(From, *Response, Now);
 }
@@ -55,11 +55,11 @@
   m_Protocol.upkeep(Now);
 }
 
-bool QuotaService::draw(routing::QuotaAcquisition &Draw,
+bool QuotaService::draw(routing::QuotaAcquisition &Acquisition,
                         asio::yield_context Yield) {
-  QuotaStep Step = m_Quota.begin(Draw, core::steadyNow());
+  QuotaStep Step = m_Quota.begin(Acquisition, core::steadyNow());
   while (Step == QuotaStep::Ask)
-    Step = ask(Draw, Yield);
+    Step = ask(Acquisition, Yield);
   m_Protocol.sendCharges(core::steadyNow());
   return Step == QuotaStep::Granted;
 }
@@ -68,42 +68,42 @@
 
 /// Outlives whichever of the two ends first: the request, or the wait for the
 /// answer.
-struct Wait {
-  explicit Wait(asio::io_context &Context)
+struct PendingResponse {
+  explicit PendingResponse(asio::io_context &Context)
       : m_Timer(Context, routing::DistributedQuota::ResponseTimeout) {}
 
   core::Timer m_Timer;
-  bool m_IsOver = false;
+  bool m_IsAbandoned = false;
   std::optional<routing::QuotaResponse> m_Response;
 };
 
 } // namespace
 
-QuotaStep QuotaService::ask(routing::QuotaAcquisition &Draw,
+QuotaStep QuotaService::ask(routing::QuotaAcquisition &Acquisition,
                             asio::yield_context Yield) {
-  auto Waits = std::make_shared<Wait>(m_Context);
+  auto Pending = std::make_shared<PendingResponse>(m_Context);
   m_Protocol.ask(
-      Draw,
-      [Waits](const routing::QuotaResponse &Response) {
-        if (Waits->m_IsOver)
+      Acquisition,
+      [Pending](const routing::QuotaResponse &Response) {
+        if (Pending->m_IsAbandoned)
           return false;
-        Waits->m_Response = Response;
-        Waits->m_Timer.cancel();
+        Pending->m_Response = Response;
+        Pending->m_Timer.cancel();
         return true;
       },
       core::steadyNow());
   boost::system::error_code Ignored;
-  if (!Waits->m_Response)
-    Waits->m_Timer.async_wait(Yield[Ignored]);
-  Waits->m_IsOver = true;
+  if (!Pending->m_Response)
+    Pending->m_Timer.async_wait(Yield[Ignored]);
+  Pending->m_IsAbandoned = true;
   core::TimePoint Now = core::steadyNow();
-  if (Waits->m_Response)
-    return m_Quota.handleResponse(Draw, *Waits->m_Response, Now);
-  return m_Quota.handleTimeout(Draw, Now);
+  if (Pending->m_Response)
+    return m_Quota.handleResponse(Acquisition, *Pending->m_Response, Now);
+  return m_Quota.handleTimeout(Acquisition, Now);
 }
 
-void QuotaService::giveBack(const routing::QuotaAcquisition &Draw) {
-  m_Quota.giveBack(Draw, core::steadyNow());
+void QuotaService::giveBack(const routing::QuotaAcquisition &Acquisition) {
+  m_Quota.giveBack(Acquisition, core::steadyNow());
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -31,11 +31,12 @@
   void upkeep(bool IsListConfirmed, core::TimePoint Now);
 
   /// Waits for its owners' answers. \returns whether \p Draw is granted.
-  bool draw(routing::QuotaAcquisition &Draw, boost::asio::yield_context Yield);
-  void giveBack(const routing::QuotaAcquisition &Draw);
+  bool draw(routing::QuotaAcquisition &Acquisition,
+            boost::asio::yield_context Yield);
+  void giveBack(const routing::QuotaAcquisition &Acquisition);
 
 private:
-  routing::QuotaStep ask(routing::QuotaAcquisition &Draw,
+  routing::QuotaStep ask(routing::QuotaAcquisition &Acquisition,
                          boost::asio::yield_context Yield);
 
   boost::asio::io_context &m_Context;
--- a/Libraries/LibGateway/RolloutService.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -39,9 +39,9 @@
     Line.add("version", Order->m_Version)
         .add("order", Order->m_Id)
         .add("bake_us", Order->m_BakeTime);
-  Pool &Which = poolOf(Name);
-  Which.m_State.setOrder(std::move(Order), core::steadyNow());
-  Which.m_Coordinator.reset();
+  Pool &Rollout = poolOf(Name);
+  Rollout.m_State.setOrder(std::move(Order), core::steadyNow());
+  Rollout.m_Coordinator.reset();
 }
 
 static const char *toString(State What) {
@@ -108,10 +108,10 @@
 
 void RolloutService::recordSent(std::uint32_t Route,
                                 const routing::Target &Where) {
-  Pool *Which = findActive(Where.m_Pool);
-  if (!Which)
+  Pool *Rollout = findActive(Where.m_Pool);
+  if (!Rollout)
     return;
-  PoolRollout &State = Which->m_State;
+  PoolRollout &State = Rollout->m_State;
   State.participant().recordSent(Route, State.isCanary(Where),
                                  core::steadyNow());
 }
@@ -120,10 +120,10 @@
                                     const routing::Target &Where,
                                     rollout::ResponseQuality How,
                                     core::Duration Time) {
-  Pool *Which = findActive(Where.m_Pool);
-  if (!Which)
+  Pool *Rollout = findActive(Where.m_Pool);
+  if (!Rollout)
     return;
-  PoolRollout &State = Which->m_State;
+  PoolRollout &State = Rollout->m_State;
   rollout::ResponseCountsKey Key;
   Key.m_Side = State.isCanary(Where) ? rollout::Side::New : rollout::Side::Old;
   Key.m_Target = Where.run().hash();
@@ -140,35 +140,39 @@
   return Who && *Who == m_Self;
 }
 
-rollout::Coordinator &RolloutService::coordinatorOf(Pool &Which,
+rollout::Coordinator &RolloutService::coordinatorOf(Pool &Rollout,
                                                     core::TimePoint Now) {
-  if (!Which.m_Coordinator)
-    Which.m_Coordinator = std::make_unique<rollout::Coordinator>(
-        *Which.m_State.order(), m_Limits, Now);
-  return *Which.m_Coordinator;
+  if (!Rollout.m_Coordinator)
+    Rollout.m_Coordinator = std::make_unique<rollout::Coordinator>(
+        *Rollout.m_State.order(), m_Limits, Now);
+  return *Rollout.m_Coordinator;
 }
 
 void RolloutService::handle(const peer::PeerMessage &Message) {
   core::TimePoint Now = core::steadyNow();
-  if (const auto *Told = std::get_if<peer::RolloutReport>(&Message.m_Body)) {
-    Pool *Active = findActive(Told->m_Pool);
-    if (!Active || Told->m_Order != Active->m_State.order()->m_Id.value() ||
+  if (const auto *ReportMessage =
+          std::get_if<peer::RolloutReport>(&Message.m_Body)) {
+    Pool *Active = findActive(ReportMessage->m_Pool);
+    if (!Active ||
+        ReportMessage->m_Order != Active->m_State.order()->m_Id.value() ||
         !isCoordinator())
       return;
-    Pool &Which = *Active;
-    rollout::Report Report = peer::toReport(*Told);
-    Which.m_State.participant().raiseAge(Report.m_Age, Now);
-    rollout::Permit Given =
-        coordinatorOf(Which, Now)
+    Pool &Rollout = *Active;
+    rollout::Report Report = peer::toReport(*ReportMessage);
+    Rollout.m_State.participant().raiseAge(Report.m_Age, Now);
+    rollout::Permit GrantedPermit =
+        coordinatorOf(Rollout, Now)
             .handleReport(Message.m_From.m_Incarnation, Report, Now);
-    if (Told->m_WantsPermit)
+    if (ReportMessage->m_WantsPermit)
       m_Hooks.m_Send(Message.m_From.m_Peer,
-                     peer::toMessage(Given, Told->m_Pool));
+                     peer::toMessage(GrantedPermit, ReportMessage->m_Pool));
     return;
   }
-  if (const auto *Given = std::get_if<peer::RolloutPermit>(&Message.m_Body)) {
-    if (Pool *Which = findActive(Given->m_Pool))
-      Which->m_State.participant().applyPermit(peer::toPermit(*Given), Now);
+  if (const auto *GrantedPermit =
+          std::get_if<peer::RolloutPermit>(&Message.m_Body)) {
+    if (Pool *Rollout = findActive(GrantedPermit->m_Pool))
+      Rollout->m_State.participant().applyPermit(peer::toPermit(*GrantedPermit),
+                                                 Now);
   }
 }
 
@@ -179,33 +183,33 @@
 }
 
 void RolloutService::upkeep(core::TimePoint Now) {
-  bool IsOwn = isCoordinator();
-  for (auto &[Name, Which] : m_Pools) {
-    if (IsOwn)
-      coordinate(Which, Now);
+  bool IsCoordinating = isCoordinator();
+  for (auto &[Name, Rollout] : m_Pools) {
+    if (IsCoordinating)
+      coordinate(Rollout, Now);
     else
-      Which.m_Coordinator.reset();
-    if (Which.m_State.isActive())
-      report(Which, Now);
+      Rollout.m_Coordinator.reset();
+    if (Rollout.m_State.isActive())
+      report(Rollout, Now);
   }
 }
 
-void RolloutService::report(Pool &Which, core::TimePoint Now) {
+void RolloutService::report(Pool &Rollout, core::TimePoint Now) {
   core::Duration Period = rollout::reportPeriod(m_Hooks.m_FleetSize());
-  if (Now - Which.m_ReportedAt < Period)
+  if (Now - Rollout.m_LastReportAt < Period)
     return;
   auto To = m_Hooks.m_Coordinator();
   if (!To)
     return;
-  Which.m_ReportedAt = Now;
-  rollout::Participant &Participant = Which.m_State.participant();
-  rollout::Report Report = Participant.report(runningOld(Which), Now);
+  Rollout.m_LastReportAt = Now;
+  rollout::Participant &Participant = Rollout.m_State.participant();
+  rollout::Report Report = Participant.report(runningOld(Rollout), Now);
   if (*To == m_Self)
     return Participant.applyPermit(
-        coordinatorOf(Which, Now).handleReport(m_Incarnation, Report, Now),
+        coordinatorOf(Rollout, Now).handleReport(m_Incarnation, Report, Now),
         Now);
   for (const peer::RolloutReport &Part :
-       peer::toMessages(Report, Which.m_State.pool()))
+       peer::toMessages(Report, Rollout.m_State.pool()))
     m_Hooks.m_Send(*To, Part);
 }
 
@@ -213,29 +217,29 @@
 // As coordinator
 //===----------------------------------------------------------------------===//
 
-void RolloutService::write(Pool &Which, const RolloutWrite &What,
+void RolloutService::write(Pool &Rollout, const RolloutWrite &What,
                            core::TimePoint Now) {
-  if (Now - Which.m_WroteAt < WriteRetryPeriod)
+  if (Now - Rollout.m_LastWriteAt < WriteRetryPeriod)
     return;
-  Which.m_WroteAt = Now;
+  Rollout.m_LastWriteAt = Now;
   m_Hooks.m_Write(What);
 }
 
-void RolloutService::coordinate(Pool &Which, core::TimePoint Now) {
-  const PoolRollout &State = Which.m_State;
+void RolloutService::coordinate(Pool &Rollout, core::TimePoint Now) {
+  const PoolRollout &State = Rollout.m_State;
   if (State.mustWrite())
-    return write(Which,
+    return write(Rollout,
                  {State.pool(), State.statusRevision(), State.nextStatus(),
                   State.nextRecord(core::wallSeconds().count())},
                  Now);
   if (!State.isActive() ||
-      Now - Which.m_EvaluatedAt < rollout::EvaluationPeriod)
+      Now - Rollout.m_LastEvaluationAt < rollout::EvaluationPeriod)
     return;
-  Which.m_EvaluatedAt = Now;
-  rollout::PoolCapacity Targets = poolCapacity(Which);
-  auto End = coordinatorOf(Which, Now)
-                 .decide(Targets, Which.m_State.participant().age(Now), Now);
-  logJudgement(Which, Targets, Now);
+  Rollout.m_LastEvaluationAt = Now;
+  rollout::PoolCapacity Targets = poolCapacity(Rollout);
+  auto End = coordinatorOf(Rollout, Now)
+                 .decide(Targets, Rollout.m_State.participant().age(Now), Now);
+  logJudgement(Rollout, Targets, Now);
   if (!End)
     return;
   core::LogLine("rollout-decided")
@@ -243,49 +247,49 @@
       .add("version", State.order()->m_Version)
       .add("state", toString(End->m_State))
       .add("reason", End->m_Reason)
-      .add("age_us", Which.m_State.participant().age(Now));
-  write(Which,
+      .add("age_us", Rollout.m_State.participant().age(Now));
+  write(Rollout,
         {State.pool(),
          State.statusRevision(),
          {End->m_State, State.order()->m_Version},
-         State.finalRecord(*End, oldVersions(Which))},
+         State.finalRecord(*End, oldVersions(Rollout))},
         Now);
 }
 
-void RolloutService::logJudgement(Pool &Which,
+void RolloutService::logJudgement(Pool &Rollout,
                                   const rollout::PoolCapacity &Targets,
                                   core::TimePoint Now) const {
-  if (Now - Which.m_LoggedAt < LogPeriod)
+  if (Now - Rollout.m_LastLogAt < LogPeriod)
     return;
-  Which.m_LoggedAt = Now;
-  const rollout::Judgement &Says = Which.m_Coordinator->judgement();
+  Rollout.m_LastLogAt = Now;
+  const rollout::Judgement &Verdict = Rollout.m_Coordinator->judgement();
   core::LogLine("rollout-judged")
-      .add("pool", Which.m_State.pool())
-      .add("version", Which.m_State.order()->m_Version)
-      .add("age_us", Which.m_State.participant().age(Now))
-      .add("worst", Says.m_Worst.m_Kind)
-      .add("worst_score", Says.m_Worst.m_Score)
-      .add("worst_route", Says.m_Worst.m_Route)
-      .add("least_good", Says.m_MinGoodScore)
-      .add("new_answers", Says.m_NewResponses)
-      .add("new_failures", Says.m_NewFailures)
-      .add("new_targets", Says.m_NewTargets)
-      .add("old_answers", Says.m_OldResponses)
-      .add("old_failures", Says.m_OldFailures)
+      .add("pool", Rollout.m_State.pool())
+      .add("version", Rollout.m_State.order()->m_Version)
+      .add("age_us", Rollout.m_State.participant().age(Now))
+      .add("worst", Verdict.m_Worst.m_Kind)
+      .add("worst_score", Verdict.m_Worst.m_Score)
+      .add("worst_route", Verdict.m_Worst.m_Route)
+      .add("least_good", Verdict.m_MinGoodScore)
+      .add("new_answers", Verdict.m_NewResponses)
+      .add("new_failures", Verdict.m_NewFailures)
+      .add("new_targets", Verdict.m_NewTargets)
+      .add("old_answers", Verdict.m_OldResponses)
+      .add("old_failures", Verdict.m_OldFailures)
       .add("new_places", Targets.m_NewSlots)
       .add("old_places", Targets.m_OldSlots)
-      .add("traffic", static_cast<int>(Which.m_Coordinator->traffic()))
-      .add("reporters", Which.m_Coordinator->reporters());
+      .add("traffic", static_cast<int>(Rollout.m_Coordinator->traffic()))
+      .add("reporters", Rollout.m_Coordinator->reporters());
 }
 
-rollout::PoolCapacity RolloutService::poolCapacity(const Pool &Which) const {
+rollout::PoolCapacity RolloutService::poolCapacity(const Pool &Rollout) const {
   rollout::PoolCapacity Out;
   for (const routing::KnownTarget *Known :
-       m_Targets.allTargetsOf(Which.m_State.pool())) {
+       m_Targets.allTargetsOf(Rollout.m_State.pool())) {
     if (!Known->isOpen() || Known->m_ExpiredAt)
       continue;
     const routing::Target &Each = Known->m_Target;
-    if (Which.m_State.isCanary(Each))
+    if (Rollout.m_State.isCanary(Each))
       Out.m_NewSlots += Each.m_Slots;
     else
       Out.m_OldSlots += Each.m_Slots;
@@ -294,20 +298,20 @@
 }
 
 std::set<core::TargetVersion>
-RolloutService::oldVersions(const Pool &Which) const {
+RolloutService::oldVersions(const Pool &Rollout) const {
   std::set<core::TargetVersion> Out;
   for (const routing::KnownTarget *Each :
-       m_Targets.allTargetsOf(Which.m_State.pool()))
-    if (!Which.m_State.isCanary(Each->m_Target))
+       m_Targets.allTargetsOf(Rollout.m_State.pool()))
+    if (!Rollout.m_State.isCanary(Each->m_Target))
       Out.insert(Each->m_Target.m_Version);
   return Out;
 }
 
-std::uint32_t RolloutService::runningOld(const Pool &Which) const {
+std::uint32_t RolloutService::runningOld(const Pool &Rollout) const {
   std::size_t Out = 0;
   for (const routing::KnownTarget *Each : m_Targets.busyTargets())
-    if (Each->m_Target.m_Pool == Which.m_State.pool() &&
-        !Which.m_State.isCanary(Each->m_Target))
+    if (Each->m_Target.m_Pool == Rollout.m_State.pool() &&
+        !Rollout.m_State.isCanary(Each->m_Target))
       Out += Each->m_LocalLoad.m_Running;
   return static_cast<std::uint32_t>(Out);
 }
--- a/Libraries/LibGateway/RolloutService.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -68,24 +68,24 @@
 
     PoolRollout m_State;
     std::unique_ptr<rollout::Coordinator> m_Coordinator;
-    core::TimePoint m_ReportedAt{};
-    core::TimePoint m_EvaluatedAt{};
-    core::TimePoint m_WroteAt{};
-    core::TimePoint m_LoggedAt{};
+    core::TimePoint m_LastReportAt{};
+    core::TimePoint m_LastEvaluationAt{};
+    core::TimePoint m_LastWriteAt{};
+    core::TimePoint m_LastLogAt{};
   };
 
   Pool &poolOf(const core::PoolName &Name);
   /// \returns null where no order is open.
   Pool *findActive(const core::PoolName &Name);
-  void report(Pool &Which, core::TimePoint Now);
-  void coordinate(Pool &Which, core::TimePoint Now);
-  void write(Pool &Which, const RolloutWrite &What, core::TimePoint Now);
-  void logJudgement(Pool &Which, const rollout::PoolCapacity &Targets,
+  void report(Pool &Rollout, core::TimePoint Now);
+  void coordinate(Pool &Rollout, core::TimePoint Now);
+  void write(Pool &Rollout, const RolloutWrite &What, core::TimePoint Now);
+  void logJudgement(Pool &Rollout, const rollout::PoolCapacity &Targets,
                     core::TimePoint Now) const;
-  rollout::Coordinator &coordinatorOf(Pool &Which, core::TimePoint Now);
-  rollout::PoolCapacity poolCapacity(const Pool &Which) const;
-  std::set<core::TargetVersion> oldVersions(const Pool &Which) const;
-  std::uint32_t runningOld(const Pool &Which) const;
+  rollout::Coordinator &coordinatorOf(Pool &Rollout, core::TimePoint Now);
+  rollout::PoolCapacity poolCapacity(const Pool &Rollout) const;
+  std::set<core::TargetVersion> oldVersions(const Pool &Rollout) const;
+  std::uint32_t runningOld(const Pool &Rollout) const;
   bool isCoordinator() const;
 
   config::Endpoint m_Self;
--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -60,7 +60,7 @@
 }
 
 void StoreFollower::run(asio::yield_context Yield) {
-  platform::Backoff Pauses(MinBackoff, MaxBackoff, core::randomBits());
+  platform::Backoff RetryBackoff(MinBackoff, MaxBackoff, core::randomBits());
   while (true) {
     if (!m_IsEnabled) {
       m_IsConnected = false;
@@ -74,10 +74,10 @@
       if (Failure.kind() == core::ErrorKind::Conflict)
         m_MustReadAll = true;
       if (m_IsConnected && !WasConnected)
-        Pauses.reset();
+        RetryBackoff.reset();
       noteLost(Failure);
     }
-    pause(Pauses.next(), Yield);
+    pause(RetryBackoff.next(), Yield);
   }
 }
 
--- a/Libraries/LibGateway/ValueHistory.cpp
+++ b/Libraries/LibGateway/ValueHistory.cpp
@@ -20,25 +20,27 @@
 void ValueHistory::addReplaced(Entry Old) {
   if (!isLargeValue(Old.m_Value))
     return;
-  KeyHistory &Known = m_Keys[Old.m_Key];
-  Known.m_Patches.clear();
-  Known.m_Older.push_back(std::move(Old));
-  while (Known.m_Older.size() > MaxVersions ||
-         bytesOf(Known.m_Older) > MaxBytes)
-    Known.m_Older.pop_front();
+  KeyHistory &History = m_Keys[Old.m_Key];
+  History.m_Patches.clear();
+  History.m_Older.push_back(std::move(Old));
+  while (History.m_Older.size() > MaxVersions ||
+         bytesOf(History.m_Older) > MaxBytes)
+    History.m_Older.pop_front();
 }
 
-CachedPatch ValueHistory::patch(const Entry &Newest, platform::Revision Held) {
-  KeyHistory &Known = m_Keys[Newest.m_Key];
-  if (Known.m_NewestRevision != Newest.m_ModRevision)
-    Known.m_Patches.clear();
-  Known.m_NewestRevision = Newest.m_ModRevision;
-  auto Base = std::find_if(
-      Known.m_Older.begin(), Known.m_Older.end(),
-      [Held](const Entry &Each) { return Each.m_ModRevision == Held; });
-  bool HasBase = Base != Known.m_Older.end();
+CachedPatch ValueHistory::patch(const Entry &Newest,
+                                platform::Revision HeldRevision) {
+  KeyHistory &History = m_Keys[Newest.m_Key];
+  if (History.m_NewestRevision != Newest.m_ModRevision)
+    History.m_Patches.clear();
+  History.m_NewestRevision = Newest.m_ModRevision;
+  auto Base = std::find_if(History.m_Older.begin(), History.m_Older.end(),
+                           [HeldRevision](const Entry &Each) {
+                             return Each.m_ModRevision == HeldRevision;
+                           });
+  bool HasBase = Base != History.m_Older.end();
   CachedPatch &Out =
-      Known.m_Patches[HasBase ? Base->m_ModRevision : platform::Revision()];
+      History.m_Patches[HasBase ? Base->m_ModRevision : platform::Revision()];
   if (Out.m_Patch)
     return Out;
   if (HasBase)
--- a/Libraries/LibGateway/ValueHistory.h
+++ b/Libraries/LibGateway/ValueHistory.h
@@ -35,7 +35,8 @@
   /// The patch to \p Newest from what the asking peer has, or from nothing if
   /// that is not known here. Made once for each base.
   /// \param Held revision of the peer's value; 0: it has none.
-  CachedPatch patch(const platform::Entry &Newest, platform::Revision Held);
+  CachedPatch patch(const platform::Entry &Newest,
+                    platform::Revision HeldRevision);
 
 private:
   struct KeyHistory {
--- a/Libraries/LibPeer/PeerCodec.cpp
+++ b/Libraries/LibPeer/PeerCodec.cpp
@@ -48,21 +48,21 @@
 }
 
 std::string PeerCodec::encodeSigned(std::string_view Payload) const {
-  std::string Sealed(Magic);
-  Sealed += ProtocolVersion;
-  Sealed += sign(m_Key, Payload);
-  Sealed += Payload;
-  return Sealed;
+  std::string Data(Magic);
+  Data += ProtocolVersion;
+  Data += sign(m_Key, Payload);
+  Data += Payload;
+  return Data;
 }
 
 std::variant<std::string_view, DropReason>
-PeerCodec::decodeSigned(std::string_view Sealed) const {
-  if (Sealed.size() < PayloadOffset || Sealed.substr(0, VersionOffset) != Magic)
+PeerCodec::decodeSigned(std::string_view Data) const {
+  if (Data.size() < PayloadOffset || Data.substr(0, VersionOffset) != Magic)
     return DropReason::Garbage;
-  if (Sealed[VersionOffset] != ProtocolVersion)
+  if (Data[VersionOffset] != ProtocolVersion)
     return DropReason::OtherVersion;
-  std::string_view Payload = Sealed.substr(PayloadOffset);
-  if (!core::isEqualConstantTime(Sealed.substr(SignatureOffset, SignatureBytes),
+  std::string_view Payload = Data.substr(PayloadOffset);
+  if (!core::isEqualConstantTime(Data.substr(SignatureOffset, SignatureBytes),
                                  sign(m_Key, Payload)))
     return DropReason::WrongKey;
   return Payload;
--- a/Libraries/LibPeer/PeerCodec.h
+++ b/Libraries/LibPeer/PeerCodec.h
@@ -48,7 +48,7 @@
   std::string encodeSigned(std::string_view Payload) const;
   /// \returns the payload of a sealed text whose signature is right.
   std::variant<std::string_view, DropReason>
-  decodeSigned(std::string_view Sealed) const;
+  decodeSigned(std::string_view Data) const;
   /// Reads nothing of a payload before its authentication has passed.
   std::variant<PeerMessage, DropReason> decode(std::string_view Datagram) const;
 
--- a/Libraries/LibPeer/PeerDirectory.cpp
+++ b/Libraries/LibPeer/PeerDirectory.cpp
@@ -32,16 +32,16 @@
 }
 
 std::vector<KnownPeer> PeerDirectory::expire(core::TimePoint Now) {
-  std::vector<KnownPeer> Gone;
+  std::vector<KnownPeer> Expired;
   for (auto Peer = m_Peers.begin(); Peer != m_Peers.end();) {
     if (Now - Peer->second.m_HeardAt <= m_SilenceTimeout) {
       ++Peer;
       continue;
     }
-    Gone.push_back(Peer->second);
+    Expired.push_back(Peer->second);
     Peer = m_Peers.erase(Peer);
   }
-  return Gone;
+  return Expired;
 }
 
 } // namespace yardrill::peer
--- a/Libraries/LibPeer/PeerDirectory.h
+++ b/Libraries/LibPeer/PeerDirectory.h
@@ -23,8 +23,8 @@
 /// A bounded table of live instances. Not thread-safe.
 class PeerDirectory {
 public:
-  PeerDirectory(std::size_t Capacity, core::Duration Silence)
-      : m_Capacity(Capacity), m_SilenceTimeout(Silence) {}
+  PeerDirectory(std::size_t Capacity, core::Duration SilenceTimeout)
+      : m_Capacity(Capacity), m_SilenceTimeout(SilenceTimeout) {}
 
   /// Takes note of an authenticated message.
   /// \returns why it has to be dropped, if it has.
--- a/Libraries/LibPeer/PeerMessage.cpp
+++ b/Libraries/LibPeer/PeerMessage.cpp
@@ -10,11 +10,11 @@
   return Out;
 }
 
-LoadReport completed(const LoadReport &Short, const LoadReport &Before) {
+LoadReport completed(const LoadReport &Short, const LoadReport &Previous) {
   LoadReport Out = Short;
   Out.m_IsFull = true;
-  Out.m_Name = Before.m_Name;
-  Out.m_DataHall = Before.m_DataHall;
+  Out.m_Name = Previous.m_Name;
+  Out.m_DataHall = Previous.m_DataHall;
   return Out;
 }
 
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -77,7 +77,7 @@
 /// Leaves out of \p Full what never changes.
 LoadReport shortened(const LoadReport &Full);
 /// Completes \p Short by what was left out. \p Before is a complete one.
-LoadReport completed(const LoadReport &Short, const LoadReport &Before);
+LoadReport completed(const LoadReport &Short, const LoadReport &Previous);
 
 /// Asks an owner of an account's quota for tokens, or gives some back.
 struct QuotaRequest {
--- a/Libraries/LibPeer/RolloutMessages.cpp
+++ b/Libraries/LibPeer/RolloutMessages.cpp
@@ -18,22 +18,22 @@
   return Out;
 }
 
-std::vector<RolloutReport> toMessages(const rollout::Report &Told,
+std::vector<RolloutReport> toMessages(const rollout::Report &From,
                                       const core::PoolName &Pool) {
-  RolloutReport Empty;
-  Empty.m_Pool = Pool;
-  Empty.m_Order = Told.m_Order.value();
-  Empty.m_Number = Told.m_Number;
-  Empty.m_AgeUs = Told.m_Age.count();
-  Empty.m_Traffic = static_cast<std::uint8_t>(Told.m_Traffic);
-  Empty.m_RunningOld = Told.m_RunningOld;
-  Empty.m_Sent = Told.m_Sent;
-  Empty.m_SentNew = Told.m_SentNew;
-  std::vector<RolloutReport> Out{Empty};
-  Empty.m_WantsPermit = false;
-  for (const auto &[Key, Counts] : Told.m_Counts) {
+  RolloutReport Header;
+  Header.m_Pool = Pool;
+  Header.m_Order = From.m_Order.value();
+  Header.m_Number = From.m_Number;
+  Header.m_AgeUs = From.m_Age.count();
+  Header.m_Traffic = static_cast<std::uint8_t>(From.m_Traffic);
+  Header.m_RunningOld = From.m_RunningOld;
+  Header.m_Sent = From.m_Sent;
+  Header.m_SentNew = From.m_SentNew;
+  std::vector<RolloutReport> Out{Header};
+  Header.m_WantsPermit = false;
+  for (const auto &[Key, Counts] : From.m_Counts) {
     if (Out.back().m_Counts.size() == MaxCellsInPart)
-      Out.push_back(Empty);
+      Out.push_back(Header);
     Out.back().m_Counts.push_back(toCell(Key, Counts));
   }
   return Out;
@@ -45,16 +45,16 @@
   return static_cast<rollout::Traffic>(Value);
 }
 
-rollout::Report toReport(const RolloutReport &Told) {
+rollout::Report toReport(const RolloutReport &From) {
   rollout::Report Out;
-  Out.m_Order = rollout::OrderId(Told.m_Order);
-  Out.m_Number = Told.m_Number;
-  Out.m_Age = core::Duration(Told.m_AgeUs);
-  Out.m_Traffic = toTraffic(Told.m_Traffic);
-  Out.m_RunningOld = Told.m_RunningOld;
-  Out.m_Sent = Told.m_Sent;
-  Out.m_SentNew = Told.m_SentNew;
-  for (const RolloutCell &Each : Told.m_Counts) {
+  Out.m_Order = rollout::OrderId(From.m_Order);
+  Out.m_Number = From.m_Number;
+  Out.m_Age = core::Duration(From.m_AgeUs);
+  Out.m_Traffic = toTraffic(From.m_Traffic);
+  Out.m_RunningOld = From.m_RunningOld;
+  Out.m_Sent = From.m_Sent;
+  Out.m_SentNew = From.m_SentNew;
+  for (const RolloutCell &Each : From.m_Counts) {
     rollout::ResponseCountsKey Key;
     Key.m_Side = Each.m_IsNew ? rollout::Side::New : rollout::Side::Old;
     Key.m_Target = Each.m_Target;
@@ -68,15 +68,15 @@
   return Out;
 }
 
-RolloutPermit toMessage(const rollout::Permit &Given,
+RolloutPermit toMessage(const rollout::Permit &Granted,
                         const core::PoolName &Pool) {
-  return {Pool, Given.m_Order.value(), Given.m_Report,
-          static_cast<std::uint8_t>(Given.m_Traffic), Given.m_Share};
+  return {Pool, Granted.m_Order.value(), Granted.m_Report,
+          static_cast<std::uint8_t>(Granted.m_Traffic), Granted.m_Share};
 }
 
-rollout::Permit toPermit(const RolloutPermit &Given) {
-  return {rollout::OrderId(Given.m_Order), Given.m_Report,
-          toTraffic(Given.m_Traffic), Given.m_Share};
+rollout::Permit toPermit(const RolloutPermit &Granted) {
+  return {rollout::OrderId(Granted.m_Order), Granted.m_Report,
+          toTraffic(Granted.m_Traffic), Granted.m_Share};
 }
 
 } // namespace yardrill::peer
--- a/Libraries/LibPeer/RolloutMessages.h
+++ b/Libraries/LibPeer/RolloutMessages.h
@@ -61,14 +61,14 @@
 };
 
 /// Parts that fit a datagram each, at least one.
-std::vector<RolloutReport> toMessages(const rollout::Report &Told,
+std::vector<RolloutReport> toMessages(const rollout::Report &From,
                                       const core::PoolName &Pool);
 /// What can't be (a bin that does not exist) is left out.
-rollout::Report toReport(const RolloutReport &Told);
-RolloutPermit toMessage(const rollout::Permit &Given,
+rollout::Report toReport(const RolloutReport &From);
+RolloutPermit toMessage(const rollout::Permit &Granted,
                         const core::PoolName &Pool);
 /// An unknown kind of traffic is that to the old version.
-rollout::Permit toPermit(const RolloutPermit &Given);
+rollout::Permit toPermit(const RolloutPermit &Granted);
 
 } // namespace yardrill::peer
 
--- a/Tests/LibGateway/FollowerSelectionTest.cpp
+++ b/Tests/LibGateway/FollowerSelectionTest.cpp
@@ -13,44 +13,45 @@
 /// All instances of a fleet; whom the store serves, the others hear to follow.
 class Fleet {
 public:
-  explicit Fleet(std::size_t Size) : m_Duties(Size), m_IsServed(Size, true) {
+  explicit Fleet(std::size_t Size)
+      : m_Selections(Size), m_CanReachStore(Size, true) {
     for (std::size_t I = 0; I < Size; ++I)
-      m_Duties[I].setRank(I);
+      m_Selections[I].setRank(I);
   }
 
   /// Of instances in the order of their ranks.
-  std::vector<bool> &served() { return m_IsServed; }
+  std::vector<bool> &reachable() { return m_CanReachStore; }
 
-  void pass(core::Duration Time) {
+  void advance(core::Duration Time) {
     static constexpr milliseconds Step{100};
     for (core::TimePoint End = m_Now + Time; m_Now < End; m_Now += Step) {
       std::size_t Before = 0;
-      std::vector<std::size_t> Heard;
-      for (std::size_t I = 0; I < m_Duties.size(); ++I) {
-        Heard.push_back(Before);
-        Before += m_Duties[I].isSelected() && m_IsServed[I] ? 1 : 0;
+      std::vector<std::size_t> FollowersBefore;
+      for (std::size_t I = 0; I < m_Selections.size(); ++I) {
+        FollowersBefore.push_back(Before);
+        Before += m_Selections[I].isSelected() && m_CanReachStore[I] ? 1 : 0;
       }
-      for (std::size_t I = 0; I < m_Duties.size(); ++I)
-        m_Duties[I].update(Heard[I], m_Now);
+      for (std::size_t I = 0; I < m_Selections.size(); ++I)
+        m_Selections[I].update(FollowersBefore[I], m_Now);
     }
   }
   /// Who asks the store; who of them is served.
-  std::size_t asking() const {
+  std::size_t selectedCount() const {
     std::size_t Out = 0;
-    for (const FollowerSelection &Each : m_Duties)
+    for (const FollowerSelection &Each : m_Selections)
       Out += Each.isSelected() ? 1 : 0;
     return Out;
   }
-  std::size_t following() const {
+  std::size_t followingCount() const {
     std::size_t Out = 0;
-    for (std::size_t I = 0; I < m_Duties.size(); ++I)
-      Out += m_Duties[I].isSelected() && m_IsServed[I] ? 1 : 0;
+    for (std::size_t I = 0; I < m_Selections.size(); ++I)
+      Out += m_Selections[I].isSelected() && m_CanReachStore[I] ? 1 : 0;
     return Out;
   }
 
 private:
-  std::vector<FollowerSelection> m_Duties;
-  std::vector<bool> m_IsServed;
+  std::vector<FollowerSelection> m_Selections;
+  std::vector<bool> m_CanReachStore;
   core::TimePoint m_Now{std::chrono::hours(1)};
 };
 
@@ -69,48 +70,51 @@
   void testFewInstancesFollow() {
     for (std::size_t Size : {9, 89, 295, 440}) {
       Fleet All(Size);
-      All.pass(seconds(5));
-      CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers, All.asking());
+      All.advance(seconds(5));
+      CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers,
+                           All.selectedCount());
     }
   }
 
   void testNextRanksReplaceLostFollowers() {
     Fleet All(295);
-    All.pass(seconds(5));
+    All.advance(seconds(5));
     for (std::size_t I = 0; I < 6; ++I)
-      All.served()[I] = false;
-    All.pass(seconds(2));
-    CPPUNIT_ASSERT(All.following() >= FollowerSelection::DesiredFollowers);
+      All.reachable()[I] = false;
+    All.advance(seconds(2));
+    CPPUNIT_ASSERT(All.followingCount() >= FollowerSelection::DesiredFollowers);
     // Those that are turned away keep trying.
-    CPPUNIT_ASSERT(All.asking() <= 18);
+    CPPUNIT_ASSERT(All.selectedCount() <= 18);
   }
 
   void testFollowersWhenAThirdIsRejected() {
     Fleet All(295);
-    All.pass(seconds(5));
+    All.advance(seconds(5));
     for (std::size_t I = 0; I < 295; I += 3)
-      All.served()[I] = false;
-    All.pass(seconds(3));
-    CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers, All.following());
+      All.reachable()[I] = false;
+    All.advance(seconds(3));
+    CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers,
+                         All.followingCount());
   }
 
   void testUnavailableStoreIsTriedByFew() {
     Fleet All(295);
-    All.pass(seconds(5));
-    All.served().assign(295, false);
-    All.pass(milliseconds(500));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(6), All.asking());
-    All.pass(seconds(10));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(48), All.asking());
+    All.advance(seconds(5));
+    All.reachable().assign(295, false);
+    All.advance(milliseconds(500));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(6), All.selectedCount());
+    All.advance(seconds(10));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(48), All.selectedCount());
   }
 
   void testFirstRanksResumeFollowing() {
     Fleet All(295);
-    All.served().assign(295, false);
-    All.pass(seconds(10));
-    All.served().assign(295, true);
-    All.pass(seconds(2));
-    CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers, All.asking());
+    All.reachable().assign(295, false);
+    All.advance(seconds(10));
+    All.reachable().assign(295, true);
+    All.advance(seconds(2));
+    CPPUNIT_ASSERT_EQUAL(FollowerSelection::DesiredFollowers,
+                         All.selectedCount());
   }
 };
 
--- a/Tests/LibGateway/RolloutTest.cpp
+++ b/Tests/LibGateway/RolloutTest.cpp
@@ -22,7 +22,7 @@
   CPPUNIT_TEST(testRecordSurvivesARestart);
   CPPUNIT_TEST_SUITE_END();
 
-  std::atomic<bool> m_IsBad{false};
+  std::atomic<bool> m_IsFailing{false};
   std::atomic<bool> m_IsCalling{false};
   std::atomic<int> m_Refused{0};
   std::vector<std::thread> m_Callers;
@@ -30,7 +30,7 @@
   void addVersion(const std::string &Version, bool IsAnnounced = true) {
     bool IsNew = Version != "v1";
     addTarget([this, IsNew](const Request &Read) {
-      if (IsNew && m_IsBad && ++m_Answers % 2 == 0)
+      if (IsNew && m_IsFailing && ++m_Answers % 2 == 0)
         return whole(Read, "broken", "500 Internal Server Error");
       return whole(Read, "answer");
     });
@@ -51,7 +51,7 @@
       Sum += m_Targets[I - 1]->requests().size();
     return Sum;
   }
-  void beginCalls() {
+  void startCallers() {
     m_IsCalling = true;
     for (int I = 0; I < 4; ++I)
       m_Callers.emplace_back([this] {
@@ -67,7 +67,7 @@
                        std::to_string(BakeSeconds) + "}");
   }
   std::string state() { return m_Store.valueOf("status/rollout/app"); }
-  bool is(const char *State) {
+  bool isState(const char *State) {
     return state().find(State) != std::string::npos;
   }
   void startWithTwoVersions() {
@@ -78,7 +78,7 @@
     start();
     // Until then a process is not sure that it is the only one.
     std::this_thread::sleep_for(milliseconds(3200));
-    beginCalls();
+    startCallers();
   }
   void announceNew() {
     m_Store.change(keyOf(3), versioned(3, "v2"));
@@ -98,11 +98,11 @@
     auto Begin = core::steadyNow();
     order(5);
     announceNew();
-    CPPUNIT_ASSERT(eventually([this] { return is("in_progress"); }));
-    CPPUNIT_ASSERT(
-        eventually([this] { return is("completed"); }, milliseconds(8000)));
+    CPPUNIT_ASSERT(eventually([this] { return isState("in_progress"); }));
+    CPPUNIT_ASSERT(eventually([this] { return isState("completed"); },
+                              milliseconds(8000)));
     CPPUNIT_ASSERT(core::steadyNow() - Begin <= std::chrono::seconds(5));
-    CPPUNIT_ASSERT(is(R"("targetVersion":"v2")"));
+    CPPUNIT_ASSERT(isState(R"("targetVersion":"v2")"));
     std::this_thread::sleep_for(milliseconds(100));
     std::size_t Old = requestsOf(1, 2);
     std::size_t New = requestsOf(3, 4);
@@ -113,13 +113,13 @@
   }
 
   void testFailingVersionIsRolledBack() {
-    m_IsBad = true;
+    m_IsFailing = true;
     startWithTwoVersions();
     std::size_t Before = requestsOf(1, 4);
     order(6);
     announceNew();
-    CPPUNIT_ASSERT(
-        eventually([this] { return is("rolled_back"); }, milliseconds(7000)));
+    CPPUNIT_ASSERT(eventually([this] { return isState("rolled_back"); },
+                              milliseconds(7000)));
     std::this_thread::sleep_for(milliseconds(100));
     std::size_t New = requestsOf(3, 4);
     auto All = static_cast<double>(requestsOf(1, 4) - Before);
@@ -153,8 +153,8 @@
     CPPUNIT_ASSERT(eventually([this] { return requestsOf(3, 4) > 0; },
                               milliseconds(3000)));
     m_Store.remove("op/rollout/app");
-    CPPUNIT_ASSERT(
-        eventually([this] { return is("rolled_back"); }, milliseconds(2000)));
+    CPPUNIT_ASSERT(eventually([this] { return isState("rolled_back"); },
+                              milliseconds(2000)));
     std::size_t New = requestsOf(3, 4);
     std::this_thread::sleep_for(milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(New, requestsOf(3, 4));
@@ -163,12 +163,12 @@
   void testOrderWithoutTargetsIsRolledBack() {
     startWithTwoVersions();
     order(2);
-    CPPUNIT_ASSERT(eventually([this] { return is("in_progress"); }));
-    CPPUNIT_ASSERT(
-        eventually([this] { return is("rolled_back"); }, milliseconds(3000)));
+    CPPUNIT_ASSERT(eventually([this] { return isState("in_progress"); }));
+    CPPUNIT_ASSERT(eventually([this] { return isState("rolled_back"); },
+                              milliseconds(3000)));
     // The same words again are another order.
     order(3);
-    CPPUNIT_ASSERT(eventually([this] { return is("in_progress"); }));
+    CPPUNIT_ASSERT(eventually([this] { return isState("in_progress"); }));
   }
 
   void testInvalidOrdersAreIgnored() {
@@ -213,7 +213,7 @@
     for (const char *Version : {"v1", "v1", "v2", "v2"})
       addVersion(Version);
     start();
-    beginCalls();
+    startCallers();
     std::this_thread::sleep_for(milliseconds(500));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), requestsOf(3, 4));
     CPPUNIT_ASSERT(requestsOf(1, 2) > 20);
--- a/Tests/LibPeer/PeerCodecTest.cpp
+++ b/Tests/LibPeer/PeerCodecTest.cpp
@@ -88,30 +88,30 @@
   }
 
   void testReplayAndAge() {
-    PeerDirectory Known(8, std::chrono::seconds(5));
+    PeerDirectory Directory(8, std::chrono::seconds(5));
     core::TimePoint Now{std::chrono::seconds(1)};
-    CPPUNIT_ASSERT(!Known.accept(message(7, 9), Now, 1000));
-    CPPUNIT_ASSERT(*Known.accept(message(7, 9), Now, 1000) ==
+    CPPUNIT_ASSERT(!Directory.accept(message(7, 9), Now, 1000));
+    CPPUNIT_ASSERT(*Directory.accept(message(7, 9), Now, 1000) ==
                    DropReason::Replayed);
-    CPPUNIT_ASSERT(*Known.accept(message(7, 8), Now, 1000) ==
+    CPPUNIT_ASSERT(*Directory.accept(message(7, 8), Now, 1000) ==
                    DropReason::Replayed);
-    CPPUNIT_ASSERT(!Known.accept(message(7, 10), Now, 1000));
+    CPPUNIT_ASSERT(!Directory.accept(message(7, 10), Now, 1000));
     // A recorded message can't bring a process back that is gone.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         Known.expire(Now + std::chrono::seconds(6)).size());
-    CPPUNIT_ASSERT(*Known.accept(message(7, 10), Now, 1031) ==
+    CPPUNIT_ASSERT_EQUAL(
+        std::size_t(1), Directory.expire(Now + std::chrono::seconds(6)).size());
+    CPPUNIT_ASSERT(*Directory.accept(message(7, 10), Now, 1031) ==
                    DropReason::Stale);
-    CPPUNIT_ASSERT(Known.all().empty());
+    CPPUNIT_ASSERT(Directory.all().empty());
   }
 
   void testBoundedPeers() {
-    PeerDirectory Known(2, std::chrono::seconds(5));
+    PeerDirectory Directory(2, std::chrono::seconds(5));
     core::TimePoint Now{std::chrono::seconds(1)};
-    CPPUNIT_ASSERT(!Known.accept(message(1, 1), Now, 1000));
-    CPPUNIT_ASSERT(!Known.accept(message(2, 1), Now, 1000));
-    CPPUNIT_ASSERT(*Known.accept(message(3, 1), Now, 1000) ==
+    CPPUNIT_ASSERT(!Directory.accept(message(1, 1), Now, 1000));
+    CPPUNIT_ASSERT(!Directory.accept(message(2, 1), Now, 1000));
+    CPPUNIT_ASSERT(*Directory.accept(message(3, 1), Now, 1000) ==
                    DropReason::TooManyPeers);
-    CPPUNIT_ASSERT(!Known.accept(message(1, 2), Now, 1000));
+    CPPUNIT_ASSERT(!Directory.accept(message(1, 2), Now, 1000));
   }
 
   void testShortReportIsCompleted() {
