--- a/Libraries/LibPeer/PeerCodec.cpp
+++ b/Libraries/LibPeer/PeerCodec.cpp
@@ -1,3 +1,4 @@
+//===-- PeerCodec.cpp - Peer messages as authenticated datagrams ----------===//
 #include "LibPeer/PeerCodec.h"
 
 #include "LibCore/Digest.h"
@@ -76,7 +77,8 @@
   }
   std::string Datagram = encodeSigned(Out.str());
   if (Datagram.size() > MaxDatagramBytes)
-    throw core::Error(core::ErrorKind::LimitExceeded, "datagram is too large");
+    throw core::Error(core::ErrorKind::LimitExceeded,
+                      "encoded message does not fit a datagram");
   return Datagram;
 }
 
--- a/Libraries/LibPeer/PeerCodec.h
+++ b/Libraries/LibPeer/PeerCodec.h
@@ -16,40 +16,42 @@
 
 namespace yardrill::peer {
 
-/// Fits one Ethernet frame, so that no datagram is fragmented.
+/// Largest datagram that fits one Ethernet frame without fragmentation.
 inline constexpr std::size_t MaxDatagramBytes = 1400;
 
-/// Of everything that peers send each other; instances of other versions are
-/// not heard.
+/// Version of all messages between peers; other versions are dropped.
 inline constexpr char ProtocolVersion = 5;
 
-/// Why a datagram was dropped; each reason is counted.
+/// Reason for which a datagram is dropped; each has a metric of its own.
 enum class DropReason {
   TooLarge,
-  Garbage, ///< Not one of ours at all, or a payload that can't be read.
+  Garbage, ///< Wrong magic bytes, or a payload that cannot be decoded.
   OtherVersion,
   WrongKey,
-  Stale,        ///< Older than allowed by the clock.
-  Replayed,     ///< Not newer than the sender's last message.
-  TooManyPeers, ///< No room for one more sender.
+  Stale,        ///< Time of sending too far from the receiver's clock.
+  Replayed,     ///< Sequence number not above the sender's last one.
+  TooManyPeers, ///< The peer directory is full.
 };
 
 const char *toString(DropReason Reason);
-/// The name of the counter of datagrams dropped for that reason.
+/// Returns the name of the metric that counts datagrams dropped for \p Reason.
 std::string droppedCounterName(DropReason Reason);
 
+/// Encodes peer messages and signs them with the key that all instances share.
 class PeerCodec {
 public:
   explicit PeerCodec(std::string Key) : m_Key(std::move(Key)) {}
 
-  /// \throws core::Error of kind LimitExceeded when it does not fit.
+  /// Encodes and signs \p Message.
+  /// \throws core::Error of kind LimitExceeded above MaxDatagramBytes.
   std::string encode(const PeerMessage &Message) const;
-  /// Any payload with magic, version and signature before it.
+  /// Returns \p Payload preceded by magic, version and signature.
   std::string encodeSigned(std::string_view Payload) const;
-  /// \returns the payload of a sealed text whose signature is right.
+  /// Verifies the output of encodeSigned(). \returns its payload, which points
+  /// into \p Data, or the reason why it is invalid.
   std::variant<std::string_view, DropReason>
   decodeSigned(std::string_view Data) const;
-  /// Reads nothing of a payload before its authentication has passed.
+  /// Decodes a datagram; its signature is verified before its payload is read.
   std::variant<PeerMessage, DropReason> decode(std::string_view Datagram) const;
 
 private:
--- a/Libraries/LibPeer/PeerDirectory.cpp
+++ b/Libraries/LibPeer/PeerDirectory.cpp
@@ -1,16 +1,17 @@
+//===-- PeerDirectory.cpp - Table of peers seen recently ------------------===//
 #include "LibPeer/PeerDirectory.h"
 
 #include <cstdlib>
 
 namespace yardrill::peer {
 
-/// How far apart the clocks of two instances may be, delay included.
+/// Largest difference between two instances' clocks, transmission included.
 static const std::int64_t MaxClockDifferenceSeconds = 30;
 
 std::optional<DropReason> PeerDirectory::accept(const PeerMessage &Message,
                                                 core::TimePoint Now,
                                                 std::int64_t NowWallSeconds) {
-  // Keeps a recorded message of a process long gone from bringing it back.
+  // Prevents a replayed message from reviving a peer that has expired.
   if (std::abs(NowWallSeconds - Message.m_WallSeconds) >
       MaxClockDifferenceSeconds)
     return DropReason::Stale;
--- a/Libraries/LibPeer/PeerDirectory.h
+++ b/Libraries/LibPeer/PeerDirectory.h
@@ -1,4 +1,4 @@
-//===-- PeerDirectory.h - Instances that were heard from ------------------===//
+//===-- PeerDirectory.h - Table of peers seen recently --------------------===//
 #ifndef YARDRILL_LIBPEER_PEERDIRECTORY_H
 #define YARDRILL_LIBPEER_PEERDIRECTORY_H
 
@@ -13,25 +13,28 @@
 
 namespace yardrill::peer {
 
+/// Last message received from one incarnation of a peer.
 struct KnownPeer {
   decision::InstanceRef m_Instance;
   core::TimePoint m_HeardAt{};
   std::uint64_t m_Sequence = 0;
-  Heartbeat m_LastHeartbeat; ///< Empty until a heartbeat came.
+  Heartbeat m_LastHeartbeat; ///< Default until the first heartbeat.
 };
 
-/// A bounded table of live instances. Not thread-safe.
+/// Tracks live peers by incarnation and rejects stale and replayed messages.
+/// Bounded in size. Not thread-safe.
 class PeerDirectory {
 public:
+  /// \param SilenceTimeout time without a message after which a peer expires.
   PeerDirectory(std::size_t Capacity, core::Duration SilenceTimeout)
       : m_Capacity(Capacity), m_SilenceTimeout(SilenceTimeout) {}
 
-  /// Takes note of an authenticated message.
-  /// \returns why it has to be dropped, if it has.
+  /// Records the sender of an authenticated message.
+  /// \returns why \p Message must be dropped; none if it is valid.
   std::optional<DropReason> accept(const PeerMessage &Message,
                                    core::TimePoint Now,
                                    std::int64_t NowWallSeconds);
-  /// Removes those that were silent for too long, and \returns them.
+  /// Removes peers that exceeded the silence timeout, and \returns them.
   std::vector<KnownPeer> expire(core::TimePoint Now);
 
   const std::map<core::IncarnationId, KnownPeer> &all() const {
--- a/Libraries/LibPeer/PeerMessage.cpp
+++ b/Libraries/LibPeer/PeerMessage.cpp
@@ -1,3 +1,4 @@
+//===-- PeerMessage.cpp - Short and full load reports ---------------------===//
 #include "LibPeer/PeerMessage.h"
 
 namespace yardrill::peer {
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -1,4 +1,4 @@
-//===-- PeerMessage.h - What instances tell each other by UDP -------------===//
+//===-- PeerMessage.h - Messages that instances exchange by UDP -----------===//
 #ifndef YARDRILL_LIBPEER_PEERMESSAGE_H
 #define YARDRILL_LIBPEER_PEERMESSAGE_H
 
@@ -18,13 +18,13 @@
 
 namespace yardrill::peer {
 
-/// Says that the sender lives and what configuration it has in force.
+/// Announces that the sender is alive, and the configuration it has in force.
 struct Heartbeat {
   core::InstanceName m_Name;
-  core::ConfigurationVersion m_Version; ///< 0: none yet.
-  std::uint64_t m_Digest = 0;           ///< Of the configuration's text.
+  core::ConfigurationVersion m_Version; ///< 0: none yet
+  std::uint64_t m_Digest = 0;           ///< Digest of the configuration's text
   bool m_IsStopping = false;
-  /// Some other instances that the sender heard from lately.
+  /// Some of the peers that the sender received messages from recently.
   std::vector<decision::InstanceRef> m_RecentPeers;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -32,12 +32,12 @@
   }
 };
 
-/// Work under way at one target, sent by the reporting instance.
+/// Requests of the reporting instance that are in progress at one target.
 struct TargetLoadEntry {
   std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash().
   std::uint16_t m_Running = 0;
-  std::uint32_t m_PendingPromptTokens =
-      0; ///< Prompt tokens without a first event.
+  /// Prompt tokens of requests without a first event in the response.
+  std::uint32_t m_PendingPromptTokens = 0;
 
   bool operator==(const TargetLoadEntry &Other) const {
     return m_Target == Other.m_Target && m_Running == Other.m_Running &&
@@ -48,23 +48,24 @@
   }
 };
 
-/// What the sender has under way, and how far it follows the store. Each
-/// report replaces the last: a lost one costs only its delay.
+/// Requests that the sender has in progress, and its revision of the store.
+/// Each report replaces the previous one, so that a lost report only adds
+/// delay.
 struct LoadReport {
-  /// False: the name and the data hall are left out, which are as in the
-  /// report before. The targets are always complete.
+  /// Whether the report has the name and the data hall, which a short one omits
+  /// because they do not change. The targets are always complete.
   bool m_IsFull = true;
   core::InstanceName m_Name;
   core::DataHallName m_DataHall;
-  std::int64_t m_StoreRevision = 0; ///< 0: knows nothing yet.
-  /// Up to which the sender also has all values.
+  std::int64_t m_StoreRevision = 0; ///< 0: no state yet
+  /// Revision up to which the sender also has all values.
   std::int64_t m_CompleteRevision = 0;
-  bool m_IsStoreConnected = false; ///< Follows the store itself, and hears it.
+  bool m_IsStoreConnected = false; ///< Follows the store and is connected
   bool m_IsStopping = false;
-  /// Whether requests wait there for a free place.
+  /// Whether requests wait at the sender for a free slot.
   bool m_HasWaitingRequests = false;
-  std::vector<TargetLoadEntry> m_Targets; ///< Only those with work.
-  /// Some other instances that the sender heard from lately.
+  std::vector<TargetLoadEntry> m_Targets; ///< Only targets with requests
+  /// Some of the peers that the sender received messages from recently.
   std::vector<decision::InstanceRef> m_RecentPeers;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -74,18 +75,20 @@
   }
 };
 
-/// Leaves out of \p Full what never changes.
+/// Returns \p Full without the fields that never change.
 LoadReport shortened(const LoadReport &Full);
-/// Completes \p Short by what was left out. \p Before is a complete one.
+/// Returns \p Short with its omitted fields taken from \p Previous, which is
+/// full.
 LoadReport completed(const LoadReport &Short, const LoadReport &Previous);
 
-/// Asks an owner of an account's quota for tokens, or gives some back.
+/// Requests tokens from an owner of an account's quota, or returns some.
 struct QuotaRequest {
-  std::uint64_t m_RequestId = 0; ///< The asker's number for it.
-  std::uint32_t m_Account = 0;   ///< Low half of stableHash() of its name.
-  std::uint32_t m_Tokens = 0;    ///< 0: no answer is wanted.
+  std::uint64_t m_RequestId = 0; ///< Chosen by the sender
+  std::uint32_t m_Account = 0;   ///< Low half of the name's stableHash()
+  std::uint32_t m_Tokens = 0;    ///< 0: no response expected
   std::uint32_t m_Returned = 0;
-  /// The tokens are a part of the asker's debt, to be taken over.
+  /// Whether the tokens are a part of the sender's debt that the receiver is to
+  /// take over.
   bool m_IsCharge = false;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -93,10 +96,11 @@
   }
 };
 
+/// Response to a QuotaRequest with tokens.
 struct QuotaResponse {
   std::uint64_t m_RequestId = 0;
-  std::uint8_t m_Verdict = 0; ///< A routing::QuotaVerdict.
-  std::uint32_t m_Tokens = 0; ///< Granted.
+  std::uint8_t m_Verdict = 0; ///< routing::QuotaVerdict
+  std::uint32_t m_Tokens = 0; ///< Granted tokens
   std::uint64_t m_RetryAfterUs = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -110,10 +114,11 @@
                  QuotaResponse, RolloutReport, RolloutPermit, QuarantineUpdate,
                  BackpressureUpdate>;
 
+/// Envelope of each datagram between peers.
 struct PeerMessage {
   decision::InstanceRef m_From;
-  std::uint64_t m_Sequence = 0; ///< Grows with each message of the sender.
-  std::int64_t m_WallSeconds = 0;
+  std::uint64_t m_Sequence = 0;   ///< Increases with each message
+  std::int64_t m_WallSeconds = 0; ///< Time of sending, in Unix seconds
   PeerBody m_Body;
 
   template <class Archive> void serialize(Archive &Ar) {
--- a/Libraries/LibPeer/PeerSocket.cpp
+++ b/Libraries/LibPeer/PeerSocket.cpp
@@ -1,3 +1,4 @@
+//===-- PeerSocket.cpp - UDP socket for messages between instances --------===//
 #include "LibPeer/PeerSocket.h"
 
 #include "LibCore/Error.h"
@@ -37,14 +38,14 @@
 }
 
 void PeerSocket::receive(asio::yield_context Yield) {
-  // One byte more than allowed, so that a longer datagram is seen as such.
+  // The extra byte makes oversized datagrams detectable.
   std::vector<char> Buffer(MaxDatagramBytes + 1);
   while (true) {
     udp::endpoint From;
     boost::system::error_code Failure;
     std::size_t Size =
         m_Socket.async_receive_from(asio::buffer(Buffer), From, Yield[Failure]);
-    // A refused datagram of ours comes back as an error here.
+    // ICMP errors of datagrams sent earlier are reported here.
     if (Failure)
       continue;
     auto Decoded = m_Codec.decode({Buffer.data(), Size});
--- a/Libraries/LibPeer/PeerSocket.h
+++ b/Libraries/LibPeer/PeerSocket.h
@@ -1,4 +1,4 @@
-//===-- PeerSocket.h - The UDP socket that instances talk through ---------===//
+//===-- PeerSocket.h - UDP socket for messages between instances ----------===//
 #ifndef YARDRILL_LIBPEER_PEERSOCKET_H
 #define YARDRILL_LIBPEER_PEERSOCKET_H
 
@@ -12,21 +12,24 @@
 
 namespace yardrill::peer {
 
+/// Callbacks for each received datagram, valid or dropped.
 struct PeerSocketHooks {
   std::function<void(const PeerMessage &)> m_Received;
   std::function<void(DropReason)> m_Dropped;
 };
 
-/// Sends and receives authenticated messages; used on one thread only.
+/// Sends datagrams, and receives and authenticates those of peers. Must be used
+/// on one thread only.
 class PeerSocket {
 public:
   /// Binds \p Address. \throws core::Error of kind AddressInUse.
   PeerSocket(boost::asio::io_context &Context, const config::Endpoint &Address,
              const PeerCodec &Codec);
 
-  /// Calls the hooks for each datagram from now on.
+  /// Starts to receive; calls a hook for each datagram.
   void start(PeerSocketHooks Hooks);
-  /// A datagram that can't be sent now is as good as lost: all are repeated.
+  /// Sends \p Datagram without waiting. Failures are ignored, as losses are:
+  /// every message is repeated.
   void send(const std::string &Datagram, const config::Endpoint &To);
 
 private:
--- a/Libraries/LibPeer/QuarantineMessages.h
+++ b/Libraries/LibPeer/QuarantineMessages.h
@@ -1,4 +1,4 @@
-//===-- QuarantineMessages.h - Ends of targets, told to all instances -----===//
+//===-- QuarantineMessages.h - Quarantine observations sent to peers ------===//
 #ifndef YARDRILL_LIBPEER_QUARANTINEMESSAGES_H
 #define YARDRILL_LIBPEER_QUARANTINEMESSAGES_H
 
@@ -8,11 +8,11 @@
 
 namespace yardrill::peer {
 
-/// A quarantine::Observation.
+/// Wire form of a quarantine::Observation.
 struct QuarantineObservation {
   std::uint64_t m_ContentHigh = 0;
   std::uint64_t m_ContentLow = 0;
-  std::uint32_t m_Incarnation = 0; ///< routing::TargetIncarnation::hash().
+  std::uint32_t m_Incarnation = 0; ///< routing::TargetIncarnation::hash()
   bool m_IsCleared = false;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -20,9 +20,10 @@
   }
 };
 
-/// Merged by whoever hears it; told several times, since datagrams are lost.
+/// Observations that each receiver merges into its own. Sent several times,
+/// since datagrams can be lost.
 struct QuarantineUpdate {
-  /// Within one datagram.
+  /// Largest number of observations in one datagram.
   static constexpr std::size_t MaxObservations = 48;
 
   std::vector<QuarantineObservation> m_Observations;
--- a/Libraries/LibPeer/RolloutMessages.cpp
+++ b/Libraries/LibPeer/RolloutMessages.cpp
@@ -1,8 +1,9 @@
+//===-- RolloutMessages.cpp - Roll-out reports and permits of peers -------===//
 #include "LibPeer/RolloutMessages.h"
 
 namespace yardrill::peer {
 
-/// A cell takes some 55 bytes with the usual six bins; the most, 140.
+/// Keeps a part within one datagram: a cell takes up to 140 bytes.
 static constexpr std::size_t MaxCellsInPart = 9;
 
 static RolloutCell toCell(const rollout::ResponseCountsKey &Key,
--- a/Libraries/LibPeer/RolloutMessages.h
+++ b/Libraries/LibPeer/RolloutMessages.h
@@ -1,4 +1,4 @@
-//===-- RolloutMessages.h - Roll-outs, as instances tell each other -------===//
+//===-- RolloutMessages.h - Roll-out reports and permits between peers ----===//
 #ifndef YARDRILL_LIBPEER_ROLLOUTMESSAGES_H
 #define YARDRILL_LIBPEER_ROLLOUTMESSAGES_H
 
@@ -10,6 +10,7 @@
 
 namespace yardrill::peer {
 
+/// Number of responses in one bin of response times.
 struct RolloutTimes {
   std::uint8_t m_Bin = 0;
   std::uint32_t m_Count = 0;
@@ -17,29 +18,30 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Bin, m_Count); }
 };
 
+/// Wire form of rollout::ResponseCounts with their key.
 struct RolloutCell {
-  bool m_IsNew = false;
-  std::uint32_t m_Target = 0;
+  bool m_IsNew = false;       ///< Of the new version
+  std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash()
   std::uint32_t m_Route = 0;
   std::uint32_t m_Failures = 0;
-  std::vector<RolloutTimes> m_Times; ///< Bins that are not empty.
+  std::vector<RolloutTimes> m_Times; ///< Non-empty bins
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_IsNew, m_Target, m_Route, m_Failures, m_Times);
   }
 };
 
-/// A part of a rollout::Report.
+/// Wire form of a rollout::Report, or of a part of it.
 struct RolloutReport {
   core::PoolName m_Pool;
   std::int64_t m_Order = 0;
   std::uint64_t m_Number = 0;
-  std::int64_t m_AgeUs = 0;
-  std::uint8_t m_Traffic = 0;
+  std::int64_t m_AgeUs = 0;   ///< Age of the order
+  std::uint8_t m_Traffic = 0; ///< rollout::Traffic
   std::uint32_t m_RunningOld = 0;
   std::uint32_t m_Sent = 0;
   std::uint32_t m_SentNew = 0;
-  bool m_WantsPermit = true; ///< One part of each report does.
+  bool m_WantsPermit = true; ///< Set in one part of each report
   std::vector<RolloutCell> m_Counts;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -48,11 +50,12 @@
   }
 };
 
+/// Wire form of a rollout::Permit.
 struct RolloutPermit {
   core::PoolName m_Pool;
   std::int64_t m_Order = 0;
-  std::uint64_t m_Report = 0;
-  std::uint8_t m_Traffic = 0;
+  std::uint64_t m_Report = 0; ///< Number of the report it responds to
+  std::uint8_t m_Traffic = 0; ///< rollout::Traffic
   double m_Share = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -60,14 +63,15 @@
   }
 };
 
-/// Parts that fit a datagram each, at least one.
+/// Splits a report into at least one part, each of which fits a datagram.
 std::vector<RolloutReport> toMessages(const rollout::Report &From,
                                       const core::PoolName &Pool);
-/// What can't be (a bin that does not exist) is left out.
+/// Converts a received report; bins that do not exist are ignored.
 rollout::Report toReport(const RolloutReport &From);
+/// Converts a permit to its wire form.
 RolloutPermit toMessage(const rollout::Permit &Granted,
                         const core::PoolName &Pool);
-/// An unknown kind of traffic is that to the old version.
+/// Converts a received permit; unknown traffic counts as Traffic::Old.
 rollout::Permit toPermit(const RolloutPermit &Granted);
 
 } // namespace yardrill::peer
--- a/Libraries/LibPeer/TargetMessages.h
+++ b/Libraries/LibPeer/TargetMessages.h
@@ -1,4 +1,4 @@
-//===-- TargetMessages.h - What targets said, told to instances -----------===//
+//===-- TargetMessages.h - Backpressure of targets, sent to peers ---------===//
 #ifndef YARDRILL_LIBPEER_TARGETMESSAGES_H
 #define YARDRILL_LIBPEER_TARGETMESSAGES_H
 
@@ -10,14 +10,14 @@
 
 namespace yardrill::peer {
 
-/// A routing::BackpressureReport. Its time is told as an age, since clocks
-/// differ.
+/// Wire form of a routing::BackpressureReport. Its time is sent as an age,
+/// since the clocks of instances differ.
 struct BackpressureEntry {
   std::string m_Target;
   std::int64_t m_StartTime = 0;
   bool m_IsLimited = false;
-  double m_PerSecond = 0;
-  std::uint64_t m_LimitAgeUs = 0; ///< Of the answer that said so.
+  double m_PerSecond = 0;         ///< Rate limit in requests per second
+  std::uint64_t m_LimitAgeUs = 0; ///< Age of the response that stated it
   bool m_IsLeaving = false;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -26,9 +26,10 @@
   }
 };
 
-/// The newest word of each run counts, in whatever order they come.
+/// Backpressure of several targets. The newest report of each incarnation
+/// applies, independent of the order of arrival.
 struct BackpressureUpdate {
-  /// Within one datagram.
+  /// Largest number of entries in one datagram.
   static constexpr std::size_t MaxEntries = 16;
 
   std::vector<BackpressureEntry> m_Entries;
