--- a/Libraries/LibGateway/FleetMembership.cpp
+++ b/Libraries/LibGateway/FleetMembership.cpp
@@ -1,10 +1,12 @@
+//===-- FleetMembership.cpp - Instances that belong to the fleet ----------===//
 #include "LibGateway/FleetMembership.h"
 
 namespace yardrill::gateway {
 
-/// Longer than a restart, and than a window of the quotas (8 s): an instance
-/// that comes back finds the quotas that it kept, and one that is cut off keeps
-/// its part. Until it is left out its accounts have two thirds of their limit.
+/// Silence after which an instance is removed. Exceeds a restart and a window
+/// of the quotas (8 s), so that an instance which returns or is partitioned
+/// keeps the quotas it owns. Until then its accounts have two thirds of their
+/// limit.
 static constexpr std::chrono::seconds RemovalDelay{12};
 
 std::optional<FleetMembers>
--- a/Libraries/LibGateway/FleetMembership.h
+++ b/Libraries/LibGateway/FleetMembership.h
@@ -1,9 +1,8 @@
-//===-- FleetMembership.h - Who belongs to the fleet for longer
-//---------------===//
+//===-- FleetMembership.h - Decides which instances belong to the fleet ---===//
 //
-// Pure. Who keeps which quota must not change with each restart or cut: what
-// the earlier owner granted is not known to the next one. So an instance is
-// recorded as soon as it is heard, and left out only after a long silence.
+// Does no I/O. The owner of a quota must not change with each restart or
+// network partition, since a new owner does not know what its predecessor
+// granted. So an instance is added at once, and removed only after a delay.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_FLEETMEMBERSHIP_H
@@ -17,24 +16,26 @@
 
 namespace yardrill::gateway {
 
+/// Compares the recorded membership with the live instances; used by Gateway.
 class FleetMembership {
 public:
-  /// What the store says; empty: nothing is recorded.
+  /// Sets the membership that the store holds; empty if it holds none.
   void setRecorded(FleetMembers Instances) {
     m_Recorded = std::move(Instances);
   }
   const FleetMembers &recorded() const { return m_Recorded; }
 
-  /// \param Live instances that are heard now, this one included. Where they
-  /// are not more than half of the recorded ones, they may be cut off
-  /// themselves, and leave nobody out. \returns what should be recorded in
-  /// place of what is.
+  /// Adds live instances and removes those that have been silent for too long.
+  /// If at least half of the recorded instances are silent, none is removed,
+  /// since the live ones may themselves be partitioned from the fleet.
+  /// \param Live instances that are reachable now, this one included.
+  /// \returns the membership to record; none if the record needs no change.
   std::optional<FleetMembers> proposeUpdate(const FleetMembers &Live,
                                             core::TimePoint Now);
 
 private:
   FleetMembers m_Recorded;
-  /// Of recorded instances that are not heard: since when.
+  /// Start of the silence of each recorded instance that is not live.
   std::map<config::Endpoint, core::TimePoint> m_SilentSince;
 };
 
--- a/Libraries/LibGateway/FollowerSelection.cpp
+++ b/Libraries/LibGateway/FollowerSelection.cpp
@@ -1,13 +1,14 @@
+//===-- FollowerSelection.cpp - Selects followers of the store ------------===//
 #include "LibGateway/FollowerSelection.h"
 
 #include <algorithm>
 
 namespace yardrill::gateway {
 
-/// After this time without enough followers, twice as many may follow.
+/// Time without enough followers after which twice as many may follow.
 static constexpr std::chrono::seconds DoublingPeriod{1};
-/// 48 of them, after three seconds: if even these do not reach the store, it is
-/// away. Asked by all 295 it got 5,490 calls on a day with an outage.
+/// Allows 48 followers; if none of these reaches the store, it is unavailable,
+/// and further ones would only add calls.
 static constexpr long MaxDoublings = 3;
 
 void FollowerSelection::update(std::size_t FollowersBefore,
--- a/Libraries/LibGateway/FollowerSelection.h
+++ b/Libraries/LibGateway/FollowerSelection.h
@@ -1,12 +1,11 @@
-//===-- FollowerSelection.h - Which instances follow the store
-//-----------------===//
+//===-- FollowerSelection.h - Selects the instances that follow the store -===//
 //
-// Pure. In a large fleet a few instances follow the store and tell the others:
-// each call is paid for. Nothing is agreed on; by the order of a hash of their
-// addresses the first ones follow. Where too few of these are heard to follow,
-// since they are lost or turned away by the store, those next in order join, a
-// few at first and twice as many with each second: all at once, they would ask
-// a store that is away for all of them.
+// Does no I/O. In a large fleet only a few instances follow the store and
+// report changes to the others, since each call to the store is billed. Without
+// any agreement, the first instances in the order of their addresses' hashes
+// follow. If too few of them do, because they are lost or rejected by the
+// store, the next ones join, twice as many with each second; if all joined at
+// once, the whole fleet would call a store that is unavailable.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_FOLLOWERSELECTION_H
@@ -19,22 +18,24 @@
 
 namespace yardrill::gateway {
 
+/// Decides for one instance; used by PeerService.
 class FollowerSelection {
 public:
-  /// A third may be cut off at once without leaving none (0.35^6 = 0.002).
+  /// Tolerates the loss of a third of the instances: the probability that no
+  /// follower remains is 0.35^6 = 0.002.
   static constexpr std::size_t DesiredFollowers = 6;
 
-  /// \param Rank how many instances of the fleet come before this one, heard or
-  /// not.
+  /// \param Rank number of instances of the fleet, live or not, that precede
+  /// this one in the order.
   void setRank(std::size_t Rank) { m_Rank = Rank; }
-  /// \param Before of these, how many are heard to follow. To be called several
-  /// times a second.
+  /// Updates the selection; must be called several times a second.
+  /// \param FollowersBefore live followers that precede this instance.
   void update(std::size_t FollowersBefore, core::TimePoint Now);
   bool isSelected() const { return m_IsSelected; }
 
 private:
   std::size_t m_Rank = 0;
-  /// Since when too few are heard.
+  /// Time since which there have been too few followers; none if enough.
   std::optional<core::TimePoint> m_TooFewSince;
   bool m_IsSelected = true;
 };
--- a/Libraries/LibGateway/MembershipRecord.cpp
+++ b/Libraries/LibGateway/MembershipRecord.cpp
@@ -1,3 +1,4 @@
+//===-- MembershipRecord.cpp - Membership of the fleet in the store -------===//
 #include "LibGateway/MembershipRecord.h"
 
 #include <sstream>
@@ -11,7 +12,7 @@
                                    platform::KeyValueService &Store)
     : m_Record(Context, Store, Name, WritePeriod) {}
 
-/// On each line an address, and after a blank the data hall.
+/// Returns one line per instance: its address, a space and its data hall.
 static std::string toText(const FleetMembers &Instances) {
   std::string Out;
   for (const auto &[Address, Hall] : Instances)
--- a/Libraries/LibGateway/MembershipRecord.h
+++ b/Libraries/LibGateway/MembershipRecord.h
@@ -1,8 +1,7 @@
-//===-- MembershipRecord.h - The list of instances, as the store keeps it
-//------===//
+//===-- MembershipRecord.h - Membership of the fleet in the store ---------===//
 //
-// Whoever reads it knows which instances keep which quotas, also a process that
-// has just started and has heard of nobody. One instance writes it, rarely.
+// Lets each instance know which instances own which quotas, even one that has
+// just started and knows no peer. One instance writes it, rarely.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_MEMBERSHIPRECORD_H
@@ -13,9 +12,10 @@
 
 namespace yardrill::gateway {
 
-/// The data hall of each instance, by its peer address.
+/// Data hall of each instance, by peer address.
 using FleetMembers = routing::FleetSubset::Fleet;
 
+/// Reads and writes the record; used by Gateway.
 class MembershipRecord {
 public:
   MembershipRecord(boost::asio::io_context &Context,
@@ -24,11 +24,12 @@
   bool isRecordKey(const std::string &Key) const {
     return m_Record.isRecordKey(Key);
   }
-  /// Takes in what the store says. \returns the list; empty: none, or
-  /// unreadable.
+  /// Applies a change of the entry in the store.
+  /// \returns the recorded instances; empty if there are none, or if the entry
+  /// is unreadable, which is logged.
   FleetMembers read(const platform::Entry &Change);
-  /// Writes the list, unless a write was tried lately. A failure is logged and
-  /// tried again later.
+  /// Starts to write \p Instances, unless a write was attempted recently.
+  /// Failures are logged; the caller retries.
   void write(const FleetMembers &Instances, core::TimePoint Now);
 
 private:
--- a/Libraries/LibGateway/MissingPeers.cpp
+++ b/Libraries/LibGateway/MissingPeers.cpp
@@ -1,11 +1,12 @@
+//===-- MissingPeers.cpp - Peers that fell silent without stopping --------===//
 #include "LibGateway/MissingPeers.h"
 
 #include <iterator>
 
 namespace yardrill::gateway {
 
-/// How long a silent peer's part of the quotas is kept for it: longer than a
-/// window of the quotas (8 s) and than a restart takes.
+/// Time for which a missing peer's share of the quotas stays reserved. Exceeds
+/// a window of the quotas (8 s) and a restart.
 static constexpr std::chrono::seconds RetentionTime{10};
 
 void MissingPeers::forgetOld(core::TimePoint Now) {
--- a/Libraries/LibGateway/MissingPeers.h
+++ b/Libraries/LibGateway/MissingPeers.h
@@ -1,8 +1,9 @@
 //===-- MissingPeers.h - Peers that fell silent without stopping ----------===//
 //
-// Pure. A silent peer may have died, or be cut off and still at work with its
-// part of the quotas. Both sides of a cut must not take each other's part:
-// the side without the store keeps the other's for as long as it is cut off.
+// Does no I/O. A silent peer may have exited, or be partitioned and still use
+// its share of the quotas. The sides of a partition must not take over each
+// other's share: the side without the store reserves the other's while it
+// lasts.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_MISSINGPEERS_H
@@ -15,18 +16,21 @@
 
 namespace yardrill::gateway {
 
+/// Remembers when each missing peer was lost; used by PeerService.
 class MissingPeers {
 public:
   using Map = std::map<config::Endpoint, core::TimePoint>;
 
+  /// Adds \p Peer, unless it is missing already.
   void lost(const config::Endpoint &Peer, core::TimePoint Now) {
     m_LostAt.emplace(Peer, Now);
   }
+  /// Removes \p Peer, which is live again.
   void heard(const config::Endpoint &Peer) { m_LostAt.erase(Peer); }
-  /// Gives up those that have been silent for long. To be called only while
-  /// the store is heard.
+  /// Removes peers that have been missing for too long. Must be called only
+  /// while the store is reachable, directly or through a peer.
   void forgetOld(core::TimePoint Now);
-  /// Since when each is missing.
+  /// Returns the time of loss of each missing peer.
   const Map &all() const { return m_LostAt; }
 
 private:
--- a/Libraries/LibGateway/StoreRecord.cpp
+++ b/Libraries/LibGateway/StoreRecord.cpp
@@ -1,3 +1,4 @@
+//===-- StoreRecord.cpp - Entry in the store that instances maintain ------===//
 #include "LibGateway/StoreRecord.h"
 
 #include "LibCore/Error.h"
--- a/Libraries/LibGateway/StoreRecord.h
+++ b/Libraries/LibGateway/StoreRecord.h
@@ -1,7 +1,8 @@
-//===-- StoreRecord.h - One entry that the instances keep in the store ----===//
+//===-- StoreRecord.h - Entry in the store that instances maintain --------===//
 //
-// Whoever writes it has read the one before: two that write at once can't undo
-// each other. Each write is paid for, so there is a least time between two.
+// Written by compare-and-swap on the revision read last, so that concurrent
+// writers cannot overwrite each other. Each write is billed, hence the minimum
+// time between two.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_STORERECORD_H
@@ -15,30 +16,33 @@
 
 namespace yardrill::gateway {
 
+/// Text under one key; used by MembershipRecord and QuarantineService.
 class StoreRecord {
 public:
-  /// \param Name of the record; the events of its writes bear it.
+  /// \param Name of the record, also in the log events of its writes.
+  /// \param WritePeriod minimum time between two attempts to write.
   StoreRecord(boost::asio::io_context &Context,
               platform::KeyValueService &Store, std::string Name,
               core::Duration WritePeriod)
       : m_Context(Context), m_Store(Store), m_Name(std::move(Name)),
         m_WritePeriod(WritePeriod) {}
 
-  /// The key of the record of that name.
+  /// Returns the key of the record called \p Name.
   static std::string keyOf(const std::string &Name) {
     return "yardrill/" + Name;
   }
   bool isRecordKey(const std::string &Key) const {
     return Key == keyOf(m_Name);
   }
-  /// Takes in what the store says. \returns the text; empty: none.
+  /// Applies a change of the entry in the store.
+  /// \returns the new text; empty if the entry was deleted.
   std::string read(const platform::Entry &Change);
-  /// What the store held when it was last heard of.
+  /// Returns the text as of the last change applied.
   const std::string &text() const { return m_Text; }
-  /// Writes \p Text, unless a write was tried lately. A failure is logged and
-  /// tried again with the next call.
+  /// Starts to write \p Text, unless a write was attempted recently. Failures
+  /// are logged; the next call retries.
   void write(const std::string &Text, core::TimePoint Now);
-  /// The entry can't be read.
+  /// Logs that the text of \p Change is invalid.
   void logUnreadable(const platform::Entry &Change) const;
 
 private:
@@ -48,7 +52,7 @@
   platform::KeyValueService &m_Store;
   std::string m_Name;
   core::Duration m_WritePeriod;
-  platform::Revision m_Revision; ///< Of its entry; 0: none.
+  platform::Revision m_Revision; ///< Of the entry; 0: absent
   std::string m_Text;
   core::TimePoint m_LastAttemptAt{};
 };
