--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -1,3 +1,4 @@
+//===-- PeerService.cpp - Communication with other instances --------------===//
 #include "LibGateway/PeerService.h"
 
 #include "LibCore/Digest.h"
@@ -9,30 +10,33 @@
 
 namespace asio = boost::asio;
 
-/// Reports within a group: old enough to cost little, new enough that a place
-/// is not given away twice for long.
+/// Period of reports in a fleet of one group. Limits both their cost and the
+/// time in which two instances can assign the same slot.
 static constexpr std::chrono::milliseconds TickPeriod{40};
-/// How often addresses are tried that have not answered.
+/// Period of full reports, which are also sent to addresses that have not
+/// responded.
 static constexpr std::chrono::milliseconds FullReportPeriod{250};
-/// While the store holds no list of instances, all far peers are told of this
-/// one in so many seek periods, so that all find all.
+/// Without a recorded membership, every peer of another group gets a full
+/// report within this number of periods, so that all instances find each other.
 static constexpr std::size_t DiscoveryRounds = 10;
-/// Those that follow the store tell all others in so many seek periods that
-/// they do, and how far they are: once a second.
+/// A follower sends every peer of another group a full report, with its
+/// revision of the store, within this number of periods: once a second.
 static constexpr std::size_t FollowerRounds = 4;
-/// The others tell the one that keeps the list that they live, every so many
-/// seek periods: it leaves out who is silent for 12 s.
+/// Every other instance sends the record writer a full report once in this
+/// number of periods; an instance silent for 12 s is removed from the
+/// membership.
 static constexpr std::size_t WriterRounds = 8;
-/// Far peers that a follower tells at once of something new, for each group;
-/// these tell their groups.
+/// Peers per group to which a follower reports a new revision at once; these
+/// forward it within their groups.
 static constexpr std::size_t ReceiversPerGroup = 2;
-/// Where there are several groups, reports are rarer: each costs all others.
+/// Period of reports in a fleet of several groups; longer, since each report
+/// costs processor time at every receiver.
 static constexpr std::chrono::milliseconds LargeFleetPeriod{100};
-/// A process that has started has found the others after this time.
+/// Time after the start in which a process finds its peers.
 static constexpr std::chrono::seconds DiscoveryTime{3};
 static constexpr std::size_t MaxHintedPeers = 64;
 static constexpr std::size_t MaxHintsInReport = 3;
-/// Keeps a report within one datagram.
+/// Largest number of targets that fits one datagram.
 static constexpr std::size_t MaxTargetsInReport = 60;
 
 PeerService::PeerService(asio::io_context &Context,
@@ -59,7 +63,7 @@
   m_Socket.start({[this](const peer::PeerMessage &Message) { handle(Message); },
                   [this](peer::DropReason Reason) { drop(Reason); }});
   Timers.subscribe(TickPeriod, [this](core::TimePoint Now) { tick(Now); });
-  // Who starts again is answered at once by those who know.
+  // Peers respond at once if they can supply this instance with state.
   asio::post(m_Context, [this] {
     sendReport({m_HintedPeers.begin(), m_HintedPeers.end()}, true);
   });
@@ -114,12 +118,12 @@
   } else if (canSupplyState(*Report)) {
     sendReport({Message.m_From.m_Peer}, true);
   }
-  // Worked out when it matters: reports come more often than requests.
+  // The hook is called on demand: reports are more frequent than requests.
   m_IsChanged = true;
 }
 
 void PeerService::addHintedPeers(const peer::LoadReport &Report) {
-  // The store's list names them all.
+  // The record names all instances.
   if (!m_Recorded.empty())
     return;
   for (const decision::InstanceRef &Other : Report.m_RecentPeers)
@@ -136,7 +140,7 @@
   core::LogLine("peer-found")
       .add("peer", Report.m_Name)
       .add("address", Peer.toString());
-  // It may not know of us yet.
+  // The peer may not know this instance yet.
   sendReport({Peer}, true);
 }
 
@@ -200,7 +204,7 @@
       desiredGroupSize() == m_MaxGroupMembers)
     return;
   m_IsMembershipChanged = false;
-  // With those that the list does not have yet.
+  // Live instances may not be recorded yet.
   routing::FleetSubset::Fleet Fleet = heard();
   Fleet.insert(m_Recorded.begin(), m_Recorded.end());
   bool IsSameFleet = Fleet == m_Fleet;
@@ -300,7 +304,7 @@
   m_LastReportAt = Now;
   if (Now - m_FullReportAt < FullReportPeriod) {
     std::vector<config::Endpoint> To = m_GroupAddresses;
-    // Each group has to hear soon that the store said something new.
+    // Every group has to learn of a new revision without delay.
     if (IsLarge && m_LastReport.m_IsStoreConnected && hasUnreportedRevision())
       addOtherGroupPeers(m_Subset.groupCount() * ReceiversPerGroup, To);
     return sendReport(To, false);
@@ -332,7 +336,8 @@
 
 void PeerService::handleSilentPeer(const LivePeer &LostPeer,
                                    core::TimePoint Now) {
-  // Far peers report only for as long as there is no list.
+  // With a recorded membership, peers of other groups report only rarely, and
+  // their silence is not a loss.
   if (!m_Recorded.empty() && !LostPeer.m_IsGroupPeer)
     return;
   bool HasStopped = LostPeer.m_Report.m_IsStopping;
@@ -367,7 +372,7 @@
     return;
   std::swap(m_LastReport, Report);
   Report = IsFull ? m_LastReport : peer::shortened(m_LastReport);
-  // A few at random, so that all learn of all within some reports.
+  // A random sample, so that all peers become known within a few reports.
   if (IsFull)
     addHints(Report);
   std::string Datagram = encode(std::move(Report));
@@ -401,7 +406,7 @@
   if (m_Mirror.revision().value() < m_Peers.newestRevision() ||
       m_Mirror.completeRevision().value() < m_Peers.newestCompleteRevision())
     PeersAhead = peersAhead();
-  // One that does not ask the store has nothing to wait for.
+  // Only a follower can expect the same from the store.
   bool MayWaitForStore = !PeersAhead.empty() && mustFollowStore();
   m_Fetcher.fetchIfDue(PeersAhead, MayWaitForStore, Now);
 }
--- a/Libraries/LibGateway/PeerService.h
+++ b/Libraries/LibGateway/PeerService.h
@@ -1,8 +1,8 @@
-//===-- PeerService.h - What instances tell each other
-//-----------------------===//
+//===-- PeerService.h - Communication with the other instances ------------===//
 //
-// Load reports go by UDP, each replacing the last. What the store said goes by
-// TCP, and only to an instance that is behind.
+// Load reports are sent by UDP; each replaces the previous one. State of the
+// store is sent by TCP, only to instances that request it because they are
+// behind.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_PEERSERVICE_H
@@ -30,19 +30,22 @@
 
 namespace yardrill::gateway {
 
+/// What PeerService needs from the gateway, and notifies it of.
 struct PeerServiceHooks {
-  /// Fills in this instance's work and use of quotas.
+  /// Fills in the load at targets, waiting requests and the store connection.
   std::function<void(peer::LoadReport &)> m_FillReport;
-  /// Called after a report came or a peer was lost.
+  /// Called after reports were received or peers were lost.
   std::function<void()> m_Changed;
-  /// Targets of the largest pool.
+  /// Returns the number of targets in the largest pool.
   std::function<std::size_t()> m_LargestPoolSize;
-  /// Called when the fleet has another cut.
+  /// Called when the fleet was divided into groups anew.
   std::function<void(const routing::FleetSubset &)> m_Repartitioned;
-  /// Called with each message that is no report.
+  /// Called with each valid message that is not a load report.
   std::function<void(const peer::PeerMessage &)> m_MessageReceived;
 };
 
+/// Finds the other instances, exchanges load reports with them, and forwards
+/// their other messages; owned by Gateway.
 class PeerService {
 public:
   /// Binds the peer address. \throws core::Error of kind AddressInUse.
@@ -52,71 +55,79 @@
   ~PeerService();
 
   void start(core::TimerService &Timers);
-  /// Sends reports now and takes no more part afterwards.
+  /// Marks this instance as stopping and reports that to all live peers.
   void setStopping();
 
-  /// Tells near peers of new work once the current step is over: until they
-  /// know of it, they would choose the same target.
+  /// Reports to group peers after the current handler has returned. Until they
+  /// know of a new request, they would choose the same target.
   void scheduleReport();
-  /// Calls the hook for changes if reports came since it was called last.
+  /// Calls PeerServiceHooks::m_Changed if anything changed since the last call.
   void notifyIfChanged();
-  /// Sends one message that is no report; it may be lost.
+  /// Sends a message that is not a load report; it can be lost.
   void send(const config::Endpoint &To, const peer::PeerBody &Body);
 
-  /// Whether it is this instance's to follow the store.
+  /// Whether this instance has to follow the store.
   bool mustFollowStore() const;
   const PeerTable &peers() const { return m_Peers; }
-  /// Near peers that are neither heard from nor known to have stopped.
+  /// Returns the number of group peers that are silent without having stopped.
   std::size_t missingCount() const;
-  /// The list of instances that the store holds; empty: none.
+  /// Sets the membership that the store holds; empty if it holds none.
   void setRecorded(FleetMembers Instances);
-  /// Whether a live peer has heard from the store.
+  /// Whether a live peer that is not stopping has state of the store.
   bool hasPeerWithState() const;
-  /// Whether this process has had the time to find the others.
+  /// Whether this process has had enough time to find its peers.
   bool isDiscoveryDone() const;
-  /// Whether it is this instance's to keep the list of instances in the store.
+  /// Whether this instance writes the records that all instances share, such as
+  /// the membership record.
   bool isRecordWriter() const {
     return isDiscoveryDone() && m_Peers.followersBefore() == 0;
   }
-  /// Whether a change of the list of instances would be heard of: from the
-  /// store, or from at least half of the near peers, if nobody here reaches the
-  /// store.
+  /// Whether this instance would learn of a change of the membership: from the
+  /// store, or, if no known instance reaches it, from at least half of the
+  /// group peers.
   bool isListConfirmed() const;
-  /// All instances that are heard from, and this one.
+  /// Returns the live instances, this one included.
   FleetMembers heard() const;
-  /// Peer addresses of all instances that may be there, without this one's.
+  /// Returns the peer addresses of all other instances that are live or
+  /// recorded.
   std::vector<config::Endpoint> otherInstances() const;
-  /// Instances that may be at work, this one included: those heard from and
-  /// those missing, or the recorded size while this one still finds others.
+  /// Returns an upper estimate of the instances in service, this one included:
+  /// the larger of the fleet, live or recorded, and this one with the missing
+  /// peers.
   std::size_t activeInstanceCount() const;
 
 private:
   void handle(const peer::PeerMessage &Message);
   void handleOther(const peer::PeerMessage &Message);
+  /// Adds the peers that \p Report names, unless a membership is recorded.
   void addHintedPeers(const peer::LoadReport &Report);
-  /// Tells a peer that has been found of this instance.
+  /// Logs a new peer and sends it a full report. If a membership is recorded,
+  /// only group peers and peers without state are greeted.
   void greetPeer(const config::Endpoint &Peer, const peer::LoadReport &Report);
-  /// Whether \p Report is of a process that knows nothing yet, and this one
-  /// knows something.
+  /// Whether the sender of \p Report has no state of the store and this
+  /// instance has.
   bool canSupplyState(const peer::LoadReport &Report) const;
   std::string encode(peer::PeerBody Body);
   void drop(peer::DropReason Reason);
   void tick(core::TimePoint Now);
-  /// \param IsFull also when nothing changed, and with hints of other peers.
+  /// Sends the load report, if anything changed since the last one.
+  /// \param IsFull send it in any case, in full and with hints of other peers.
   void sendReport(const std::vector<config::Endpoint> &To, bool IsFull);
-  /// Adds a few of the far peers, each in its turn.
+  /// Adds up to \p MaxCount peers of other groups to \p To, in rotation.
   void addOtherGroupPeers(std::size_t MaxCount,
                           std::vector<config::Endpoint> &To);
-  /// Whom a full report goes to, beside the near peers.
+  /// Adds the peers of other groups that the next full report is sent to.
   void addOtherGroupReceivers(std::vector<config::Endpoint> &To);
+  /// Divides the fleet into groups anew, if its members or the group size
+  /// changed.
   void repartition();
-  /// Members that groups should have now, at the most.
+  /// Returns the maximum number of members that a group should have.
   std::size_t desiredGroupSize() const;
-  /// Works out what depends on who belongs to the fleet.
+  /// Recomputes all that depends on the fleet's members and groups.
   void rebuildPeerLists();
-  /// Whether this instance or one that it hears follows the store.
+  /// Whether this instance or a live peer is connected to the store.
   bool isStoreReachable() const;
-  /// Whether the mirror is further on than the last report said.
+  /// Whether the mirror is newer than the last report states.
   bool hasUnreportedRevision() const;
   void expire(core::TimePoint Now);
   void handleSilentPeer(const LivePeer &LostPeer, core::TimePoint Now);
@@ -134,27 +145,26 @@
   peer::PeerSocket m_Socket;
   MirrorFetcher m_Fetcher;
   PeerTable m_Peers;
-  std::set<config::Endpoint>
-      m_HintedPeers; ///< Perhaps peers; not heard from yet.
+  /// Seeds and addresses named by peers, without a report from them so far.
+  std::set<config::Endpoint> m_HintedPeers;
   MissingPeers m_Missing;
   routing::FleetSubset m_Subset;
-  routing::FleetSubset::Fleet m_Fleet; ///< That m_Subset was cut from.
-  std::size_t m_MaxGroupMembers = 0;   ///< Of its groups, at the most.
-  Rotation m_OtherGroupRotation;       ///< Through m_OtherGroupAddresses.
+  routing::FleetSubset::Fleet m_Fleet; ///< Basis of m_Subset
+  std::size_t m_MaxGroupMembers = 0;   ///< Group size used for m_Subset
+  Rotation m_OtherGroupRotation;       ///< Index into m_OtherGroupAddresses
   std::size_t m_FullReports = 0;
-  peer::LoadReport m_LastReport; ///< As last sent.
+  peer::LoadReport m_LastReport; ///< Last report sent, in full
   std::uint64_t m_Sequence = 0;
   core::TimePoint m_LastReportAt{};
   core::TimePoint m_FullReportAt{};
   bool m_IsStopping = false;
-  bool m_IsChanged = false; ///< Since the hook was last called.
+  bool m_IsChanged = false; ///< Since m_Changed was last called
   bool m_IsReportDue = false;
   core::TimePoint m_StartedAt = core::steadyNow();
   FleetMembers m_Recorded;
-  bool m_IsMembershipChanged = false;             ///< Since the last cut.
-  std::vector<config::Endpoint> m_GroupAddresses; ///< As m_Subset says.
-  std::vector<config::Endpoint>
-      m_OtherGroupAddresses; ///< All others of m_Fleet.
+  bool m_IsMembershipChanged = false; ///< Since the last repartition()
+  std::vector<config::Endpoint> m_GroupAddresses; ///< Peers of the own group
+  std::vector<config::Endpoint> m_OtherGroupAddresses; ///< All other peers
   FollowerSelection m_FollowerSelection;
   std::mt19937_64 m_Random;
 };
--- a/Libraries/LibGateway/PeerTable.cpp
+++ b/Libraries/LibGateway/PeerTable.cpp
@@ -1,3 +1,4 @@
+//===-- PeerTable.cpp - Live peers and their latest reports ---------------===//
 #include "LibGateway/PeerTable.h"
 
 #include "LibCore/Digest.h"
@@ -7,13 +8,14 @@
 
 namespace yardrill::gateway {
 
-/// Silence after which a near peer counts as gone: several lost reports in a
-/// row.
+/// Silence after which a group peer is no longer live: several lost reports.
 static constexpr std::chrono::milliseconds GroupPeerTimeout{700};
-/// Far peers report rarely; several reports may be lost.
+/// Silence after which any peer is removed. Peers of other groups report
+/// rarely, and several reports can be lost.
 static constexpr std::chrono::seconds OtherGroupPeerTimeout{10};
 static constexpr std::chrono::seconds ScanPeriod{1};
-/// A far peer that follows the store reports every second.
+/// Silence after which a peer does not count as a follower: followers report to
+/// other groups once a second.
 static constexpr std::chrono::milliseconds FollowerTimeout{2500};
 static constexpr std::size_t MaxPeers = 1024;
 
@@ -44,12 +46,12 @@
   auto Known = m_Peers.find(From);
   bool IsNew = Known == m_Peers.end() || Known->second.m_IsSilent;
   if (IsNew && !Report.m_IsFull)
-    return {}; // A full one comes soon.
+    return {}; // A full one follows shortly.
   auto Dropped = m_Directory.accept(Message, Now, NowWallSeconds);
   if (Dropped)
     return {Dropped, false};
   if (Known == m_Peers.end()) {
-    // A process that ended, whose successor this is.
+    // An earlier incarnation at the same address has ended.
     auto Predecessor = m_ByAddress.find(Message.m_From.m_Peer);
     if (Predecessor != m_ByAddress.end())
       remove(Predecessor->second);
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -1,7 +1,7 @@
-//===-- PeerTable.h - The live peers and their newest reports -------------===//
+//===-- PeerTable.h - Live peers and their latest reports -----------------===//
 //
-// Pure. What is asked for with each report or beat is kept up to date as peers
-// come, change and go, so that it costs the same in a fleet of any size.
+// Does no I/O. Whatever each report or tick needs is updated incrementally as
+// peers join, change and leave, so that its cost does not grow with the fleet.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_PEERTABLE_H
@@ -21,17 +21,20 @@
 
 namespace yardrill::gateway {
 
+/// One peer with its latest report.
 struct LivePeer {
   decision::InstanceRef m_Instance;
-  peer::LoadReport m_Report; ///< The newest, complete.
+  peer::LoadReport m_Report; ///< Latest, in full
   core::TimePoint m_HeardAt{};
-  std::uint64_t m_AddressHash = 0;
-  bool m_IsGroupPeer = false; ///< Of this instance's group.
-  /// A near one whose last reports are missing; what it said does not hold any
-  /// more. It stays a member of its group for as long as the others know it.
+  std::uint64_t m_AddressHash = 0; ///< followerOrder() of its address
+  bool m_IsGroupPeer = false;      ///< Whether in this instance's group
+  /// Whether it is a group peer whose recent reports are missing. Its last
+  /// report does not count any more, but it stays in its group as long as it is
+  /// known.
   bool m_IsSilent = false;
 };
 
+/// Table of live peers by incarnation; owned by PeerService.
 class PeerTable {
 public:
   using Peers = std::unordered_map<core::IncarnationId, LivePeer>;
@@ -39,21 +42,23 @@
   /// \param Self this instance's peer address.
   explicit PeerTable(const config::Endpoint &Self);
 
-  /// What became of a report.
+  /// Effect of a report.
   struct ReportResult {
     std::optional<peer::DropReason> m_Dropped;
-    bool m_IsNew = false; ///< Of a peer that was not live until now.
+    bool m_IsNew = false; ///< Whether the peer was not live before
   };
-  /// A short report of a peer that is not live is passed over.
+  /// Applies a report; short reports of peers that are not live are ignored.
   ReportResult handle(const peer::PeerMessage &Message,
                       const peer::LoadReport &Report, core::TimePoint Now,
                       std::int64_t NowWallSeconds);
-  /// Checks a message that is no report; one of an unknown peer is let through.
+  /// Checks a message that is not a report for replay and staleness. Messages
+  /// of unknown peers are accepted. \returns why \p Message must be dropped;
+  /// none if it is valid.
   std::optional<peer::DropReason> check(const peer::PeerMessage &Message,
                                         core::TimePoint Now,
                                         std::int64_t NowWallSeconds);
-  /// \returns peers that fell silent since. To be called often; far ones are
-  /// looked at once a second.
+  /// Must be called many times a second; peers of other groups are checked once
+  /// a second. \returns the peers that fell silent since the last call.
   std::vector<LivePeer> expire(core::TimePoint Now);
   void setSubset(const routing::FleetSubset &Subset);
 
@@ -62,21 +67,24 @@
   bool isLive(const config::Endpoint &Address) const {
     return m_ByAddress.count(Address) != 0;
   }
-  /// Place of an address in the order by which instances follow the store.
+  /// Returns the hash by which instances are ordered to select followers of the
+  /// store; hashing spreads these over the data halls.
   static std::uint64_t followerOrder(const config::Endpoint &Address);
-  /// The peer that comes first in that duty, of those that are heard to do it.
+  /// Returns the live follower that is first in that order.
   std::optional<config::Endpoint> firstFollower() const;
-  /// What the group's others said last; silent ones are left out.
+  /// Returns the peers of this instance's group, without silent ones.
   std::vector<const LivePeer *> groupPeers() const;
-  /// \returns whether a peer came, went or changed its data hall since the last
-  /// call.
+  /// \returns whether a peer joined, left or changed its data hall since the
+  /// last call.
   bool consumeFleetChange();
 
-  /// Peers that follow the store, and how many of them come before this
-  /// instance in that duty.
+  /// Returns the number of live peers that follow the store.
   std::size_t followers() const { return m_Followers.size(); }
+  /// Returns the number of those that precede this instance in the order of
+  /// followerOrder().
   std::size_t followersBefore() const;
-  /// The furthest that any peer may have come with the store.
+  /// Returns the highest revision of the store that any peer has reported, even
+  /// if that peer is gone.
   std::int64_t newestRevision() const { return m_NewestRevision; }
   std::int64_t newestCompleteRevision() const {
     return m_NewestCompleteRevision;
@@ -87,8 +95,7 @@
   void remove(core::IncarnationId Peer);
   void rebuildGroupPeers();
 
-  /// By a hash, so that followers lie in several data halls.
-  std::uint64_t m_SelfHash;
+  std::uint64_t m_SelfHash; ///< followerOrder() of this instance
   peer::PeerDirectory m_Directory;
   Peers m_Peers;
   std::map<config::Endpoint, core::IncarnationId> m_ByAddress;
@@ -98,7 +105,7 @@
   std::int64_t m_NewestRevision = 0;
   std::int64_t m_NewestCompleteRevision = 0;
   bool m_IsFleetChanged = true;
-  core::TimePoint m_LastScanAt{}; ///< At all of them.
+  core::TimePoint m_LastScanAt{}; ///< Last check of all peers
 };
 
 } // namespace yardrill::gateway
