--- a/Libraries/LibGateway/PoolRollout.cpp
+++ b/Libraries/LibGateway/PoolRollout.cpp
@@ -1,3 +1,4 @@
+//===-- PoolRollout.cpp - State of the roll-outs of one pool --------------===//
 #include "LibGateway/PoolRollout.h"
 
 namespace yardrill::gateway {
@@ -5,11 +6,13 @@
 using rollout::State;
 using rollout::Traffic;
 
-/// How long one part of the targets is tried. Longer turns leave versions that
-/// are slow as a whole unnoticed for longer: few targets were seen.
+/// Time for which one share of the canary targets is sampled. Longer turns
+/// delay the detection of a version that is slow as a whole, since fewer
+/// targets are covered.
 static constexpr std::chrono::seconds CanaryTurnPeriod{1};
-/// The clock of who wrote a record may differ by some seconds; only a process
-/// that started after the order learns its age from there.
+/// Largest difference between this clock and that of the record's writer. Only
+/// a process started after the order learns the age of the order from the
+/// record.
 static constexpr std::chrono::seconds WallTolerance{3};
 
 void PoolRollout::setOrder(std::optional<rollout::Order> Order,
@@ -68,7 +71,7 @@
   rollout::Record Out;
   Out.m_Excluded = excluded();
   Out.m_SeenAtWallSeconds = WallSeconds;
-  // What was under trial was not found good.
+  // A roll-out that was replaced or withdrawn has not proved its version.
   if (m_Status && m_Status->m_State == State::InProgress)
     Out.m_Excluded.insert(m_Status->m_Version);
   if (!m_Order)
@@ -90,7 +93,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Where requests go
+// Selection of targets
 //===----------------------------------------------------------------------===//
 
 const std::set<core::TargetVersion> &PoolRollout::excluded() const {
@@ -107,7 +110,7 @@
   bool IsNew = isCanary(What);
   if (!IsNew && excluded().count(What.m_Version) != 0)
     return false;
-  // Withdrawn, and not yet written as rolled back.
+  // The roll-back of a withdrawn order is not written yet.
   bool IsWithdrawn = !m_Order && m_Status &&
                      m_Status->m_State == State::InProgress &&
                      m_Status->m_Version == What.m_Version;
--- a/Libraries/LibGateway/PoolRollout.h
+++ b/Libraries/LibGateway/PoolRollout.h
@@ -1,7 +1,7 @@
-//===-- PoolRollout.h - The roll-outs of one pool, as one instance knows --===//
+//===-- PoolRollout.h - State of the roll-outs of one pool ----------------===//
 //
-// Pure. Brings together what the store says: the order, its status, and the
-// record written with it.
+// Does no I/O. Combines the entries in the store: the order, its status, and
+// the record that is written with the status.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_POOLROLLOUT_H
@@ -17,26 +17,33 @@
 
 namespace yardrill::gateway {
 
+/// Decides which versions of a pool serve requests; used by RolloutService, and
+/// by the dispatcher as its VersionGate.
 class PoolRollout : public routing::VersionGate {
 public:
   explicit PoolRollout(core::PoolName Pool) : m_Pool(std::move(Pool)) {}
 
+  /// Sets the order; none if it was withdrawn. Another order starts anew.
   void setOrder(std::optional<rollout::Order> Order, core::TimePoint Now);
-  /// \param At its revision; 0 when it is absent.
+  /// \param At revision of the status; 0 if absent.
   void setStatus(std::optional<rollout::Status> Status, platform::Revision At);
-  /// \param WallSeconds now.
+  /// Sets the record, and learns the age of the order from it.
+  /// \param WallSeconds current wall-clock time, in Unix seconds.
   void setRecord(std::optional<rollout::Record> Record,
                  std::int64_t WallSeconds, core::TimePoint Now);
 
-  /// Whether an order has not come to its end.
+  /// Whether there is an order that is not completed or rolled back.
   bool isActive() const;
-  /// Whether the status is not what order and record ask for: an order that has
-  /// just come, or one that was withdrawn.
+  /// Whether the status must be written, because an order is new or was
+  /// withdrawn.
   bool mustWrite() const;
-  /// What has to be written then. \param WallSeconds now.
+  /// Returns the status to write. \pre mustWrite().
   rollout::Status nextStatus() const;
+  /// Returns the record to write with nextStatus().
+  /// \param WallSeconds current wall-clock time, in Unix seconds.
   rollout::Record nextRecord(std::int64_t WallSeconds) const;
-  /// The record of an order that ends so. \param OldVersions of targets there.
+  /// Returns the record of an order that ended with \p End.
+  /// \param OldVersions versions of all targets that are not canaries.
   rollout::Record finalRecord(const rollout::Decision &End,
                               std::set<core::TargetVersion> OldVersions) const;
 
@@ -52,11 +59,13 @@
   bool isCanary(const routing::Target &What) const override;
   std::size_t canaryTurn(core::TimePoint Now) const override;
   double canaryShare() const override;
-  /// Whether any version is treated otherwise than the others.
+  /// Whether any version is treated differently from the others.
   bool isOpen() const { return isActive() || !excluded().empty(); }
 
 private:
+  /// Returns the versions that must not serve requests.
   const std::set<core::TargetVersion> &excluded() const;
+  /// Whether status and record belong to the current order.
   bool isStatusCurrent() const;
 
   core::PoolName m_Pool;
@@ -64,7 +73,7 @@
   std::optional<rollout::Status> m_Status;
   platform::Revision m_StatusRevision;
   std::optional<rollout::Record> m_Record;
-  std::optional<rollout::Participant> m_Participant; ///< Of m_Order.
+  std::optional<rollout::Participant> m_Participant; ///< For m_Order
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -1,3 +1,4 @@
+//===-- QuarantineService.cpp - Quarantine shared by all instances --------===//
 #include "LibGateway/QuarantineService.h"
 
 #include "LibCore/Digest.h"
@@ -12,8 +13,9 @@
 
 const char QuarantineService::RecordName[] = "quarantine";
 static constexpr std::chrono::milliseconds WritePeriod{500};
-/// Other instances that are told at a time of what the store does not hold:
-/// after as many rounds as the fleet's size has digits, all have heard it.
+/// Number of instances to which observations not yet in the store are sent at a
+/// time. They reach all after a number of rounds logarithmic in the fleet's
+/// size.
 static constexpr std::size_t GossipFanout = 2;
 
 QuarantineService::QuarantineService(boost::asio::io_context &Context,
--- a/Libraries/LibGateway/QuarantineService.h
+++ b/Libraries/LibGateway/QuarantineService.h
@@ -1,4 +1,4 @@
-//===-- QuarantineService.h - Keeps requests away that end targets --------===//
+//===-- QuarantineService.h - Quarantine shared by all instances ----------===//
 #ifndef YARDRILL_LIBGATEWAY_QUARANTINESERVICE_H
 #define YARDRILL_LIBGATEWAY_QUARANTINESERVICE_H
 
@@ -14,53 +14,58 @@
 
 namespace yardrill::gateway {
 
+/// What QuarantineService needs from the gateway.
 struct QuarantineHooks {
+  /// Sends a message to another instance; it can be lost.
   std::function<void(const config::Endpoint &, const peer::PeerBody &)> m_Send;
-  /// Peer addresses of all other instances.
+  /// Returns the peer addresses of all other instances.
   std::function<std::vector<config::Endpoint>()> m_Others;
-  /// Whether it is this instance's to write to the store.
+  /// Whether this instance writes the record in the store.
   std::function<bool()> m_IsRecordWriter;
 };
 
-/// The quarantine's member of this process, with its messages, its entry in the
-/// store and its logs.
+/// Shares quarantine::Gossip's observations with the other instances and the
+/// store, and logs targets that exit and contents that are quarantined; owned
+/// by Gateway.
 class QuarantineService {
 public:
-  /// The name of the store's record.
+  /// Name of the record in the store.
   static const char RecordName[];
 
   QuarantineService(boost::asio::io_context &Context,
                     platform::KeyValueService &Store, QuarantineHooks Hooks);
 
-  /// A target ended while a request with that content was under way there.
+  /// Records that \p Which exited while it ran a request with \p Content.
   void noteTargetExit(const routing::Target &Which,
                       const quarantine::ContentDigest &Content);
-  /// A target answered it whole.
+  /// Records that a target responded to a request with \p Content in full.
   void noteSuccess(const quarantine::ContentDigest &Content);
-  /// Whether it must not be sent to any target.
+  /// Whether requests with \p Content must not be sent to any target.
   bool isQuarantined(const quarantine::ContentDigest &Content) const {
     return m_Gossip.table().isQuarantined(Content);
   }
-  /// Whether more than one target ended under it.
+  /// Whether more than one target exited while it ran \p Content.
   bool isSuspect(const quarantine::ContentDigest &Content) const {
     return m_Gossip.table().isSuspect(Content);
   }
   const quarantine::QuarantineTable &table() const { return m_Gossip.table(); }
 
-  /// Takes a message of another instance.
+  /// Merges observations from another instance; ignores other messages.
   void handle(const peer::PeerMessage &Message);
   bool isRecordKey(const std::string &Key) const {
     return m_Record.isRecordKey(Key);
   }
-  /// Takes in what the store says.
+  /// Applies a change of the record in the store.
   void applyEntry(const platform::Entry &Change);
-  /// Sends and writes what is due. To be called a few times a second.
+  /// Sends and writes what is due; must be called a few times a second.
   void upkeep(core::TimePoint Now);
 
 private:
   quarantine::GossipHooks gossipHooks();
+  /// Sends \p Observations in as many datagrams as needed.
   void sendTo(const std::vector<quarantine::Observation> &Observations,
               const std::vector<config::Endpoint> &To);
+  /// Sends \p Observations to GossipFanout other instances chosen at random.
   void sendToSample(const std::vector<quarantine::Observation> &Observations);
 
   QuarantineHooks m_Hooks;
--- a/Libraries/LibGateway/QuotaProtocol.cpp
+++ b/Libraries/LibGateway/QuotaProtocol.cpp
@@ -1,10 +1,11 @@
+//===-- QuotaProtocol.cpp - Quota messages between peers ------------------===//
 #include "LibGateway/QuotaProtocol.h"
 
 namespace yardrill::gateway {
 
 using routing::QuotaVerdict;
 
-/// An answer that has not come by then never comes.
+/// Time after which a response is no longer expected.
 static constexpr std::chrono::seconds MaxResponseDelay{2};
 
 std::uint64_t QuotaProtocol::addPending(const config::Endpoint &Owner,
@@ -76,7 +77,7 @@
                            const peer::QuotaResponse &Response,
                            core::TimePoint Now) {
   auto Found = m_Pending.find(Response.m_RequestId);
-  // An owner that has started anew may still be asked by its address.
+  // Owners are compared by address, which a restart does not change.
   if (Found == m_Pending.end() || !(Found->second.m_Owner == From))
     return;
   Pending Answered = std::move(Found->second);
--- a/Libraries/LibGateway/QuotaProtocol.h
+++ b/Libraries/LibGateway/QuotaProtocol.h
@@ -1,5 +1,4 @@
-//===-- QuotaProtocol.h - Asks owners of quotas, and answers for this one
-//-----===//
+//===-- QuotaProtocol.h - Quota requests and responses between peers ------===//
 #ifndef YARDRILL_LIBGATEWAY_QUOTAPROTOCOL_H
 #define YARDRILL_LIBGATEWAY_QUOTAPROTOCOL_H
 
@@ -14,36 +13,39 @@
 
 namespace yardrill::gateway {
 
+/// Sends quota requests to the owners of quotas, matches their responses, and
+/// responds for this instance as an owner; used by QuotaService.
 class QuotaProtocol {
 public:
   using Sender =
       std::function<void(const config::Endpoint &, const peer::PeerBody &)>;
-  /// \returns false when the answer is not waited for any more.
+  /// Returns false if the response is no longer awaited.
   using ResponseHandler = std::function<bool(const routing::QuotaResponse &)>;
 
   QuotaProtocol(routing::DistributedQuota &Quota,
                 metrics::MetricsRegistry &Metrics, Sender Send)
       : m_Quota(Quota), m_Metrics(Metrics), m_Send(std::move(Send)) {}
 
-  /// Asks the owner that \p Draw has to ask next. Tokens of an answer that is
-  /// not waited for any more are kept for others.
+  /// Sends a request to the next owner of \p Acquisition. If its response is no
+  /// longer awaited, its tokens are cached for other requests.
   void ask(const routing::QuotaAcquisition &Acquisition,
            ResponseHandler OnResponse, core::TimePoint Now);
-  /// Takes a message of another instance.
+  /// Responds to a request, or applies the response to an earlier one.
   void handle(const config::Endpoint &From, const peer::QuotaRequest &Request,
               core::TimePoint Now);
   void handle(const config::Endpoint &From, const peer::QuotaResponse &Response,
               core::TimePoint Now);
-  /// Asks other owners to take over their parts of debts made here. To be
-  /// called after each decision of the book.
+  /// Requests that the other owners take over their shares of debts incurred
+  /// here. Must be called after each decision of the quota.
   void sendCharges(core::TimePoint Now);
-  /// Gives back what was not used. To be called a few times a second.
+  /// Returns unused tokens to their owners and drops requests without a
+  /// response. Must be called a few times a second.
   void upkeep(core::TimePoint Now);
 
 private:
   routing::QuotaResponse responseTo(const peer::QuotaRequest &Request,
                                     core::TimePoint Now);
-  /// \returns its number.
+  /// Registers a request that awaits a response. \returns its identifier.
   std::uint64_t addPending(const config::Endpoint &Owner,
                            routing::AccountHash Account,
                            ResponseHandler OnResponse, core::TimePoint Now);
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -1,3 +1,4 @@
+//===-- QuotaService.cpp - Quotas shared by all instances -----------------===//
 #include "LibGateway/QuotaService.h"
 
 #include "LibCore/Digest.h"
@@ -66,8 +67,8 @@
 
 namespace {
 
-/// Outlives whichever of the two ends first: the request, or the wait for the
-/// answer.
+/// Response awaited by one request. Shared by the waiting coroutine and the
+/// response handler, of which either can end first.
 struct PendingResponse {
   explicit PendingResponse(asio::io_context &Context)
       : m_Timer(Context, routing::DistributedQuota::ResponseTimeout) {}
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -1,4 +1,4 @@
-//===-- QuotaService.h - Quotas of all accounts, kept with the others -----===//
+//===-- QuotaService.h - Quotas of accounts, shared by all instances ------===//
 #ifndef YARDRILL_LIBGATEWAY_QUOTASERVICE_H
 #define YARDRILL_LIBGATEWAY_QUOTASERVICE_H
 
@@ -14,6 +14,7 @@
 
 namespace yardrill::gateway {
 
+/// Acquires tokens for requests from the distributed quota; owned by Gateway.
 class QuotaService {
 public:
   QuotaService(boost::asio::io_context &Context,
@@ -21,21 +22,24 @@
                metrics::MetricsRegistry &Metrics, QuotaProtocol::Sender Send);
 
   void setAccounts(const std::vector<routing::Account> &Accounts);
-  /// \param Instances that may own quotas. \returns whether they are others
-  /// than before.
+  /// Sets the instances that own quotas. \returns whether they changed.
   bool setOwners(const FleetMembers &Instances);
-  /// Takes a message of a peer, if it is about quotas.
+  /// Handles quota messages of peers; ignores other messages.
   void handle(const peer::PeerMessage &Message);
-  /// To be called a few times a second.
-  /// \param IsListConfirmed see QuotaOwner.
+  /// Must be called a few times a second.
+  /// \param IsListConfirmed see routing::QuotaOwner::setListConfirmed().
   void upkeep(bool IsListConfirmed, core::TimePoint Now);
 
-  /// Waits for its owners' answers. \returns whether \p Draw is granted.
+  /// Acquires the tokens of a request; waits for responses of owners if needed.
+  /// \returns whether they are granted.
   bool draw(routing::QuotaAcquisition &Acquisition,
             boost::asio::yield_context Yield);
+  /// Returns the tokens of a request that did not run.
   void giveBack(const routing::QuotaAcquisition &Acquisition);
 
 private:
+  /// Requests tokens from the next owner. \returns the step that follows from
+  /// its response, or from the lack of one.
   routing::QuotaStep ask(routing::QuotaAcquisition &Acquisition,
                          boost::asio::yield_context Yield);
 
--- a/Libraries/LibGateway/RolloutService.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -1,3 +1,4 @@
+//===-- RolloutService.cpp - Roll-outs of all pools -----------------------===//
 #include "LibGateway/RolloutService.h"
 
 #include "LibCore/Log.h"
@@ -10,8 +11,8 @@
 using rollout::State;
 
 static const std::string RecordPrefix = "yardrill/rollout/";
-/// Between two tries to write: the store's word of the first one takes some
-/// tens of milliseconds.
+/// Minimum time between two writes; the change made by a write arrives from the
+/// store within tens of milliseconds.
 static constexpr std::chrono::milliseconds WriteRetryPeriod{400};
 static constexpr std::chrono::seconds LogPeriod{1};
 
@@ -28,7 +29,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What the store says
+// Changes of the store
 //===----------------------------------------------------------------------===//
 
 void RolloutService::setOrder(const core::PoolName &Name,
@@ -88,7 +89,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Requests
+// Requests of callers
 //===----------------------------------------------------------------------===//
 
 const routing::VersionGate *
@@ -132,7 +133,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// With the others
+// Reports and permits
 //===----------------------------------------------------------------------===//
 
 bool RolloutService::isCoordinator() const {
@@ -214,7 +215,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// As coordinator
+// Coordinator
 //===----------------------------------------------------------------------===//
 
 void RolloutService::write(Pool &Rollout, const RolloutWrite &What,
--- a/Libraries/LibGateway/RolloutService.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -1,5 +1,4 @@
-//===-- RolloutService.h - Roll-outs of all pools, with the other instances
-//--===//
+//===-- RolloutService.h - Roll-outs of all pools -------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_ROLLOUTSERVICE_H
 #define YARDRILL_LIBGATEWAY_ROLLOUTSERVICE_H
 
@@ -13,60 +12,69 @@
 
 namespace yardrill::gateway {
 
-/// What is put under a condition: the pool's status must stand at \c
-/// m_Expected.
+/// Write of a pool's status and record, provided that the status is still at
+/// revision \c m_Expected.
 struct RolloutWrite {
   core::PoolName m_Pool;
-  platform::Revision m_Expected; ///< 0: absent.
+  platform::Revision m_Expected; ///< 0: absent
   rollout::Status m_Status;
   rollout::Record m_Record;
 };
 
+/// What RolloutService needs from the gateway.
 struct RolloutHooks {
-  /// Sends a message to another instance; it may be lost.
+  /// Sends a message to another instance; it can be lost.
   std::function<void(const config::Endpoint &, const peer::PeerBody &)> m_Send;
-  /// Who coordinates now; none: nobody is known to follow the store.
+  /// Returns the current coordinator; none if no follower of the store is
+  /// known.
   std::function<std::optional<config::Endpoint>()> m_Coordinator;
   std::function<std::size_t()> m_FleetSize;
-  /// Begins a write; its outcome is heard from the store.
+  /// Starts a write; its outcome arrives as a change of the store.
   std::function<void(const RolloutWrite &)> m_Write;
 };
 
+/// Takes part in the roll-outs of all pools, and coordinates them if this
+/// instance is the coordinator; owned by Gateway.
 class RolloutService {
 public:
   RolloutService(config::Endpoint Self, core::IncarnationId Incarnation,
                  rollout::ExposureLimits Limits,
                  const routing::TargetDirectory &Targets, RolloutHooks Hooks);
 
-  // What the store says.
+  // Changes of the store.
   void setOrder(const core::PoolName &Pool,
                 std::optional<rollout::Order> Order);
   void setStatus(const core::PoolName &Pool,
                  std::optional<rollout::Status> Status, platform::Revision At);
-  /// \returns whether the entry is a record of this class.
+  /// Applies \p Change if it is a record of a roll-out. \returns whether it is.
   bool takeRecord(const platform::Entry &Change);
-  /// Where a pool's record is kept.
+  /// Returns the key of a pool's record.
   static std::string recordKey(const core::PoolName &Pool);
 
-  /// Takes a message of a peer, if it is about roll-outs.
+  /// Handles reports and permits of peers; ignores other messages.
   void handle(const peer::PeerMessage &Message);
 
-  /// \returns null where all versions are alike.
+  /// \returns null if the pool treats all versions alike.
   const routing::VersionGate *gateOf(const core::PoolName &Pool) const;
+  /// Records that a request was sent to a target.
   void recordSent(std::uint32_t Route, const routing::Target &Where);
+  /// Records the quality and the time of a response.
   void recordResponse(std::uint32_t Route, const routing::Target &Where,
                       rollout::ResponseQuality How, core::Duration Time);
 
-  /// Whether upkeep() is needed.
+  /// Whether any roll-out needs upkeep().
   bool isBusy() const;
-  /// To be called several times a second.
+  /// Sends reports, and evaluates roll-outs as the coordinator. Must be called
+  /// several times a second while isBusy().
   void upkeep(core::TimePoint Now);
 
 private:
+  /// The roll-out of one pool.
   struct Pool {
     explicit Pool(core::PoolName Name) : m_State(std::move(Name)) {}
 
     PoolRollout m_State;
+    /// Null until needed, and while another instance coordinates.
     std::unique_ptr<rollout::Coordinator> m_Coordinator;
     core::TimePoint m_LastReportAt{};
     core::TimePoint m_LastEvaluationAt{};
@@ -75,16 +83,22 @@
   };
 
   Pool &poolOf(const core::PoolName &Name);
-  /// \returns null where no order is open.
+  /// \returns null if the pool has no active order.
   Pool *findActive(const core::PoolName &Name);
+  /// Reports to the coordinator if that is due.
   void report(Pool &Rollout, core::TimePoint Now);
+  /// Evaluates the roll-out, and writes its status if that has to change.
   void coordinate(Pool &Rollout, core::TimePoint Now);
+  /// Starts a write, unless one was started recently.
   void write(Pool &Rollout, const RolloutWrite &What, core::TimePoint Now);
   void logJudgement(Pool &Rollout, const rollout::PoolCapacity &Targets,
                     core::TimePoint Now) const;
+  /// Returns the coordinator of a roll-out; creates it if needed.
   rollout::Coordinator &coordinatorOf(Pool &Rollout, core::TimePoint Now);
   rollout::PoolCapacity poolCapacity(const Pool &Rollout) const;
+  /// Returns the versions of targets that are not canaries.
   std::set<core::TargetVersion> oldVersions(const Pool &Rollout) const;
+  /// Returns the number of this instance's requests at targets of old versions.
   std::uint32_t runningOld(const Pool &Rollout) const;
   bool isCoordinator() const;
 
--- a/Libraries/LibGateway/RolloutWriter.cpp
+++ b/Libraries/LibGateway/RolloutWriter.cpp
@@ -1,3 +1,4 @@
+//===-- RolloutWriter.cpp - Writes the status of roll-outs ----------------===//
 #include "LibGateway/RolloutWriter.h"
 
 #include "LibCore/Error.h"
--- a/Libraries/LibGateway/RolloutWriter.h
+++ b/Libraries/LibGateway/RolloutWriter.h
@@ -1,4 +1,4 @@
-//===-- RolloutWriter.h - Writes what became of a roll-out ----------------===//
+//===-- RolloutWriter.h - Writes the status of roll-outs to the store -----===//
 #ifndef YARDRILL_LIBGATEWAY_ROLLOUTWRITER_H
 #define YARDRILL_LIBGATEWAY_ROLLOUTWRITER_H
 
@@ -9,14 +9,15 @@
 
 namespace yardrill::gateway {
 
+/// Carries out the writes that RolloutService requests; owned by Gateway.
 class RolloutWriter {
 public:
   RolloutWriter(boost::asio::io_context &Context,
                 platform::KeyValueService &Store, const Dialect &Wire)
       : m_Context(Context), m_Store(Store), m_Wire(Wire) {}
 
-  /// Puts what operators read and the record of the roll-out, both or neither,
-  /// in a coroutine of its own. Says in the log whether it was written.
+  /// Starts to write the status that operators read and the record of the
+  /// roll-out, in one transaction. The outcome is logged.
   void write(const RolloutWrite &What);
 
 private:
