--- a/Libraries/LibGateway/MirrorFetcher.cpp
+++ b/Libraries/LibGateway/MirrorFetcher.cpp
@@ -143,12 +143,12 @@
 
 void MirrorFetcher::startFetch(
     FetchState &State, const config::Endpoint &From,
-    std::function<void(asio::yield_context)> Question) {
+    std::function<void(asio::yield_context)> Operation) {
   State.m_IsFetching = true;
   auto Task = [&State, From,
-               Question = std::move(Question)](asio::yield_context Yield) {
+               Operation = std::move(Operation)](asio::yield_context Yield) {
     try {
-      Question(Yield);
+      Operation(Yield);
     } catch (const Error &Failure) {
       core::LogLine("peer-fetch-failed", core::LogLevel::Warning)
           .add("peer", From.toString())
--- a/Libraries/LibGateway/MirrorFetcher.h
+++ b/Libraries/LibGateway/MirrorFetcher.h
@@ -71,7 +71,7 @@
                   core::TimePoint Now) const;
   /// Runs \p Question; a failure is logged and may be tried again.
   void startFetch(FetchState &State, const config::Endpoint &From,
-                  std::function<void(boost::asio::yield_context)> Question);
+                  std::function<void(boost::asio::yield_context)> Operation);
   void fetchChanges(const config::Endpoint &From,
                     boost::asio::yield_context Yield);
   void fetchValue(const config::Endpoint &From, const std::string &Key,
--- a/Libraries/LibGateway/MirrorServer.cpp
+++ b/Libraries/LibGateway/MirrorServer.cpp
@@ -107,8 +107,8 @@
   return Out;
 }
 
-void MirrorServer::setOpen(std::size_t Value) {
-  m_Open = Value;
+void MirrorServer::setOpenTransfers(std::size_t Value) {
+  m_OpenTransfers = Value;
   m_Metrics.setGauge("yardrill_peer_transfers_open",
                      static_cast<double>(Value));
 }
@@ -117,14 +117,14 @@
                         asio::yield_context Yield) {
   m_Metrics.count("yardrill_peer_transfer_bytes_sent_total",
                   Response.m_Body.size());
-  setOpen(m_Open + 1);
+  setOpenTransfers(m_OpenTransfers + 1);
   try {
     Call.sendResponse(std::move(Response), Yield);
   } catch (...) {
-    setOpen(m_Open - 1);
+    setOpenTransfers(m_OpenTransfers - 1);
     throw;
   }
-  setOpen(m_Open - 1);
+  setOpenTransfers(m_OpenTransfers - 1);
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/MirrorServer.h
+++ b/Libraries/LibGateway/MirrorServer.h
@@ -53,7 +53,7 @@
   /// Counts what a peer is sent. \throws core::Error when the peer is gone.
   void send(http::Exchange &Call, http::ResponseMessage Response,
             boost::asio::yield_context Yield);
-  void setOpen(std::size_t Value);
+  void setOpenTransfers(std::size_t Value);
 
   const peer::PeerCodec &m_Codec;
   platform::StoreMirror &m_Mirror;
@@ -63,8 +63,8 @@
   std::string m_SnapshotBody; ///< See snapshotBody(); empty: none yet.
   platform::Revision m_SnapshotRevision; ///< Of the mirror, when it was made.
   platform::Revision
-      m_SnapshotCompleteRevision; ///< The mirror's completeRevision() then.
-  std::size_t m_Open = 0;         ///< Answers under way.
+      m_SnapshotCompleteRevision;  ///< The mirror's completeRevision() then.
+  std::size_t m_OpenTransfers = 0; ///< Answers under way.
   std::unique_ptr<http::Server> m_Server;
 };
 
--- a/Libraries/LibGateway/StoreFollower.h
+++ b/Libraries/LibGateway/StoreFollower.h
@@ -25,7 +25,7 @@
   void start(std::function<bool(core::Duration)> MustWait);
   /// Whether this instance has to follow the store itself, or hears from
   /// another that does. Takes effect after the call under way.
-  void setEnabled(bool IsNeeded) { m_IsEnabled = IsNeeded; }
+  void setEnabled(bool IsEnabled) { m_IsEnabled = IsEnabled; }
   bool isConnected() const { return m_IsConnected; }
 
 private:
