--- a/Libraries/LibGateway/MirrorFetcher.cpp
+++ b/Libraries/LibGateway/MirrorFetcher.cpp
@@ -1,3 +1,4 @@
+//===-- MirrorFetcher.cpp - Fetches store state from peers ----------------===//
 #include "LibGateway/MirrorFetcher.h"
 
 #include "LibCore/Digest.h"
@@ -18,16 +19,16 @@
 using core::Error;
 using core::ErrorKind;
 
-/// How far behind the store's own word may be before a peer is asked.
+/// Time for which a follower waits for the store before it asks a peer.
 static constexpr std::chrono::milliseconds StoreGracePeriod{250};
-/// For each step: to connect, to send, and from one piece to the next.
+/// Timeout of each step: connecting, sending, and receiving the next part.
 static constexpr std::chrono::milliseconds FetchTimeout{1000};
-/// Before another peer is asked after one that refused; drawn, so that those
-/// who ask together do not do so again. The longest is the backlog at which
-/// peers refuse.
+/// Backoff after a refusal; random, so that instances which asked at the same
+/// time do not do so again. The maximum is the backlog at which peers refuse.
 static constexpr std::chrono::milliseconds MinRefusalBackoff{20};
 static constexpr std::chrono::milliseconds MaxRefusalBackoff{100};
-/// A configuration is at most a megabyte, a target's entry under a kilobyte.
+/// Largest response and value accepted. A configuration has at most 1 MB, the
+/// entry of a target less than 1 kB.
 static constexpr std::size_t MaxTransferBytes = 16UL * 1024 * 1024;
 
 MirrorFetcher::MirrorFetcher(asio::io_context &Context,
@@ -59,7 +60,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// When to ask whom
+// Choice of the time and the peer
 //===----------------------------------------------------------------------===//
 
 void MirrorFetcher::fetchIfDue(const Candidates &PeersAhead,
@@ -96,8 +97,8 @@
     return;
   }
   const auto &[Key, Pending] = *m_Mirror.pendingValues().begin();
-  // Any that is further on helps, while values change faster than they arrive;
-  // the newest are asked first.
+  // Any newer value is progress while values change faster than they arrive;
+  // peers with the newest ones are preferred.
   Candidates Sources = filtered(
       PeersAhead, [At = Pending.m_OldestRevision](const FetchCandidate &Each) {
         return !(Each.m_CompleteRevision < At);
@@ -132,13 +133,13 @@
     State.m_BehindSince = Now;
   if (State.m_IsFetching || Now < State.m_RetryAt)
     return false;
-  // One that knows nothing yet does not wait either.
+  // An instance without any state does not wait.
   bool MayWait = MayWaitForStore && m_Mirror.revision() != platform::Revision();
   return !MayWait || Now - State.m_BehindSince >= StoreGracePeriod;
 }
 
 //===----------------------------------------------------------------------===//
-// Questions
+// Requests to peers
 //===----------------------------------------------------------------------===//
 
 void MirrorFetcher::startFetch(
@@ -215,9 +216,10 @@
   std::string_view Base;
   if (Transfer.m_Base != platform::Revision()) {
     const platform::Entry *Known = m_Mirror.find(Key);
-    // The store itself may have said something newer meanwhile.
+    // The store may have supplied a newer value in the meantime.
     if (!Known || Known->m_ModRevision != Transfer.m_Base)
-      throw Error(ErrorKind::Conflict, "the patch is for another value");
+      throw Error(ErrorKind::Conflict,
+                  "the base of the patch is not in the mirror any more");
     Base = Known->m_Value;
   }
   return applyPatch(Base, Transfer.m_Patch, MaxTransferBytes);
@@ -242,12 +244,12 @@
       Connection->readResponse(FetchTimeout, MaxTransferBytes, Yield);
   m_Metrics.count("yardrill_peer_transfer_bytes_received_total",
                   Response.m_Body.size());
-  // It is busy with others, or has not what its report will soon deny.
+  // The peer is busy, or lacks what its last report suggested.
   if (Response.m_Head.m_Status == 503 || Response.m_Head.m_Status == 404)
     return std::nullopt;
   if (Response.m_Head.m_Status != 200)
     throw Error(ErrorKind::Unavailable,
-                "the peer answered " +
+                "expected HTTP status 200 from the peer, got " +
                     std::to_string(Response.m_Head.m_Status));
   auto Payload = m_Codec.decodeSigned(Response.m_Body);
   if (const auto *Reason = std::get_if<peer::DropReason>(&Payload))
--- a/Libraries/LibGateway/MirrorFetcher.h
+++ b/Libraries/LibGateway/MirrorFetcher.h
@@ -1,5 +1,4 @@
-//===-- MirrorFetcher.h - What the store said, from one instance to another
-//===//
+//===-- MirrorFetcher.h - Fetches store state from peers ------------------===//
 #ifndef YARDRILL_LIBGATEWAY_MIRRORFETCHER_H
 #define YARDRILL_LIBGATEWAY_MIRRORFETCHER_H
 
@@ -21,42 +20,41 @@
 
 namespace yardrill::gateway {
 
-/// A peer that may be asked, as its last report described it.
+/// Peer to fetch from, as described by its last report.
 struct FetchCandidate {
   config::Endpoint m_Address;
-  platform::Revision m_Revision; ///< Of its mirror.
-  platform::Revision
-      m_CompleteRevision; ///< Up to which it has all values, too.
-  /// In this instance's data hall.
-  bool m_IsInSameHall = false;
+  platform::Revision m_Revision; ///< Revision of its mirror
+  /// Revision up to which it also has all values.
+  platform::Revision m_CompleteRevision;
+  bool m_IsInSameHall = false; ///< In this instance's data hall
 };
 
-/// Serves the mirror to other instances, and asks one of them when this one is
-/// behind: it is turned away by the store, does not follow it, or has just
-/// started. News of changes and large values are asked for apart, so that
-/// neither waits for the other.
+/// Serves the mirror to other instances, and fetches from one of them when this
+/// one is behind, because the store rejects it, it does not follow the store,
+/// or it has just started. Changes and large values are fetched independently,
+/// so that neither waits for the other. Owned by PeerService.
 class MirrorFetcher {
 public:
   /// Listens for TCP on \p Address.
-  /// \param LinkBytesPerSecond of this instance's link.
+  /// \param LinkBytesPerSecond bandwidth of this instance's network link.
   /// \throws core::Error of kind AddressInUse.
   MirrorFetcher(boost::asio::io_context &Context,
                 const config::Endpoint &Address, const peer::PeerCodec &Codec,
                 platform::StoreMirror &Mirror,
                 metrics::MetricsRegistry &Metrics, double LinkBytesPerSecond);
 
-  /// Asks some of those that are further on, if it is time to.
-  /// \param Ahead peers that have what this instance has not.
-  /// \param MayWaitForStore the store itself will probably say the same soon.
+  /// Starts to fetch changes and a pending value, if that is due.
+  /// \param PeersAhead peers that have state which this instance lacks.
+  /// \param MayWaitForStore whether the store is likely to deliver it soon.
   void fetchIfDue(const std::vector<FetchCandidate> &PeersAhead,
                   bool MayWaitForStore, core::TimePoint Now);
 
 private:
-  /// Questions of one kind: one at a time.
+  /// State of the fetches of one kind, of which one runs at a time.
   struct FetchState {
     bool m_IsFetching = false;
-    core::TimePoint m_BehindSince{}; ///< Zero: is not behind.
-    core::TimePoint m_RetryAt{};     ///< After a refusal.
+    core::TimePoint m_BehindSince{}; ///< Zero: not behind
+    core::TimePoint m_RetryAt{};     ///< End of the backoff after a refusal
   };
   using Candidates = std::vector<FetchCandidate>;
 
@@ -64,26 +62,31 @@
                          core::TimePoint Now);
   void fetchValueIfDue(const Candidates &PeersAhead, bool MayWaitForStore,
                        core::TimePoint Now);
-  /// One of \p From at random, of the own data hall if there is one. Not empty.
+  /// Returns a random candidate, in this instance's data hall if possible,
+  /// unless the last one refused. \pre \p From is not empty.
   const FetchCandidate &chooseSource(const Candidates &From);
-  /// Notes that it is behind. \returns whether to ask now.
+  /// Records that this instance is behind. \returns whether to fetch now.
   bool isFetchDue(FetchState &State, bool MayWaitForStore,
                   core::TimePoint Now) const;
-  /// Runs \p Question; a failure is logged and may be tried again.
+  /// Runs \p Operation in a coroutine. Failures are logged; later calls of
+  /// fetchIfDue() retry.
   void startFetch(FetchState &State, const config::Endpoint &From,
                   std::function<void(boost::asio::yield_context)> Operation);
   void fetchChanges(const config::Endpoint &From,
                     boost::asio::yield_context Yield);
   void fetchValue(const config::Endpoint &From, const std::string &Key,
                   boost::asio::yield_context Yield);
-  /// \throws core::Error of kind Conflict when its base is not here any more.
+  /// Returns the value that \p Transfer encodes.
+  /// \throws core::Error of kind Conflict if the mirror no longer has its base.
   std::string applyTransfer(const std::string &Key,
                             const ValueTransfer &Transfer) const;
-  /// \returns what the peer answered, unsealed; none when it has not got it or
-  /// is busy.
+  /// Sends a request. \returns the verified payload of the response; none if
+  /// the peer is busy or lacks what was requested. \throws core::Error on other
+  /// failures.
   std::optional<std::string> exchange(const config::Endpoint &From,
                                       http::RequestMessage Request,
                                       boost::asio::yield_context Yield);
+  /// Counts a refusal and delays the next fetch of this kind.
   void backOff(FetchState &State);
 
   boost::asio::io_context &m_Context;
@@ -93,8 +96,8 @@
   MirrorServer m_Server;
   FetchState m_Changes;
   FetchState m_Values;
-  /// The last peer asked for a value refused: those that are nearest, and those
-  /// that have the newest, may all be busy.
+  /// Whether the last request for a value was refused. If so, any data hall and
+  /// any newer value will do: the preferred peers may all be busy.
   bool m_WasRefused = false;
   std::mt19937_64 m_Random;
 };
--- a/Libraries/LibGateway/MirrorServer.cpp
+++ b/Libraries/LibGateway/MirrorServer.cpp
@@ -1,3 +1,4 @@
+//===-- MirrorServer.cpp - Serves the store mirror to peers ---------------===//
 #include "LibGateway/MirrorServer.h"
 
 #include "LibCore/Error.h"
--- a/Libraries/LibGateway/MirrorServer.h
+++ b/Libraries/LibGateway/MirrorServer.h
@@ -1,8 +1,8 @@
-//===-- MirrorServer.h - Tells other instances what the store said
-//---------===//
+//===-- MirrorServer.h - Serves the store mirror to other instances -------===//
 //
-// Two questions, by HTTP: what changed since a revision, and what a large value
-// is now. Answers, and questions for values, are sealed with the peers' key.
+// Two kinds of HTTP requests: changes since a revision, and the current value
+// of a key with a large value. Responses, and requests for values, are signed
+// with the key that all instances share.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_MIRRORSERVER_H
@@ -22,18 +22,20 @@
 
 namespace yardrill::gateway {
 
+/// HTTP server of the mirror; owned by MirrorFetcher.
 class MirrorServer {
 public:
-  /// Followed by the revision that the asking instance has. Answered 503 when
-  /// the answer is large and others are being sent theirs.
+  /// Path of changes, followed by the client's revision. The status is 503 if
+  /// the response is large and the upload budget is exhausted.
   static constexpr char ChangesPath[] = "/store/";
-  /// With a ValueQuery as its body. Answered 404 when the value is not here,
-  /// and 503 when others are being sent it: all instances ask within tenths of
-  /// a second, and each that has it can pass it on.
+  /// Path of values, with a signed ValueQuery as the body. The status is 404 if
+  /// no newer value is here, and 503 if the upload budget is exhausted: all
+  /// instances ask within tenths of a second, and each that has the value can
+  /// serve it.
   static constexpr char ValuePath[] = "/value";
 
   /// Listens for TCP on \p Address.
-  /// \param LinkBytesPerSecond of this instance's link.
+  /// \param LinkBytesPerSecond bandwidth of this instance's network link.
   /// \throws core::Error of kind AddressInUse.
   MirrorServer(boost::asio::io_context &Context,
                const config::Endpoint &Address, const peer::PeerCodec &Codec,
@@ -43,14 +45,17 @@
 private:
   http::ResponseMessage respondTo(const http::RequestMessage &Request);
   http::ResponseMessage changesResponse(const std::string &Since);
-  /// The answer to whoever needs everything; made once for each revision. All
-  /// instances of a fleet that starts ask for it within a second.
+  /// Returns a signed snapshot of the mirror. Cached per revision, since all
+  /// instances of a starting fleet request it within a second.
   const std::string &snapshotBody();
   http::ResponseMessage valueResponse(const std::string &Body);
+  /// Returns a response with status 200 and the signed \p Payload.
   http::ResponseMessage signedResponse(std::string_view Payload) const;
-  /// Whether the link bears \p Bytes more now; counts a refusal.
+  /// Takes \p Bytes from the upload budget. \returns whether it sufficed; if
+  /// not, counts a refusal.
   bool tryUpload(std::size_t Bytes);
-  /// Counts what a peer is sent. \throws core::Error when the peer is gone.
+  /// Sends a response and updates the metrics.
+  /// \throws core::Error if the connection is lost.
   void send(http::Exchange &Call, http::ResponseMessage Response,
             boost::asio::yield_context Yield);
   void setOpenTransfers(std::size_t Value);
@@ -60,11 +65,11 @@
   metrics::MetricsRegistry &m_Metrics;
   ValueHistory m_History;
   UploadBudget m_Uploads;
-  std::string m_SnapshotBody; ///< See snapshotBody(); empty: none yet.
-  platform::Revision m_SnapshotRevision; ///< Of the mirror, when it was made.
-  platform::Revision
-      m_SnapshotCompleteRevision;  ///< The mirror's completeRevision() then.
-  std::size_t m_OpenTransfers = 0; ///< Answers under way.
+  std::string m_SnapshotBody; ///< Cache of snapshotBody(); empty: none
+  /// The mirror's revision() and completeRevision() when it was made.
+  platform::Revision m_SnapshotRevision;
+  platform::Revision m_SnapshotCompleteRevision;
+  std::size_t m_OpenTransfers = 0; ///< Responses being sent
   std::unique_ptr<http::Server> m_Server;
 };
 
--- a/Libraries/LibGateway/MirrorUpdate.cpp
+++ b/Libraries/LibGateway/MirrorUpdate.cpp
@@ -1,3 +1,4 @@
+//===-- MirrorUpdate.cpp - Store state sent between instances -------------===//
 #include "LibGateway/MirrorUpdate.h"
 
 #include "LibCore/Error.h"
@@ -10,7 +11,7 @@
 
 namespace yardrill::platform {
 
-/// cereal's hook.
+/// Found by cereal through argument-dependent lookup.
 template <class Archive> void serialize(Archive &Ar, Entry &What) {
   Ar(What.m_Key, What.m_Value, What.m_ModRevision, What.m_IsDeleted,
      What.m_IsValueOmitted);
@@ -90,16 +91,16 @@
   Ar(M.m_ModRevision, M.m_Base, M.m_Patch);
 }
 
-/// The first byte of an encoded transfer.
+/// First byte of an encoded update.
 static constexpr char Plain = 'p';
 static constexpr char Compressed = 'z';
-/// Below this a compressed text is hardly shorter, and costs some 20 us.
+/// Smallest text that is compressed; shorter ones gain too little.
 static constexpr std::size_t MinCompressedBytes = 1024;
 static constexpr std::size_t MaxDecodedBytes = 64UL * 1024 * 1024;
 
 std::string MirrorUpdate::encode() const {
   std::string Text = encoded(*this);
-  // The announcements of 3,000 targets: 0.9 MB, compressed 0.1 MB.
+  // Announcements of targets repeat most of their text.
   if (Text.size() >= MinCompressedBytes)
     return Compressed + makePatch({}, Text);
   return Plain + Text;
@@ -107,7 +108,8 @@
 
 MirrorUpdate MirrorUpdate::decode(std::string_view Text) {
   if (Text.empty() || (Text.front() != Plain && Text.front() != Compressed))
-    throw core::Error(core::ErrorKind::Protocol, "not a transfer");
+    throw core::Error(core::ErrorKind::Protocol,
+                      "unknown format of a mirror update");
   bool IsCompressed = Text.front() == Compressed;
   Text.remove_prefix(1);
   if (!IsCompressed)
--- a/Libraries/LibGateway/MirrorUpdate.h
+++ b/Libraries/LibGateway/MirrorUpdate.h
@@ -1,4 +1,4 @@
-//===-- MirrorUpdate.h - What one instance's mirror tells another's ------===//
+//===-- MirrorUpdate.h - Store state sent from one instance to another ----===//
 #ifndef YARDRILL_LIBGATEWAY_MIRRORUPDATE_H
 #define YARDRILL_LIBGATEWAY_MIRRORUPDATE_H
 
@@ -10,51 +10,53 @@
 
 namespace yardrill::gateway {
 
-/// Values above this size are not sent with the news of their change, but on
-/// request and apart from it: news of a target, under a kilobyte, must not wait
-/// behind half a megabyte (5 s over a link of 0.1 MB/s; 0.1 s since).
+/// Largest value that is sent within an update. Larger ones are omitted and
+/// fetched separately, so that the small entry of a target does not wait behind
+/// a configuration of half a megabyte.
 constexpr std::size_t MaxInlineValueBytes = 16384;
 
+/// Whether \p Value is omitted from updates.
 inline bool isLargeValue(const std::string &Value) {
   return Value.size() > MaxInlineValueBytes;
 }
 
-/// What changed, with all values that are not large.
+/// Changes or a snapshot of a mirror; large values are omitted.
 struct MirrorUpdate {
-  platform::Revision m_At;
-  bool m_IsSnapshot =
-      false; ///< All entries; otherwise changes since one asked.
+  platform::Revision m_At;   ///< Revision of the mirror
+  bool m_IsSnapshot = false; ///< Whether it replaces all entries
   std::vector<platform::Entry> m_Entries;
 
-  /// What changed in \p Mirror after \p After. Where that is not kept any more
-  /// the transfer must be whole(): it says so and has no entries.
+  /// Returns the changes of \p Mirror after \p After. If they are no longer
+  /// kept, the result is marked as a snapshot but has no entries; snapshot()
+  /// must be sent instead.
   static MirrorUpdate since(const platform::StoreMirror &Mirror,
                             platform::Revision After);
+  /// Returns all entries of \p Mirror.
   static MirrorUpdate snapshot(const platform::StoreMirror &Mirror);
   void applyTo(platform::StoreMirror &Mirror) const;
 
-  /// cereal's portable binary form, compressed where that is worth it.
+  /// Returns cereal's portable binary form, compressed if it is large.
   std::string encode() const;
   /// \throws core::Error of kind Protocol, or LimitExceeded.
   static MirrorUpdate decode(std::string_view Text);
 };
 
-/// Asks for a large value.
+/// Request for a large value.
 struct ValueQuery {
   std::string m_Key;
-  platform::Revision
-      m_HeldRevision; ///< Of the older value that is here; 0: none.
+  /// Revision of the older value that the client has; 0: none.
+  platform::Revision m_HeldRevision;
 
   std::string encode() const;
   /// \throws core::Error of kind Protocol.
   static ValueQuery decode(std::string_view Text);
 };
 
-/// A large value, as a patch.
+/// Large value, encoded as a patch.
 struct ValueTransfer {
   platform::Revision m_ModRevision;
-  platform::Revision m_Base; ///< Of the value it is to be applied to; 0: none.
-  std::string m_Patch;       ///< See applyPatch().
+  platform::Revision m_Base; ///< Revision of the patch's base; 0: none
+  std::string m_Patch;       ///< See applyPatch()
 
   std::string encode() const;
   /// \throws core::Error of kind Protocol.
--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -1,3 +1,4 @@
+//===-- StoreFollower.cpp - Mirrors the store -----------------------------===//
 #include "LibGateway/StoreFollower.h"
 
 #include "LibCore/Digest.h"
@@ -13,16 +14,16 @@
 namespace asio = boost::asio;
 using platform::CallClass;
 
-/// Everything: one watch costs one call where three would cost three.
+/// Prefix of all keys; one watch is one billed call, several would be several.
 static const char EverythingPrefix[] = "";
-/// Pauses after failures: the first is about a call's own time, the longest
-/// keeps the return of the store within the time a configuration may take.
+/// Backoff after failures: at first about the duration of a call, at most so
+/// long that a configuration still takes effect in time once the store is back.
 static constexpr std::chrono::milliseconds MinBackoff{100};
 static constexpr std::chrono::milliseconds MaxBackoff{800};
 
-/// How often it is asked whether to wait for peers.
+/// Period in which MustWait is called.
 static constexpr std::chrono::milliseconds WaitPeriod{10};
-/// How often an instance that leaves the store to others asks whether it may.
+/// Period in which a disabled follower checks whether it was enabled.
 static constexpr std::chrono::milliseconds EnabledPollPeriod{250};
 
 void StoreFollower::start(std::function<bool(core::Duration)> MustWait) {
@@ -89,8 +90,8 @@
     m_MustReadAll = false;
     noteConnected();
   }
-  // From before the first value that is wanted: the store has it, whatever
-  // becomes of the instances that told of it.
+  // Starts before the oldest pending value: the store has it, even if the peers
+  // that reported it are gone.
   m_Store.watch(
       EverythingPrefix, m_Mirror.completeRevision(),
       [this](const std::vector<platform::Entry> &Changes) {
--- a/Libraries/LibGateway/StoreFollower.h
+++ b/Libraries/LibGateway/StoreFollower.h
@@ -1,4 +1,4 @@
-//===-- StoreFollower.h - Keeps the mirror close behind the store ---------===//
+//===-- StoreFollower.h - Keeps the mirror up to date with the store ------===//
 #ifndef YARDRILL_LIBGATEWAY_STOREFOLLOWER_H
 #define YARDRILL_LIBGATEWAY_STOREFOLLOWER_H
 
@@ -12,26 +12,30 @@
 
 namespace yardrill::gateway {
 
-/// Watches the whole store and copies it into the mirror, for as long as the
-/// process runs. Loss and return of the store are logged.
+/// Watches the whole store and copies it into the mirror while the process
+/// runs. Logs when the store is lost and when it returns; owned by Gateway.
 class StoreFollower {
 public:
   StoreFollower(boost::asio::io_context &Context,
                 platform::KeyValueService &Store, platform::StoreMirror &Mirror)
       : m_Context(Context), m_Store(Store), m_Mirror(Mirror) {}
 
-  /// \param MustWait asked every few milliseconds before the first call, with
-  /// the time since the start: peers may have everything already, or soon.
+  /// Starts to follow the store.
+  /// \param MustWait called with the time since the start, every few
+  /// milliseconds, until it returns false; only then is the store called. Peers
+  /// may supply the state instead.
   void start(std::function<bool(core::Duration)> MustWait);
-  /// Whether this instance has to follow the store itself, or hears from
-  /// another that does. Takes effect after the call under way.
+  /// Sets whether this instance follows the store, or leaves that to peers.
+  /// Takes effect after the call in progress.
   void setEnabled(bool IsEnabled) { m_IsEnabled = IsEnabled; }
   bool isConnected() const { return m_IsConnected; }
 
 private:
   void pause(core::Duration Length, boost::asio::yield_context Yield);
+  /// Follows the store while enabled, with a backoff after failures.
   void run(boost::asio::yield_context Yield);
-  /// Reads and watches until something fails. \throws core::Error.
+  /// Reads the store if needed, and watches it until a call fails or the
+  /// follower is disabled. \throws core::Error.
   void readAndWatch(boost::asio::yield_context Yield);
   void noteConnected();
   void noteLost(const std::exception &Failure);
@@ -41,7 +45,7 @@
   platform::StoreMirror &m_Mirror;
   bool m_IsConnected = false;
   bool m_IsEnabled = true;
-  bool m_MustReadAll = false; ///< What peers told does not suffice.
+  bool m_MustReadAll = false; ///< The store lacks history for the watch
 };
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/ValueHistory.cpp
+++ b/Libraries/LibGateway/ValueHistory.cpp
@@ -1,3 +1,4 @@
+//===-- ValueHistory.cpp - Patches between versions of large values -------===//
 #include "LibGateway/ValueHistory.h"
 
 #include "LibGateway/MirrorUpdate.h"
--- a/Libraries/LibGateway/ValueHistory.h
+++ b/Libraries/LibGateway/ValueHistory.h
@@ -1,7 +1,7 @@
-//===-- ValueHistory.h - Patches from older large values to the newest ----===//
+//===-- ValueHistory.h - Patches from older large values to newer ones ----===//
 //
-// Pure. A configuration of half a megabyte mostly changes by a few routes, and
-// peers mostly have the one before: they are sent the difference.
+// Does no I/O. Most changes of a large configuration affect a few routes, and
+// most peers have its previous version, so that they need only the difference.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_VALUEHISTORY_H
@@ -16,33 +16,34 @@
 
 namespace yardrill::gateway {
 
-/// How to make the newest value of a key.
+/// Patch that results in the newest value of a key.
 struct CachedPatch {
-  platform::Revision m_Base; ///< What it is to be applied to; 0: nothing.
+  platform::Revision m_Base; ///< Revision of its base; 0: empty base
   std::shared_ptr<const std::string> m_Patch;
 };
 
+/// Keeps older large values and caches patches; used by MirrorServer.
 class ValueHistory {
 public:
-  /// Older values of a key, of all sizes together. Changes a third of a second
-  /// apart reach all within 1 s; some more cover those that are late.
+  /// Largest number of older values of a key. Changes a third of a second apart
+  /// reach all instances within 1 s; the rest covers late instances.
   static constexpr std::size_t MaxVersions = 6;
+  /// Largest total size of the older values of a key.
   static constexpr std::size_t MaxBytes = 4UL * 1024 * 1024;
 
-  /// \p Old was just replaced or removed. Values that are not large are not
-  /// kept.
+  /// Adds a value that was just replaced or removed, if it is large.
   void addReplaced(platform::Entry Old);
-  /// The patch to \p Newest from what the asking peer has, or from nothing if
-  /// that is not known here. Made once for each base.
-  /// \param Held revision of the peer's value; 0: it has none.
+  /// Returns the patch to \p Newest from the value that a peer has, or from an
+  /// empty one if that value is not kept. Created once for each base.
+  /// \param HeldRevision revision of the peer's value; 0: none.
   CachedPatch patch(const platform::Entry &Newest,
                     platform::Revision HeldRevision);
 
 private:
   struct KeyHistory {
     std::deque<platform::Entry> m_Older;
-    platform::Revision m_NewestRevision; ///< That the patches make.
-    std::map<platform::Revision, CachedPatch> m_Patches; ///< By their base.
+    platform::Revision m_NewestRevision; ///< Result of all patches
+    std::map<platform::Revision, CachedPatch> m_Patches; ///< By base
   };
 
   std::map<std::string, KeyHistory> m_Keys;
--- a/Libraries/LibGateway/ValuePatch.cpp
+++ b/Libraries/LibGateway/ValuePatch.cpp
@@ -1,3 +1,4 @@
+//===-- ValuePatch.cpp - Binary differences between values ----------------===//
 #include "LibGateway/ValuePatch.h"
 
 #include "LibCore/Error.h"
@@ -12,11 +13,11 @@
 using core::Error;
 using core::ErrorKind;
 
-/// The fastest: a patch is about as small at level 9, in three times the time
-/// and eighteen times the memory.
+/// Fastest level; higher ones cost far more time and memory for patches of
+/// about the same size.
 static constexpr int Level = 1;
-/// The window reaches over base and value: from 64 KB, the library's usual, to
-/// 32 MB, two of the largest values that are taken.
+/// The window covers base and value: from 64 KB up to 32 MB, twice the largest
+/// value that is accepted.
 static constexpr int MinWindowBits = 16;
 static constexpr int MaxWindowBits = 25;
 
@@ -41,9 +42,9 @@
   };
   Set(ZSTD_c_compressionLevel, Level);
   Set(ZSTD_c_windowLog, windowBits(Base.size() + Value.size()));
-  // Finds long passages again wherever they stand.
+  // Finds long matches anywhere in the base.
   Set(ZSTD_c_enableLongDistanceMatching, 1);
-  // A patch on another base would go unnoticed without it.
+  // Without a checksum, a patch applied to another base would go unnoticed.
   Set(ZSTD_c_checksumFlag, 1);
   check(ZSTD_CCtx_refPrefix(Context.get(), Base.data(), Base.size()),
         ErrorKind::LimitExceeded);
@@ -61,9 +62,11 @@
   unsigned long long Bytes =
       ZSTD_getFrameContentSize(Patch.data(), Patch.size());
   if (Bytes == ZSTD_CONTENTSIZE_ERROR || Bytes == ZSTD_CONTENTSIZE_UNKNOWN)
-    throw Error(ErrorKind::Protocol, "not a patch");
+    throw Error(ErrorKind::Protocol,
+                "patch is not a Zstandard frame with a content size");
   if (Bytes > MaxBytes)
-    throw Error(ErrorKind::LimitExceeded, "the patched value is too large");
+    throw Error(ErrorKind::LimitExceeded,
+                "value of the patch exceeds the size limit");
   std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> Context(
       ZSTD_createDCtx(), &ZSTD_freeDCtx);
   check(
@@ -76,7 +79,8 @@
                                          Patch.data(), Patch.size());
   check(Size, ErrorKind::Protocol);
   if (Size != Bytes)
-    throw Error(ErrorKind::Protocol, "the patch is cut short");
+    throw Error(ErrorKind::Protocol,
+                "value of the patch is shorter than its header states");
   return Out;
 }
 
--- a/Libraries/LibGateway/ValuePatch.h
+++ b/Libraries/LibGateway/ValuePatch.h
@@ -1,7 +1,7 @@
-//===-- ValuePatch.h - A value, told by how it differs from another -------===//
+//===-- ValuePatch.h - Binary differences between values ------------------===//
 //
-// By Zstandard (RFC 8878), with the older value as the content that goes before
-// the newer one: what stands in both is told by its place.
+// A patch is a Zstandard frame (RFC 8878) of the newer value, compressed with
+// the older one as its prefix, so that common parts are encoded as references.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_VALUEPATCH_H
@@ -12,14 +12,14 @@
 
 namespace yardrill::gateway {
 
-/// \param Base what the receiver has; empty: nothing.
-/// \throws core::Error of kind LimitExceeded when the library fails.
+/// Returns a patch from \p Base to \p Value.
+/// \param Base value that the receiver has; may be empty.
+/// \throws core::Error of kind LimitExceeded if compression fails.
 std::string makePatch(std::string_view Base, std::string_view Value);
 
-/// \returns the value that makePatch() was given, with the same \p Base.
-/// \throws core::Error of kind Protocol when the patch is damaged or was made
-/// from another base, and of kind LimitExceeded when the value would be larger
-/// than \p MaxBytes.
+/// Returns the value that makePatch() encoded with the same \p Base.
+/// \throws core::Error of kind Protocol if the patch is damaged or has another
+/// base, and of kind LimitExceeded if the value would exceed \p MaxBytes.
 std::string applyPatch(std::string_view Base, std::string_view Patch,
                        std::size_t MaxBytes);
 
