--- a/Tests/LibGateway/FleetMembershipTest.cpp
+++ b/Tests/LibGateway/FleetMembershipTest.cpp
@@ -42,44 +42,45 @@
 
 public:
   void testFirstListHoldsLiveInstances() {
-    FleetMembership Roster;
-    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_B}, m_Now) ==
+    FleetMembership Membership;
+    CPPUNIT_ASSERT(*Membership.proposeUpdate({m_A, m_B}, m_Now) ==
                    FleetMembers({m_A, m_B}));
   }
 
   void testNewInstanceIsAddedAtOnce() {
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_B, m_C}, m_Now) ==
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(*Membership.proposeUpdate({m_A, m_B, m_C}, m_Now) ==
                    FleetMembers({m_A, m_B, m_C}));
   }
 
   void testShortSilenceChangesNothing() {
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(10)));
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_B, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(10)));
     // It came back; the next silence is another one.
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_B, m_C}, m_Now + seconds(11)));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(12)));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(22)));
+    CPPUNIT_ASSERT(
+        !Membership.proposeUpdate({m_A, m_B, m_C}, m_Now + seconds(11)));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(12)));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(22)));
   }
 
   void testLongSilenceRemovesInstance() {
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(13)) ==
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_B, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(*Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(13)) ==
                    FleetMembers({m_A, m_C}));
   }
 
   void testMinorityRemovesNoInstance() {
     // It is cut off from the others, and not from the store.
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A}, m_Now));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A}, m_Now + seconds(60)));
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_B, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A}, m_Now));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A}, m_Now + seconds(60)));
   }
 
   void testRecordRoundTrip() {
--- a/Tests/LibGateway/FollowerSelectionTest.cpp
+++ b/Tests/LibGateway/FollowerSelectionTest.cpp
@@ -25,11 +25,12 @@
   void advance(core::Duration Time) {
     static constexpr milliseconds Step{100};
     for (core::TimePoint End = m_Now + Time; m_Now < End; m_Now += Step) {
-      std::size_t Before = 0;
+      std::size_t FollowerCount = 0;
       std::vector<std::size_t> FollowersBefore;
       for (std::size_t I = 0; I < m_Selections.size(); ++I) {
-        FollowersBefore.push_back(Before);
-        Before += m_Selections[I].isSelected() && m_CanReachStore[I] ? 1 : 0;
+        FollowersBefore.push_back(FollowerCount);
+        FollowerCount +=
+            m_Selections[I].isSelected() && m_CanReachStore[I] ? 1 : 0;
       }
       for (std::size_t I = 0; I < m_Selections.size(); ++I)
         m_Selections[I].update(FollowersBefore[I], m_Now);
--- a/Tests/LibGateway/QuarantineTest.cpp
+++ b/Tests/LibGateway/QuarantineTest.cpp
@@ -35,7 +35,7 @@
   static constexpr std::size_t Gateways = 3;
   static constexpr std::size_t Targets = 6;
   /// Until then a process is not sure that it has found the others.
-  static constexpr milliseconds SettleTime{3200};
+  static constexpr milliseconds DiscoveryTime{3200};
   const std::string m_RecordKey =
       gateway::StoreRecord::keyOf(gateway::QuarantineService::RecordName);
 
@@ -99,7 +99,7 @@
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
-    std::this_thread::sleep_for(SettleTime);
+    std::this_thread::sleep_for(DiscoveryTime);
     sendRepeatedly(Fleet, "/again/x", EndingBody, 4);
     std::this_thread::sleep_for(milliseconds(1500));
     Fleet.killAll();
@@ -129,7 +129,7 @@
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
-    std::this_thread::sleep_for(SettleTime);
+    std::this_thread::sleep_for(DiscoveryTime);
     sendRepeatedly(Fleet, "/again/x", EndingBody, 6);
     std::string Record;
     CPPUNIT_ASSERT(eventually([&] {
--- a/Tests/LibGateway/StoreFollowerTest.cpp
+++ b/Tests/LibGateway/StoreFollowerTest.cpp
@@ -21,7 +21,7 @@
   explicit BreakingStore(std::function<void()> OnWatch)
       : m_OnWatch(std::move(OnWatch)) {}
 
-  std::vector<Revision> m_WatchedFrom;
+  std::vector<Revision> m_WatchRevisions;
 
   std::vector<Entry> readPrefix(const std::string &, platform::CallClass,
                                 asio::yield_context) override {
@@ -30,7 +30,7 @@
   void watch(const std::string &, Revision After,
              const std::function<bool(const std::vector<Entry> &)> &,
              asio::yield_context) override {
-    m_WatchedFrom.push_back(After);
+    m_WatchRevisions.push_back(After);
     m_OnWatch();
     throw core::Error(core::ErrorKind::Unavailable, "cut");
   }
@@ -53,7 +53,7 @@
     asio::io_context Context{1};
     platform::StoreMirror Mirror(16);
     BreakingStore Store([&] {
-      if (Store.m_WatchedFrom.size() == 2)
+      if (Store.m_WatchRevisions.size() == 2)
         return Context.stop();
       Mirror.apply(Revision(9), {{"large", "", Revision(7), false, true},
                                  {"small", "new", Revision(9)}});
@@ -61,10 +61,10 @@
     StoreFollower Follower(Context, Store, Mirror);
     Follower.start([](core::Duration) { return false; });
     Context.run_for(std::chrono::seconds(5));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), Store.m_WatchedFrom.size());
-    CPPUNIT_ASSERT(Store.m_WatchedFrom[0] == Revision(5));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), Store.m_WatchRevisions.size());
+    CPPUNIT_ASSERT(Store.m_WatchRevisions[0] == Revision(5));
     CPPUNIT_ASSERT(Mirror.revision() == Revision(9));
-    CPPUNIT_ASSERT(Store.m_WatchedFrom[1] == Revision(6));
+    CPPUNIT_ASSERT(Store.m_WatchRevisions[1] == Revision(6));
   }
 };
 
--- a/Tests/LibGateway/ValuePatchTest.cpp
+++ b/Tests/LibGateway/ValuePatchTest.cpp
@@ -109,8 +109,8 @@
     CPPUNIT_ASSERT_EQUAL(Newest.m_Value, applyPatch(configuration(1400),
                                                     *Small.m_Patch, MaxBytes));
     // One that has another value, or none.
-    for (Revision Held : {Revision(4), Revision()}) {
-      CachedPatch Whole = History.patch(Newest, Held);
+    for (Revision HeldRevision : {Revision(4), Revision()}) {
+      CachedPatch Whole = History.patch(Newest, HeldRevision);
       CPPUNIT_ASSERT(Whole.m_Base == Revision());
       CPPUNIT_ASSERT_EQUAL(Newest.m_Value,
                            applyPatch("", *Whole.m_Patch, MaxBytes));
@@ -119,9 +119,10 @@
     CPPUNIT_ASSERT(History.patch(Newest, Revision(3)).m_Patch == Small.m_Patch);
     History.addReplaced(Newest);
     Entry Next = at(6, configuration(1400, 800));
-    CachedPatch Anew = History.patch(Next, Revision(3));
+    CachedPatch SecondPatch = History.patch(Next, Revision(3));
     CPPUNIT_ASSERT_EQUAL(
-        Next.m_Value, applyPatch(configuration(1400), *Anew.m_Patch, MaxBytes));
+        Next.m_Value,
+        applyPatch(configuration(1400), *SecondPatch.m_Patch, MaxBytes));
   }
 
   void testHistoryIsBounded() {
