--- a/Tests/LibGateway/FleetMembershipTest.cpp
+++ b/Tests/LibGateway/FleetMembershipTest.cpp
@@ -1,3 +1,4 @@
+//===-- FleetMembershipTest.cpp - Membership of silent and new instances --===//
 #include "LibGateway/FleetMembership.h"
 
 #include "EmptyStore.h"
@@ -27,7 +28,7 @@
   const Instance m_B{{"10.1.0.2", 7600}, core::DataHallName("hall b")};
   const Instance m_C{{"10.1.0.3", 7600}, core::DataHallName("hall a")};
 
-  /// Keeps what is written.
+  /// Records the last write.
   class WritableStore final : public tests::EmptyStore {
   public:
     std::optional<platform::CompareAndSwap> m_Written;
@@ -60,7 +61,7 @@
     Membership.setRecorded({m_A, m_B, m_C});
     CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now));
     CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(10)));
-    // It came back; the next silence is another one.
+    // The instance returned, so that the next silence starts anew.
     CPPUNIT_ASSERT(
         !Membership.proposeUpdate({m_A, m_B, m_C}, m_Now + seconds(11)));
     CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(12)));
@@ -76,7 +77,7 @@
   }
 
   void testMinorityRemovesNoInstance() {
-    // It is cut off from the others, and not from the store.
+    // The instance is partitioned from its peers, but reaches the store.
     FleetMembership Membership;
     Membership.setRecorded({m_A, m_B, m_C});
     CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A}, m_Now));
@@ -88,7 +89,7 @@
     WritableStore Store;
     MembershipRecord Record(Context, Store);
     Record.write({m_A, m_B}, m_Now);
-    // Not twice within a short time.
+    // Ignored, since it follows the first write too soon.
     Record.write({m_A, m_B, m_C}, m_Now + seconds(1));
     Context.run();
     CPPUNIT_ASSERT(Store.m_Written);
--- a/Tests/LibGateway/FollowerSelectionTest.cpp
+++ b/Tests/LibGateway/FollowerSelectionTest.cpp
@@ -1,3 +1,4 @@
+//===-- FollowerSelectionTest.cpp - Number of instances that follow -------===//
 #include "LibGateway/FollowerSelection.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,7 +11,8 @@
 
 namespace {
 
-/// All instances of a fleet; whom the store serves, the others hear to follow.
+/// Follower selections of a whole fleet. An instance counts as a follower if it
+/// is selected and reaches the store.
 class Fleet {
 public:
   explicit Fleet(std::size_t Size)
@@ -19,9 +21,10 @@
       m_Selections[I].setRank(I);
   }
 
-  /// Of instances in the order of their ranks.
+  /// Whether each instance reaches the store, by rank.
   std::vector<bool> &reachable() { return m_CanReachStore; }
 
+  /// Simulates the fleet for \p Time.
   void advance(core::Duration Time) {
     static constexpr milliseconds Step{100};
     for (core::TimePoint End = m_Now + Time; m_Now < End; m_Now += Step) {
@@ -36,13 +39,14 @@
         m_Selections[I].update(FollowersBefore[I], m_Now);
     }
   }
-  /// Who asks the store; who of them is served.
+  /// Returns the number of instances that call the store.
   std::size_t selectedCount() const {
     std::size_t Out = 0;
     for (const FollowerSelection &Each : m_Selections)
       Out += Each.isSelected() ? 1 : 0;
     return Out;
   }
+  /// Returns the number of those that reach it.
   std::size_t followingCount() const {
     std::size_t Out = 0;
     for (std::size_t I = 0; I < m_Selections.size(); ++I)
@@ -84,7 +88,7 @@
       All.reachable()[I] = false;
     All.advance(seconds(2));
     CPPUNIT_ASSERT(All.followingCount() >= FollowerSelection::DesiredFollowers);
-    // Those that are turned away keep trying.
+    // Instances that the store rejects stay selected.
     CPPUNIT_ASSERT(All.selectedCount() <= 18);
   }
 
--- a/Tests/LibGateway/PeerTableTest.cpp
+++ b/Tests/LibGateway/PeerTableTest.cpp
@@ -1,3 +1,4 @@
+//===-- PeerTableTest.cpp - Liveness, groups and followers of peers -------===//
 #include "LibGateway/PeerTable.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -45,7 +46,7 @@
     return m_Table.handle(message(Incarnation, Index), Report, m_Now,
                           WallSeconds);
   }
-  /// Everyone in one group.
+  /// Puts this instance and its peers into one group.
   void useOneGroup(std::size_t Count) {
     routing::FleetSubset::Fleet Fleet{{m_Self, core::DataHallName("hall")}};
     for (std::size_t I = 0; I < Count; ++I)
@@ -76,7 +77,7 @@
     m_Now += milliseconds(800);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.expire(m_Now).size());
     CPPUNIT_ASSERT(m_Table.expire(m_Now).empty());
-    // What it said holds no more, yet it belongs to the fleet.
+    // Its report does not count any more, but it still belongs to the fleet.
     CPPUNIT_ASSERT(m_Table.groupPeers().empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
     CPPUNIT_ASSERT(m_Table.isLive(address(0)));
@@ -106,7 +107,7 @@
   }
 
   void testFollowersBefore() {
-    // Whoever follows the store, about half come before this instance.
+    // About half of the followers precede this instance in the hash order.
     for (std::size_t I = 0; I < 40; ++I)
       handle(I + 1, I, true, true);
     CPPUNIT_ASSERT_EQUAL(std::size_t(40), m_Table.followers());
@@ -128,7 +129,7 @@
     m_Table.expire(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
     CPPUNIT_ASSERT(!m_Table.firstFollower());
-    // It is still known, and a word of it brings it back.
+    // It is still known, and counts again after its next report.
     handle(1, 0, true, true);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.followers());
   }
--- a/Tests/LibGateway/QuarantineTest.cpp
+++ b/Tests/LibGateway/QuarantineTest.cpp
@@ -1,12 +1,9 @@
-//===-- QuarantineTest.cpp - A request that ends the targets that run it --===//
+//===-- QuarantineTest.cpp - Requests that make targets exit --------------===//
 //
-// What users saw: target after target of one pool ended, two a second, and the
-// requests that ran there were broken off, late or refused.
-//
-// Order of events: one request ends each target that begins to run it, within
-// tenths of a second. Its instance sends it on to a second target, which ends
-// as well, and answers 502. Its caller returns, to whichever instance the
-// balancer gives it; so do others with the same request.
+// Guards against one request that makes every target exit which begins to run
+// it: its instance retries it at a second target, callers repeat it at all
+// instances, and other requests at these targets are aborted, delayed or
+// refused.
 //
 //===----------------------------------------------------------------------===//
 #include "GatewayFleet.h"
@@ -30,16 +27,16 @@
   CPPUNIT_TEST(testRestartedInstanceLearnsFromPeers);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Sent on after three targets ended, in all.
+  /// Largest number of arrivals at targets after the third exit.
   static constexpr std::size_t MaxArrivalsAfterThirdExit = 3;
   static constexpr std::size_t Gateways = 3;
   static constexpr std::size_t Targets = 6;
-  /// Until then a process is not sure that it has found the others.
+  /// Time after which a process has found its peers.
   static constexpr milliseconds DiscoveryTime{3200};
   const std::string m_RecordKey =
       gateway::StoreRecord::keyOf(gateway::QuarantineService::RecordName);
 
-  /// Comes again \p Times, each time at the next gateway.
+  /// Sends a request \p Times, each time to the next gateway.
   static void sendRepeatedly(GatewayFleet &Fleet, const std::string &Path,
                              const std::string &Body, std::size_t Times) {
     for (std::size_t I = 0; I < Times; ++I) {
@@ -58,9 +55,9 @@
     CPPUNIT_ASSERT(
         Fleet.arrivalsAfterThirdEnd(EndingBody, core::Duration::zero()) <=
         MaxArrivalsAfterThirdExit);
-    // It was not sent, and is told so.
+    // 503 states that the request was not sent to a target.
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", EndingBody).m_Status);
-    // One with another body is another request.
+    // A request with another body is not quarantined.
     CPPUNIT_ASSERT_EQUAL(200U, Fleet.send(0, "/again/x", "other").m_Status);
   }
 
@@ -79,7 +76,7 @@
           ++(Status == 200 ? Served : Refused);
         }
       });
-    // Targets end under it, for reasons of their own.
+    // Targets exit while they run it, for unrelated reasons.
     for (std::size_t I = 0; I < 12; ++I) {
       std::this_thread::sleep_for(milliseconds(150));
       Fleet.withTargets([&] { Fleet.target(I % Targets).end(); });
@@ -105,7 +102,7 @@
     Fleet.killAll();
     Fleet.startAll();
     CPPUNIT_ASSERT(Fleet.areAllReady());
-    // Learned anew, it would end three more.
+    // If the quarantine were lost, three more targets would exit.
     std::size_t Before = Fleet.arrivalsOf(EndingBody);
     sendRepeatedly(Fleet, "/again/x", EndingBody, 6);
     CPPUNIT_ASSERT_EQUAL(Before, Fleet.arrivalsOf(EndingBody));
@@ -152,7 +149,7 @@
     CPPUNIT_ASSERT(Fleet.arrivalsOf(EndingBody) > Before);
   }
 
-  /// A target that still listens has not ended, whatever broke off.
+  /// A target that still listens has not exited.
   void testResetConnectionsDoNotCountAsExits() {
     GatewayFleet Fleet(1, Targets);
     Fleet.startAll();
--- a/Tests/LibGateway/RolloutTest.cpp
+++ b/Tests/LibGateway/RolloutTest.cpp
@@ -1,4 +1,4 @@
-//===-- RolloutTest.cpp - Orders, through one real gateway ----------------===//
+//===-- RolloutTest.cpp - Roll-outs through a complete gateway ------------===//
 #include "GatewayFixture.h"
 
 #include "LibGateway/PoolRollout.h"
@@ -9,7 +9,7 @@
 using namespace yardrill::tests;
 using std::chrono::milliseconds;
 
-/// Two targets of version v1 and two of v2, and callers that never stop.
+/// Runs two targets of version v1 and two of v2 under constant requests.
 class RolloutTest : public GatewayFixture {
   CPPUNIT_TEST_SUITE(RolloutTest);
   CPPUNIT_TEST(testHealthyVersionIsCompleted);
@@ -76,7 +76,7 @@
     addVersion("v2", false);
     addVersion("v2", false);
     start();
-    // Until then a process is not sure that it is the only one.
+    // Time after which a process knows that it has no peers.
     std::this_thread::sleep_for(milliseconds(3200));
     startCallers();
   }
@@ -130,8 +130,8 @@
     CPPUNIT_ASSERT_EQUAL(0, m_Refused.load());
   }
 
-  /// Targets that come right behind the order get their share, and no more, at
-  /// any moment.
+  /// New targets announced directly after the order never get more than their
+  /// share of requests.
   void testSampleStaysWithinItsShare() {
     startWithTwoVersions();
     order(30);
@@ -166,7 +166,7 @@
     CPPUNIT_ASSERT(eventually([this] { return isState("in_progress"); }));
     CPPUNIT_ASSERT(eventually([this] { return isState("rolled_back"); },
                               milliseconds(3000)));
-    // The same words again are another order.
+    // An order with the same content is a new order.
     order(3);
     CPPUNIT_ASSERT(eventually([this] { return isState("in_progress"); }));
   }
@@ -193,8 +193,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), state());
   }
 
-  /// Everything was killed after a version was found bad, while its targets
-  /// were still there.
+  /// A version that was rolled back stays excluded after a restart of
+  /// everything, even though its targets are still announced.
   void testRecordSurvivesARestart() {
     m_Store.m_Content.push_back(
         {"op/rollout/app",
@@ -217,7 +217,7 @@
     std::this_thread::sleep_for(milliseconds(500));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), requestsOf(3, 4));
     CPPUNIT_ASSERT(requestsOf(1, 2) > 20);
-    // An order for another version; what was excluded stays so.
+    // The excluded versions survive the round trip of the record.
     CPPUNIT_ASSERT(rollout::Record::parse(Record.toText())->m_Excluded ==
                    Record.m_Excluded);
     CPPUNIT_ASSERT(!rollout::Record::parse("order x\n"));
--- a/Tests/LibGateway/StoreFollowerTest.cpp
+++ b/Tests/LibGateway/StoreFollowerTest.cpp
@@ -1,3 +1,4 @@
+//===-- StoreFollowerTest.cpp - Where a watch of the store begins ---------===//
 #include "LibGateway/StoreFollower.h"
 
 #include "EmptyStore.h"
@@ -15,7 +16,8 @@
 
 namespace {
 
-/// Has one content; each watch breaks at once, but is remembered.
+/// Has fixed content. Each watch fails at once, after its revision was
+/// recorded.
 class BreakingStore final : public EmptyStore {
 public:
   explicit BreakingStore(std::function<void()> OnWatch)
@@ -48,7 +50,7 @@
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  /// Peers may have told of a value that none of them has any more.
+  /// Guards against a pending value that no peer can supply any more.
   void testWatchStartsBeforeMissingValues() {
     asio::io_context Context{1};
     platform::StoreMirror Mirror(16);
--- a/Tests/LibGateway/StoreSpreadTest.cpp
+++ b/Tests/LibGateway/StoreSpreadTest.cpp
@@ -1,18 +1,9 @@
-//===-- StoreSpreadTest.cpp - How what the store said reaches every instance =//
+//===-- StoreSpreadTest.cpp - Propagation of changes to all instances -----===//
 //
-// What users saw: a confirmed configuration was not in force everywhere in
-// time, and requests still went to targets that had said that they leave.
-//
-// Order of events: the configuration grew by 1,400 routes to half a megabyte.
-// Of 89 instances six follow the store; they had it within a second, and then
-// sent it whole to the 83 others at the same time. Targets that left meanwhile
-// were not heard of until that transfer ended.
-//
-// Cause: each change costs its source the whole value once for every instance,
-// over one link, and an instance hears nothing else while it receives.
-// Evidence: for six seconds the six sent 1.15 MB/s each, all that their links
-// bear, the others next to nothing; processor time stayed below 5 % of a core;
-// the revision that an instance reported stood still until its transfer ended.
+// Guards against large values that delay other changes: a few followers sent a
+// configuration of half a megabyte to every other instance, over one link each,
+// and the receivers learned of no other change, such as a target that leaves,
+// until the transfer had ended.
 //
 //===----------------------------------------------------------------------===//
 #include "SpreadFleet.h"
@@ -28,12 +19,12 @@
 
 namespace {
 
-/// Configurations of 2,840 routes have this size.
+/// Size of a configuration of 2,840 routes.
 constexpr std::size_t LargeBytes = 520000;
 const char ConfigurationKey[] = "configuration";
 const char TargetKey[] = "target";
 
-/// Text that no compression makes much smaller.
+/// Returns text that hardly compresses.
 std::string randomText(std::size_t Size, unsigned Seed) {
   static const char Letters[] =
       "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
@@ -62,7 +53,7 @@
 
   SpreadFleet m_Fleet;
 
-  /// All begin with the same content, at revision 10.
+  /// Starts \p Count instances with the same content, at revision 10.
   void start(std::size_t Count, const std::string &Configuration) {
     for (std::size_t I = 0; I < Count; ++I)
       m_Fleet.add(Revision(10), {put(ConfigurationKey, Configuration, 9),
@@ -91,8 +82,8 @@
   }
 
 public:
-  /// One source and 23 others: 12 MB over one link take 9.6 s, and 1.8 to 2.1 s
-  /// where all pass them on.
+  /// If one source sent the value to all 23 others, its link would need 9.6 s
+  /// for 12 MB; the bound requires that receivers forward it.
   void testLargeValueReachesAllInTime() {
     start(24, "");
     for (std::size_t I = 0; I < m_Fleet.size(); ++I)
@@ -101,7 +92,7 @@
     assertShorter(timeUntilAllHold(ConfigurationKey, 11, 12s), 5000ms);
   }
 
-  /// The large value alone takes five seconds.
+  /// The transfer of the large value alone takes five seconds.
   void testSmallChangeOvertakesLargeValue() {
     start(2, "");
     m_Fleet.member(0).link().limitAnswers(LargeBytes / 5.0);
@@ -132,8 +123,9 @@
     assertFewer(m_Fleet.member(0).bytesSent(), LargeBytes * 3 / 2);
   }
 
-  /// Each takes longer to arrive than the next takes to come: what arrives is
-  /// older than what is wanted, and still brings the instance on.
+  /// Each value takes longer to transfer than until the next change. Values
+  /// that arrive are older than the pending ones, but newer than the one in
+  /// force.
   void testChangesInQuickSuccessionReachAll() {
     start(3, "");
     for (std::size_t I = 0; I < m_Fleet.size(); ++I)
@@ -141,7 +133,7 @@
     for (unsigned I = 0; I < 12; ++I) {
       change(0, put(ConfigurationKey, randomText(LargeBytes, I), 11 + I));
       m_Fleet.runFor(200ms);
-      if (I >= 8) // Two transfers one after the other, at the most.
+      if (I >= 8) // Enough time for two consecutive transfers.
         CPPUNIT_ASSERT(m_Fleet.doAllHold(ConfigurationKey, Revision(12)));
     }
     assertShorter(timeUntilAllHold(ConfigurationKey, 22, 8s), 3000ms);
--- a/Tests/LibGateway/ValuePatchTest.cpp
+++ b/Tests/LibGateway/ValuePatchTest.cpp
@@ -1,3 +1,4 @@
+//===-- ValuePatchTest.cpp - Patches between versions of values -----------===//
 #include "LibGateway/ValuePatch.h"
 #include "LibGateway/ValueHistory.h"
 
@@ -17,7 +18,7 @@
 
 constexpr std::size_t MaxBytes = 4UL * 1024 * 1024;
 
-/// As an operator writes them; no two routes are alike.
+/// Returns a realistic configuration, in which no two routes are alike.
 std::string configuration(std::size_t Routes, std::size_t ChangedRoute = 0) {
   std::string Out = R"({"version":7,"routes":[)";
   for (std::size_t I = 1; I <= Routes; ++I) {
@@ -75,7 +76,7 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(Patch.size()), Patch.size() < 512);
   }
 
-  /// 1,400 routes more are 0.22 MB of text.
+  /// 1,400 added routes are 0.22 MB of text.
   void testPatchSizeFollowsAddedRoutes() {
     std::string Base = configuration(1440);
     std::string Patch = makePatch(Base, configuration(2840));
@@ -108,14 +109,14 @@
     CPPUNIT_ASSERT(Small.m_Patch->size() < 512);
     CPPUNIT_ASSERT_EQUAL(Newest.m_Value, applyPatch(configuration(1400),
                                                     *Small.m_Patch, MaxBytes));
-    // One that has another value, or none.
+    // A peer with an unknown value, or with none.
     for (Revision HeldRevision : {Revision(4), Revision()}) {
       CachedPatch Whole = History.patch(Newest, HeldRevision);
       CPPUNIT_ASSERT(Whole.m_Base == Revision());
       CPPUNIT_ASSERT_EQUAL(Newest.m_Value,
                            applyPatch("", *Whole.m_Patch, MaxBytes));
     }
-    // Made once; anew for another newest value.
+    // Cached for one newest value, and created anew for the next.
     CPPUNIT_ASSERT(History.patch(Newest, Revision(3)).m_Patch == Small.m_Patch);
     History.addReplaced(Newest);
     Entry Next = at(6, configuration(1400, 800));
--- a/Tests/LibPeer/PeerCodecTest.cpp
+++ b/Tests/LibPeer/PeerCodecTest.cpp
@@ -1,3 +1,4 @@
+//===-- PeerCodecTest.cpp - Authentication and replay of peer messages ----===//
 #include "LibPeer/PeerCodec.h"
 
 #include "LibCore/Error.h"
@@ -96,7 +97,7 @@
     CPPUNIT_ASSERT(*Directory.accept(message(7, 8), Now, 1000) ==
                    DropReason::Replayed);
     CPPUNIT_ASSERT(!Directory.accept(message(7, 10), Now, 1000));
-    // A recorded message can't bring a process back that is gone.
+    // A replayed message cannot revive a peer that has expired.
     CPPUNIT_ASSERT_EQUAL(
         std::size_t(1), Directory.expire(Now + std::chrono::seconds(6)).size());
     CPPUNIT_ASSERT(*Directory.accept(message(7, 10), Now, 1031) ==
@@ -127,7 +128,7 @@
     LoadReport Got = completed(Short, Before);
     CPPUNIT_ASSERT(Got.m_IsFull && Got.m_Name == Before.m_Name &&
                    Got.m_DataHall == Before.m_DataHall);
-    // Targets without work are left out of every report.
+    // Targets without requests are omitted from every report.
     CPPUNIT_ASSERT(Got.m_Targets.empty());
   }
 };
