--- a/Libraries/LibGateway/MirrorUpdate.h
+++ b/Libraries/LibGateway/MirrorUpdate.h
@@ -33,6 +33,7 @@
                             platform::Revision After);
   /// Returns all entries of \p Mirror.
   static MirrorUpdate snapshot(const platform::StoreMirror &Mirror);
+  /// Replaces all entries of \p Mirror, or applies the changes to it.
   void applyTo(platform::StoreMirror &Mirror) const;
 
   /// Returns cereal's portable binary form, compressed if it is large.
--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -10,8 +10,8 @@
 
 namespace asio = boost::asio;
 
-/// Period of reports in a fleet of one group. Limits both their cost and the
-/// time in which two instances can assign the same slot.
+/// Period of tick(), and of reports in a fleet of one group. Limits both their
+/// cost and the time in which two instances can assign the same slot.
 static constexpr std::chrono::milliseconds TickPeriod{40};
 /// Period of full reports, which are also sent to addresses that have not
 /// responded.
@@ -36,7 +36,7 @@
 static constexpr std::chrono::seconds DiscoveryTime{3};
 static constexpr std::size_t MaxHintedPeers = 64;
 static constexpr std::size_t MaxHintsInReport = 3;
-/// Largest number of targets that fits one datagram.
+/// Keeps a report within one datagram.
 static constexpr std::size_t MaxTargetsInReport = 60;
 
 PeerService::PeerService(asio::io_context &Context,
--- a/Libraries/LibGateway/PeerService.h
+++ b/Libraries/LibGateway/PeerService.h
@@ -54,6 +54,7 @@
               PeerServiceHooks Hooks);
   ~PeerService();
 
+  /// Starts to receive messages and to send reports; greets the seeds.
   void start(core::TimerService &Timers);
   /// Marks this instance as stopping and reports that to all live peers.
   void setStopping();
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -60,9 +60,11 @@
   /// Must be called many times a second; peers of other groups are checked once
   /// a second. \returns the peers that fell silent since the last call.
   std::vector<LivePeer> expire(core::TimePoint Now);
+  /// Sets the division into groups, which defines the group peers.
   void setSubset(const routing::FleetSubset &Subset);
 
   const Peers &all() const { return m_Peers; }
+  /// \returns null if the peer is unknown.
   const LivePeer *find(core::IncarnationId Peer) const;
   bool isLive(const config::Endpoint &Address) const {
     return m_ByAddress.count(Address) != 0;
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -21,6 +21,7 @@
                const GatewaySettings &Settings,
                metrics::MetricsRegistry &Metrics, QuotaProtocol::Sender Send);
 
+  /// Sets the accounts, with their limits, of the configuration in force.
   void setAccounts(const std::vector<routing::Account> &Accounts);
   /// Sets the instances that own quotas. \returns whether they changed.
   bool setOwners(const FleetMembers &Instances);
--- a/Libraries/LibGateway/RolloutService.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -28,6 +28,7 @@
   /// Returns the current coordinator; none if no follower of the store is
   /// known.
   std::function<std::optional<config::Endpoint>()> m_Coordinator;
+  /// Returns the number of instances that may report.
   std::function<std::size_t()> m_FleetSize;
   /// Starts a write; its outcome arrives as a change of the store.
   std::function<void(const RolloutWrite &)> m_Write;
@@ -42,8 +43,10 @@
                  const routing::TargetDirectory &Targets, RolloutHooks Hooks);
 
   // Changes of the store.
+  /// Sets a pool's order; none if it was withdrawn.
   void setOrder(const core::PoolName &Pool,
                 std::optional<rollout::Order> Order);
+  /// Sets a pool's status. \param At its revision; 0 if absent.
   void setStatus(const core::PoolName &Pool,
                  std::optional<rollout::Status> Status, platform::Revision At);
   /// Applies \p Change if it is a record of a roll-out. \returns whether it is.
--- a/Libraries/LibPeer/PeerCodec.h
+++ b/Libraries/LibPeer/PeerCodec.h
@@ -16,7 +16,7 @@
 
 namespace yardrill::peer {
 
-/// Largest datagram that fits one Ethernet frame without fragmentation.
+/// Largest datagram; fits one Ethernet frame, so that none is fragmented.
 inline constexpr std::size_t MaxDatagramBytes = 1400;
 
 /// Version of all messages between peers; other versions are dropped.
