--- a/Libraries/LibCore/Digest.cpp
+++ b/Libraries/LibCore/Digest.cpp
@@ -25,7 +25,7 @@
 
 std::string sha256Hex(std::string_view Text) { return toHex(sha256(Text)); }
 
-static void add(EVP_MD_CTX &Hash, std::string_view Part) {
+static void addLengthPrefixed(EVP_MD_CTX &Hash, std::string_view Part) {
   unsigned char Size[sizeof(std::uint64_t)];
   for (std::size_t I = 0; I < sizeof Size; ++I)
     Size[I] = static_cast<unsigned char>(std::uint64_t(Part.size()) >> (8 * I));
@@ -35,14 +35,14 @@
 
 std::string
 sha256LengthPrefixed(std::initializer_list<std::string_view> Parts) {
-  // Looked up once: that costs as much as hashing a kilobyte.
-  static EVP_MD *const Kind = EVP_MD_fetch(nullptr, "SHA256", nullptr);
+  // Fetched once, as a lookup is as slow as hashing a kilobyte.
+  static EVP_MD *const Sha256 = EVP_MD_fetch(nullptr, "SHA256", nullptr);
   std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> Hash(EVP_MD_CTX_new(),
                                                                EVP_MD_CTX_free);
   std::string Out(SHA256_DIGEST_LENGTH, '\0');
-  EVP_DigestInit_ex2(Hash.get(), Kind, nullptr);
+  EVP_DigestInit_ex2(Hash.get(), Sha256, nullptr);
   for (std::string_view Part : Parts)
-    add(*Hash, Part);
+    addLengthPrefixed(*Hash, Part);
   EVP_DigestFinal_ex(Hash.get(), reinterpret_cast<unsigned char *>(Out.data()),
                      nullptr);
   return Out;
@@ -109,7 +109,7 @@
   int Size = EVP_DecodeBlock(reinterpret_cast<unsigned char *>(Out.data()),
                              bytes(Text), static_cast<int>(Text.size()));
   if (Size < 0 || Text.size() % 4 != 0)
-    throw Error(ErrorKind::Protocol, "not base64");
+    throw Error(ErrorKind::Protocol, "text is not base64");
   std::size_t Padding = 0;
   while (Padding < 2 && Padding < Text.size() &&
          Text[Text.size() - 1 - Padding] == '=')
@@ -121,7 +121,7 @@
 std::uint64_t randomBits() {
   std::uint64_t Bits = 0;
   if (RAND_bytes(reinterpret_cast<unsigned char *>(&Bits), sizeof Bits) != 1)
-    throw Error(ErrorKind::Unavailable, "no random source");
+    throw Error(ErrorKind::Unavailable, "random generator failed");
   return Bits;
 }
 
--- a/Libraries/LibGateway/MirrorServer.cpp
+++ b/Libraries/LibGateway/MirrorServer.cpp
@@ -1,3 +1,4 @@
+//===-- MirrorServer.cpp - Serves the store mirror to peers ---------------===//
 #include "LibGateway/MirrorServer.h"
 
 #include "LibCore/Error.h"
@@ -51,10 +52,10 @@
   auto After = toRevision(Since);
   if (!After)
     return http::emptyResponse(404);
-  MirrorUpdate News = MirrorUpdate::since(m_Mirror, *After);
+  MirrorUpdate Update = MirrorUpdate::since(m_Mirror, *After);
   http::ResponseMessage Out = http::emptyResponse(200);
-  Out.m_Body =
-      News.m_IsSnapshot ? snapshotBody() : m_Codec.encodeSigned(News.encode());
+  Out.m_Body = Update.m_IsSnapshot ? snapshotBody()
+                                   : m_Codec.encodeSigned(Update.encode());
   if (Out.m_Body.size() > MaxInlineValueBytes && !tryUpload(Out.m_Body.size()))
     return http::emptyResponse(503);
   return Out;
@@ -107,8 +108,8 @@
   return Out;
 }
 
-void MirrorServer::setOpen(std::size_t Value) {
-  m_Open = Value;
+void MirrorServer::setOpenTransfers(std::size_t Value) {
+  m_OpenTransfers = Value;
   m_Metrics.setGauge("yardrill_peer_transfers_open",
                      static_cast<double>(Value));
 }
@@ -117,14 +118,14 @@
                         asio::yield_context Yield) {
   m_Metrics.count("yardrill_peer_transfer_bytes_sent_total",
                   Response.m_Body.size());
-  setOpen(m_Open + 1);
+  setOpenTransfers(m_OpenTransfers + 1);
   try {
     Call.sendResponse(std::move(Response), Yield);
   } catch (...) {
-    setOpen(m_Open - 1);
+    setOpenTransfers(m_OpenTransfers - 1);
     throw;
   }
-  setOpen(m_Open - 1);
+  setOpenTransfers(m_OpenTransfers - 1);
 }
 
 } // namespace yardrill::gateway
--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -1,3 +1,4 @@
+//===-- PeerService.cpp - Communication with other instances --------------===//
 #include "LibGateway/PeerService.h"
 
 #include "LibCore/Digest.h"
@@ -9,26 +10,29 @@
 
 namespace asio = boost::asio;
 
-/// Reports within a group: old enough to cost little, new enough that a place
-/// is not given away twice for long.
+/// Period of tick(), and of reports in a fleet of one group. Limits both their
+/// cost and the time in which two instances can assign the same slot.
 static constexpr std::chrono::milliseconds TickPeriod{40};
-/// How often addresses are tried that have not answered.
+/// Period of full reports, which are also sent to addresses that have not
+/// responded.
 static constexpr std::chrono::milliseconds FullReportPeriod{250};
-/// While the store holds no list of instances, all far peers are told of this
-/// one in so many seek periods, so that all find all.
+/// Without a recorded membership, every peer of another group gets a full
+/// report within this number of periods, so that all instances find each other.
 static constexpr std::size_t DiscoveryRounds = 10;
-/// Those that follow the store tell all others in so many seek periods that
-/// they do, and how far they are: once a second.
+/// A follower sends every peer of another group a full report, with its
+/// revision of the store, within this number of periods: once a second.
 static constexpr std::size_t FollowerRounds = 4;
-/// The others tell the one that keeps the list that they live, every so many
-/// seek periods: it leaves out who is silent for 12 s.
+/// Every other instance sends the record writer a full report once in this
+/// number of periods; an instance silent for 12 s is removed from the
+/// membership.
 static constexpr std::size_t WriterRounds = 8;
-/// Far peers that a follower tells at once of something new, for each group;
-/// these tell their groups.
+/// Peers per group to which a follower reports a new revision at once; these
+/// forward it within their groups.
 static constexpr std::size_t ReceiversPerGroup = 2;
-/// Where there are several groups, reports are rarer: each costs all others.
+/// Period of reports in a fleet of several groups; longer, since each report
+/// costs processor time at every receiver.
 static constexpr std::chrono::milliseconds LargeFleetPeriod{100};
-/// A process that has started has found the others after this time.
+/// Time after the start in which a process finds its peers.
 static constexpr std::chrono::seconds DiscoveryTime{3};
 static constexpr std::size_t MaxHintedPeers = 64;
 static constexpr std::size_t MaxHintsInReport = 3;
@@ -59,7 +63,7 @@
   m_Socket.start({[this](const peer::PeerMessage &Message) { handle(Message); },
                   [this](peer::DropReason Reason) { drop(Reason); }});
   Timers.subscribe(TickPeriod, [this](core::TimePoint Now) { tick(Now); });
-  // Who starts again is answered at once by those who know.
+  // Peers respond at once if they can supply this instance with state.
   asio::post(m_Context, [this] {
     sendReport({m_HintedPeers.begin(), m_HintedPeers.end()}, true);
   });
@@ -102,24 +106,24 @@
   const auto *Report = std::get_if<peer::LoadReport>(&Message.m_Body);
   if (!Report)
     return handleOther(Message);
-  PeerTable::ReportResult ReportResult = m_Peers.handle(
+  PeerTable::ReportResult Result = m_Peers.handle(
       Message, *Report, core::steadyNow(), core::wallSeconds().count());
-  if (ReportResult.m_Dropped)
-    return drop(*ReportResult.m_Dropped);
+  if (Result.m_Dropped)
+    return drop(*Result.m_Dropped);
   addHintedPeers(*Report);
-  if (ReportResult.m_IsNew) {
+  if (Result.m_IsNew) {
     m_HintedPeers.erase(Message.m_From.m_Peer);
     m_Missing.heard(Message.m_From.m_Peer);
     greetPeer(Message.m_From.m_Peer, *Report);
   } else if (canSupplyState(*Report)) {
     sendReport({Message.m_From.m_Peer}, true);
   }
-  // Worked out when it matters: reports come more often than requests.
+  // The hook is called on demand: reports are more frequent than requests.
   m_IsChanged = true;
 }
 
 void PeerService::addHintedPeers(const peer::LoadReport &Report) {
-  // The store's list names them all.
+  // The record names all instances.
   if (!m_Recorded.empty())
     return;
   for (const decision::InstanceRef &Other : Report.m_RecentPeers)
@@ -136,7 +140,7 @@
   core::LogLine("peer-found")
       .add("peer", Report.m_Name)
       .add("address", Peer.toString());
-  // It may not know of us yet.
+  // The peer may not know this instance yet.
   sendReport({Peer}, true);
 }
 
@@ -165,9 +169,10 @@
   m_Hooks.m_Changed();
 }
 
-void PeerService::addOtherGroupPeers(std::size_t Most,
+void PeerService::addOtherGroupPeers(std::size_t MaxCount,
                                      std::vector<config::Endpoint> &To) {
-  for (std::size_t I = 0; I < std::min(Most, m_OtherGroupAddresses.size()); ++I)
+  for (std::size_t I = 0; I < std::min(MaxCount, m_OtherGroupAddresses.size());
+       ++I)
     To.push_back(m_OtherGroupAddresses[m_OtherGroupRotation.next()]);
 }
 
@@ -180,10 +185,10 @@
     return addOtherGroupPeers(
         (m_OtherGroupAddresses.size() + FollowerRounds - 1) / FollowerRounds,
         To);
-  auto Keeper = m_Peers.firstFollower();
-  if (Keeper && ++m_FullReports % WriterRounds == 0 &&
-      !m_Subset.isGroupPeer(*Keeper))
-    To.push_back(*Keeper);
+  auto Writer = m_Peers.firstFollower();
+  if (Writer && ++m_FullReports % WriterRounds == 0 &&
+      !m_Subset.isGroupPeer(*Writer))
+    To.push_back(*Writer);
 }
 
 void PeerService::setRecorded(FleetMembers Instances) {
@@ -199,7 +204,7 @@
       desiredGroupSize() == m_MaxGroupMembers)
     return;
   m_IsMembershipChanged = false;
-  // With those that the list does not have yet.
+  // Live instances may not be recorded yet.
   routing::FleetSubset::Fleet Fleet = heard();
   Fleet.insert(m_Recorded.begin(), m_Recorded.end());
   bool IsSameFleet = Fleet == m_Fleet;
@@ -253,12 +258,12 @@
       }));
 }
 
-bool PeerService::isStoreHeard() const {
+bool PeerService::isStoreReachable() const {
   return m_LastReport.m_IsStoreConnected || m_Peers.followers() > 0;
 }
 
 bool PeerService::isListConfirmed() const {
-  return isStoreHeard() ||
+  return isStoreReachable() ||
          m_Peers.groupPeers().size() * 2 >= m_GroupAddresses.size();
 }
 
@@ -299,7 +304,7 @@
   m_LastReportAt = Now;
   if (Now - m_FullReportAt < FullReportPeriod) {
     std::vector<config::Endpoint> To = m_GroupAddresses;
-    // Each group has to hear soon that the store said something new.
+    // Every group has to learn of a new revision without delay.
     if (IsLarge && m_LastReport.m_IsStoreConnected && hasUnreportedRevision())
       addOtherGroupPeers(m_Subset.groupCount() * ReceiversPerGroup, To);
     return sendReport(To, false);
@@ -321,24 +326,26 @@
 }
 
 void PeerService::expire(core::TimePoint Now) {
-  std::vector<LivePeer> Silent = m_Peers.expire(Now);
-  for (const LivePeer &Gone : Silent)
-    handleSilentPeer(Gone, Now);
-  if (isStoreHeard())
+  std::vector<LivePeer> SilentPeers = m_Peers.expire(Now);
+  for (const LivePeer &LostPeer : SilentPeers)
+    handleSilentPeer(LostPeer, Now);
+  if (isStoreReachable())
     m_Missing.forgetOld(Now);
-  m_IsChanged = m_IsChanged || !Silent.empty();
+  m_IsChanged = m_IsChanged || !SilentPeers.empty();
 }
 
-void PeerService::handleSilentPeer(const LivePeer &Gone, core::TimePoint Now) {
-  // Far peers report only for as long as there is no list.
-  if (!m_Recorded.empty() && !Gone.m_IsGroupPeer)
+void PeerService::handleSilentPeer(const LivePeer &LostPeer,
+                                   core::TimePoint Now) {
+  // With a recorded membership, peers of other groups report only rarely, and
+  // their silence is not a loss.
+  if (!m_Recorded.empty() && !LostPeer.m_IsGroupPeer)
     return;
-  bool HasStopped = Gone.m_Report.m_IsStopping;
+  bool HasStopped = LostPeer.m_Report.m_IsStopping;
   if (!HasStopped)
-    m_Missing.lost(Gone.m_Instance.m_Peer, Now);
+    m_Missing.lost(LostPeer.m_Instance.m_Peer, Now);
   core::LogLine("peer-lost", core::LogLevel::Warning)
-      .add("peer", Gone.m_Report.m_Name)
-      .add("address", Gone.m_Instance.m_Peer.toString())
+      .add("peer", LostPeer.m_Report.m_Name)
+      .add("address", LostPeer.m_Instance.m_Peer.toString())
       .add("has_stopped", HasStopped);
 }
 
@@ -355,17 +362,17 @@
   m_Hooks.m_FillReport(Report);
   if (Report.m_Targets.size() > MaxTargetsInReport)
     Report.m_Targets.resize(MaxTargetsInReport);
-  bool IsNews =
+  bool HasChanges =
       Report.m_Targets != m_LastReport.m_Targets ||
       Report.m_HasWaitingRequests != m_LastReport.m_HasWaitingRequests ||
       Report.m_IsStoreConnected != m_LastReport.m_IsStoreConnected ||
       Report.m_StoreRevision != m_LastReport.m_StoreRevision ||
       Report.m_CompleteRevision != m_LastReport.m_CompleteRevision;
-  if (!IsFull && !IsNews)
+  if (!IsFull && !HasChanges)
     return;
   std::swap(m_LastReport, Report);
   Report = IsFull ? m_LastReport : peer::shortened(m_LastReport);
-  // A few at random, so that all learn of all within some reports.
+  // A random sample, so that all peers become known within a few reports.
   if (IsFull)
     addHints(Report);
   std::string Datagram = encode(std::move(Report));
@@ -374,10 +381,10 @@
 }
 
 void PeerService::addHints(peer::LoadReport &Report) {
-  std::vector<PeerTable::Peers::value_type> Drawn;
+  std::vector<PeerTable::Peers::value_type> Sample;
   std::sample(m_Peers.all().begin(), m_Peers.all().end(),
-              std::back_inserter(Drawn), MaxHintsInReport, m_Random);
-  for (const auto &[Incarnation, Each] : Drawn)
+              std::back_inserter(Sample), MaxHintsInReport, m_Random);
+  for (const auto &[Incarnation, Each] : Sample)
     Report.m_RecentPeers.push_back(Each.m_Instance);
 }
 
@@ -395,24 +402,24 @@
 }
 
 void PeerService::fetchIfBehind(core::TimePoint Now) {
-  std::vector<FetchCandidate> Ahead;
+  std::vector<FetchCandidate> PeersAhead;
   if (m_Mirror.revision().value() < m_Peers.newestRevision() ||
       m_Mirror.completeRevision().value() < m_Peers.newestCompleteRevision())
-    Ahead = peersAhead();
-  // One that does not ask the store has nothing to wait for.
-  bool IsPatient = !Ahead.empty() && mustFollowStore();
-  m_Fetcher.fetchIfDue(Ahead, IsPatient, Now);
+    PeersAhead = peersAhead();
+  // Only a follower can expect the same from the store.
+  bool MayWaitForStore = !PeersAhead.empty() && mustFollowStore();
+  m_Fetcher.fetchIfDue(PeersAhead, MayWaitForStore, Now);
 }
 
 std::vector<FetchCandidate> PeerService::peersAhead() const {
   std::vector<FetchCandidate> Out;
   for (const auto &[Incarnation, Each] : m_Peers.all()) {
     platform::Revision Known(Each.m_Report.m_StoreRevision);
-    platform::Revision Whole(Each.m_Report.m_CompleteRevision);
+    platform::Revision Complete(Each.m_Report.m_CompleteRevision);
     bool IsAhead =
-        m_Mirror.revision() < Known || m_Mirror.completeRevision() < Whole;
+        m_Mirror.revision() < Known || m_Mirror.completeRevision() < Complete;
     if (IsAhead && !Each.m_IsSilent)
-      Out.push_back({Each.m_Instance.m_Peer, Known, Whole,
+      Out.push_back({Each.m_Instance.m_Peer, Known, Complete,
                      Each.m_Report.m_DataHall == m_Settings.m_DataHall});
   }
   return Out;
--- a/Libraries/LibGateway/PeerTable.cpp
+++ b/Libraries/LibGateway/PeerTable.cpp
@@ -1,3 +1,4 @@
+//===-- PeerTable.cpp - Live peers and their latest reports ---------------===//
 #include "LibGateway/PeerTable.h"
 
 #include "LibCore/Digest.h"
@@ -7,13 +8,14 @@
 
 namespace yardrill::gateway {
 
-/// Silence after which a near peer counts as gone: several lost reports in a
-/// row.
+/// Silence after which a group peer is no longer live: several lost reports.
 static constexpr std::chrono::milliseconds GroupPeerTimeout{700};
-/// Far peers report rarely; several reports may be lost.
+/// Silence after which any peer is removed. Peers of other groups report
+/// rarely, and several reports can be lost.
 static constexpr std::chrono::seconds OtherGroupPeerTimeout{10};
 static constexpr std::chrono::seconds ScanPeriod{1};
-/// A far peer that follows the store reports every second.
+/// Silence after which a peer does not count as a follower: followers report to
+/// other groups once a second.
 static constexpr std::chrono::milliseconds FollowerTimeout{2500};
 static constexpr std::size_t MaxPeers = 1024;
 
@@ -44,15 +46,15 @@
   auto Known = m_Peers.find(From);
   bool IsNew = Known == m_Peers.end() || Known->second.m_IsSilent;
   if (IsNew && !Report.m_IsFull)
-    return {}; // A full one comes soon.
+    return {}; // A full one follows shortly.
   auto Dropped = m_Directory.accept(Message, Now, NowWallSeconds);
   if (Dropped)
     return {Dropped, false};
   if (Known == m_Peers.end()) {
-    // A process that ended, whose successor this is.
-    auto Earlier = m_ByAddress.find(Message.m_From.m_Peer);
-    if (Earlier != m_ByAddress.end())
-      remove(Earlier->second);
+    // An earlier incarnation at the same address has ended.
+    auto Predecessor = m_ByAddress.find(Message.m_From.m_Peer);
+    if (Predecessor != m_ByAddress.end())
+      remove(Predecessor->second);
     Known = m_Peers.emplace(From, LivePeer()).first;
     LivePeer &Added = Known->second;
     Added.m_Instance = Message.m_From;
@@ -67,20 +69,20 @@
   return {std::nullopt, IsNew};
 }
 
-void PeerTable::applyReport(LivePeer &Which, const peer::LoadReport &Report) {
-  std::pair<std::uint64_t, core::IncarnationId> Place(
-      Which.m_AddressHash, Which.m_Instance.m_Incarnation);
+void PeerTable::applyReport(LivePeer &Entry, const peer::LoadReport &Report) {
+  std::pair<std::uint64_t, core::IncarnationId> FollowerKey(
+      Entry.m_AddressHash, Entry.m_Instance.m_Incarnation);
   if (Report.m_IsFull) {
     m_IsFleetChanged =
-        m_IsFleetChanged || Which.m_Report.m_DataHall != Report.m_DataHall;
-    Which.m_Report = Report;
+        m_IsFleetChanged || Entry.m_Report.m_DataHall != Report.m_DataHall;
+    Entry.m_Report = Report;
   } else {
-    Which.m_Report = peer::completed(Report, Which.m_Report);
+    Entry.m_Report = peer::completed(Report, Entry.m_Report);
   }
   if (Report.m_IsStoreConnected)
-    m_Followers.insert(Place);
+    m_Followers.insert(FollowerKey);
   else
-    m_Followers.erase(Place);
+    m_Followers.erase(FollowerKey);
   m_NewestRevision = std::max(m_NewestRevision, Report.m_StoreRevision);
   m_NewestCompleteRevision =
       std::max(m_NewestCompleteRevision, Report.m_CompleteRevision);
@@ -99,44 +101,44 @@
   if (Found == m_Peers.end())
     return;
   m_Followers.erase({Found->second.m_AddressHash, Peer});
-  auto Named = m_ByAddress.find(Found->second.m_Instance.m_Peer);
-  if (Named != m_ByAddress.end() && Named->second == Peer)
-    m_ByAddress.erase(Named);
+  auto ByAddress = m_ByAddress.find(Found->second.m_Instance.m_Peer);
+  if (ByAddress != m_ByAddress.end() && ByAddress->second == Peer)
+    m_ByAddress.erase(ByAddress);
   m_Peers.erase(Found);
   m_IsFleetChanged = true;
 }
 
 std::vector<LivePeer> PeerTable::expire(core::TimePoint Now) {
-  std::vector<LivePeer> Silent;
-  for (core::IncarnationId Near : m_GroupPeers) {
-    LivePeer &Each = m_Peers.at(Near);
+  std::vector<LivePeer> SilentPeers;
+  for (core::IncarnationId PeerId : m_GroupPeers) {
+    LivePeer &Each = m_Peers.at(PeerId);
     if (Each.m_IsSilent || Now - Each.m_HeardAt <= GroupPeerTimeout)
       continue;
-    Silent.push_back(Each);
+    SilentPeers.push_back(Each);
     Each.m_IsSilent = true;
-    m_Followers.erase({Each.m_AddressHash, Near});
+    m_Followers.erase({Each.m_AddressHash, PeerId});
   }
   for (auto Each = m_Followers.begin(); Each != m_Followers.end();) {
     bool IsHeard = Now - m_Peers.at(Each->second).m_HeardAt <= FollowerTimeout;
     Each = IsHeard ? std::next(Each) : m_Followers.erase(Each);
   }
   if (Now - m_LastScanAt <= ScanPeriod)
-    return Silent;
+    return SilentPeers;
   m_LastScanAt = Now;
   for (const peer::KnownPeer &Each : m_Directory.expire(Now)) {
-    auto Gone = m_Peers.find(Each.m_Instance.m_Incarnation);
-    if (Gone == m_Peers.end())
+    auto Expired = m_Peers.find(Each.m_Instance.m_Incarnation);
+    if (Expired == m_Peers.end())
       continue;
-    if (!Gone->second.m_IsSilent)
-      Silent.push_back(Gone->second);
+    if (!Expired->second.m_IsSilent)
+      SilentPeers.push_back(Expired->second);
     remove(Each.m_Instance.m_Incarnation);
     rebuildGroupPeers();
   }
-  return Silent;
+  return SilentPeers;
 }
 
-void PeerTable::setSubset(const routing::FleetSubset &Share) {
-  m_Subset = Share;
+void PeerTable::setSubset(const routing::FleetSubset &Subset) {
+  m_Subset = Subset;
   rebuildGroupPeers();
 }
 
@@ -151,8 +153,8 @@
 
 std::vector<const LivePeer *> PeerTable::groupPeers() const {
   std::vector<const LivePeer *> Out;
-  for (core::IncarnationId Near : m_GroupPeers) {
-    const LivePeer &Each = m_Peers.at(Near);
+  for (core::IncarnationId PeerId : m_GroupPeers) {
+    const LivePeer &Each = m_Peers.at(PeerId);
     if (!Each.m_IsSilent)
       Out.push_back(&Each);
   }
--- a/Libraries/LibHTTP/Server.cpp
+++ b/Libraries/LibHTTP/Server.cpp
@@ -54,9 +54,10 @@
   ServerLimits m_Limits;
   Handler m_Handle;
   ErrorResponseFactory m_MakeErrorResponse;
-  core::Timer m_AcceptTimer; ///< Cancelled when a connection closes.
+  /// Delays the next accept; cancelled when a connection closes.
+  core::Timer m_AcceptTimer;
   std::list<std::shared_ptr<ServerConnection>> m_Connections;
-  bool m_IsKeepAliveDisabled = false; ///< Each connection after its answer.
+  bool m_IsKeepAliveDisabled = false;
   bool m_IsStopping = false;
   std::uint16_t m_Port = 0;
 };
@@ -96,7 +97,7 @@
       serve(std::move(Socket));
       continue;
     }
-    // Out of file descriptors, as a rule: wait for some to be closed.
+    // Usually out of file descriptors: retry when some may be closed.
     core::LogLine("accept-failed", core::LogLevel::Warning)
         .add("reason", Failure.message());
     m_AcceptTimer.expires_after(AcceptRetryDelay);
@@ -105,14 +106,14 @@
 }
 
 void BeastServer::serve(tcp::socket Socket) {
-  auto Place = m_Connections.insert(
+  auto Position = m_Connections.insert(
       m_Connections.end(), std::make_shared<ServerConnection>(
                                std::move(Socket), m_Limits, m_Handle,
                                m_MakeErrorResponse, m_IsKeepAliveDisabled));
   asio::spawn(
       m_Context,
-      [this, Place](asio::yield_context Yield) {
-        auto Owned = *Place;
+      [this, Position](asio::yield_context Yield) {
+        auto Owned = *Position;
         try {
           Owned->run(Yield);
         } catch (const std::exception &Failure) {
@@ -120,7 +121,7 @@
               .add("reason", Failure.what());
           Owned->abort();
         }
-        m_Connections.erase(Place);
+        m_Connections.erase(Position);
         m_AcceptTimer.cancel();
       },
       asio::detached);
@@ -130,9 +131,9 @@
   m_IsKeepAliveDisabled = m_IsStopping = true;
   m_Acceptor.close();
   m_AcceptTimer.cancel();
-  for (auto &Open : m_Connections)
-    if (Open->isIdle())
-      Open->close();
+  for (auto &Connection : m_Connections)
+    if (Connection->isIdle())
+      Connection->close();
 }
 
 std::unique_ptr<Server> Server::create(asio::io_context &Context,
--- a/Libraries/LibPeer/PeerCodec.cpp
+++ b/Libraries/LibPeer/PeerCodec.cpp
@@ -1,3 +1,4 @@
+//===-- PeerCodec.cpp - Peer messages as authenticated datagrams ----------===//
 #include "LibPeer/PeerCodec.h"
 
 #include "LibCore/Digest.h"
@@ -48,21 +49,21 @@
 }
 
 std::string PeerCodec::encodeSigned(std::string_view Payload) const {
-  std::string Sealed(Magic);
-  Sealed += ProtocolVersion;
-  Sealed += sign(m_Key, Payload);
-  Sealed += Payload;
-  return Sealed;
+  std::string Data(Magic);
+  Data += ProtocolVersion;
+  Data += sign(m_Key, Payload);
+  Data += Payload;
+  return Data;
 }
 
 std::variant<std::string_view, DropReason>
-PeerCodec::decodeSigned(std::string_view Sealed) const {
-  if (Sealed.size() < PayloadOffset || Sealed.substr(0, VersionOffset) != Magic)
+PeerCodec::decodeSigned(std::string_view Data) const {
+  if (Data.size() < PayloadOffset || Data.substr(0, VersionOffset) != Magic)
     return DropReason::Garbage;
-  if (Sealed[VersionOffset] != ProtocolVersion)
+  if (Data[VersionOffset] != ProtocolVersion)
     return DropReason::OtherVersion;
-  std::string_view Payload = Sealed.substr(PayloadOffset);
-  if (!core::isEqualConstantTime(Sealed.substr(SignatureOffset, SignatureBytes),
+  std::string_view Payload = Data.substr(PayloadOffset);
+  if (!core::isEqualConstantTime(Data.substr(SignatureOffset, SignatureBytes),
                                  sign(m_Key, Payload)))
     return DropReason::WrongKey;
   return Payload;
@@ -76,7 +77,8 @@
   }
   std::string Datagram = encodeSigned(Out.str());
   if (Datagram.size() > MaxDatagramBytes)
-    throw core::Error(core::ErrorKind::LimitExceeded, "datagram is too large");
+    throw core::Error(core::ErrorKind::LimitExceeded,
+                      "encoded message does not fit a datagram");
   return Datagram;
 }
 
--- a/Tests/LibGateway/FleetMembershipTest.cpp
+++ b/Tests/LibGateway/FleetMembershipTest.cpp
@@ -1,3 +1,4 @@
+//===-- FleetMembershipTest.cpp - Membership of silent and new instances --===//
 #include "LibGateway/FleetMembership.h"
 
 #include "EmptyStore.h"
@@ -27,7 +28,7 @@
   const Instance m_B{{"10.1.0.2", 7600}, core::DataHallName("hall b")};
   const Instance m_C{{"10.1.0.3", 7600}, core::DataHallName("hall a")};
 
-  /// Keeps what is written.
+  /// Records the last write.
   class WritableStore final : public tests::EmptyStore {
   public:
     std::optional<platform::CompareAndSwap> m_Written;
@@ -42,44 +43,45 @@
 
 public:
   void testFirstListHoldsLiveInstances() {
-    FleetMembership Roster;
-    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_B}, m_Now) ==
+    FleetMembership Membership;
+    CPPUNIT_ASSERT(*Membership.proposeUpdate({m_A, m_B}, m_Now) ==
                    FleetMembers({m_A, m_B}));
   }
 
   void testNewInstanceIsAddedAtOnce() {
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_B, m_C}, m_Now) ==
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(*Membership.proposeUpdate({m_A, m_B, m_C}, m_Now) ==
                    FleetMembers({m_A, m_B, m_C}));
   }
 
   void testShortSilenceChangesNothing() {
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(10)));
-    // It came back; the next silence is another one.
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_B, m_C}, m_Now + seconds(11)));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(12)));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(22)));
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_B, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(10)));
+    // The instance returned, so that the next silence starts anew.
+    CPPUNIT_ASSERT(
+        !Membership.proposeUpdate({m_A, m_B, m_C}, m_Now + seconds(11)));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(12)));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(22)));
   }
 
   void testLongSilenceRemovesInstance() {
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A, m_C}, m_Now));
-    CPPUNIT_ASSERT(*Roster.proposeUpdate({m_A, m_C}, m_Now + seconds(13)) ==
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_B, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A, m_C}, m_Now));
+    CPPUNIT_ASSERT(*Membership.proposeUpdate({m_A, m_C}, m_Now + seconds(13)) ==
                    FleetMembers({m_A, m_C}));
   }
 
   void testMinorityRemovesNoInstance() {
-    // It is cut off from the others, and not from the store.
-    FleetMembership Roster;
-    Roster.setRecorded({m_A, m_B, m_C});
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A}, m_Now));
-    CPPUNIT_ASSERT(!Roster.proposeUpdate({m_A}, m_Now + seconds(60)));
+    // The instance is partitioned from its peers, but reaches the store.
+    FleetMembership Membership;
+    Membership.setRecorded({m_A, m_B, m_C});
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A}, m_Now));
+    CPPUNIT_ASSERT(!Membership.proposeUpdate({m_A}, m_Now + seconds(60)));
   }
 
   void testRecordRoundTrip() {
@@ -87,7 +89,7 @@
     WritableStore Store;
     MembershipRecord Record(Context, Store);
     Record.write({m_A, m_B}, m_Now);
-    // Not twice within a short time.
+    // Ignored, since it follows the first write too soon.
     Record.write({m_A, m_B, m_C}, m_Now + seconds(1));
     Context.run();
     CPPUNIT_ASSERT(Store.m_Written);
--- a/Tests/LibGateway/StoreFollowerTest.cpp
+++ b/Tests/LibGateway/StoreFollowerTest.cpp
@@ -1,3 +1,4 @@
+//===-- StoreFollowerTest.cpp - Where a watch of the store begins ---------===//
 #include "LibGateway/StoreFollower.h"
 
 #include "EmptyStore.h"
@@ -15,13 +16,14 @@
 
 namespace {
 
-/// Has one content; each watch breaks at once, but is remembered.
+/// Has fixed content. Each watch fails at once, after its revision was
+/// recorded.
 class BreakingStore final : public EmptyStore {
 public:
   explicit BreakingStore(std::function<void()> OnWatch)
       : m_OnWatch(std::move(OnWatch)) {}
 
-  std::vector<Revision> m_WatchedFrom;
+  std::vector<Revision> m_WatchRevisions;
 
   std::vector<Entry> readPrefix(const std::string &, platform::CallClass,
                                 asio::yield_context) override {
@@ -30,7 +32,7 @@
   void watch(const std::string &, Revision After,
              const std::function<bool(const std::vector<Entry> &)> &,
              asio::yield_context) override {
-    m_WatchedFrom.push_back(After);
+    m_WatchRevisions.push_back(After);
     m_OnWatch();
     throw core::Error(core::ErrorKind::Unavailable, "cut");
   }
@@ -48,12 +50,12 @@
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  /// Peers may have told of a value that none of them has any more.
+  /// Guards against a pending value that no peer can supply any more.
   void testWatchStartsBeforeMissingValues() {
     asio::io_context Context{1};
     platform::StoreMirror Mirror(16);
     BreakingStore Store([&] {
-      if (Store.m_WatchedFrom.size() == 2)
+      if (Store.m_WatchRevisions.size() == 2)
         return Context.stop();
       Mirror.apply(Revision(9), {{"large", "", Revision(7), false, true},
                                  {"small", "new", Revision(9)}});
@@ -61,10 +63,10 @@
     StoreFollower Follower(Context, Store, Mirror);
     Follower.start([](core::Duration) { return false; });
     Context.run_for(std::chrono::seconds(5));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), Store.m_WatchedFrom.size());
-    CPPUNIT_ASSERT(Store.m_WatchedFrom[0] == Revision(5));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), Store.m_WatchRevisions.size());
+    CPPUNIT_ASSERT(Store.m_WatchRevisions[0] == Revision(5));
     CPPUNIT_ASSERT(Mirror.revision() == Revision(9));
-    CPPUNIT_ASSERT(Store.m_WatchedFrom[1] == Revision(6));
+    CPPUNIT_ASSERT(Store.m_WatchRevisions[1] == Revision(6));
   }
 };
 
