--- a/Libraries/LibRouting/TargetDirectory.cpp
+++ b/Libraries/LibRouting/TargetDirectory.cpp
@@ -296,7 +296,8 @@
   auto First =
       Which.m_SubsetTargets.begin() +
       static_cast<long>(m_FleetSubset.firstIndex(Which.m_SubsetTargets.size()));
-  std::rotate(Which.m_SubsetTargets.begin(), First, Which.m_LocalLoad.end());
+  std::rotate(Which.m_SubsetTargets.begin(), First,
+              Which.m_SubsetTargets.end());
 }
 
 std::size_t TargetDirectory::senderCount(const TargetIncarnation &Run) {
