--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -35,31 +35,31 @@
 /// A rank counts as present for so long after its last request.
 static constexpr std::chrono::seconds PriorityMemory{10};
 
-double Dispatcher::cost(const KnownTarget &At, const PlacementRequest &What,
+double Dispatcher::cost(const KnownTarget &Known, const PlacementRequest &What,
                         core::TimePoint Now) const {
   double HallCost =
-      At.m_Target.m_DataHall == m_LocalDataHall ? 0 : OtherHallCostMs;
+      Known.m_Target.m_DataHall == m_LocalDataHall ? 0 : OtherHallCostMs;
   if (m_Policy == PlacementPolicy::LeastOutstanding)
-    return static_cast<double>(At.m_LocalLoad.m_Running) /
-               static_cast<double>(At.m_Target.m_Slots) +
+    return static_cast<double>(Known.m_LocalLoad.m_Running) /
+               static_cast<double>(Known.m_Target.m_Slots) +
            HallCost / 1000;
-  double Running = static_cast<double>(At.running());
-  double Places = static_cast<double>(At.m_Target.m_Slots);
-  double Queued = Running >= Places ? Running - Places + 1 : 0;
+  double Running = static_cast<double>(Known.running());
+  double Slots = static_cast<double>(Known.m_Target.m_Slots);
+  double Queued = Running >= Slots ? Running - Slots + 1 : 0;
   double Prompt = 0;
   if (What.m_IsInference)
-    Prompt = static_cast<double>(At.m_LocalLoad.m_PendingPromptTokens +
-                                 At.m_RemoteLoad.m_PendingPromptTokens +
+    Prompt = static_cast<double>(Known.m_LocalLoad.m_PendingPromptTokens +
+                                 Known.m_RemoteLoad.m_PendingPromptTokens +
                                  What.m_PromptTokens) /
              PromptTokensPerMs;
   double Start =
       (Prompt + Running * RunningCostMs + Queued * QueuedCostMs + 1) *
-      At.m_Slowness;
-  double Finish = Start + What.m_ExpectedEvents * At.m_ServiceTimeMs;
+      Known.m_Slowness;
+  double Finish = Start + What.m_ExpectedEvents * Known.m_ServiceTimeMs;
   double TimeLeft =
       core::toSeconds(What.m_EndsAt - Now) * 1000 * UsableTimeShare;
   double Overrun = std::max(0.0, Finish - TimeLeft);
-  return Start + HallCost + At.m_FailureRate * FailureCostMs +
+  return Start + HallCost + Known.m_FailureRate * FailureCostMs +
          Overrun * OverrunWeight;
 }
 
@@ -69,10 +69,10 @@
 
 void Dispatcher::recordPriority(const PlacementRequest &What,
                                 core::TimePoint Now) {
-  auto &Ranks = m_PriorityLastSeen[What.m_Pool];
-  Ranks[What.m_Priority] = Now;
-  for (auto Each = Ranks.begin(); Each != Ranks.end();)
-    Each = Now - Each->second > PriorityMemory ? Ranks.erase(Each)
+  auto &LastSeen = m_PriorityLastSeen[What.m_Pool];
+  LastSeen[What.m_Priority] = Now;
+  for (auto Each = LastSeen.begin(); Each != LastSeen.end();)
+    Each = Now - Each->second > PriorityMemory ? LastSeen.erase(Each)
                                                : std::next(Each);
 }
 
@@ -114,20 +114,21 @@
 // Where
 //===----------------------------------------------------------------------===//
 
-double Dispatcher::prefillTimeMs(const KnownTarget &At, std::uint32_t Tokens) {
-  return static_cast<double>(Tokens) / PromptTokensPerMs * At.m_Slowness;
+double Dispatcher::prefillTimeMs(const KnownTarget &Known,
+                                 std::uint32_t Tokens) {
+  return static_cast<double>(Tokens) / PromptTokensPerMs * Known.m_Slowness;
 }
 
-std::size_t Dispatcher::slotsFor(const KnownTarget &At,
+std::size_t Dispatcher::slotsFor(const KnownTarget &Known,
                                  const PlacementRequest &What) {
-  auto Places = static_cast<double>(At.m_Target.m_Slots);
+  auto Slots = static_cast<double>(Known.m_Target.m_Slots);
   if (!What.m_IsInference ||
-      prefillTimeMs(At, What.m_PromptTokens) < ShortPrefillMs)
-    return At.m_Target.m_Slots;
+      prefillTimeMs(Known, What.m_PromptTokens) < ShortPrefillMs)
+    return Known.m_Target.m_Slots;
   // A long prompt holds up the streams beside it, a slow target's the more. A
   // limit for short prompts as well would leave slow targets mostly empty.
-  Places = std::max(1.0, std::round(Places / std::max(1.0, At.m_Slowness)));
-  return static_cast<std::size_t>(Places);
+  Slots = std::max(1.0, std::round(Slots / std::max(1.0, Known.m_Slowness)));
+  return static_cast<std::size_t>(Slots);
 }
 
 bool Dispatcher::leavesReservedSlots(const PlacementRequest &What,
@@ -141,9 +142,9 @@
     if (!m_Targets.isOpen(*Each, Now) ||
         (Gate && !Gate->mayServe(Each->m_Target, Now)))
       continue;
-    double Places = static_cast<double>(slotsFor(*Each, What));
-    All += Places;
-    Free += std::max(0.0, Places - static_cast<double>(Each->running()));
+    double Slots = static_cast<double>(slotsFor(*Each, What));
+    All += Slots;
+    Free += std::max(0.0, Slots - static_cast<double>(Each->running()));
   }
   return Free - 1 >= All * ReservedSlotShare;
 }
@@ -182,56 +183,56 @@
                                                   core::TimePoint Now) const {
   const VersionGate *Gate = gateOf(What.m_Pool);
   if (Gate) {
-    std::vector<KnownTarget *> Trial = canaryCandidates(*Gate, What, Now);
-    if (!Trial.empty())
-      return Trial;
+    std::vector<KnownTarget *> Canaries = canaryCandidates(*Gate, What, Now);
+    if (!Canaries.empty())
+      return Canaries;
   }
   std::vector<KnownTarget *> Out;
-  auto TakeOf = [&](const std::vector<KnownTarget *> &From) {
+  auto AddCandidates = [&](const std::vector<KnownTarget *> &From) {
     for (KnownTarget *Each : From)
       if (m_Targets.isOpen(*Each, Now) &&
           What.m_TriedTargets.count(Each->m_Target.run()) == 0 &&
           (!Gate || Gate->mayServe(Each->m_Target, Now)))
         Out.push_back(Each);
   };
-  TakeOf(m_Targets.subsetOf(What.m_Pool));
+  AddCandidates(m_Targets.subsetOf(What.m_Pool));
   // While traffic moves, this instance's part may hold none of the version that
   // takes requests now.
   if (Gate && Out.empty())
-    TakeOf(m_Targets.allTargetsOf(What.m_Pool));
+    AddCandidates(m_Targets.allTargetsOf(What.m_Pool));
   // A target that has just failed always has free places: where the others are
   // full, everything that waits would fall on it.
-  auto IsResting = [Now](const KnownTarget *Each) {
+  auto IsCoolingDown = [Now](const KnownTarget *Each) {
     return Each->m_CooldownUntil > Now;
   };
-  if (!std::all_of(Out.begin(), Out.end(), IsResting))
-    Out.erase(std::remove_if(Out.begin(), Out.end(), IsResting), Out.end());
+  if (!std::all_of(Out.begin(), Out.end(), IsCoolingDown))
+    Out.erase(std::remove_if(Out.begin(), Out.end(), IsCoolingDown), Out.end());
   return Out;
 }
 
-bool Dispatcher::hasFreeSlot(const KnownTarget &At,
+bool Dispatcher::hasFreeSlot(const KnownTarget &Known,
                              const PlacementRequest &What) const {
-  if (At.isOnProbation())
-    return At.m_LocalLoad.m_Running == 0;
-  return At.running() < slotsFor(At, What);
+  if (Known.isOnProbation())
+    return Known.m_LocalLoad.m_Running == 0;
+  return Known.running() < slotsFor(Known, What);
 }
 
 KnownTarget *Dispatcher::choose(const PlacementRequest &What, bool MustSend,
-                                core::TimePoint Now, bool &HasAny) {
+                                core::TimePoint Now, bool &HasCandidate) {
   KnownTarget *Best = nullptr;
-  bool IsBestLapsed = false;
+  bool IsBestExpired = false;
   double BestCost = 0;
   for (KnownTarget *Each : candidates(What, Now)) {
-    HasAny = true;
+    HasCandidate = true;
     if (!MustSend && !hasFreeSlot(*Each, What))
       continue;
     // One that is not announced any more is used when the others are full.
-    bool IsLapsed = Each->m_ExpiredAt.has_value();
+    bool IsExpired = Each->m_ExpiredAt.has_value();
     double Cost = cost(*Each, What, Now);
-    if (Best && std::tie(IsLapsed, Cost) >= std::tie(IsBestLapsed, BestCost))
+    if (Best && std::tie(IsExpired, Cost) >= std::tie(IsBestExpired, BestCost))
       continue;
     Best = Each;
-    IsBestLapsed = IsLapsed;
+    IsBestExpired = IsExpired;
     BestCost = Cost;
   }
   return Best;
@@ -252,31 +253,31 @@
 }
 
 bool Dispatcher::trySend(const PlacementRequest &What, core::TimePoint Now) {
-  bool HasAny = false;
+  bool HasCandidate = false;
   bool IsTimeUp = queueDeadline(What) <= Now;
   // A stream sent to wait at a full target makes all that run there late; its
   // caller can come back in a better moment.
   bool MustSend = IsTimeUp && (!What.m_IsInference ||
                                m_Policy == PlacementPolicy::LeastOutstanding);
-  KnownTarget *Best = choose(What, MustSend, Now, HasAny);
+  KnownTarget *Best = choose(What, MustSend, Now, HasCandidate);
   // Before its caller leaves it may have a place that is kept and still free.
   if (Best && !IsTimeUp && !leavesReservedSlots(What, Now))
     return false;
-  if (!HasAny && !IsTimeUp) {
-    auto OpensAt = nextAvailability(What, Now);
-    if (OpensAt && *OpensAt <= queueDeadline(What))
+  if (!HasCandidate && !IsTimeUp) {
+    auto AvailableAt = nextAvailability(What, Now);
+    if (AvailableAt && *AvailableAt <= queueDeadline(What))
       return false;
   }
-  if (!HasAny || (IsTimeUp && !Best)) {
+  if (!HasCandidate || (IsTimeUp && !Best)) {
     m_Hooks.m_Refuse(What.m_Request);
     return true;
   }
   if (!Best)
     return false;
-  Target Where = Best->m_Target;
-  if (!m_Targets.tryStartRequest(Where.run(), What.m_PromptTokens, Now))
+  Target Chosen = Best->m_Target;
+  if (!m_Targets.tryStartRequest(Chosen.run(), What.m_PromptTokens, Now))
     return false;
-  m_Hooks.m_Send(What.m_Request, Where);
+  m_Hooks.m_Send(What.m_Request, Chosen);
   return true;
 }
 
@@ -290,8 +291,8 @@
   if (!IsBehindOthers && trySend(What, Now))
     return;
   // Those ahead get what limited targets take until it would be too late.
-  auto OpensAt = nextAvailability(What, Now);
-  if (OpensAt && *OpensAt > queueDeadline(What))
+  auto AvailableAt = nextAvailability(What, Now);
+  if (AvailableAt && *AvailableAt > queueDeadline(What))
     return m_Hooks.m_Refuse(What.m_Request);
   m_Waiting.emplace(What.m_Request, What);
 }
--- a/Libraries/LibRouting/Dispatcher.h
+++ b/Libraries/LibRouting/Dispatcher.h
@@ -56,10 +56,10 @@
 
 class Dispatcher {
 public:
-  Dispatcher(TargetDirectory &Targets, core::DataHallName Home,
+  Dispatcher(TargetDirectory &Targets, core::DataHallName LocalDataHall,
              PlacementPolicy Policy, DispatcherHooks Hooks)
-      : m_Targets(Targets), m_LocalDataHall(std::move(Home)), m_Policy(Policy),
-        m_Hooks(std::move(Hooks)) {}
+      : m_Targets(Targets), m_LocalDataHall(std::move(LocalDataHall)),
+        m_Policy(Policy), m_Hooks(std::move(Hooks)) {}
 
   /// Sends, queues or refuses. It waits here for a free place rather than at a
   /// target, since targets serve in the order of arrival.
@@ -97,16 +97,17 @@
                                               const PlacementRequest &What,
                                               core::TimePoint Now) const;
   const VersionGate *gateOf(const core::PoolName &Pool) const;
-  bool hasFreeSlot(const KnownTarget &At, const PlacementRequest &What) const;
+  bool hasFreeSlot(const KnownTarget &Known,
+                   const PlacementRequest &What) const;
   KnownTarget *choose(const PlacementRequest &What, bool MustSend,
-                      core::TimePoint Now, bool &HasAny);
-  double cost(const KnownTarget &At, const PlacementRequest &What,
+                      core::TimePoint Now, bool &HasCandidate);
+  double cost(const KnownTarget &Known, const PlacementRequest &What,
               core::TimePoint Now) const;
   /// Expected time that the target takes to read a prompt, alone.
-  static double prefillTimeMs(const KnownTarget &At, std::uint32_t Tokens);
+  static double prefillTimeMs(const KnownTarget &Known, std::uint32_t Tokens);
   /// Places that such a request may take: fewer at a slow target, where its
   /// prompt is long.
-  static std::size_t slotsFor(const KnownTarget &At,
+  static std::size_t slotsFor(const KnownTarget &Known,
                               const PlacementRequest &What);
   /// Whether the lowest rank may take one more place.
   bool leavesReservedSlots(const PlacementRequest &What,
--- a/Libraries/LibRouting/DistributedQuota.cpp
+++ b/Libraries/LibRouting/DistributedQuota.cpp
@@ -77,121 +77,127 @@
   m_AccountStates = std::move(Next);
 }
 
-bool DistributedQuota::takeCachedGrant(AccountState &Of,
-                                       QuotaAcquisition &Draw) {
-  for (CachedGrant &Each : Of.m_CachedGrants) {
-    if (Each.m_Tokens < Draw.m_Tokens)
+bool DistributedQuota::takeCachedGrant(AccountState &State,
+                                       QuotaAcquisition &Acquisition) {
+  for (CachedGrant &Each : State.m_CachedGrants) {
+    if (Each.m_Tokens < Acquisition.m_Tokens)
       continue;
-    Each.m_Tokens -= Draw.m_Tokens;
-    Draw.m_Owner = Each.m_Owner;
-    Draw.m_Source = QuotaSource::Advance;
+    Each.m_Tokens -= Acquisition.m_Tokens;
+    Acquisition.m_Owner = Each.m_Owner;
+    Acquisition.m_Source = QuotaSource::Advance;
     return true;
   }
   return false;
 }
 
-QuotaStep DistributedQuota::begin(QuotaAcquisition &Draw, core::TimePoint Now) {
-  auto Found = m_AccountStates.find(Draw.m_Account);
+QuotaStep DistributedQuota::begin(QuotaAcquisition &Acquisition,
+                                  core::TimePoint Now) {
+  auto Found = m_AccountStates.find(Acquisition.m_Account);
   if (Found == m_AccountStates.end())
     return QuotaStep::Granted;
-  if (takeCachedGrant(Found->second, Draw))
+  if (takeCachedGrant(Found->second, Acquisition))
     return QuotaStep::Granted;
-  Draw.m_RemainingOwners = m_Ring.ownersOf(Draw.m_Account);
+  Acquisition.m_RemainingOwners = m_Ring.ownersOf(Acquisition.m_Account);
   // Callers of all instances meet all owners alike, as each has its own part.
-  std::shuffle(Draw.m_RemainingOwners.begin(), Draw.m_RemainingOwners.end(),
-               m_Random);
-  auto Own = std::find(Draw.m_RemainingOwners.begin(),
-                       Draw.m_RemainingOwners.end(), m_Self);
-  if (Own != Draw.m_RemainingOwners.end())
-    std::rotate(Own, Own + 1, Draw.m_RemainingOwners.end());
-  return next(Draw, Now);
+  std::shuffle(Acquisition.m_RemainingOwners.begin(),
+               Acquisition.m_RemainingOwners.end(), m_Random);
+  auto Own = std::find(Acquisition.m_RemainingOwners.begin(),
+                       Acquisition.m_RemainingOwners.end(), m_Self);
+  if (Own != Acquisition.m_RemainingOwners.end())
+    std::rotate(Own, Own + 1, Acquisition.m_RemainingOwners.end());
+  return next(Acquisition, Now);
 }
 
-QuotaStep DistributedQuota::next(QuotaAcquisition &Draw, core::TimePoint Now) {
-  AccountState &Of = m_AccountStates.at(Draw.m_Account);
-  while (!Draw.m_RemainingOwners.empty()) {
-    const config::Endpoint Owner = Draw.m_RemainingOwners.back();
-    auto Empty = Of.m_ExhaustedUntil.find(Owner);
-    if (Empty != Of.m_ExhaustedUntil.end() && Empty->second > Now) {
-      recordRefusal(Of, Owner, Draw, Empty->second - Now, Now);
-      Draw.m_RemainingOwners.pop_back();
+QuotaStep DistributedQuota::next(QuotaAcquisition &Acquisition,
+                                 core::TimePoint Now) {
+  AccountState &State = m_AccountStates.at(Acquisition.m_Account);
+  while (!Acquisition.m_RemainingOwners.empty()) {
+    const config::Endpoint Owner = Acquisition.m_RemainingOwners.back();
+    auto Exhausted = State.m_ExhaustedUntil.find(Owner);
+    if (Exhausted != State.m_ExhaustedUntil.end() && Exhausted->second > Now) {
+      recordRefusal(State, Owner, Acquisition, Exhausted->second - Now, Now);
+      Acquisition.m_RemainingOwners.pop_back();
       continue;
     }
     if (Owner == m_Self)
       return handleResponse(
-          Draw,
-          m_LocalOwner.handleRequest({Draw.m_Account, Draw.m_Tokens, 0}, Now),
+          Acquisition,
+          m_LocalOwner.handleRequest(
+              {Acquisition.m_Account, Acquisition.m_Tokens, 0}, Now),
           Now);
-    auto Silent = m_UnresponsiveUntil.find(Owner);
-    if (Silent == m_UnresponsiveUntil.end() || Silent->second <= Now)
+    auto Unresponsive = m_UnresponsiveUntil.find(Owner);
+    if (Unresponsive == m_UnresponsiveUntil.end() ||
+        Unresponsive->second <= Now)
       return QuotaStep::Ask;
-    Draw.m_RemainingOwners.pop_back();
+    Acquisition.m_RemainingOwners.pop_back();
   }
-  if (Draw.m_RetryAfter)
+  if (Acquisition.m_RetryAfter)
     return QuotaStep::Refused;
-  return acquireIsolated(Of, Draw, Now);
+  return acquireIsolated(State, Acquisition, Now);
 }
 
-void DistributedQuota::recordRefusal(AccountState &Of,
+void DistributedQuota::recordRefusal(AccountState &State,
                                      const config::Endpoint &Owner,
-                                     QuotaAcquisition &Draw,
+                                     QuotaAcquisition &Acquisition,
                                      core::Duration RetryAfter,
                                      core::TimePoint Now) {
-  Of.m_ExhaustedUntil[Owner] =
+  State.m_ExhaustedUntil[Owner] =
       Now + std::min<core::Duration>(RetryAfter, MaxExhaustedTime);
-  Draw.m_RetryAfter =
-      std::min(Draw.m_RetryAfter.value_or(RetryAfter), RetryAfter);
+  Acquisition.m_RetryAfter =
+      std::min(Acquisition.m_RetryAfter.value_or(RetryAfter), RetryAfter);
 }
 
-QuotaStep DistributedQuota::handleResponse(QuotaAcquisition &Draw,
+QuotaStep DistributedQuota::handleResponse(QuotaAcquisition &Acquisition,
                                            const QuotaResponse &Response,
                                            core::TimePoint Now) {
-  config::Endpoint Owner = Draw.m_RemainingOwners.back();
-  Draw.m_RemainingOwners.pop_back();
+  config::Endpoint Owner = Acquisition.m_RemainingOwners.back();
+  Acquisition.m_RemainingOwners.pop_back();
   m_UnresponsiveUntil.erase(Owner);
-  auto Found = m_AccountStates.find(Draw.m_Account);
+  auto Found = m_AccountStates.find(Acquisition.m_Account);
   // The account has lost its limit meanwhile.
   if (Found == m_AccountStates.end())
     return QuotaStep::Granted;
-  AccountState &Of = Found->second;
+  AccountState &State = Found->second;
   switch (Response.m_Verdict) {
   case QuotaVerdict::Granted:
-    Draw.m_Owner = Owner;
-    Draw.m_Source = QuotaSource::Owner;
-    if (Response.m_Tokens > Draw.m_Tokens)
-      cacheGrant(Owner, Draw.m_Account, Response.m_Tokens - Draw.m_Tokens, Now);
+    Acquisition.m_Owner = Owner;
+    Acquisition.m_Source = QuotaSource::Owner;
+    if (Response.m_Tokens > Acquisition.m_Tokens)
+      cacheGrant(Owner, Acquisition.m_Account,
+                 Response.m_Tokens - Acquisition.m_Tokens, Now);
     return QuotaStep::Granted;
   case QuotaVerdict::Refused:
-    recordRefusal(Of, Owner, Draw, Response.m_RetryAfter, Now);
+    recordRefusal(State, Owner, Acquisition, Response.m_RetryAfter, Now);
     break;
   case QuotaVerdict::NotOwner:
     break;
   }
-  return next(Draw, Now);
+  return next(Acquisition, Now);
 }
 
-QuotaStep DistributedQuota::handleTimeout(QuotaAcquisition &Draw,
+QuotaStep DistributedQuota::handleTimeout(QuotaAcquisition &Acquisition,
                                           core::TimePoint Now) {
-  m_UnresponsiveUntil[Draw.m_RemainingOwners.back()] = Now + UnresponsiveTime;
-  Draw.m_RemainingOwners.pop_back();
-  if (m_AccountStates.count(Draw.m_Account) == 0)
+  m_UnresponsiveUntil[Acquisition.m_RemainingOwners.back()] =
+      Now + UnresponsiveTime;
+  Acquisition.m_RemainingOwners.pop_back();
+  if (m_AccountStates.count(Acquisition.m_Account) == 0)
     return QuotaStep::Granted;
-  return next(Draw, Now);
+  return next(Acquisition, Now);
 }
 
-QuotaStep DistributedQuota::acquireIsolated(AccountState &Of,
-                                            QuotaAcquisition &Draw,
+QuotaStep DistributedQuota::acquireIsolated(AccountState &State,
+                                            QuotaAcquisition &Acquisition,
                                             core::TimePoint Now) {
-  Draw.m_Source = QuotaSource::Alone;
+  Acquisition.m_Source = QuotaSource::Alone;
   // In the mean as many tokens as it holds, whatever requests come.
-  double Level = Of.m_IsolatedBucket.level(Now);
-  double Tokens = Draw.m_Tokens;
+  double Level = State.m_IsolatedBucket.level(Now);
+  double Tokens = Acquisition.m_Tokens;
   std::uniform_real_distribution<double> Chance(0, 1);
-  bool IsLetIn = Chance(m_Random) * Tokens < Level;
-  Of.m_IsolatedBucket.take(std::min(Tokens, Level));
-  if (IsLetIn)
+  bool IsGranted = Chance(m_Random) * Tokens < Level;
+  State.m_IsolatedBucket.take(std::min(Tokens, Level));
+  if (IsGranted)
     return QuotaStep::Granted;
-  Draw.m_RetryAfter = DefaultRetryAfter;
+  Acquisition.m_RetryAfter = DefaultRetryAfter;
   return QuotaStep::Refused;
 }
 
@@ -211,22 +217,23 @@
   Found->second.m_CachedGrants.push_back({Owner, Tokens, Now});
 }
 
-void DistributedQuota::giveBack(const QuotaAcquisition &Draw,
+void DistributedQuota::giveBack(const QuotaAcquisition &Acquisition,
                                 core::TimePoint Now) {
-  if (Draw.m_Owner)
-    cacheGrant(*Draw.m_Owner, Draw.m_Account, Draw.m_Tokens, Now);
+  if (Acquisition.m_Owner)
+    cacheGrant(*Acquisition.m_Owner, Acquisition.m_Account,
+               Acquisition.m_Tokens, Now);
 }
 
 std::vector<QuotaReturn>
 DistributedQuota::takeUnusedGrants(core::TimePoint Now) {
   std::vector<QuotaReturn> Out;
-  for (auto &[Account, Of] : m_AccountStates) {
+  for (auto &[Account, State] : m_AccountStates) {
     auto IsUsed = [Now](const CachedGrant &Each) {
       return Each.m_Tokens > 0 && Now - Each.m_Since < GrantCacheTime;
     };
-    auto First = std::stable_partition(Of.m_CachedGrants.begin(),
-                                       Of.m_CachedGrants.end(), IsUsed);
-    for (auto Each = First; Each != Of.m_CachedGrants.end(); ++Each) {
+    auto First = std::stable_partition(State.m_CachedGrants.begin(),
+                                       State.m_CachedGrants.end(), IsUsed);
+    for (auto Each = First; Each != State.m_CachedGrants.end(); ++Each) {
       if (Each->m_Tokens == 0)
         continue;
       if (Each->m_Owner == m_Self)
@@ -234,7 +241,7 @@
       else
         Out.push_back({Each->m_Owner, Account, Each->m_Tokens});
     }
-    Of.m_CachedGrants.erase(First, Of.m_CachedGrants.end());
+    State.m_CachedGrants.erase(First, State.m_CachedGrants.end());
   }
   return Out;
 }
--- a/Libraries/LibRouting/DistributedQuota.h
+++ b/Libraries/LibRouting/DistributedQuota.h
@@ -67,10 +67,10 @@
   /// at its worst.
   static constexpr std::chrono::milliseconds ResponseTimeout{60};
 
-  /// \param IsFull whether no quota was used yet; see QuotaOwner.
+  /// \param IsFullAtStart whether no quota was used yet; see QuotaOwner.
   DistributedQuota(config::Endpoint Self, const QuotaTolerance &Tolerance,
-                   bool IsFull, std::uint64_t Seed)
-      : m_Self(std::move(Self)), m_LocalOwner(m_Self, IsFull),
+                   bool IsFullAtStart, std::uint64_t Seed)
+      : m_Self(std::move(Self)), m_LocalOwner(m_Self, IsFullAtStart),
         m_Tolerance(Tolerance), m_Random(Seed) {}
 
   void setAccounts(std::vector<Account> Accounts, core::TimePoint Now);
@@ -80,17 +80,17 @@
     m_LocalOwner.setListConfirmed(IsConfirmed);
   }
 
-  QuotaStep begin(QuotaAcquisition &Draw, core::TimePoint Now);
+  QuotaStep begin(QuotaAcquisition &Acquisition, core::TimePoint Now);
   /// The owner that was to be asked has answered.
-  QuotaStep handleResponse(QuotaAcquisition &Draw,
+  QuotaStep handleResponse(QuotaAcquisition &Acquisition,
                            const QuotaResponse &Response, core::TimePoint Now);
   /// It has not, within Patience.
-  QuotaStep handleTimeout(QuotaAcquisition &Draw, core::TimePoint Now);
+  QuotaStep handleTimeout(QuotaAcquisition &Acquisition, core::TimePoint Now);
   /// Keeps what an owner granted too late, to be used or given back.
   void cacheGrant(const config::Endpoint &Owner, AccountHash Account,
                   std::uint32_t Tokens, core::TimePoint Now);
   /// Gives back the tokens of a request that did not run.
-  void giveBack(const QuotaAcquisition &Draw, core::TimePoint Now);
+  void giveBack(const QuotaAcquisition &Acquisition, core::TimePoint Now);
   /// \returns what was kept for long without use, to be sent to its owners.
   std::vector<QuotaReturn> takeUnusedGrants(core::TimePoint Now);
 
@@ -127,12 +127,12 @@
   void configure(core::TimePoint Now);
   /// Of what this instance lets in without an owner.
   QuotaLimits isolatedLimits(const QuotaLimits &Limits) const;
-  bool takeCachedGrant(AccountState &Of, QuotaAcquisition &Draw);
-  QuotaStep next(QuotaAcquisition &Draw, core::TimePoint Now);
-  QuotaStep acquireIsolated(AccountState &Of, QuotaAcquisition &Draw,
+  bool takeCachedGrant(AccountState &State, QuotaAcquisition &Acquisition);
+  QuotaStep next(QuotaAcquisition &Acquisition, core::TimePoint Now);
+  QuotaStep acquireIsolated(AccountState &State, QuotaAcquisition &Acquisition,
                             core::TimePoint Now);
-  void recordRefusal(AccountState &Of, const config::Endpoint &Owner,
-                     QuotaAcquisition &Draw, core::Duration RetryAfter,
+  void recordRefusal(AccountState &State, const config::Endpoint &Owner,
+                     QuotaAcquisition &Acquisition, core::Duration RetryAfter,
                      core::TimePoint Now);
 
   config::Endpoint m_Self;
--- a/Libraries/LibRouting/FleetSubset.cpp
+++ b/Libraries/LibRouting/FleetSubset.cpp
@@ -18,22 +18,23 @@
   for (std::size_t I = 0; I < Members.size(); ++I)
     ByHall[Members[I].m_DataHall].push_back(I);
   // Each hall is laid evenly over the whole order.
-  std::vector<std::tuple<double, std::uint64_t, std::size_t>> Places;
+  std::vector<std::tuple<double, std::uint64_t, std::size_t>> Positions;
   for (auto &[Hall, Indexes] : ByHall) {
     std::sort(Indexes.begin(), Indexes.end(),
               [&Members](std::size_t A, std::size_t B) {
                 return Members[A].m_Hash < Members[B].m_Hash;
               });
     for (std::size_t Rank = 0; Rank < Indexes.size(); ++Rank) {
-      double Place = (static_cast<double>(Rank) + 0.5) /
-                     static_cast<double>(Indexes.size());
-      Places.emplace_back(Place, Members[Indexes[Rank]].m_Hash, Indexes[Rank]);
+      double Position = (static_cast<double>(Rank) + 0.5) /
+                        static_cast<double>(Indexes.size());
+      Positions.emplace_back(Position, Members[Indexes[Rank]].m_Hash,
+                             Indexes[Rank]);
     }
   }
-  std::sort(Places.begin(), Places.end());
+  std::sort(Positions.begin(), Positions.end());
   std::vector<std::size_t> Out;
-  Out.reserve(Places.size());
-  for (const auto &[Place, Hash, Index] : Places)
+  Out.reserve(Positions.size());
+  for (const auto &[Position, Hash, Index] : Positions)
     Out.push_back(Index);
   return Out;
 }
@@ -77,26 +78,26 @@
 }
 
 bool FleetSubset::isInSubset(std::size_t Rank, std::size_t Count) const {
-  std::size_t Parts = partitionCount(Count);
-  return Rank * Parts / Count == m_Group * Parts / m_GroupCount;
+  std::size_t Partitions = partitionCount(Count);
+  return Rank * Partitions / Count == m_Group * Partitions / m_GroupCount;
 }
 
 FleetSubset::RankRange FleetSubset::subsetRanks(std::size_t Count) const {
-  std::size_t Parts = partitionCount(Count);
-  std::size_t Part = m_Group * Parts / m_GroupCount;
-  auto FirstOf = [&](std::size_t Which) {
-    return (Which * Count + Parts - 1) / Parts;
+  std::size_t Partitions = partitionCount(Count);
+  std::size_t Partition = m_Group * Partitions / m_GroupCount;
+  auto FirstRank = [&](std::size_t Which) {
+    return (Which * Count + Partitions - 1) / Partitions;
   };
-  return {FirstOf(Part), FirstOf(Part + 1)};
+  return {FirstRank(Partition), FirstRank(Partition + 1)};
 }
 
 std::vector<config::Endpoint>
 FleetSubset::subsetInstances(std::size_t Count) const {
-  std::size_t Parts = partitionCount(Count);
-  std::size_t Part = m_Group * Parts / m_GroupCount;
+  std::size_t Partitions = partitionCount(Count);
+  std::size_t Partition = m_Group * Partitions / m_GroupCount;
   std::vector<config::Endpoint> Out;
   for (std::size_t Rank = 0; Rank < m_Order.size(); ++Rank)
-    if (groupOfRank(Rank) * Parts / m_GroupCount == Part)
+    if (groupOfRank(Rank) * Partitions / m_GroupCount == Partition)
       Out.push_back(m_Order[Rank]);
   return Out;
 }
@@ -107,9 +108,9 @@
     return core::stableHash(std::to_string(Key) + "@" + Of.toString());
   };
   std::uint64_t Own = WeightOf(m_Self);
-  std::vector<config::Endpoint> Sharers = subsetInstances(Count);
+  std::vector<config::Endpoint> Peers = subsetInstances(Count);
   return static_cast<std::size_t>(std::count_if(
-      Sharers.begin(), Sharers.end(),
+      Peers.begin(), Peers.end(),
       [&](const config::Endpoint &Each) { return WeightOf(Each) > Own; }));
 }
 
@@ -117,9 +118,9 @@
   // Multiples of the golden ratio lie evenly, whichever neighbours are taken
   // (Weyl's sequence).
   static constexpr double GoldenRatio = 0.6180339887498949;
-  double Place = static_cast<double>(m_Rank) * GoldenRatio;
-  Place -= std::floor(Place);
-  return static_cast<std::size_t>(Place * static_cast<double>(Count));
+  double Position = static_cast<double>(m_Rank) * GoldenRatio;
+  Position -= std::floor(Position);
+  return static_cast<std::size_t>(Position * static_cast<double>(Count));
 }
 
 } // namespace yardrill::routing
--- a/Libraries/LibRouting/InterleavedTargets.cpp
+++ b/Libraries/LibRouting/InterleavedTargets.cpp
@@ -7,12 +7,12 @@
 
 void InterleavedTargets::insert(KnownTarget &What) {
   Hall &Into = m_Halls[What.m_Target.m_DataHall];
-  auto Place = std::lower_bound(Into.begin(), Into.end(), &What,
-                                [this](const auto *A, const auto *B) {
-                                  ++m_VisitCount;
-                                  return KnownTarget::ByHash()(A, B);
-                                });
-  Into.insert(Place, &What);
+  auto Position = std::lower_bound(Into.begin(), Into.end(), &What,
+                                   [this](const auto *A, const auto *B) {
+                                     ++m_VisitCount;
+                                     return KnownTarget::ByHash()(A, B);
+                                   });
+  Into.insert(Position, &What);
   ++m_Size;
 }
 
@@ -20,50 +20,52 @@
   auto From = m_Halls.find(What.m_Target.m_DataHall);
   assert(From != m_Halls.end());
   Hall &Members = From->second;
-  auto Place = std::lower_bound(Members.begin(), Members.end(), &What,
-                                [this](const auto *A, const auto *B) {
-                                  ++m_VisitCount;
-                                  return KnownTarget::ByHash()(A, B);
-                                });
-  assert(Place != Members.end() && *Place == &What);
-  Members.erase(Place);
+  auto Position = std::lower_bound(Members.begin(), Members.end(), &What,
+                                   [this](const auto *A, const auto *B) {
+                                     ++m_VisitCount;
+                                     return KnownTarget::ByHash()(A, B);
+                                   });
+  assert(Position != Members.end() && *Position == &What);
+  Members.erase(Position);
   if (Members.empty())
     m_Halls.erase(From);
   --m_Size;
 }
 
-std::size_t InterleavedTargets::countBefore(const Hall &Other, const Hall &Of,
+std::size_t InterleavedTargets::countBefore(const Hall &Other,
+                                            const Hall &Targets,
                                             std::size_t Index) const {
   // Index I of N members lies at (I + 1/2) / N. Compared as whole numbers: no
   // two instances may disagree by a rounding.
-  std::size_t Place = (2 * Index + 1) * Other.size();
-  std::size_t Step = 2 * Of.size();
+  std::size_t Position = (2 * Index + 1) * Other.size();
+  std::size_t Step = 2 * Targets.size();
   // Of the other hall, (2 J + 1) * Of.size() < Place.
-  std::size_t Below = (Place + Of.size() - 1) / Step;
-  bool IsLevel = Below < Other.size() && (2 * Below + 1) * Of.size() == Place;
-  if (!IsLevel)
+  std::size_t Below = (Position + Targets.size() - 1) / Step;
+  bool IsTied =
+      Below < Other.size() && (2 * Below + 1) * Targets.size() == Position;
+  if (!IsTied)
     return Below;
   ++m_VisitCount;
-  return Below + (KnownTarget::ByHash()(Other[Below], Of[Index]) ? 1 : 0);
+  return Below + (KnownTarget::ByHash()(Other[Below], Targets[Index]) ? 1 : 0);
 }
 
-std::size_t InterleavedTargets::rankOf(const Hall &Of,
+std::size_t InterleavedTargets::rankOf(const Hall &Targets,
                                        std::size_t Index) const {
   std::size_t Out = Index;
   for (const auto &[Name, Other] : m_Halls)
-    if (&Other != &Of)
-      Out += countBefore(Other, Of, Index);
+    if (&Other != &Targets)
+      Out += countBefore(Other, Targets, Index);
   return Out;
 }
 
-std::size_t InterleavedTargets::firstIndexFrom(const Hall &Of,
+std::size_t InterleavedTargets::firstIndexFrom(const Hall &Targets,
                                                std::size_t Rank) const {
   std::size_t Low = 0;
-  std::size_t High = Of.size();
+  std::size_t High = Targets.size();
   while (Low < High) {
     std::size_t Middle = Low + (High - Low) / 2;
     ++m_VisitCount;
-    if (rankOf(Of, Middle) < Rank)
+    if (rankOf(Targets, Middle) < Rank)
       Low = Middle + 1;
     else
       High = Middle;
@@ -74,11 +76,11 @@
 std::vector<KnownTarget *> InterleavedTargets::slice(std::size_t First,
                                                      std::size_t Last) const {
   std::vector<KnownTarget *> Out(Last - First);
-  for (const auto &[Name, Of] : m_Halls) {
-    std::size_t End = firstIndexFrom(Of, Last);
-    for (std::size_t I = firstIndexFrom(Of, First); I < End; ++I) {
+  for (const auto &[Name, Targets] : m_Halls) {
+    std::size_t End = firstIndexFrom(Targets, Last);
+    for (std::size_t I = firstIndexFrom(Targets, First); I < End; ++I) {
       ++m_VisitCount;
-      Out[rankOf(Of, I) - First] = Of[I];
+      Out[rankOf(Targets, I) - First] = Targets[I];
     }
   }
   return Out;
--- a/Libraries/LibRouting/InterleavedTargets.h
+++ b/Libraries/LibRouting/InterleavedTargets.h
@@ -33,12 +33,12 @@
   using Hall = std::vector<KnownTarget *>; ///< By KnownTarget::ByHash.
 
   /// Place of \p Index of \p Of in the whole order.
-  std::size_t rankOf(const Hall &Of, std::size_t Index) const;
+  std::size_t rankOf(const Hall &Targets, std::size_t Index) const;
   /// How many of \p Other come before \p Index of \p Of.
-  std::size_t countBefore(const Hall &Other, const Hall &Of,
+  std::size_t countBefore(const Hall &Other, const Hall &Targets,
                           std::size_t Index) const;
   /// First index of \p Of whose rank is not below \p Rank.
-  std::size_t firstIndexFrom(const Hall &Of, std::size_t Rank) const;
+  std::size_t firstIndexFrom(const Hall &Targets, std::size_t Rank) const;
 
   std::map<core::DataHallName, Hall> m_Halls;
   std::size_t m_Size = 0;
--- a/Libraries/LibRouting/QuotaOwner.cpp
+++ b/Libraries/LibRouting/QuotaOwner.cpp
@@ -35,14 +35,14 @@
   return Bound * m_Share + m_Tokens;
 }
 
-double QuotaOwner::initialLevel(const QuotaLimits &Limits, double Part) const {
+double QuotaOwner::initialLevel(const QuotaLimits &Limits, double Share) const {
   // One that others kept until now: they may have granted all of it, and go on
   // until they hear of the new list.
   if (m_WasConfigured)
-    return -core::toSeconds(HandoverTime) * Limits.m_TokensPerSecond * Part;
+    return -core::toSeconds(HandoverTime) * Limits.m_TokensPerSecond * Share;
   // After a restart: what was granted before is not known. Two restarts of all
   // owners within a window leave no room for a credit.
-  return m_IsFullAtStart ? Limits.m_Burst * Part : 0;
+  return m_IsFullAtStart ? Limits.m_Burst * Share : 0;
 }
 
 static QuotaLimits advanceLimits(const QuotaLimits &Limits) {
@@ -61,12 +61,12 @@
         std::find(Owners.begin(), Owners.end(), m_Self) != Owners.end();
     if (!IsOwn || Each.m_TokensPerSecond <= 0)
       continue;
-    double Part = 1 / static_cast<double>(Owners.size());
+    double Share = 1 / static_cast<double>(Owners.size());
     QuotaLimits All{Each.m_TokensPerSecond, Each.m_Burst};
-    QuotaLimits Limits = All.part(Part);
+    QuotaLimits Limits = All.part(Share);
     auto Known = m_Buckets.find(Hash);
     if (Known == m_Buckets.end()) {
-      TokenBucket Tokens(Limits, initialLevel(All, Part), Now);
+      TokenBucket Tokens(Limits, initialLevel(All, Share), Now);
       TokenBucket Advance(advanceLimits(Limits), 0, Now);
       Known = Next.emplace(Hash, Bucket{Tokens, Advance, {}}).first;
     } else {
@@ -82,24 +82,24 @@
       m_WasConfigured || (!Accounts.empty() && HashRing.size() > 0);
 }
 
-QuotaResponse QuotaOwner::handleRequest(const QuotaRequest &Ask,
+QuotaResponse QuotaOwner::handleRequest(const QuotaRequest &Request,
                                         core::TimePoint Now) {
   QuotaResponse Out;
-  auto Found = m_Buckets.find(Ask.m_Account);
+  auto Found = m_Buckets.find(Request.m_Account);
   if (Found == m_Buckets.end() || !m_IsListConfirmed)
     return Out;
   TokenBucket &Tokens = Found->second.m_Tokens;
-  Tokens.giveBack(Ask.m_Returned, Now);
+  Tokens.giveBack(Request.m_Returned, Now);
   Out.m_Verdict = QuotaVerdict::Granted;
-  if (Ask.m_Tokens == 0)
+  if (Request.m_Tokens == 0)
     return Out;
-  if (!Tokens.tryTake(Ask.m_Tokens, Now)) {
+  if (!Tokens.tryTake(Request.m_Tokens, Now)) {
     Out.m_Verdict = QuotaVerdict::Refused;
     Out.m_RetryAfter = Tokens.untilAvailable();
     return Out;
   }
-  shareDebt(Ask.m_Account, Found->second, Now);
-  Out.m_Tokens = Ask.m_Tokens;
+  shareDebt(Request.m_Account, Found->second, Now);
+  Out.m_Tokens = Request.m_Tokens;
   if (Tokens.level(Now) < Tokens.limits().m_Burst * AdvanceThresholdShare)
     return Out;
   TokenBucket &Advance = Found->second.m_Advance;
@@ -109,15 +109,15 @@
   return Out;
 }
 
-void QuotaOwner::shareDebt(AccountHash Account, Bucket &Of,
+void QuotaOwner::shareDebt(AccountHash Account, Bucket &Quota,
                            core::TimePoint Now) {
-  double Debt = -Of.m_Tokens.level(Now);
-  double All = static_cast<double>(1 + Of.m_Others.size());
-  auto Part = static_cast<std::uint32_t>(std::max(0.0, Debt) / All);
-  if (Part < MinCharge)
+  double Debt = -Quota.m_Tokens.level(Now);
+  double All = static_cast<double>(1 + Quota.m_Others.size());
+  auto Share = static_cast<std::uint32_t>(std::max(0.0, Debt) / All);
+  if (Share < MinCharge)
     return;
-  for (const config::Endpoint &Each : Of.m_Others)
-    m_Charges.push_back({Each, Account, Part});
+  for (const config::Endpoint &Each : Quota.m_Others)
+    m_Charges.push_back({Each, Account, Share});
 }
 
 bool QuotaOwner::charge(AccountHash Account, std::uint32_t Tokens,
--- a/Libraries/LibRouting/QuotaOwner.h
+++ b/Libraries/LibRouting/QuotaOwner.h
@@ -74,9 +74,10 @@
 
 class QuotaOwner {
 public:
-  /// \param IsFull whether buckets start full, since nothing was drawn yet.
-  QuotaOwner(const config::Endpoint &Self, bool IsFull)
-      : m_Self(Self), m_IsFullAtStart(IsFull) {}
+  /// \param IsFullAtStart whether buckets start full, since nothing was drawn
+  /// yet.
+  QuotaOwner(const config::Endpoint &Self, bool IsFullAtStart)
+      : m_Self(Self), m_IsFullAtStart(IsFullAtStart) {}
 
   /// Takes over what is new, forgets what is no longer this instance's.
   void configure(const std::vector<Account> &Accounts,
@@ -84,7 +85,7 @@
   /// Whether this instance would hear of a change of the list of owners. While
   /// it would not, it owns nothing: another may own the same by a newer list.
   void setListConfirmed(bool IsConfirmed) { m_IsListConfirmed = IsConfirmed; }
-  QuotaResponse handleRequest(const QuotaRequest &Ask, core::TimePoint Now);
+  QuotaResponse handleRequest(const QuotaRequest &Request, core::TimePoint Now);
 
   /// \returns parts of debts made since the last call, to be sent to the other
   /// owners. Until one has taken its part, it counts here.
@@ -104,9 +105,9 @@
     std::vector<config::Endpoint> m_Others; ///< Owners.
   };
 
-  void shareDebt(AccountHash Account, Bucket &Of, core::TimePoint Now);
+  void shareDebt(AccountHash Account, Bucket &Quota, core::TimePoint Now);
   /// Of a bucket that was not here before.
-  double initialLevel(const QuotaLimits &Limits, double Part) const;
+  double initialLevel(const QuotaLimits &Limits, double Share) const;
 
   config::Endpoint m_Self;
   bool m_IsFullAtStart;
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -23,14 +23,14 @@
 
 double RetryBudget::ownAllowance(core::TimePoint Now,
                                  std::size_t Instances) const {
-  double Part = m_Limits.m_Allowance / static_cast<double>(Instances);
+  double Share = m_Limits.m_Allowance / static_cast<double>(Instances);
   // What an earlier life of the process spent is not known. If each life began
   // with the whole part, a fleet that restarts in series would spend it with
   // each; so it grows with the time at work, and lives within one window spend
   // no more together than one.
-  double Lived =
+  double Uptime =
       core::toSeconds(Now - m_Since) / core::toSeconds(m_Limits.m_Window);
-  return Part * std::min(1.0, Lived);
+  return Share * std::min(1.0, Uptime);
 }
 
 bool RetryBudget::tryTake(core::TimePoint Now, std::size_t Instances) {
--- a/Libraries/LibRouting/SharedRateLimit.cpp
+++ b/Libraries/LibRouting/SharedRateLimit.cpp
@@ -8,14 +8,14 @@
 /// names it.
 static constexpr std::chrono::seconds ReorderTime{1};
 
-bool SharedRateLimit::apply(const RateLimitUpdate &Word) {
-  if (Word.m_At < m_Update.m_At)
+bool SharedRateLimit::apply(const RateLimitUpdate &Update) {
+  if (Update.m_At < m_Update.m_At)
     return false;
-  if (!Word.m_PerSecond && isLimited() &&
-      Word.m_At - m_Update.m_At < ReorderTime)
+  if (!Update.m_PerSecond && isLimited() &&
+      Update.m_At - m_Update.m_At < ReorderTime)
     return false;
-  bool IsChanged = m_Update.m_PerSecond != Word.m_PerSecond;
-  m_Update = Word;
+  bool IsChanged = m_Update.m_PerSecond != Update.m_PerSecond;
+  m_Update = Update;
   return IsChanged;
 }
 
--- a/Libraries/LibRouting/SharedRateLimit.h
+++ b/Libraries/LibRouting/SharedRateLimit.h
@@ -44,7 +44,7 @@
   /// Takes in a word of an answer to this or another instance; an older word
   /// than the newest changes nothing. \returns whether the limit is another
   /// one now.
-  bool apply(const RateLimitUpdate &Word);
+  bool apply(const RateLimitUpdate &Update);
   bool isLimited() const { return m_Update.m_PerSecond.has_value(); }
   /// The newest word.
   const RateLimitUpdate &latestUpdate() const { return m_Update; }
--- a/Libraries/LibRouting/Target.h
+++ b/Libraries/LibRouting/Target.h
@@ -22,8 +22,8 @@
 
   TargetIncarnation() = default;
   /// A name alone is that of a target that does not say when it started.
-  TargetIncarnation(core::TargetName Name, core::TargetStartTime Birth = {})
-      : m_Name(std::move(Name)), m_StartTime(Birth) {}
+  TargetIncarnation(core::TargetName Name, core::TargetStartTime StartTime = {})
+      : m_Name(std::move(Name)), m_StartTime(StartTime) {}
 
   /// By which instances tell each other of it.
   std::uint32_t hash() const;
--- a/Libraries/LibRouting/TargetDirectory.cpp
+++ b/Libraries/LibRouting/TargetDirectory.cpp
@@ -27,8 +27,9 @@
 //===----------------------------------------------------------------------===//
 
 TargetDirectory::TargetDirectory()
-    : m_Throttles(
-          [this](const TargetIncarnation &Run) { return senderCount(Run); }) {}
+    : m_Throttles([this](const TargetIncarnation &Incarnation) {
+        return senderCount(Incarnation);
+      }) {}
 
 void TargetDirectory::invalidateSubset(PoolState &Which) {
   Which.m_IsSubsetValid = false;
@@ -57,14 +58,14 @@
 
 AnnouncementEffect TargetDirectory::announce(const Target &What) {
   m_Expired.erase(What.m_Name);
-  auto [Place, IsNew] = m_Targets.try_emplace(What.m_Name);
-  KnownTarget &Known = Place->second;
-  bool IsNewRun = IsNew || Known.m_Target.m_StartTime != What.m_StartTime;
-  bool IsMoved = IsNewRun || Known.m_Target.m_Pool != What.m_Pool ||
+  auto [Entry, IsNew] = m_Targets.try_emplace(What.m_Name);
+  KnownTarget &Known = Entry->second;
+  bool IsReset = IsNew || Known.m_Target.m_StartTime != What.m_StartTime;
+  bool IsMoved = IsReset || Known.m_Target.m_Pool != What.m_Pool ||
                  Known.m_Target.m_DataHall != What.m_DataHall;
-  bool WasLapsed = Known.m_ExpiredAt.has_value();
+  bool WasExpired = Known.m_ExpiredAt.has_value();
   Known.m_ExpiredAt.reset();
-  if (!IsMoved && !WasLapsed && Known.m_Target == What)
+  if (!IsMoved && !WasExpired && Known.m_Target == What)
     return AnnouncementEffect::Nothing;
   if (!IsMoved) {
     Known.m_Target = What;
@@ -72,7 +73,7 @@
   }
   if (!IsNew)
     detach(Known);
-  if (IsNewRun)
+  if (IsReset)
     Known = KnownTarget();
   Known.m_RemoteLoad = TargetLoad(); // Told again with the next reports.
   Known.m_Target = What;
@@ -80,7 +81,7 @@
   attach(Known);
   if (Known.m_LocalLoad.m_Running > 0)
     m_Busy.insert(&Known);
-  return IsNewRun ? AnnouncementEffect::NewRun : AnnouncementEffect::Changed;
+  return IsReset ? AnnouncementEffect::NewRun : AnnouncementEffect::Changed;
 }
 
 void TargetDirectory::withdraw(const core::TargetName &Name,
@@ -117,46 +118,46 @@
 // What became of requests
 //===----------------------------------------------------------------------===//
 
-bool TargetDirectory::tryStartRequest(const TargetIncarnation &Run,
+bool TargetDirectory::tryStartRequest(const TargetIncarnation &Incarnation,
                                       std::uint32_t PromptTokens,
                                       core::TimePoint Now) {
-  KnownTarget *Known = findByIncarnation(Run);
+  KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known || !isOpen(*Known, Now))
     return false;
   ++Known->m_LocalLoad.m_Running;
   m_Busy.insert(Known);
   Known->m_LocalLoad.m_PendingPromptTokens += PromptTokens;
-  m_Throttles.recordSent(Run, Now);
+  m_Throttles.recordSent(Incarnation, Now);
   return true;
 }
 
-void TargetDirectory::recordFirstEvent(const TargetIncarnation &Run,
+void TargetDirectory::recordFirstEvent(const TargetIncarnation &Incarnation,
                                        std::uint32_t PromptTokens) {
-  KnownTarget *Known = findByIncarnation(Run);
+  KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known)
     return;
   Known->m_ConsecutiveFailures = 0;
   Known->m_LocalLoad.subtractPromptTokens(PromptTokens);
 }
 
-void TargetDirectory::recordReplacement(const TargetIncarnation &Run) {
-  if (KnownTarget *Known = findByIncarnation(Run))
+void TargetDirectory::recordReplacement(const TargetIncarnation &Incarnation) {
+  if (KnownTarget *Known = findByIncarnation(Incarnation))
     Known->m_IsReplaced = true;
 }
 
-void TargetDirectory::recordEnd(const TargetIncarnation &Run,
-                                std::uint32_t PendingPrompt) {
-  KnownTarget *Known = findByIncarnation(Run);
+void TargetDirectory::recordEnd(const TargetIncarnation &Incarnation,
+                                std::uint32_t PendingPromptTokens) {
+  KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known || Known->m_LocalLoad.m_Running == 0)
     return;
   if (--Known->m_LocalLoad.m_Running == 0)
     m_Busy.erase(Known);
-  Known->m_LocalLoad.subtractPromptTokens(PendingPrompt);
+  Known->m_LocalLoad.subtractPromptTokens(PendingPromptTokens);
 }
 
-void TargetDirectory::recordFailure(const TargetIncarnation &Run,
+void TargetDirectory::recordFailure(const TargetIncarnation &Incarnation,
                                     TargetFailure How, core::TimePoint Now) {
-  KnownTarget *Known = findByIncarnation(Run);
+  KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known)
     return;
   Known->m_FailureRate += FailureWeight * (1 - Known->m_FailureRate);
@@ -165,25 +166,25 @@
   // One that runs requests and fails some still does part of the work.
   if (How == TargetFailure::Failed && Doublings == 0)
     return;
-  core::Duration Rest = std::min<core::Duration>(
+  core::Duration Cooldown = std::min<core::Duration>(
       InitialCooldown * (1U << Doublings), MaxCooldown);
-  Known->m_CooldownUntil = Now + Rest;
+  Known->m_CooldownUntil = Now + Cooldown;
 }
 
-void TargetDirectory::recordSuccess(const TargetIncarnation &Run) {
-  KnownTarget *Known = findByIncarnation(Run);
+void TargetDirectory::recordSuccess(const TargetIncarnation &Incarnation) {
+  KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known)
     return;
   Known->m_FailureRate -= FailureWeight * Known->m_FailureRate;
   Known->m_ConsecutiveFailures = 0;
 }
 
-void TargetDirectory::recordServiceTime(const TargetIncarnation &Run,
-                                        core::Duration Pace) {
-  KnownTarget *Known = findByIncarnation(Run);
+void TargetDirectory::recordServiceTime(const TargetIncarnation &Incarnation,
+                                        core::Duration ServiceTime) {
+  KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known)
     return;
-  double Ms = core::toSeconds(Pace) * 1000;
+  double Ms = core::toSeconds(ServiceTime) * 1000;
   Known->m_ServiceTimeMs =
       Known->m_ServiceTimeMs == 0
           ? Ms
@@ -206,14 +207,15 @@
 }
 
 void TargetDirectory::updateSlowness(const core::PoolName &Pool) {
-  std::vector<double> Paces;
+  std::vector<double> ServiceTimes;
   for (const KnownTarget *Each : subsetOf(Pool))
     if (Each->m_ServiceTimeMs > 0)
-      Paces.push_back(Each->m_ServiceTimeMs);
-  if (Paces.empty())
+      ServiceTimes.push_back(Each->m_ServiceTimeMs);
+  if (ServiceTimes.empty())
     return;
-  auto Middle = Paces.begin() + static_cast<long>(Paces.size() / 2);
-  std::nth_element(Paces.begin(), Middle, Paces.end());
+  auto Middle =
+      ServiceTimes.begin() + static_cast<long>(ServiceTimes.size() / 2);
+  std::nth_element(ServiceTimes.begin(), Middle, ServiceTimes.end());
   for (KnownTarget *Each : subsetOf(Pool))
     if (Each->m_ServiceTimeMs > 0)
       Each->m_Slowness =
@@ -238,13 +240,13 @@
 // Which are this instance's
 //===----------------------------------------------------------------------===//
 
-bool TargetDirectory::isLeaving(const TargetIncarnation &Run) const {
-  auto Found = m_Targets.find(Run.m_Name);
+bool TargetDirectory::isLeaving(const TargetIncarnation &Incarnation) const {
+  auto Found = m_Targets.find(Incarnation.m_Name);
   if (Found == m_Targets.end() ||
-      Found->second.m_Target.m_StartTime != Run.m_StartTime)
+      Found->second.m_Target.m_StartTime != Incarnation.m_StartTime)
     return true;
   const KnownTarget &Known = Found->second;
-  return Known.m_Target.m_IsLeaving || m_Throttles.isLeaving(Run) ||
+  return Known.m_Target.m_IsLeaving || m_Throttles.isLeaving(Incarnation) ||
          (Known.m_ExpiredAt && !areMostExpired());
 }
 
@@ -253,10 +255,11 @@
   return Found == m_Targets.end() ? nullptr : &Found->second;
 }
 
-KnownTarget *TargetDirectory::findByIncarnation(const TargetIncarnation &Run) {
-  KnownTarget *Known = find(Run.m_Name);
-  bool IsIt = Known && Known->m_Target.m_StartTime == Run.m_StartTime;
-  return IsIt ? Known : nullptr;
+KnownTarget *
+TargetDirectory::findByIncarnation(const TargetIncarnation &Incarnation) {
+  KnownTarget *Known = find(Incarnation.m_Name);
+  bool IsSame = Known && Known->m_Target.m_StartTime == Incarnation.m_StartTime;
+  return IsSame ? Known : nullptr;
 }
 
 const std::vector<KnownTarget *> &
@@ -278,8 +281,8 @@
   return Found->second.m_Order.slice(0, Found->second.m_Order.size());
 }
 
-void TargetDirectory::setSubset(const FleetSubset &Share) {
-  m_FleetSubset = Share;
+void TargetDirectory::setSubset(const FleetSubset &Subset) {
+  m_FleetSubset = Subset;
   for (auto &[Name, Pool] : m_Pools)
     invalidateSubset(Pool);
 }
@@ -289,10 +292,9 @@
   Which.m_SubsetTargets.clear();
   if (Which.m_Order.size() == 0)
     return;
-  FleetSubset::RankRange RankRange =
+  FleetSubset::RankRange Range =
       m_FleetSubset.subsetRanks(Which.m_Order.size());
-  Which.m_SubsetTargets =
-      Which.m_Order.slice(RankRange.m_First, RankRange.m_End);
+  Which.m_SubsetTargets = Which.m_Order.slice(Range.m_First, Range.m_End);
   auto First =
       Which.m_SubsetTargets.begin() +
       static_cast<long>(m_FleetSubset.firstIndex(Which.m_SubsetTargets.size()));
@@ -300,8 +302,8 @@
               Which.m_SubsetTargets.end());
 }
 
-std::size_t TargetDirectory::senderCount(const TargetIncarnation &Run) {
-  KnownTarget *Known = findByIncarnation(Run);
+std::size_t TargetDirectory::senderCount(const TargetIncarnation &Incarnation) {
+  KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known)
     return 0;
   const core::PoolName &Pool = Known->m_Target.m_Pool;
@@ -328,20 +330,20 @@
   if (m_Throttles.isEmpty())
     return std::nullopt;
   std::optional<core::TimePoint> First;
-  auto TakeEarlier = [&First](core::TimePoint At) {
+  auto KeepEarliest = [&First](core::TimePoint At) {
     First = First ? std::min(*First, At) : At;
   };
   std::optional<core::TimePoint> FirstLimited;
   double PerSecond = 0;
   for (const KnownTarget *Each : subsetOf(Pool)) {
-    TargetIncarnation Run = Each->m_Target.run();
-    if (!Each->isOpen() || Except.count(Run) != 0)
+    TargetIncarnation Incarnation = Each->m_Target.run();
+    if (!Each->isOpen() || Except.count(Incarnation) != 0)
       continue;
-    auto Next = m_Throttles.availability(Run, Now);
+    auto Next = m_Throttles.availability(Incarnation, Now);
     if (Next && Next->m_At <= Now)
       return std::nullopt;
     if (Next && !Next->m_PerSecond)
-      TakeEarlier(Next->m_At);
+      KeepEarliest(Next->m_At);
     if (!Next || !Next->m_PerSecond)
       continue;
     FirstLimited =
@@ -349,8 +351,8 @@
     PerSecond += *Next->m_PerSecond;
   }
   if (FirstLimited)
-    TakeEarlier(*FirstLimited +
-                core::fromSeconds(static_cast<double>(Ahead) / PerSecond));
+    KeepEarliest(*FirstLimited +
+                 core::fromSeconds(static_cast<double>(Ahead) / PerSecond));
   return First;
 }
 
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -56,18 +56,20 @@
   // in: its requests may outlast it.
   /// Counts a request that is about to be sent there, unless the target does
   /// not take it: nothing may be sent without this. \returns whether it does.
-  bool tryStartRequest(const TargetIncarnation &Run, std::uint32_t PromptTokens,
-                       core::TimePoint Now);
-  void recordFirstEvent(const TargetIncarnation &Run,
+  bool tryStartRequest(const TargetIncarnation &Incarnation,
+                       std::uint32_t PromptTokens, core::TimePoint Now);
+  void recordFirstEvent(const TargetIncarnation &Incarnation,
                         std::uint32_t PromptTokens);
-  void recordEnd(const TargetIncarnation &Run, std::uint32_t PendingPrompt);
-  void recordFailure(const TargetIncarnation &Run, TargetFailure How,
+  void recordEnd(const TargetIncarnation &Incarnation,
+                 std::uint32_t PendingPromptTokens);
+  void recordFailure(const TargetIncarnation &Incarnation, TargetFailure How,
                      core::TimePoint Now);
   /// Another target answered at its address.
-  void recordReplacement(const TargetIncarnation &Run);
-  void recordSuccess(const TargetIncarnation &Run);
+  void recordReplacement(const TargetIncarnation &Incarnation);
+  void recordSuccess(const TargetIncarnation &Incarnation);
   /// Time between two events of a stream, or of a whole short answer.
-  void recordServiceTime(const TargetIncarnation &Run, core::Duration Pace);
+  void recordServiceTime(const TargetIncarnation &Incarnation,
+                         core::Duration ServiceTime);
   /// Time from the dispatch of a stream to its first event.
   void recordFirstEventTime(const core::PoolName &Pool, core::Duration Time);
   /// By when nearly every stream that is sent now has begun.
@@ -100,14 +102,14 @@
   /// How many targets the pool has.
   std::size_t targetCount(const core::PoolName &Pool) const;
   /// The part of the targets that this instance works with.
-  void setSubset(const FleetSubset &Share);
+  void setSubset(const FleetSubset &Subset);
 
   /// Whether the run may end any time, and not for what it runs: it has said
   /// that it leaves, or its announcement is gone while others are there.
-  bool isLeaving(const TargetIncarnation &Run) const;
+  bool isLeaving(const TargetIncarnation &Incarnation) const;
   KnownTarget *find(const core::TargetName &Name);
   /// \returns null when the run has ended, as far as is known.
-  KnownTarget *findByIncarnation(const TargetIncarnation &Run);
+  KnownTarget *findByIncarnation(const TargetIncarnation &Incarnation);
   /// Targets of a pool that this instance works with.
   const std::vector<KnownTarget *> &subsetOf(const core::PoolName &Pool);
   /// All targets of a pool; costs by how many there are.
@@ -136,7 +138,7 @@
 
   bool areMostExpired() const;
   /// How many instances may send to a limited target; 0: this one may not.
-  std::size_t senderCount(const TargetIncarnation &Run);
+  std::size_t senderCount(const TargetIncarnation &Incarnation);
   /// Its instances' parts are to be worked out anew.
   void invalidateSubset(PoolState &Which);
   void updateSlowness(const core::PoolName &Pool);
--- a/Libraries/LibRouting/TargetThrottle.cpp
+++ b/Libraries/LibRouting/TargetThrottle.cpp
@@ -10,11 +10,12 @@
   // A longer rest is not shortened by what a later answer asks for.
   if (Backpressure.m_Backoff)
     m_BackoffUntil = std::max(m_BackoffUntil, Now + *Backpressure.m_Backoff);
-  bool IsNews = Backpressure.m_IsLeaving && setLeaving();
+  bool IsChanged = Backpressure.m_IsLeaving && setLeaving();
   // What says nothing of a limit leaves the one that was named.
   if (!Backpressure.m_IsLimitUnreadable && !Backpressure.m_IsLimitUnspecified)
-    IsNews = m_Limit.apply({Backpressure.m_RequestsPerSecond, Now}) || IsNews;
-  return IsNews;
+    IsChanged =
+        m_Limit.apply({Backpressure.m_RequestsPerSecond, Now}) || IsChanged;
+  return IsChanged;
 }
 
 bool TargetThrottle::setLeaving() { return !std::exchange(m_IsLeaving, true); }
--- a/Libraries/LibRouting/TargetThrottleTable.cpp
+++ b/Libraries/LibRouting/TargetThrottleTable.cpp
@@ -13,97 +13,98 @@
 /// A target that leaves is gone by then, and its name is never used again.
 static constexpr std::chrono::minutes LeavingStateLifetime{10};
 
-bool TargetThrottleTable::update(const TargetIncarnation &Run,
+bool TargetThrottleTable::update(const TargetIncarnation &Incarnation,
                                  const TargetBackpressure &Backpressure,
                                  core::TimePoint Now) {
-  Entry *Known = find(Run, Now);
+  Entry *Known = find(Incarnation, Now);
   if (!Known && Backpressure.isEmpty())
     return false;
-  Entry &Of = Known ? *Known : findOrCreate(Run, Now);
-  Of.m_HeardAt = Now;
-  bool IsChanged = Of.m_Throttle.update(Backpressure, Now);
+  Entry &State = Known ? *Known : findOrCreate(Incarnation, Now);
+  State.m_UpdatedAt = Now;
+  bool IsChanged = State.m_Throttle.update(Backpressure, Now);
   if (IsChanged) {
-    recordChange(Run, Of, Now);
-    Of.m_ReportUntil = Now + ChangeReportTime;
+    recordChange(Incarnation, State, Now);
+    State.m_ReportUntil = Now + ChangeReportTime;
   }
   return IsChanged;
 }
 
-bool TargetThrottleTable::update(const BackpressureReport &Told,
+bool TargetThrottleTable::update(const BackpressureReport &Report,
                                  core::TimePoint Now) {
-  Entry &Of = findOrCreate(Told.m_Incarnation, Now);
-  Of.m_HeardAt = Now;
-  bool IsChanged = Told.m_IsLeaving && Of.m_Throttle.setLeaving();
-  IsChanged = Of.m_Throttle.limit().apply(Told.m_Limit) || IsChanged;
+  Entry &State = findOrCreate(Report.m_Incarnation, Now);
+  State.m_UpdatedAt = Now;
+  bool IsChanged = Report.m_IsLeaving && State.m_Throttle.setLeaving();
+  IsChanged = State.m_Throttle.limit().apply(Report.m_Limit) || IsChanged;
   if (IsChanged)
-    recordChange(Told.m_Incarnation, Of, Now);
+    recordChange(Report.m_Incarnation, State, Now);
   return IsChanged;
 }
 
-void TargetThrottleTable::recordChange(const TargetIncarnation &Run, Entry &Of,
-                                       core::TimePoint Now) {
-  Of.m_ChangedAt = Now;
-  updateSenders(Run, Of, Now);
+void TargetThrottleTable::recordChange(const TargetIncarnation &Incarnation,
+                                       Entry &State, core::TimePoint Now) {
+  State.m_ChangedAt = Now;
+  updateSenders(Incarnation, State, Now);
 }
 
 TargetThrottleTable::Entry &
-TargetThrottleTable::findOrCreate(const TargetIncarnation &Run,
+TargetThrottleTable::findOrCreate(const TargetIncarnation &Incarnation,
                                   core::TimePoint Now) {
-  Entry &Of = m_Throttles[Run];
-  updateSenders(Run, Of, Now);
-  return Of;
+  Entry &State = m_Throttles[Incarnation];
+  updateSenders(Incarnation, State, Now);
+  return State;
 }
 
 TargetThrottleTable::Entry *
-TargetThrottleTable::find(const TargetIncarnation &Run, core::TimePoint Now) {
+TargetThrottleTable::find(const TargetIncarnation &Incarnation,
+                          core::TimePoint Now) {
   if (m_Throttles.empty())
     return nullptr;
-  auto Found = m_Throttles.find(Run);
+  auto Found = m_Throttles.find(Incarnation);
   if (Found == m_Throttles.end())
     return nullptr;
-  updateSenders(Run, Found->second, Now);
+  updateSenders(Incarnation, Found->second, Now);
   return &Found->second;
 }
 
-void TargetThrottleTable::updateSenders(const TargetIncarnation &Run, Entry &Of,
-                                        core::TimePoint Now) {
-  SharedRateLimit &Limit = Of.m_Throttle.limit();
-  if (Of.m_Generation == m_Generation || !Limit.isLimited())
+void TargetThrottleTable::updateSenders(const TargetIncarnation &Incarnation,
+                                        Entry &State, core::TimePoint Now) {
+  SharedRateLimit &Limit = State.m_Throttle.limit();
+  if (State.m_Generation == m_Generation || !Limit.isLimited())
     return;
-  Of.m_Generation = m_Generation;
-  Limit.setSenders(m_CountSenders(Run), Now);
+  State.m_Generation = m_Generation;
+  Limit.setSenders(m_CountSenders(Incarnation), Now);
 }
 
-bool TargetThrottleTable::isOpen(const TargetIncarnation &Run,
+bool TargetThrottleTable::isOpen(const TargetIncarnation &Incarnation,
                                  core::TimePoint Now) {
-  Entry *Known = find(Run, Now);
+  Entry *Known = find(Incarnation, Now);
   return !Known || Known->m_Throttle.isOpen(Now);
 }
 
 std::optional<Availability>
-TargetThrottleTable::availability(const TargetIncarnation &Run,
+TargetThrottleTable::availability(const TargetIncarnation &Incarnation,
                                   core::TimePoint Now) {
-  Entry *Known = find(Run, Now);
+  Entry *Known = find(Incarnation, Now);
   return Known ? Known->m_Throttle.availability() : Availability();
 }
 
-void TargetThrottleTable::recordSent(const TargetIncarnation &Run,
+void TargetThrottleTable::recordSent(const TargetIncarnation &Incarnation,
                                      core::TimePoint Now) {
-  if (Entry *Known = find(Run, Now))
+  if (Entry *Known = find(Incarnation, Now))
     Known->m_Throttle.recordSent(Now);
 }
 
 BackpressureReport
-TargetThrottleTable::reportOf(const TargetIncarnation &Run) const {
-  auto Found = m_Throttles.find(Run);
+TargetThrottleTable::reportOf(const TargetIncarnation &Incarnation) const {
+  auto Found = m_Throttles.find(Incarnation);
   if (Found == m_Throttles.end())
-    return {Run, {}, false};
+    return {Incarnation, {}, false};
   const TargetThrottle &Known = Found->second.m_Throttle;
-  return {Run, Known.limit().latestUpdate(), Known.isLeaving()};
+  return {Incarnation, Known.limit().latestUpdate(), Known.isLeaving()};
 }
 
-bool TargetThrottleTable::isSender(const TargetIncarnation &Run) const {
-  auto Found = m_Throttles.find(Run);
+bool TargetThrottleTable::isSender(const TargetIncarnation &Incarnation) const {
+  auto Found = m_Throttles.find(Incarnation);
   return Found != m_Throttles.end() &&
          Found->second.m_Throttle.limit().isSender();
 }
@@ -111,27 +112,27 @@
 std::vector<BackpressureReport>
 TargetThrottleTable::dueReports(core::TimePoint Now) const {
   std::vector<BackpressureReport> Out;
-  for (const auto &[Run, Each] : m_Throttles) {
+  for (const auto &[Incarnation, Each] : m_Throttles) {
     const SharedRateLimit &Limit = Each.m_Throttle.limit();
     bool IsNew = Now - Each.m_ChangedAt < ChangeReportTime;
-    bool IsTold = Limit.isSender() && (Limit.isLimited() || IsNew);
-    if (IsTold || Now < Each.m_ReportUntil)
-      Out.push_back(reportOf(Run));
+    bool IsDue = Limit.isSender() && (Limit.isLimited() || IsNew);
+    if (IsDue || Now < Each.m_ReportUntil)
+      Out.push_back(reportOf(Incarnation));
   }
   return Out;
 }
 
-bool TargetThrottleTable::isStale(const Entry &Of, core::TimePoint Now) {
-  const TargetThrottle &Known = Of.m_Throttle;
-  core::Duration Unheard = Now - Of.m_HeardAt;
+bool TargetThrottleTable::isStale(const Entry &State, core::TimePoint Now) {
+  const TargetThrottle &Known = State.m_Throttle;
+  core::Duration Silence = Now - State.m_UpdatedAt;
   if (Known.isBackedOff(Now))
     return false;
   if (Known.isLeaving())
-    return Unheard >= LeavingStateLifetime;
+    return Silence >= LeavingStateLifetime;
   if (Known.limit().isLimited())
-    return !Known.limit().isSender() && Unheard >= ReportTimeout;
+    return !Known.limit().isSender() && Silence >= ReportTimeout;
   // Older words may still come in that name the limit which has ended.
-  return Now - Of.m_ChangedAt >= ReportTimeout;
+  return Now - State.m_ChangedAt >= ReportTimeout;
 }
 
 void TargetThrottleTable::removeStale(core::TimePoint Now) {
@@ -140,8 +141,9 @@
         isStale(Each->second, Now) ? m_Throttles.erase(Each) : std::next(Each);
 }
 
-bool TargetThrottleTable::isLeaving(const TargetIncarnation &Run) const {
-  auto Found = m_Throttles.find(Run);
+bool TargetThrottleTable::isLeaving(
+    const TargetIncarnation &Incarnation) const {
+  auto Found = m_Throttles.find(Incarnation);
   return Found != m_Throttles.end() && Found->second.m_Throttle.isLeaving();
 }
 
--- a/Tests/LibRouting/DispatcherBackpressureTest.cpp
+++ b/Tests/LibRouting/DispatcherBackpressureTest.cpp
@@ -23,8 +23,8 @@
       m_Targets,
       core::DataHallName("hall"),
       PlacementPolicy::LeastPredictedWait,
-      {[this](core::RequestId Request, const Target &Where) {
-         m_Sent[Request] = Where.m_Name;
+      {[this](core::RequestId Request, const Target &Chosen) {
+         m_Sent[Request] = Chosen.m_Name;
        },
        [this](core::RequestId Request) { m_Refused.insert(Request); }}};
 
@@ -62,9 +62,9 @@
   /// the time to wait is over.
   void testBackoffHoldsWithoutOtherTargets() {
     announce(2);
-    TargetBackpressure Tired;
-    Tired.m_Backoff = milliseconds(300);
-    m_Targets.throttles().update(core::TargetName("a"), Tired, m_Now);
+    TargetBackpressure BackingOff;
+    BackingOff.m_Backoff = milliseconds(300);
+    m_Targets.throttles().update(core::TargetName("a"), BackingOff, m_Now);
     // Waits for the end of the rest.
     place(1);
     CPPUNIT_ASSERT(m_Refused.empty());
--- a/Tests/LibRouting/DispatcherTest.cpp
+++ b/Tests/LibRouting/DispatcherTest.cpp
@@ -46,8 +46,8 @@
       m_Targets,
       core::DataHallName("hall"),
       PlacementPolicy::LeastPredictedWait,
-      {[this](core::RequestId Request, const Target &Where) {
-         m_Sent[Request] = Where.m_Name;
+      {[this](core::RequestId Request, const Target &Chosen) {
+         m_Sent[Request] = Chosen.m_Name;
          m_Order.push_back(Request);
        },
        [this](core::RequestId Request) { m_Refused.insert(Request); }}};
--- a/Tests/LibRouting/FleetSubsetTest.cpp
+++ b/Tests/LibRouting/FleetSubsetTest.cpp
@@ -35,11 +35,11 @@
 
 public:
   void testSmallFleetIsOneGroup() {
-    FleetSubset Share(address(3), fleet(7));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Share.groupMembers().size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Share.groupCount());
+    FleetSubset Subset(address(3), fleet(7));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Subset.groupMembers().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Subset.groupCount());
     for (std::size_t Rank = 0; Rank < 12; ++Rank)
-      CPPUNIT_ASSERT(Share.isInSubset(Rank, 12));
+      CPPUNIT_ASSERT(Subset.isInSubset(Rank, 12));
     CPPUNIT_ASSERT(FleetSubset().isInSubset(5, 6));
   }
 
@@ -47,14 +47,14 @@
     auto Fleet = fleet(89);
     std::map<std::size_t, int> Owners;
     for (std::size_t I = 0; I < 89; ++I) {
-      FleetSubset Share(address(I), Fleet);
-      CPPUNIT_ASSERT_EQUAL(std::size_t(12), Share.groupCount());
-      CPPUNIT_ASSERT(Share.groupMembers().size() >= 6 &&
-                     Share.groupMembers().size() <= 7);
-      for (const config::Endpoint &Peer : Share.groupMembers())
+      FleetSubset Subset(address(I), Fleet);
+      CPPUNIT_ASSERT_EQUAL(std::size_t(12), Subset.groupCount());
+      CPPUNIT_ASSERT(Subset.groupMembers().size() >= 6 &&
+                     Subset.groupMembers().size() <= 7);
+      for (const config::Endpoint &Peer : Subset.groupMembers())
         CPPUNIT_ASSERT(FleetSubset(Peer, Fleet).isGroupPeer(address(I)));
       for (std::size_t Rank = 0; Rank < 90; ++Rank)
-        Owners[Rank] += Share.isInSubset(Rank, 90) ? 1 : 0;
+        Owners[Rank] += Subset.isInSubset(Rank, 90) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(90), Owners.size());
     for (const auto &[Rank, Count] : Owners)
@@ -62,10 +62,10 @@
   }
 
   void testFewTargetsAreSharedByAll() {
-    FleetSubset Share(address(40), fleet(89));
+    FleetSubset Subset(address(40), fleet(89));
     for (std::size_t Rank = 0; Rank < 3; ++Rank)
-      CPPUNIT_ASSERT(Share.isInSubset(Rank, 3));
-    CPPUNIT_ASSERT(!Share.isInSubset(89, 90) || !Share.isInSubset(0, 90));
+      CPPUNIT_ASSERT(Subset.isInSubset(Rank, 3));
+    CPPUNIT_ASSERT(!Subset.isInSubset(89, 90) || !Subset.isInSubset(0, 90));
   }
 
   // 295 instances and 160 targets had all targets in common, where 222 would
@@ -74,11 +74,11 @@
     for (std::size_t Size : {6, 24, 89, 295, 440}) {
       std::size_t Before = 0;
       for (std::size_t Count = 3; Count <= 12000; Count += 1 + Count / 8) {
-        FleetSubset Share(address(Size / 2), fleet(Size),
-                          FleetSubset::groupSizeFor(Size, Count));
+        FleetSubset Subset(address(Size / 2), fleet(Size),
+                           FleetSubset::groupSizeFor(Size, Count));
         std::size_t Own = 0;
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
-          Own += Share.isInSubset(Rank, Count) ? 1 : 0;
+          Own += Subset.isInSubset(Rank, Count) ? 1 : 0;
         // An eighth more targets: at the most half of them more or fewer.
         if (Before != 0) {
           CPPUNIT_ASSERT(Own * 2 + 2 >= Before);
@@ -87,7 +87,7 @@
         // Whoever shares a target with many others hears a good part of them.
         double Sharers =
             static_cast<double>(Size * Own) / static_cast<double>(Count);
-        double Heard = static_cast<double>(Share.groupMembers().size() + 1);
+        double Heard = static_cast<double>(Subset.groupMembers().size() + 1);
         if (Count >= Size / 2)
           CPPUNIT_ASSERT(Heard * 1.25 >= Sharers);
         Before = Own;
@@ -121,9 +121,9 @@
   void testEachGroupMixesDataHalls() {
     auto Fleet = fleet(80);
     for (std::size_t I = 0; I < 80; ++I) {
-      FleetSubset Share(address(I), Fleet);
+      FleetSubset Subset(address(I), Fleet);
       std::map<core::DataHallName, int> Counts{{hallOf(I), 1}};
-      for (const config::Endpoint &Peer : Share.groupMembers())
+      for (const config::Endpoint &Peer : Subset.groupMembers())
         ++Counts[Fleet.at(Peer)];
       // Halves, three tenths and a fifth of eight.
       CPPUNIT_ASSERT(Counts[core::DataHallName("a")] >= 3);
--- a/Tests/LibRouting/InterleavedTargetsTest.cpp
+++ b/Tests/LibRouting/InterleavedTargetsTest.cpp
@@ -32,7 +32,7 @@
         "hall-" + std::to_string(Hall < Halls ? Hall : Hall % 2));
     return Out;
   }
-  static FleetSubset share(std::size_t Instances, std::size_t Targets) {
+  static FleetSubset subset(std::size_t Instances, std::size_t Targets) {
     FleetSubset::Fleet Fleet;
     for (std::size_t I = 0; I < Instances; ++I)
       Fleet[{"10." + std::to_string(1 + I / 200) + ".0." +
@@ -46,31 +46,31 @@
   void testMatchesInterleavedOrder() {
     std::mt19937_64 Random(7);
     for (std::size_t Halls : {1, 2, 3, 5, 14}) {
-      std::deque<KnownTarget> Kept;
-      std::vector<KnownTarget *> In;
+      std::deque<KnownTarget> Storage;
+      std::vector<KnownTarget *> Inserted;
       InterleavedTargets Order;
       for (std::size_t Step = 0; Step < 300; ++Step) {
-        if (In.empty() || Random() % 3 != 0) {
-          KnownTarget &Added = Kept.emplace_back();
+        if (Inserted.empty() || Random() % 3 != 0) {
+          KnownTarget &Added = Storage.emplace_back();
           Added.m_Target = target(Step, Halls);
           Added.m_Hash = Added.m_Target.run().hash();
           Order.insert(Added);
-          In.push_back(&Added);
+          Inserted.push_back(&Added);
         } else {
-          std::size_t Which = Random() % In.size();
-          Order.erase(*In[Which]);
-          In.erase(In.begin() + static_cast<long>(Which));
+          std::size_t Which = Random() % Inserted.size();
+          Order.erase(*Inserted[Which]);
+          Inserted.erase(Inserted.begin() + static_cast<long>(Which));
         }
         std::vector<DataHallMember> Members;
-        for (const KnownTarget *Each : In)
+        for (const KnownTarget *Each : Inserted)
           Members.push_back({Each->m_Target.m_DataHall, Each->m_Hash});
         std::vector<std::size_t> Sorted = interleavedOrder(Members);
-        std::size_t First = Random() % (In.size() + 1);
-        std::size_t Last = First + Random() % (In.size() + 1 - First);
+        std::size_t First = Random() % (Inserted.size() + 1);
+        std::size_t Last = First + Random() % (Inserted.size() + 1 - First);
         std::vector<KnownTarget *> Got = Order.slice(First, Last);
         CPPUNIT_ASSERT_EQUAL(Last - First, Got.size());
         for (std::size_t I = First; I < Last; ++I)
-          CPPUNIT_ASSERT(Got[I - First] == In[Sorted[I]]);
+          CPPUNIT_ASSERT(Got[I - First] == Inserted[Sorted[I]]);
       }
     }
   }
@@ -78,10 +78,10 @@
   void testSubsetRanksMatchIsInSubset() {
     for (std::size_t Size : {1, 6, 24, 89, 295, 440})
       for (std::size_t Count : {1, 3, 8, 90, 161, 1002, 12000}) {
-        FleetSubset Share = share(Size, Count);
-        FleetSubset::RankRange Own = Share.subsetRanks(Count);
+        FleetSubset Subset = subset(Size, Count);
+        FleetSubset::RankRange Own = Subset.subsetRanks(Count);
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
-          CPPUNIT_ASSERT_EQUAL(Share.isInSubset(Rank, Count),
+          CPPUNIT_ASSERT_EQUAL(Subset.isInSubset(Rank, Count),
                                Rank >= Own.m_First && Rank < Own.m_End);
       }
   }
@@ -94,7 +94,7 @@
     core::PoolName Pool("pool");
     for (std::size_t Count : {90, 1002, 3000, 12000}) {
       TargetDirectory Targets;
-      Targets.setSubset(share(300, Count));
+      Targets.setSubset(subset(300, Count));
       for (std::size_t I = 0; I < Count; ++I)
         Targets.announce(target(I, 3));
       std::size_t Own = Targets.subsetOf(Pool).size();
@@ -120,15 +120,16 @@
       double Search = std::log2(static_cast<double>(Count)) + 1;
       double Each =
           static_cast<double>(Targets.visitCount() - Before) / Changes;
-      double Cut = Halls * (Halls * 2 * Search + static_cast<double>(Own));
-      CPPUNIT_ASSERT(Each <= 2 * (Cut + Search));
+      double RebuildCost =
+          Halls * (Halls * 2 * Search + static_cast<double>(Own));
+      CPPUNIT_ASSERT(Each <= 2 * (RebuildCost + Search));
     }
   }
 
   void testBulkAnnouncementBuildsSubsetOnce() {
     static constexpr std::size_t Count = 12000;
     TargetDirectory Targets;
-    Targets.setSubset(share(300, Count));
+    Targets.setSubset(subset(300, Count));
     for (std::size_t I = 0; I < Count; ++I)
       Targets.announce(target(I, 3));
     Targets.subsetOf(core::PoolName("pool"));
--- a/Tests/LibRouting/QuotaDeploymentsTest.cpp
+++ b/Tests/LibRouting/QuotaDeploymentsTest.cpp
@@ -130,15 +130,15 @@
   /// three and as many again after a kill are more than all of it: up to 1.77
   /// times.
   void testOnlyTheLargestRequests() {
-    QuotaDay Bred = day("simulations", 26381, 4.40108, 3000088,
-                        {kill(7599, 0.727954, 1854),
-                         {milliseconds(17558), QuotaFault::Freeze, 0.0684945,
-                          milliseconds(3645)},
-                         kill(16227, 0.633581, 1082),
-                         add(14209, 0.376227),
-                         add(12301, 0.447633)});
-    Bred.m_AreLargest = true;
-    check(Bred);
+    QuotaDay Regression = day("simulations", 26381, 4.40108, 3000088,
+                              {kill(7599, 0.727954, 1854),
+                               {milliseconds(17558), QuotaFault::Freeze,
+                                0.0684945, milliseconds(3645)},
+                               kill(16227, 0.633581, 1082),
+                               add(14209, 0.376227),
+                               add(12301, 0.447633)});
+    Regression.m_AreLargest = true;
+    check(Regression);
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       for (std::uint64_t Seed = 1; Seed <= 3; ++Seed) {
         QuotaDay Day = day(Each.m_Name, Each.m_SmallestLimit, 5, Seed,
--- a/Tests/LibRouting/QuotaModelTest.cpp
+++ b/Tests/LibRouting/QuotaModelTest.cpp
@@ -41,13 +41,13 @@
 
 enum class Faults { None, KillsOfAll, KillsInTurn, Cuts, Mixed, OneCut };
 
-class Schedule {
+class FaultSimulation {
 public:
-  Schedule(std::size_t Size, Faults What, std::uint64_t Seed)
+  FaultSimulation(std::size_t Size, Faults What, std::uint64_t Seed)
       : m_Faults(What), m_Random(Seed), m_Size(Size),
         m_Fleet({Size, accounts(), {0.1, 190000, Window}, Seed}) {}
 
-  void play() {
+  void run() {
     core::TimePoint End = m_Fleet.now() + Length;
     core::TimePoint NextFault = m_Fleet.now() + seconds(9);
     while (m_Fleet.now() < End) {
@@ -58,7 +58,7 @@
         demand(Other, OtherLoad);
       if (m_Fleet.now() < NextFault)
         continue;
-      NextFault = m_Fleet.now() + strike();
+      NextFault = m_Fleet.now() + injectFault();
     }
   }
 
@@ -68,7 +68,7 @@
   }
   /// Part of the account's requests that were refused, at instances that were
   /// cut off or at all others.
-  double refusedPart(std::size_t Account, bool IsCutOff) const {
+  double refusedShare(std::size_t Account, bool IsCutOff) const {
     auto Refused = static_cast<double>(m_Fleet.refused(Account, IsCutOff));
     const auto &Allowed = m_Fleet.allowed(Account);
     auto All = Refused + static_cast<double>(std::count_if(
@@ -80,16 +80,18 @@
   }
 
   /// Tokens that an account was let in for without an owner.
-  double aloneTokens(std::size_t Account) const {
+  double isolatedTokens(std::size_t Account) const {
     double Out = 0;
     for (const tests::AllowedDraw &Each : m_Fleet.allowed(Account))
       Out += Each.m_IsAlone ? Each.m_Tokens : 0;
     return Out;
   }
-  double timesCutOff() const { return m_CutOff; }
+  double cutOffCount() const { return m_CutOffCount; }
 
   /// Of the modest account, by one bucket that all draw on.
-  double refusedPartByOne() const { return m_RefusedByOne / m_AskedOfOne; }
+  double referenceRefusedShare() const {
+    return m_ReferenceRefused / m_ReferenceRequests;
+  }
 
 private:
   static std::vector<routing::Account> accounts() {
@@ -118,13 +120,14 @@
                       static_cast<std::uint32_t>(Size));
       if (Account != Modest)
         continue;
-      ++m_AskedOfOne;
-      m_RefusedByOne += m_One.tryTake(Size, m_Fleet.now()) ? 0 : 1;
+      ++m_ReferenceRequests;
+      m_ReferenceRefused +=
+          m_ReferenceBucket.tryTake(Size, m_Fleet.now()) ? 0 : 1;
     }
   }
 
   /// \returns the time until the next fault.
-  core::Duration strike() {
+  core::Duration injectFault() {
     Faults What = m_Faults;
     if (What == Faults::Mixed) {
       std::uniform_int_distribution<int> Draw(1, 3);
@@ -144,7 +147,7 @@
       for (std::size_t I = 0; I < m_Size; ++I)
         if (IsCut(m_Random)) {
           m_Fleet.cut(I, CutTime);
-          ++m_CutOff;
+          ++m_CutOffCount;
         }
       return What == Faults::Cuts ? seconds(7) : Length;
     case Faults::None:
@@ -159,10 +162,10 @@
   std::size_t m_Size;
   std::size_t m_Next = 0;
   tests::QuotaFleet m_Fleet;
-  routing::TokenBucket m_One{{Rate, Burst}, Burst, m_Fleet.now()};
-  double m_CutOff = 0; ///< Times that an instance was.
-  double m_AskedOfOne = 0;
-  double m_RefusedByOne = 0;
+  routing::TokenBucket m_ReferenceBucket{{Rate, Burst}, Burst, m_Fleet.now()};
+  double m_CutOffCount = 0; ///< Times that an instance was.
+  double m_ReferenceRequests = 0;
+  double m_ReferenceRefused = 0;
 };
 
 } // namespace
@@ -185,22 +188,23 @@
     for (std::size_t Size : {8, 48, 89, 295}) {
       double Most = 0;
       double Refused = 0;
-      double RefusedByOne = 0;
+      double ReferenceRefused = 0;
       double RefusedCutOff = 0;
       for (int Seed = 1; Seed <= Seeds; ++Seed) {
-        Schedule Day(Size, What, Size + static_cast<std::size_t>(Seed));
-        Day.play();
-        Most = std::max(Most, Day.mostInWindow(Hot));
-        Refused += Day.refusedPart(Modest, false) / Seeds;
-        RefusedCutOff += Day.refusedPart(Modest, true) / Seeds;
-        RefusedByOne += Day.refusedPartByOne() / Seeds;
+        FaultSimulation Simulation(Size, What,
+                                   Size + static_cast<std::size_t>(Seed));
+        Simulation.run();
+        Most = std::max(Most, Simulation.mostInWindow(Hot));
+        Refused += Simulation.refusedShare(Modest, false) / Seeds;
+        RefusedCutOff += Simulation.refusedShare(Modest, true) / Seeds;
+        ReferenceRefused += Simulation.referenceRefusedShare() / Seeds;
       }
       std::cerr << "\ninstances=" << Size << " most_in_window=" << Most / Bound
                 << " of_bound refused_below_limit=" << Refused
-                << " by_one_bucket=" << RefusedByOne
+                << " by_one_bucket=" << ReferenceRefused
                 << " refused_where_cut_off=" << RefusedCutOff;
       CPPUNIT_ASSERT(Most <= Bound);
-      CPPUNIT_ASSERT(Refused <= RefusedByOne + MostRefused);
+      CPPUNIT_ASSERT(Refused <= ReferenceRefused + MostRefused);
     }
   }
 
@@ -233,10 +237,11 @@
     double Tokens = 0;
     double Times = 0;
     for (int Seed = 1; Seed <= Seeds; ++Seed) {
-      Schedule Day(Size, Faults::OneCut, Size + static_cast<std::size_t>(Seed));
-      Day.play();
-      Tokens += Day.aloneTokens(Hot);
-      Times += Day.timesCutOff();
+      FaultSimulation Simulation(Size, Faults::OneCut,
+                                 Size + static_cast<std::size_t>(Seed));
+      Simulation.run();
+      Tokens += Simulation.isolatedTokens(Hot);
+      Times += Simulation.cutOffCount();
     }
     // Requests come in by chance; the mean of their squares is 8,150 times
     // their mean.
--- a/Tests/LibRouting/QuotaTest.cpp
+++ b/Tests/LibRouting/QuotaTest.cpp
@@ -59,14 +59,14 @@
         return Each;
     return {};
   }
-  DistributedQuota bookOf(const config::Endpoint &Self, std::size_t Count,
-                          double Rate = 1000, double Burst = 1000) const {
-    DistributedQuota Book(Self, QuotaTolerance(), false, 7);
-    Book.setRing(ConsistentHashRing(members(Count)), m_Now);
-    Book.setAccounts(accounts(Rate, Burst), m_Now);
-    return Book;
+  DistributedQuota quotaOf(const config::Endpoint &Self, std::size_t Count,
+                           double Rate = 1000, double Burst = 1000) const {
+    DistributedQuota Quota(Self, QuotaTolerance(), false, 7);
+    Quota.setRing(ConsistentHashRing(members(Count)), m_Now);
+    Quota.setAccounts(accounts(Rate, Burst), m_Now);
+    return Quota;
   }
-  QuotaAcquisition draw(std::uint32_t Tokens) const {
+  QuotaAcquisition acquisition(std::uint32_t Tokens) const {
     QuotaAcquisition Out;
     Out.m_Account = m_Account;
     Out.m_Tokens = Tokens;
@@ -78,11 +78,11 @@
 
 public:
   void testBucketBoundsEveryWindow() {
-    TokenBucket Quota({1000, 500}, 500, m_Now);
+    TokenBucket Bucket({1000, 500}, 500, m_Now);
     double Taken = 0;
     for (int I = 0; I < 800; ++I) {
       m_Now += milliseconds(10);
-      while (Quota.tryTake(50, m_Now))
+      while (Bucket.tryTake(50, m_Now))
         Taken += 50;
     }
     // 8 s x 1000 + 500, and one request that went below zero.
@@ -90,22 +90,22 @@
     CPPUNIT_ASSERT(Taken >= 8400);
     // Without others who were refused, only the debt has to be waited for.
     m_Now += seconds(20);
-    CPPUNIT_ASSERT(Quota.tryTake(550, m_Now));
-    CPPUNIT_ASSERT(Quota.untilAvailable() <= milliseconds(51));
-    CPPUNIT_ASSERT(Quota.untilAvailable() >= milliseconds(50));
+    CPPUNIT_ASSERT(Bucket.tryTake(550, m_Now));
+    CPPUNIT_ASSERT(Bucket.untilAvailable() <= milliseconds(51));
+    CPPUNIT_ASSERT(Bucket.untilAvailable() >= milliseconds(50));
   }
 
   void testRetryAfterGrowsWithRefusals() {
-    TokenBucket Quota({1000, 500}, 500, m_Now);
-    CPPUNIT_ASSERT(Quota.tryTake(500, m_Now));
-    CPPUNIT_ASSERT(!Quota.tryTake(200, m_Now));
-    CPPUNIT_ASSERT(Quota.untilAvailable() <= milliseconds(200));
+    TokenBucket Bucket({1000, 500}, 500, m_Now);
+    CPPUNIT_ASSERT(Bucket.tryTake(500, m_Now));
+    CPPUNIT_ASSERT(!Bucket.tryTake(200, m_Now));
+    CPPUNIT_ASSERT(Bucket.untilAvailable() <= milliseconds(200));
     for (int I = 0; I < 9; ++I)
-      Quota.tryTake(200, m_Now);
-    CPPUNIT_ASSERT(Quota.untilAvailable() >= milliseconds(1900));
+      Bucket.tryTake(200, m_Now);
+    CPPUNIT_ASSERT(Bucket.untilAvailable() >= milliseconds(1900));
     m_Now += seconds(5);
-    CPPUNIT_ASSERT(Quota.tryTake(600, m_Now));
-    CPPUNIT_ASSERT(Quota.untilAvailable() <= milliseconds(200));
+    CPPUNIT_ASSERT(Bucket.tryTake(600, m_Now));
+    CPPUNIT_ASSERT(Bucket.untilAvailable() <= milliseconds(200));
   }
 
   void testRingIsIndependentOfMemberOrder() {
@@ -144,17 +144,19 @@
     // Six instances, three of them owners; each first asks one of them.
     std::map<config::Endpoint, DistributedQuota> Quotas;
     for (const config::Endpoint &Each : members(6))
-      Quotas.emplace(Each, bookOf(Each, 6));
+      Quotas.emplace(Each, quotaOf(Each, 6));
     double Taken = 0;
     for (int I = 0; I < 800; ++I) {
       m_Now += milliseconds(10);
-      for (auto &[Self, Book] : Quotas) {
-        QuotaAcquisition Draw = draw(50);
-        QuotaStep Step = Book.begin(Draw, m_Now);
+      for (auto &[Self, Quota] : Quotas) {
+        QuotaAcquisition Acquisition = acquisition(50);
+        QuotaStep Step = Quota.begin(Acquisition, m_Now);
         while (Step == QuotaStep::Ask) {
-          DistributedQuota &Owner = Quotas.at(Draw.m_RemainingOwners.back());
-          Step = Book.handleResponse(
-              Draw, Owner.handleRequest({m_Account, 50, 0}, m_Now), m_Now);
+          DistributedQuota &Owner =
+              Quotas.at(Acquisition.m_RemainingOwners.back());
+          Step = Quota.handleResponse(
+              Acquisition, Owner.handleRequest({m_Account, 50, 0}, m_Now),
+              m_Now);
         }
         Taken += Step == QuotaStep::Granted ? 50 : 0;
       }
@@ -268,22 +270,22 @@
   }
 
   void testUnusedTokensAreGivenBackOnce() {
-    DistributedQuota Book = bookOf(stranger(6), 6);
-    QuotaAcquisition Draw = draw(100);
-    CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Ask);
-    config::Endpoint Owner = Draw.m_RemainingOwners.back();
-    CPPUNIT_ASSERT(Book.handleResponse(Draw, granted(150), m_Now) ==
+    DistributedQuota Quota = quotaOf(stranger(6), 6);
+    QuotaAcquisition Acquisition = acquisition(100);
+    CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now) == QuotaStep::Ask);
+    config::Endpoint Owner = Acquisition.m_RemainingOwners.back();
+    CPPUNIT_ASSERT(Quota.handleResponse(Acquisition, granted(150), m_Now) ==
                    QuotaStep::Granted);
     // It did not run; the next one of its account uses the same tokens.
-    Book.giveBack(Draw, m_Now);
-    QuotaAcquisition Next = draw(120);
-    CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Granted);
+    Quota.giveBack(Acquisition, m_Now);
+    QuotaAcquisition Next = acquisition(120);
+    CPPUNIT_ASSERT(Quota.begin(Next, m_Now) == QuotaStep::Granted);
     CPPUNIT_ASSERT(*Next.m_Owner == Owner);
-    CPPUNIT_ASSERT(Book.takeUnusedGrants(m_Now).empty());
-    auto Unused = Book.takeUnusedGrants(m_Now + seconds(2));
+    CPPUNIT_ASSERT(Quota.takeUnusedGrants(m_Now).empty());
+    auto Unused = Quota.takeUnusedGrants(m_Now + seconds(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Unused.size());
     CPPUNIT_ASSERT(Unused[0].m_Owner == Owner && Unused[0].m_Tokens == 30);
-    CPPUNIT_ASSERT(Book.takeUnusedGrants(m_Now + seconds(2)).empty());
+    CPPUNIT_ASSERT(Quota.takeUnusedGrants(m_Now + seconds(2)).empty());
   }
 
   void testAdvanceIsBounded() {
@@ -301,69 +303,73 @@
   }
 
   void testRefusedOnlyWhenAllOwnersRefuse() {
-    DistributedQuota Book = bookOf(stranger(6), 6);
-    QuotaAcquisition Draw = draw(100);
-    CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Ask);
+    DistributedQuota Quota = quotaOf(stranger(6), 6);
+    QuotaAcquisition Acquisition = acquisition(100);
+    CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now) == QuotaStep::Ask);
     for (int Time : {300, 200})
-      CPPUNIT_ASSERT(Book.handleResponse(
-                         Draw, {QuotaVerdict::Refused, 0, milliseconds(Time)},
-                         m_Now) == QuotaStep::Ask);
+      CPPUNIT_ASSERT(
+          Quota.handleResponse(Acquisition,
+                               {QuotaVerdict::Refused, 0, milliseconds(Time)},
+                               m_Now) == QuotaStep::Ask);
     CPPUNIT_ASSERT(
-        Book.handleResponse(Draw, {QuotaVerdict::Refused, 0, milliseconds(400)},
-                            m_Now) == QuotaStep::Refused);
-    CPPUNIT_ASSERT(*Draw.m_RetryAfter == milliseconds(200));
+        Quota.handleResponse(Acquisition,
+                             {QuotaVerdict::Refused, 0, milliseconds(400)},
+                             m_Now) == QuotaStep::Refused);
+    CPPUNIT_ASSERT(*Acquisition.m_RetryAfter == milliseconds(200));
     // All said so just now; nobody is asked again for a while.
-    QuotaAcquisition Next = draw(1);
-    CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Refused);
+    QuotaAcquisition Next = acquisition(1);
+    CPPUNIT_ASSERT(Quota.begin(Next, m_Now) == QuotaStep::Refused);
     m_Now += milliseconds(60);
-    Next = draw(1);
-    CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Ask);
+    Next = acquisition(1);
+    CPPUNIT_ASSERT(Quota.begin(Next, m_Now) == QuotaStep::Ask);
   }
 
   void testUnresponsiveOwnerIsSkipped() {
-    DistributedQuota Book = bookOf(stranger(6), 6);
-    QuotaAcquisition Draw = draw(100);
-    CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Ask);
-    config::Endpoint Silent = Draw.m_RemainingOwners.back();
-    CPPUNIT_ASSERT(Book.handleTimeout(Draw, m_Now) == QuotaStep::Ask);
-    CPPUNIT_ASSERT(Book.handleResponse(Draw, granted(100), m_Now) ==
+    DistributedQuota Quota = quotaOf(stranger(6), 6);
+    QuotaAcquisition Acquisition = acquisition(100);
+    CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now) == QuotaStep::Ask);
+    config::Endpoint Unresponsive = Acquisition.m_RemainingOwners.back();
+    CPPUNIT_ASSERT(Quota.handleTimeout(Acquisition, m_Now) == QuotaStep::Ask);
+    CPPUNIT_ASSERT(Quota.handleResponse(Acquisition, granted(100), m_Now) ==
                    QuotaStep::Granted);
     for (int I = 0; I < 20; ++I) {
-      QuotaAcquisition Next = draw(100);
-      CPPUNIT_ASSERT(Book.begin(Next, m_Now) == QuotaStep::Ask);
-      CPPUNIT_ASSERT(!(Next.m_RemainingOwners.back() == Silent));
+      QuotaAcquisition Next = acquisition(100);
+      CPPUNIT_ASSERT(Quota.begin(Next, m_Now) == QuotaStep::Ask);
+      CPPUNIT_ASSERT(!(Next.m_RemainingOwners.back() == Unresponsive));
     }
     // It is tried again later.
     m_Now += seconds(1);
     bool IsAsked = false;
     for (int I = 0; I < 20; ++I) {
-      QuotaAcquisition Next = draw(100);
-      Book.begin(Next, m_Now);
-      IsAsked = IsAsked || Next.m_RemainingOwners.back() == Silent;
+      QuotaAcquisition Next = acquisition(100);
+      Quota.begin(Next, m_Now);
+      IsAsked = IsAsked || Next.m_RemainingOwners.back() == Unresponsive;
     }
     CPPUNIT_ASSERT(IsAsked);
   }
 
   /// Tokens that one instance of \p Count lets in for requests of 50, one every
   /// \p Period until \p Length, while it reaches no owner.
-  std::uint32_t takenAlone(std::size_t Count, const QuotaTolerance &Tolerance,
-                           std::uint64_t Seed, core::Duration Period,
-                           core::Duration Length, bool HasReachedOwner) const {
-    DistributedQuota Book(stranger(Count), Tolerance, false, Seed);
-    Book.setRing(ConsistentHashRing(members(Count)), m_Now);
-    Book.setAccounts(accounts(1000, 1000), m_Now);
+  std::uint32_t grantedIsolated(std::size_t Count,
+                                const QuotaTolerance &Tolerance,
+                                std::uint64_t Seed, core::Duration Period,
+                                core::Duration Length,
+                                bool HasReachedOwner) const {
+    DistributedQuota Quota(stranger(Count), Tolerance, false, Seed);
+    Quota.setRing(ConsistentHashRing(members(Count)), m_Now);
+    Quota.setAccounts(accounts(1000, 1000), m_Now);
     if (HasReachedOwner) {
-      QuotaAcquisition First = draw(50);
-      Book.begin(First, m_Now);
-      CPPUNIT_ASSERT(Book.handleResponse(First, granted(50), m_Now) ==
+      QuotaAcquisition First = acquisition(50);
+      Quota.begin(First, m_Now);
+      CPPUNIT_ASSERT(Quota.handleResponse(First, granted(50), m_Now) ==
                      QuotaStep::Granted);
     }
     std::uint32_t Taken = 0;
     for (core::Duration At = Period; At <= Length; At += Period) {
-      QuotaAcquisition Next = draw(50);
-      QuotaStep Step = Book.begin(Next, m_Now + At);
+      QuotaAcquisition Next = acquisition(50);
+      QuotaStep Step = Quota.begin(Next, m_Now + At);
       while (Step == QuotaStep::Ask)
-        Step = Book.handleTimeout(Next, m_Now + At);
+        Step = Quota.handleTimeout(Next, m_Now + At);
       Taken += Step == QuotaStep::Granted ? 50 : 0;
     }
     return Taken;
@@ -375,14 +381,14 @@
     QuotaTolerance Tolerance{0.1, 1100, seconds(8)};
     std::uint32_t Taken = 0;
     for (std::uint64_t Seed = 1; Seed <= 200; ++Seed)
-      Taken +=
-          takenAlone(10, Tolerance, Seed, milliseconds(10), seconds(8), true);
+      Taken += grantedIsolated(10, Tolerance, Seed, milliseconds(10),
+                               seconds(8), true);
     // 200 x 50 in the mean; five standard deviations are 3,500.
     CPPUNIT_ASSERT(Taken >= 6500);
     CPPUNIT_ASSERT(Taken <= 13500);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t(0),
-                         takenAlone(10, QuotaTolerance(), 7, milliseconds(10),
-                                    seconds(8), true));
+                         grantedIsolated(10, QuotaTolerance(), 7,
+                                         milliseconds(10), seconds(8), true));
   }
 
   void testRestartedIsolatedInstancesKeepTolerance() {
@@ -391,26 +397,27 @@
     QuotaTolerance Tolerance{0.1, 1100, seconds(8)};
     std::uint32_t Taken = 0;
     for (std::uint64_t Start = 1; Start <= 20000; ++Start)
-      Taken += takenAlone(100, Tolerance, Start, milliseconds(100),
-                          milliseconds(400), false);
+      Taken += grantedIsolated(100, Tolerance, Start, milliseconds(100),
+                               milliseconds(400), false);
     // 20,000 x 0.25 in the mean; five standard deviations are 2,500.
     CPPUNIT_ASSERT(Taken >= 2500);
     CPPUNIT_ASSERT(Taken <= 7500);
   }
 
   void testNothingIsGrantedWithoutMembers() {
-    DistributedQuota Book(owner(6), QuotaTolerance(), false, 7);
-    Book.setAccounts(accounts(1000, 1000), m_Now);
-    QuotaAcquisition Draw = draw(1);
-    CPPUNIT_ASSERT(Book.begin(Draw, m_Now + seconds(1)) == QuotaStep::Refused);
-    CPPUNIT_ASSERT(*Draw.m_RetryAfter > core::Duration::zero());
+    DistributedQuota Quota(owner(6), QuotaTolerance(), false, 7);
+    Quota.setAccounts(accounts(1000, 1000), m_Now);
+    QuotaAcquisition Acquisition = acquisition(1);
+    CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now + seconds(1)) ==
+                   QuotaStep::Refused);
+    CPPUNIT_ASSERT(*Acquisition.m_RetryAfter > core::Duration::zero());
   }
 
   void testAccountWithoutLimitAsksNoOwner() {
-    DistributedQuota Book(owner(6), QuotaTolerance(), false, 7);
-    Book.setAccounts(accounts(0, 0), m_Now);
-    QuotaAcquisition Draw = draw(1000000);
-    CPPUNIT_ASSERT(Book.begin(Draw, m_Now) == QuotaStep::Granted);
+    DistributedQuota Quota(owner(6), QuotaTolerance(), false, 7);
+    Quota.setAccounts(accounts(0, 0), m_Now);
+    QuotaAcquisition Acquisition = acquisition(1000000);
+    CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now) == QuotaStep::Granted);
   }
 };
 
--- a/Tests/LibRouting/RetryRestartTest.cpp
+++ b/Tests/LibRouting/RetryRestartTest.cpp
@@ -28,18 +28,18 @@
     constexpr std::size_t Instances = 78;
     RetryLimits Limits{0.2, seconds(10), Allowance / 2};
     core::TimePoint Now{std::chrono::hours(1)};
-    double Taken = 0;
-    for (int Life = 0; Life < 4; ++Life) {
+    double Retries = 0;
+    for (int Restart = 0; Restart < 4; ++Restart) {
       std::vector<RetryBudget> Budgets(Instances, RetryBudget(Limits, Now));
       for (int I = 0; I < 20; ++I) {
         Now += milliseconds(100);
         for (RetryBudget &Each : Budgets)
-          Taken += Each.tryTake(Now, Instances) ? 1 : 0;
+          Retries += Each.tryTake(Now, Instances) ? 1 : 0;
       }
       Now += milliseconds(400); // Until all run again.
     }
     // All within one window, in which nobody asked for anything new.
-    CPPUNIT_ASSERT(Taken <= Allowance);
+    CPPUNIT_ASSERT(Retries <= Allowance);
   }
 };
 
--- a/Tests/LibRouting/SharedRateLimitTest.cpp
+++ b/Tests/LibRouting/SharedRateLimitTest.cpp
@@ -208,9 +208,9 @@
     }
     CPPUNIT_ASSERT(m_Throttles.isEmpty());
     // A rest that is over as well.
-    TargetBackpressure Tired;
-    Tired.m_Backoff = seconds(3);
-    m_Throttles.update(m_Incarnation, Tired, m_Now);
+    TargetBackpressure BackingOff;
+    BackingOff.m_Backoff = seconds(3);
+    m_Throttles.update(m_Incarnation, BackingOff, m_Now);
     m_Throttles.removeStale(m_Now);
     CPPUNIT_ASSERT(!m_Throttles.isEmpty());
     m_Throttles.removeStale(m_Now + seconds(3));
@@ -218,9 +218,9 @@
   }
 
   void testBackoffIsLocal() {
-    TargetBackpressure Tired;
-    Tired.m_Backoff = seconds(3);
-    CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, Tired, m_Now));
+    TargetBackpressure BackingOff;
+    BackingOff.m_Backoff = seconds(3);
+    CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, BackingOff, m_Now));
     CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).empty());
     CPPUNIT_ASSERT(
         !m_Throttles.isOpen(m_Incarnation, m_Now + milliseconds(2999)));
@@ -234,11 +234,11 @@
   }
 
   void testLongerBackoffIsNotShortened() {
-    TargetBackpressure Tired;
-    Tired.m_Backoff = std::chrono::hours(1);
-    m_Throttles.update(m_Incarnation, Tired, m_Now);
-    Tired.m_Backoff = milliseconds(10);
-    m_Throttles.update(m_Incarnation, Tired, m_Now);
+    TargetBackpressure BackingOff;
+    BackingOff.m_Backoff = std::chrono::hours(1);
+    m_Throttles.update(m_Incarnation, BackingOff, m_Now);
+    BackingOff.m_Backoff = milliseconds(10);
+    m_Throttles.update(m_Incarnation, BackingOff, m_Now);
     m_Throttles.update(m_Incarnation, {}, m_Now + seconds(1));
     m_Throttles.removeStale(m_Now + seconds(3599));
     CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now + seconds(3599)));
@@ -275,13 +275,13 @@
         std::size_t Senders = 0;
         const std::size_t Rank = Targets / 2;
         for (const auto &[Address, Hall] : Fleet) {
-          FleetSubset Share(Address, Fleet, Members);
-          if (!Share.isInSubset(Rank, Targets))
+          FleetSubset Subset(Address, Fleet, Members);
+          if (!Subset.isInSubset(Rank, Targets))
             continue;
-          auto Sharers = Share.subsetInstances(Targets);
-          CPPUNIT_ASSERT(std::count(Sharers.begin(), Sharers.end(), Address) ==
-                         1);
-          Senders += Share.rendezvousRank(m_Incarnation.hash(), Targets) <
+          auto Instances = Subset.subsetInstances(Targets);
+          CPPUNIT_ASSERT(
+              std::count(Instances.begin(), Instances.end(), Address) == 1);
+          Senders += Subset.rendezvousRank(m_Incarnation.hash(), Targets) <
                              SharedRateLimit::MaxSenders
                          ? 1
                          : 0;
--- a/Tests/LibRouting/TargetDirectoryTest.cpp
+++ b/Tests/LibRouting/TargetDirectoryTest.cpp
@@ -16,15 +16,17 @@
   core::TimePoint m_Now{std::chrono::hours(1)};
   TargetDirectory m_Targets;
 
-  bool announce(const char *Name, const char *Pool, std::int64_t Birth = 0) {
+  bool announce(const char *Name, const char *Pool,
+                std::int64_t StartTime = 0) {
     Target What;
     What.m_Name = core::TargetName(Name);
-    What.m_StartTime = core::TargetStartTime(Birth);
+    What.m_StartTime = core::TargetStartTime(StartTime);
     What.m_Pool = core::PoolName(Pool);
     return m_Targets.announce(What) == AnnouncementEffect::NewRun;
   }
-  static TargetIncarnation run(const char *Name, std::int64_t Birth) {
-    return {core::TargetName(Name), core::TargetStartTime(Birth)};
+  static TargetIncarnation incarnation(const char *Name,
+                                       std::int64_t StartTime) {
+    return {core::TargetName(Name), core::TargetStartTime(StartTime)};
   }
 
 public:
@@ -63,13 +65,13 @@
     CPPUNIT_ASSERT(announce("a", "pool", 5000));
     announce("b", "pool", 5000);
     for (int I = 0; I < 3; ++I) {
-      m_Targets.tryStartRequest(run("a", 5000), 1000, m_Now);
-      m_Targets.recordFailure(run("a", 5000), TargetFailure::Unreachable,
-                              m_Now);
-      m_Targets.recordServiceTime(run("a", 5000), milliseconds(90));
-      m_Targets.recordServiceTime(run("b", 5000), milliseconds(10));
+      m_Targets.tryStartRequest(incarnation("a", 5000), 1000, m_Now);
+      m_Targets.recordFailure(incarnation("a", 5000),
+                              TargetFailure::Unreachable, m_Now);
+      m_Targets.recordServiceTime(incarnation("a", 5000), milliseconds(90));
+      m_Targets.recordServiceTime(incarnation("b", 5000), milliseconds(10));
     }
-    m_Targets.recordReplacement(run("a", 5000));
+    m_Targets.recordReplacement(incarnation("a", 5000));
     std::uint32_t Before = m_Targets.find(core::TargetName("a"))->m_Hash;
     m_Targets.setRemoteLoad({{Before, {4, 4000}}});
     // An announcement that only says more of the same run changes none of it.
@@ -90,22 +92,23 @@
     CPPUNIT_ASSERT(Now.m_Hash != Before);
     m_Targets.setRemoteLoad({{Before, {4, 4000}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
-    CPPUNIT_ASSERT(!m_Targets.findByIncarnation(run("a", 5000)));
+    CPPUNIT_ASSERT(!m_Targets.findByIncarnation(incarnation("a", 5000)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2),
                          m_Targets.subsetOf(core::PoolName("pool")).size());
   }
 
   void testRequestsOfEndedRunAreIgnored() {
     announce("a", "pool", 1);
-    m_Targets.tryStartRequest(run("a", 1), 1000, m_Now);
-    m_Targets.tryStartRequest(run("a", 1), 1000, m_Now);
+    m_Targets.tryStartRequest(incarnation("a", 1), 1000, m_Now);
+    m_Targets.tryStartRequest(incarnation("a", 1), 1000, m_Now);
     announce("a", "pool", 2);
-    m_Targets.tryStartRequest(run("a", 2), 700, m_Now);
-    m_Targets.recordFirstEvent(run("a", 1), 1000);
-    m_Targets.recordEnd(run("a", 1), 1000);
-    m_Targets.recordEnd(run("a", 1), 1000);
-    m_Targets.recordFailure(run("a", 1), TargetFailure::Unreachable, m_Now);
-    m_Targets.recordReplacement(run("a", 1));
+    m_Targets.tryStartRequest(incarnation("a", 2), 700, m_Now);
+    m_Targets.recordFirstEvent(incarnation("a", 1), 1000);
+    m_Targets.recordEnd(incarnation("a", 1), 1000);
+    m_Targets.recordEnd(incarnation("a", 1), 1000);
+    m_Targets.recordFailure(incarnation("a", 1), TargetFailure::Unreachable,
+                            m_Now);
+    m_Targets.recordReplacement(incarnation("a", 1));
     const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Now.running());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(700),
