--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -7,32 +7,31 @@
 
 namespace yardrill::routing {
 
-/// Prompt tokens that a target of ordinary speed reads in a millisecond; the
-/// order of size matters, the learned slowness does the rest.
+/// Prompt tokens that a target of median speed processes in a millisecond. An
+/// order of magnitude is enough, because costs scale with the learned slowness.
 static constexpr double PromptTokensPerMs = 50;
-/// What one running request adds to the next one's time: its tokens come
-/// slower, and its end is further away.
+/// Delay that each running request adds to a new one.
 static constexpr double RunningCostMs = 12;
-/// Wait behind each request that has no place at the target yet.
+/// Wait behind each request that exceeds the target's slots.
 static constexpr double QueuedCostMs = 150;
-/// Way to another data hall and back, and the price of its bytes.
+/// Penalty for a target in another data hall: round trip and traffic cost.
 static constexpr double OtherHallCostMs = 2;
-/// A target that fails every request costs as much as this wait.
+/// Penalty for a target with a failure rate of 1.
 static constexpr double FailureCostMs = 2000;
-/// Each millisecond by which an answer would miss its end counts so often.
+/// Weight of each millisecond by which a response would miss its deadline.
 static constexpr double OverrunWeight = 3;
-/// Part of the time left that an answer should take at the most, since its
-/// length and the target's pace are only expected.
+/// Share of the remaining time that a response may be expected to take. The
+/// margin covers errors in its expected length and in the service time.
 static constexpr double UsableTimeShare = 0.8;
-/// Part of a short request's time after which it is sent without a free place.
+/// Share of a short request's time after which it is sent without a free slot.
 static constexpr double MaxWaitShare = 0.35;
-/// A prompt that a target reads within this time holds the streams beside it up
-/// for less than the shortest pause that routes set as a limit (200 ms).
+/// Prefill time below which concurrent streams stall for less than the
+/// shortest event gap that routes allow (200 ms).
 static constexpr double ShortPrefillMs = 100;
-/// Part of a pool's places that the lowest rank leaves free for the others: of
-/// those about as many arrive until all instances know of a dispatch.
+/// Share of a pool's slots that the lowest priority leaves free. About as many
+/// requests of other priorities arrive before all instances know of a dispatch.
 static constexpr double ReservedSlotShare = 0.05;
-/// A rank counts as present for so long after its last request.
+/// Time for which a priority counts as present after its last request.
 static constexpr std::chrono::seconds PriorityMemory{10};
 
 double Dispatcher::cost(const KnownTarget &Known, const PlacementRequest &What,
@@ -64,7 +63,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Who goes first
+// Order of requests
 //===----------------------------------------------------------------------===//
 
 void Dispatcher::recordPriority(const PlacementRequest &What,
@@ -101,7 +100,7 @@
 core::TimePoint Dispatcher::queueDeadline(const PlacementRequest &What) const {
   if (m_Policy == PlacementPolicy::LeastOutstanding)
     return What.m_ArrivedAt;
-  // A stream that is sent late displaces one that could still begin in time.
+  // A stream that is sent late takes the slot of one that could begin in time.
   if (What.m_IsInference)
     return std::min(What.m_FirstByteDue, What.m_FirstEventDeadline) -
            m_Targets.expectedFirstEventTime(What.m_Pool);
@@ -111,7 +110,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Where
+// Choice of a target
 //===----------------------------------------------------------------------===//
 
 double Dispatcher::prefillTimeMs(const KnownTarget &Known,
@@ -125,8 +124,8 @@
   if (!What.m_IsInference ||
       prefillTimeMs(Known, What.m_PromptTokens) < ShortPrefillMs)
     return Known.m_Target.m_Slots;
-  // A long prompt holds up the streams beside it, a slow target's the more. A
-  // limit for short prompts as well would leave slow targets mostly empty.
+  // A long prompt stalls concurrent streams, the longer the slower the target.
+  // Short prompts are not limited, or slow targets would stay mostly idle.
   Slots = std::max(1.0, std::round(Slots / std::max(1.0, Known.m_Slowness)));
   return static_cast<std::size_t>(Slots);
 }
@@ -157,7 +156,7 @@
 Dispatcher::canaryCandidates(const VersionGate &Gate,
                              const PlacementRequest &What,
                              core::TimePoint Now) const {
-  // A request that failed once is not made to try a version.
+  // A request that has already failed once is not used as a sample.
   if (!What.m_TriedTargets.empty() || !Gate.isCanaryDue(What.m_Route, Now))
     return {};
   std::vector<KnownTarget *> All;
@@ -196,12 +195,12 @@
         Out.push_back(Each);
   };
   AddCandidates(m_Targets.subsetOf(What.m_Pool));
-  // While traffic moves, this instance's part may hold none of the version that
-  // takes requests now.
+  // During a rollout, this instance's subset may contain no target of a version
+  // that takes requests.
   if (Gate && Out.empty())
     AddCandidates(m_Targets.allTargetsOf(What.m_Pool));
-  // A target that has just failed always has free places: where the others are
-  // full, everything that waits would fall on it.
+  // A failing target always has free slots. Without this it would receive the
+  // whole queue whenever the others are full.
   auto IsCoolingDown = [Now](const KnownTarget *Each) {
     return Each->m_CooldownUntil > Now;
   };
@@ -226,7 +225,7 @@
     HasCandidate = true;
     if (!MustSend && !hasFreeSlot(*Each, What))
       continue;
-    // One that is not announced any more is used when the others are full.
+    // Targets with an expired announcement are used when the others are full.
     bool IsExpired = Each->m_ExpiredAt.has_value();
     double Cost = cost(*Each, What, Now);
     if (Best && std::tie(IsExpired, Cost) >= std::tie(IsBestExpired, BestCost))
@@ -255,12 +254,12 @@
 bool Dispatcher::trySend(const PlacementRequest &What, core::TimePoint Now) {
   bool HasCandidate = false;
   bool IsTimeUp = queueDeadline(What) <= Now;
-  // A stream sent to wait at a full target makes all that run there late; its
-  // caller can come back in a better moment.
+  // A stream that queues at a full target delays all streams there, so it is
+  // refused instead; its caller can retry.
   bool MustSend = IsTimeUp && (!What.m_IsInference ||
                                m_Policy == PlacementPolicy::LeastOutstanding);
   KnownTarget *Best = choose(What, MustSend, Now, HasCandidate);
-  // Before its caller leaves it may have a place that is kept and still free.
+  // The lowest priority uses a reserved slot only after its queue deadline.
   if (Best && !IsTimeUp && !leavesReservedSlots(What, Now))
     return false;
   if (!HasCandidate && !IsTimeUp) {
@@ -290,7 +289,7 @@
       });
   if (!IsBehindOthers && trySend(What, Now))
     return;
-  // Those ahead get what limited targets take until it would be too late.
+  // Throttled targets would accept the request only after its deadline.
   auto AvailableAt = nextAvailability(What, Now);
   if (AvailableAt && *AvailableAt > queueDeadline(What))
     return m_Hooks.m_Refuse(What.m_Request);
@@ -317,8 +316,8 @@
             [&](const PlacementRequest *A, const PlacementRequest *B) {
               return precedes(*A, *B, Now);
             });
-  // Where one finds no place, those behind it find none either, unless their
-  // time to be sent without one has come.
+  // Once a request finds no slot in a pool, later ones are skipped unless their
+  // queue deadline has passed.
   std::set<core::PoolName> Full;
   for (const PlacementRequest *What : Order) {
     if (Full.count(What->m_Pool) != 0 && Now < queueDeadline(*What))
--- a/Libraries/LibRouting/Dispatcher.h
+++ b/Libraries/LibRouting/Dispatcher.h
@@ -1,7 +1,8 @@
-//===-- Dispatcher.h - When and where each request is sent ----------------===//
+//===-- Dispatcher.h - Queues requests and assigns them to targets --------===//
 //
-// Pure: time and randomness are handed in, and what it decides comes out
-// through hooks.
+// The gateway passes each request to the Dispatcher, which sends, queues or
+// refuses it. It performs no I/O and reads no clock: callers pass the time, and
+// decisions are reported through DispatcherHooks.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_DISPATCHER_H
@@ -19,7 +20,7 @@
 
 namespace yardrill::routing {
 
-/// One request that wants a target.
+/// A request to be assigned to a target, with its deadlines.
 struct PlacementRequest {
   core::RequestId m_Request;
   core::PoolName m_Pool;
@@ -27,33 +28,39 @@
   Priority m_Priority;
   bool m_IsInference = false;
   std::uint32_t m_PromptTokens = 0;
-  double m_ExpectedEvents = 0; ///< Of a stream; 0: unknown, or no stream.
+  /// Expected length of a stream in events; 0 if unknown or not a stream.
+  double m_ExpectedEvents = 0;
   core::TimePoint m_ArrivedAt{};
-  /// A first byte after that is late. A stream that can't begin by then any
-  /// more is refused; a short request is still served.
+  /// Time after which a first byte is late. A stream that can no longer begin
+  /// by then is refused; a short request is still served.
   core::TimePoint m_FirstByteDue{};
-  /// A stream without an event by then is given up by its caller.
+  /// Time at which the caller abandons a stream without an event.
   core::TimePoint m_FirstEventDeadline{};
-  /// The answer must be complete by then.
+  /// Time by which the response must be complete.
   core::TimePoint m_EndsAt{};
-  std::set<TargetIncarnation> m_TriedTargets; ///< Not again.
+  std::set<TargetIncarnation> m_TriedTargets; ///< Excluded from assignment.
 };
 
+/// Reports the decisions of a Dispatcher and supplies version gates.
 struct DispatcherHooks {
-  /// Send the request there now.
+  /// Sends the request to the target.
   std::function<void(core::RequestId, const Target &)> m_Send;
-  /// No target of the pool can take it in time; nothing was sent.
+  /// Refuses a request that no target of the pool can serve in time.
   std::function<void(core::RequestId)> m_Refuse;
-  /// Which versions of the pool's targets take requests; null: all alike. May
-  /// be left unset.
+  /// Returns the version gate of a pool, or null if all versions take requests
+  /// alike. May be empty, which means no pool has a gate.
   std::function<const VersionGate *(const core::PoolName &)> m_GateOf;
 };
 
 enum class PlacementPolicy {
-  LeastPredictedWait, ///< By work under way at all instances and learned speed.
-  LeastOutstanding,   ///< The baseline: own requests alone, no queue.
+  LeastPredictedWait, ///< Uses load from all instances and learned speeds.
+  LeastOutstanding,   ///< Baseline: counts local requests only, never queues.
 };
 
+/// Assigns requests to targets, and queues them while all slots are taken.
+///
+/// Requests wait here rather than at a target, because targets serve in order
+/// of arrival and ignore priorities.
 class Dispatcher {
 public:
   Dispatcher(TargetDirectory &Targets, core::DataHallName LocalDataHall,
@@ -61,55 +68,66 @@
       : m_Targets(Targets), m_LocalDataHall(std::move(LocalDataHall)),
         m_Policy(Policy), m_Hooks(std::move(Hooks)) {}
 
-  /// Sends, queues or refuses. It waits here for a free place rather than at a
-  /// target, since targets serve in the order of arrival.
+  /// Sends, queues or refuses a request.
   void place(const PlacementRequest &What, core::TimePoint Now);
-  /// The request waits no longer. \returns false if it did not wait.
+  /// Removes a request from the queue. \returns false if it was not queued.
   bool withdraw(core::RequestId Request);
-  /// Sends what has a place now and what has waited long enough.
+  /// Sends queued requests that have a free slot, and sends or refuses those
+  /// whose queue deadline has passed.
   void dispatchWaiting(core::TimePoint Now);
   std::size_t waiting() const { return m_Waiting.size(); }
   std::size_t waitingFor(const core::PoolName &Pool) const;
 
 private:
-  /// Who is served first when places are short. The lowest of several ranks
-  /// waits for all others, also for those that are late already.
+  /// Order of service while slots are scarce. Requests of the lowest of several
+  /// priorities wait for all others, even for those that are already late.
   enum class Urgency { InTime, Late, LowestInTime, LowestLate };
 
   Urgency urgencyOf(const PlacementRequest &What, core::TimePoint Now) const;
+  /// Whether the pool has recently had requests of several priorities, and this
+  /// request has the lowest of them.
   bool isLowestPriority(const PlacementRequest &What) const;
-  /// When it no longer waits for a free place: a stream is then refused, and a
-  /// short request sent without one.
+  /// Time until which a request waits for a free slot. After that a stream is
+  /// refused, and a short request is sent without a slot.
   core::TimePoint queueDeadline(const PlacementRequest &What) const;
   bool precedes(const PlacementRequest &A, const PlacementRequest &B,
                 core::TimePoint Now) const;
+  /// Sends or refuses a request. \returns false if it has to wait.
   bool trySend(const PlacementRequest &What, core::TimePoint Now);
-  /// From when targets that all take nothing now take this request, after those
-  /// that go first; none: one is open, or none will be.
+  /// Returns when a throttled target accepts this request, after those that
+  /// precede it; none if a target is open now or no target will open.
   std::optional<core::TimePoint> nextAvailability(const PlacementRequest &What,
                                                   core::TimePoint Now) const;
-  /// Targets that may be tried: those that failed just now only where there is
-  /// no other.
+  /// Returns the targets that may receive a request. Targets in cooldown are
+  /// included only if all targets are.
   std::vector<KnownTarget *> candidates(const PlacementRequest &What,
                                         core::TimePoint Now) const;
-  /// Targets under trial that this request is to try now; mostly none.
+  /// Returns the canary targets to send this request to; empty unless the
+  /// request is due as a sample.
   std::vector<KnownTarget *> canaryCandidates(const VersionGate &Gate,
                                               const PlacementRequest &What,
                                               core::TimePoint Now) const;
+  /// \returns null if the pool has no gate.
   const VersionGate *gateOf(const core::PoolName &Pool) const;
   bool hasFreeSlot(const KnownTarget &Known,
                    const PlacementRequest &What) const;
+  /// Returns the cheapest candidate, or null if none has a free slot.
+  /// \param MustSend whether to ignore free slots.
+  /// \param HasCandidate set to true if there is any candidate.
   KnownTarget *choose(const PlacementRequest &What, bool MustSend,
                       core::TimePoint Now, bool &HasCandidate);
+  /// Returns the predicted wait at a target plus penalties, in milliseconds;
+  /// under LeastOutstanding, the share of its slots that local requests use.
   double cost(const KnownTarget &Known, const PlacementRequest &What,
               core::TimePoint Now) const;
-  /// Expected time that the target takes to read a prompt, alone.
+  /// Returns the expected time to process a prompt on an idle target.
   static double prefillTimeMs(const KnownTarget &Known, std::uint32_t Tokens);
-  /// Places that such a request may take: fewer at a slow target, where its
-  /// prompt is long.
+  /// Returns how many slots of a target a request may use: fewer than all if
+  /// the target is slow and the prompt is long.
   static std::size_t slotsFor(const KnownTarget &Known,
                               const PlacementRequest &What);
-  /// Whether the lowest rank may take one more place.
+  /// Whether the reserved slots stay free if this request takes one more slot.
+  /// Applies only to requests of the lowest priority.
   bool leavesReservedSlots(const PlacementRequest &What,
                            core::TimePoint Now) const;
   void recordPriority(const PlacementRequest &What, core::TimePoint Now);
@@ -119,7 +137,7 @@
   PlacementPolicy m_Policy;
   DispatcherHooks m_Hooks;
   std::unordered_map<core::RequestId, PlacementRequest> m_Waiting;
-  /// Ranks of each pool's requests, and when one was last seen.
+  /// Time of the last request of each priority, by pool.
   std::map<core::PoolName, std::map<Priority, core::TimePoint>>
       m_PriorityLastSeen;
 };
