--- a/Libraries/LibRouting/TargetDirectory.cpp
+++ b/Libraries/LibRouting/TargetDirectory.cpp
@@ -4,26 +4,26 @@
 
 namespace yardrill::routing {
 
-/// Announcements that ran out during an outage of the store are back within
-/// two seconds of its return (the platform's promise); a margin for the way.
-/// The mark of an outage is that most targets of all pools lapse.
+/// Grace period while most targets are missing, which indicates an outage of
+/// the store. The platform guarantees that announcements are back within two
+/// seconds of its end; the rest is a margin for propagation.
 static constexpr std::chrono::milliseconds OutageGracePeriod{2400};
-/// One that is missing alone has left; work sent on the old word until then
-/// would still be in time (a leaving target must be left alone after 2 s).
+/// Grace period of a single missing target, which has probably left. Requests
+/// to a leaving target must stop within 2 s.
 static constexpr std::chrono::milliseconds ExpiryGracePeriod{1200};
-/// Rest after a failure: long enough to pass over a burst of failures, short
-/// enough to notice a restart; doubles with each further one.
+/// Cooldown after a failure, doubled with each consecutive one: long enough to
+/// skip a burst of failures, short enough to notice a restart.
 static constexpr std::chrono::milliseconds InitialCooldown{100};
 static constexpr std::chrono::milliseconds MaxCooldown{2000};
-/// Weight of the newest observation; about ten count.
+/// Weights of the newest sample in the moving averages.
 static constexpr double ServiceTimeWeight = 0.1;
 static constexpr double FailureWeight = 0.1;
-/// Bounds of the learned slowness; engines of one pool differ up to fivefold.
+/// Bounds of the learned slowness. Targets of one pool differ up to fivefold.
 static constexpr double MinSlowness = 0.5;
 static constexpr double MaxSlowness = 8;
 
 //===----------------------------------------------------------------------===//
-// Who is there
+// Announcements
 //===----------------------------------------------------------------------===//
 
 TargetDirectory::TargetDirectory()
@@ -75,7 +75,7 @@
     detach(Known);
   if (IsReset)
     Known = KnownTarget();
-  Known.m_RemoteLoad = TargetLoad(); // Told again with the next reports.
+  Known.m_RemoteLoad = TargetLoad(); // The next reports set it.
   Known.m_Target = What;
   Known.m_Hash = What.run().hash();
   attach(Known);
@@ -98,8 +98,8 @@
 }
 
 void TargetDirectory::removeExpired(core::TimePoint Now) {
-  // Of all pools together: two of a pool of three may well leave within a
-  // second.
+  // Judged over all pools together, because most targets of a small pool may
+  // leave within a second without an outage.
   core::Duration Grace =
       areMostExpired() ? OutageGracePeriod : ExpiryGracePeriod;
   for (auto Each = m_Expired.begin(); Each != m_Expired.end();) {
@@ -115,7 +115,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What became of requests
+// Outcomes of requests
 //===----------------------------------------------------------------------===//
 
 bool TargetDirectory::tryStartRequest(const TargetIncarnation &Incarnation,
@@ -163,7 +163,7 @@
   Known->m_FailureRate += FailureWeight * (1 - Known->m_FailureRate);
   unsigned Doublings = std::min(Known->m_ConsecutiveFailures, 5U);
   ++Known->m_ConsecutiveFailures;
-  // One that runs requests and fails some still does part of the work.
+  // A target that runs requests but fails some is still useful.
   if (How == TargetFailure::Failed && Doublings == 0)
     return;
   core::Duration Cooldown = std::min<core::Duration>(
@@ -237,7 +237,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Which are this instance's
+// Lookup and subsets
 //===----------------------------------------------------------------------===//
 
 bool TargetDirectory::isLeaving(const TargetIncarnation &Incarnation) const {
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -1,8 +1,9 @@
 //===-- TargetDirectory.h - The targets of all pools and their state ------===//
 //
-// Each instance knows all targets and works with a few. What it does often (a
-// request, a report, a look at what lapsed) costs by those few; a target that
-// comes, changes or goes costs by the logarithm of its pool.
+// Each instance knows all targets and sends requests to a subset of them. The
+// cost of frequent operations (requests, load reports, expiry checks) depends
+// on the subset alone; adding, changing or removing a target costs
+// logarithmically in the size of its pool.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_TARGETDIRECTORY_H
@@ -23,39 +24,39 @@
 
 /// How a request failed at a target.
 enum class TargetFailure {
-  Unreachable, ///< No connection, or it ended before an answer began.
-  Refused,     ///< The target said that it did not run the request.
-  Failed,      ///< It ran: an error, or an answer that broke off.
+  Unreachable, ///< No connection, or it closed before a response began.
+  Refused,     ///< The target stated that it did not run the request.
+  Failed,      ///< It ran, and ended in an error or an incomplete response.
 };
 
-/// What an announcement changed.
+/// How an announcement changed the directory.
 enum class AnnouncementEffect {
-  Nothing, ///< It says what is known.
-  Changed, ///< Something of a run that is known.
-  NewRun,  ///< A run that was not known.
+  Nothing, ///< It repeats the known state.
+  Changed, ///< It updates a known incarnation.
+  NewRun,  ///< It adds an unknown incarnation.
 };
 
-/// Takes announcements in and remembers what was learned about each target.
+/// Tracks announced targets with their load, speed, failures and throttles.
 class TargetDirectory {
 public:
   TargetDirectory();
   TargetDirectory(const TargetDirectory &) = delete;
   TargetDirectory &operator=(const TargetDirectory &) = delete;
 
-  /// A target was announced or changed. What is counted and was learned of an
-  /// earlier run under the same name is forgotten.
+  /// Adds or updates a target. State of an earlier incarnation under the same
+  /// name is discarded.
   AnnouncementEffect announce(const Target &What);
-  /// Its announcement is gone. It is used for a little longer if nothing else
-  /// is there: announcements that ran out while the store was away come back
-  /// within two seconds of its return.
+  /// Marks a target as expired because its announcement is missing. It is still
+  /// used for a grace period if no other target is free: announcements that
+  /// expired during a store outage return within two seconds of its end.
   void withdraw(const core::TargetName &Name, core::TimePoint Now);
-  /// Forgets targets whose announcements did not come back.
+  /// Removes targets whose grace period has passed.
   void removeExpired(core::TimePoint Now);
 
-  // What became of requests at a run. Of a run that has ended nothing is taken
-  // in: its requests may outlast it.
-  /// Counts a request that is about to be sent there, unless the target does
-  /// not take it: nothing may be sent without this. \returns whether it does.
+  // Outcomes of requests. Those of an incarnation that has ended are ignored,
+  // because requests may outlast their target.
+  /// Counts a request that is about to be sent, if the target accepts it. Must
+  /// precede every send. \returns whether the request may be sent.
   bool tryStartRequest(const TargetIncarnation &Incarnation,
                        std::uint32_t PromptTokens, core::TimePoint Now);
   void recordFirstEvent(const TargetIncarnation &Incarnation,
@@ -64,94 +65,100 @@
                  std::uint32_t PendingPromptTokens);
   void recordFailure(const TargetIncarnation &Incarnation, TargetFailure How,
                      core::TimePoint Now);
-  /// Another target answered at its address.
+  /// Excludes an incarnation because another one responded at its address.
   void recordReplacement(const TargetIncarnation &Incarnation);
   void recordSuccess(const TargetIncarnation &Incarnation);
-  /// Time between two events of a stream, or of a whole short answer.
+  /// Records the time between two events of a stream, or the duration of one
+  /// short response.
   void recordServiceTime(const TargetIncarnation &Incarnation,
                          core::Duration ServiceTime);
-  /// Time from the dispatch of a stream to its first event.
+  /// Records the time from the dispatch of a stream to its first event.
   void recordFirstEventTime(const core::PoolName &Pool, core::Duration Time);
-  /// By when nearly every stream that is sent now has begun.
+  /// Returns the time within which nearly every new stream begins.
   core::Duration expectedFirstEventTime(const core::PoolName &Pool) const;
-  /// Sums over the other instances of the group, by KnownTarget::m_Hash; a
-  /// target that is not named has no work of theirs. What other groups do at
-  /// targets that all groups share is not known, and not guessed.
+  /// Replaces the load that other instances of the group put on targets, keyed
+  /// by KnownTarget::m_Hash; missing targets have none. The load of other
+  /// groups on shared targets is unknown and counts as zero.
   void setRemoteLoad(const std::unordered_map<std::uint32_t, TargetLoad> &Sums);
 
-  /// What targets have said of themselves.
+  /// Returns the throttles from backpressure that targets stated.
   TargetThrottleTable &throttles() { return m_Throttles; }
   const TargetThrottleTable &throttles() const { return m_Throttles; }
-  /// Whether a request may be sent there now, as far as the target and its
-  /// announcement say.
+  /// Whether a request may be sent now according to the target's announcement
+  /// and backpressure. Cooldown and free slots are not considered.
   bool isOpen(const KnownTarget &Which, core::TimePoint Now);
-  /// From when a target of the pool takes a request again that takes none now;
-  /// none: one takes them now, or none will.
-  /// \param Ahead requests that go before, where targets are limited.
-  /// \param Except targets that do not count.
+  /// Returns when the first throttled target of the subset accepts a request;
+  /// none if a target accepts one now or no target will.
+  /// \param Ahead number of requests to be served first by limited targets.
+  /// \param Except incarnations to leave out.
   std::optional<core::TimePoint>
   availableAt(const core::PoolName &Pool, std::size_t Ahead,
               core::TimePoint Now,
               const std::set<TargetIncarnation> &Except = {});
-  /// All instances that work with the same targets of the pool as this one.
+  /// Returns all instances that share this instance's subset of the pool,
+  /// including itself.
   std::vector<config::Endpoint>
   subsetInstances(const core::PoolName &Pool) const {
     return m_FleetSubset.subsetInstances(targetCount(Pool));
   }
 
-  /// How many targets the pool has.
+  /// Returns the number of targets in the pool, of any subset.
   std::size_t targetCount(const core::PoolName &Pool) const;
-  /// The part of the targets that this instance works with.
+  /// Sets the partitioning that determines this instance's subsets.
   void setSubset(const FleetSubset &Subset);
 
-  /// Whether the run may end any time, and not for what it runs: it has said
-  /// that it leaves, or its announcement is gone while others are there.
+  /// Whether the incarnation may end at any time for reasons unrelated to its
+  /// requests: it is leaving, has ended, or is missing while others are not.
   bool isLeaving(const TargetIncarnation &Incarnation) const;
   KnownTarget *find(const core::TargetName &Name);
-  /// \returns null when the run has ended, as far as is known.
+  /// \returns null if the incarnation is unknown or known to have ended.
   KnownTarget *findByIncarnation(const TargetIncarnation &Incarnation);
-  /// Targets of a pool that this instance works with.
+  /// Returns the targets of this instance's subset of a pool.
   const std::vector<KnownTarget *> &subsetOf(const core::PoolName &Pool);
-  /// All targets of a pool; costs by how many there are.
+  /// Returns all targets of a pool, in time linear in their number.
   std::vector<KnownTarget *> allTargetsOf(const core::PoolName &Pool) const;
   const std::unordered_map<core::TargetName, KnownTarget> &all() const {
     return m_Targets;
   }
-  /// Targets where requests of this instance are under way, by their hashes.
+  /// Returns the targets that run requests of this instance, ordered by hash.
   const std::set<const KnownTarget *, KnownTarget::ByHash> &
   busyTargets() const {
     return m_Busy;
   }
-  /// Members of pools looked at since the start. Tests hold it against sizes.
+  /// Returns how many pool members were visited since the start; lets tests
+  /// check complexity.
   std::size_t visitCount() const;
 
 private:
   struct PoolState {
     InterleavedTargets m_Order;
-    std::vector<KnownTarget *> m_SubsetTargets; ///< This instance's part.
-    /// Whether m_SubsetTargets is as m_Order and m_FleetSubset say; worked out
-    /// when it is asked for, so that a thousand targets that come at once cost
-    /// one cut.
+    std::vector<KnownTarget *> m_SubsetTargets; ///< This instance's subset.
+    /// Whether m_SubsetTargets matches m_Order and m_FleetSubset. It is rebuilt
+    /// on access, so that announcing many targets costs one rebuild.
     bool m_IsSubsetValid = false;
     FirstEventEstimate m_FirstEventEstimate;
   };
 
+  /// Whether most targets of all pools are missing, which indicates a store
+  /// outage.
   bool areMostExpired() const;
-  /// How many instances may send to a limited target; 0: this one may not.
+  /// Returns how many instances may send to a limited target; 0 if this one may
+  /// not.
   std::size_t senderCount(const TargetIncarnation &Incarnation);
-  /// Its instances' parts are to be worked out anew.
+  /// Schedules a rebuild of the subset and of the senders of limited targets.
   void invalidateSubset(PoolState &Which);
   void updateSlowness(const core::PoolName &Pool);
   void rebuildSubset(PoolState &Which) const;
-  /// Takes it out of its pool and of what is counted.
+  /// Removes a target from its pool and from all indexes.
   void detach(KnownTarget &Known);
+  /// Adds a target to its pool and to the hash index.
   void attach(KnownTarget &Known);
 
   std::unordered_map<core::TargetName, KnownTarget> m_Targets;
   std::unordered_multimap<std::uint32_t, KnownTarget *> m_ByHash;
   std::unordered_map<core::PoolName, PoolState> m_Pools;
   std::set<const KnownTarget *, KnownTarget::ByHash> m_Busy;
-  std::vector<KnownTarget *> m_RemotelyBusy; ///< Where others have work.
+  std::vector<KnownTarget *> m_RemotelyBusy; ///< With remote load.
   std::set<core::TargetName> m_Expired;
   FleetSubset m_FleetSubset;
   TargetThrottleTable m_Throttles;
