--- a/Libraries/LibRouting/FleetSubset.cpp
+++ b/Libraries/LibRouting/FleetSubset.cpp
@@ -8,8 +8,8 @@
 
 namespace yardrill::routing {
 
-/// Each member hears from all others, so what a group costs grows with the
-/// square of this.
+/// Maximum size of a group. All members report to each other, so the cost of a
+/// group grows with the square of its size.
 static constexpr std::size_t MaxGroupSize = 24;
 
 std::vector<std::size_t>
@@ -17,7 +17,7 @@
   std::map<core::DataHallName, std::vector<std::size_t>> ByHall;
   for (std::size_t I = 0; I < Members.size(); ++I)
     ByHall[Members[I].m_DataHall].push_back(I);
-  // Each hall is laid evenly over the whole order.
+  // Spread each data hall evenly over the whole order.
   std::vector<std::tuple<double, std::uint64_t, std::size_t>> Positions;
   for (auto &[Hall, Indexes] : ByHall) {
     std::sort(Indexes.begin(), Indexes.end(),
@@ -41,8 +41,8 @@
 
 std::size_t FleetSubset::groupSizeFor(std::size_t Instances,
                                       std::size_t Targets) {
-  // A power of two: all instances must find the same number, also while some
-  // know of a target more or less, and while targets are replaced.
+  // Round to a power of two, so that instances agree on the size even if some
+  // know a few targets more or less, for example while targets are replaced.
   std::size_t Rounded = 1;
   while (Rounded * 2 <= Targets)
     Rounded *= 2;
@@ -115,8 +115,8 @@
 }
 
 std::size_t FleetSubset::firstIndex(std::size_t Count) const {
-  // Multiples of the golden ratio lie evenly, whichever neighbours are taken
-  // (Weyl's sequence).
+  // Fractional parts of multiples of the golden ratio are spread evenly over
+  // every range of ranks (Weyl sequence).
   static constexpr double GoldenRatio = 0.6180339887498949;
   double Position = static_cast<double>(m_Rank) * GoldenRatio;
   Position -= std::floor(Position);
--- a/Libraries/LibRouting/FleetSubset.h
+++ b/Libraries/LibRouting/FleetSubset.h
@@ -1,12 +1,11 @@
-//===-- FleetSubset.h - Which targets an instance works with
-//---------------===//
+//===-- FleetSubset.h - Subset of targets that an instance uses -----------===//
 //
-// In a large fleet, instances that all use all targets must hear from all
-// others, and each keeps connections to every target. So the fleet is cut into
-// groups of a few instances; each group has its own part of the targets and
-// tells its work only to itself. Nothing is agreed: every instance works the
-// cut out from the instances it knows, and where two know different ones, a
-// target is used by both for a while.
+// If every instance used every target, each would need load reports from all
+// others and connections to all targets. Instead the fleet is divided into
+// groups of a few instances. Each group has its own subset of the targets and
+// exchanges load reports only within itself. The division is deterministic and
+// needs no agreement: every instance derives it from the instances it knows.
+// While two instances know different ones, both may use the same target.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_FLEETSUBSET_H
@@ -23,42 +22,43 @@
 
 namespace yardrill::routing {
 
-/// An instance or a target, as the cut sees it.
+/// An instance or a target, as a member of an interleaved order.
 struct DataHallMember {
   core::DataHallName m_DataHall;
-  std::uint64_t m_Hash = 0; ///< Of its name; no two alike.
+  std::uint64_t m_Hash = 0; ///< Unique hash of its name or address.
 };
 
-/// Indexes of \p Members in an order in which any run of neighbours is a mix
-/// of all data halls by their sizes. One member more or less moves the others
-/// little.
+/// Returns the indexes of \p Members in an order in which every contiguous
+/// range contains all data halls in proportion to their sizes. Adding or
+/// removing a member shifts the others only slightly.
 std::vector<std::size_t>
 interleavedOrder(const std::vector<DataHallMember> &Members);
 
+/// Assigns this instance to a group and selects the group's targets.
 class FleetSubset {
 public:
-  /// Members of a group, at the least: few enough that each hears from all
-  /// others several times a second at little cost, many enough to even out
-  /// their callers.
+  /// Default and minimum size of a group: small enough for several reports a
+  /// second between all members, large enough to average out their callers.
   static constexpr std::size_t DefaultGroupSize = 8;
 
-  /// Members that the groups of a fleet should have, by the targets of its
-  /// largest pool: so many that each group has a part of it to itself, since
-  /// groups that share one do not know of each other's work.
+  /// Returns the group size for a fleet whose largest pool has \p Targets
+  /// targets. Groups are large enough for each to have its own subset of that
+  /// pool, because groups that share targets do not see each other's load.
   static std::size_t groupSizeFor(std::size_t Instances, std::size_t Targets);
 
-  /// Data hall of each instance, by its peer address.
+  /// Maps the peer address of each instance to its data hall.
   using Fleet = std::map<config::Endpoint, core::DataHallName>;
 
-  /// The whole fleet is one group.
+  /// Creates a single group that uses all targets.
   FleetSubset() = default;
-  /// \param All instances known, \p Self included. Each group is a mix of all
-  /// data halls, since callers and instances are spread unevenly over them.
-  /// \param GroupSize of a group; not 0.
+  /// Divides the fleet into groups. Each group mixes all data halls, because
+  /// callers and instances are spread unevenly over them.
+  /// \param All known instances, including \p Self.
+  /// \param GroupSize maximum number of instances in a group; not 0.
   FleetSubset(const config::Endpoint &Self, const Fleet &All,
               std::size_t GroupSize = DefaultGroupSize);
 
-  /// The other instances of the group.
+  /// Returns the other instances of this instance's group.
   const std::set<config::Endpoint> &groupMembers() const {
     return m_GroupMembers;
   }
@@ -67,44 +67,47 @@
   }
   std::size_t groupCount() const { return m_GroupCount; }
 
-  /// Whether the target at \p Rank of \p Count, in the mixed order that every
-  /// instance uses, belongs to the group. A pool with few targets has fewer
-  /// parts than there are groups, and several groups share one.
+  /// Whether the target at \p Rank of \p Count in the interleaved order of its
+  /// pool belongs to the group's subset. A small pool has fewer partitions than
+  /// there are groups, so several groups share one.
   bool isInSubset(std::size_t Rank, std::size_t Count) const;
-  /// The same as a run of ranks.
+  /// Half-open range of ranks.
   struct RankRange {
     std::size_t m_First = 0;
-    std::size_t m_End = 0; ///< Not of it.
+    std::size_t m_End = 0;
   };
+  /// Returns the ranks of the group's subset in a pool of \p Count targets.
   RankRange subsetRanks(std::size_t Count) const;
-  /// All instances that work with the same part of a pool of \p Count targets
-  /// as this one, itself included.
+  /// Returns all instances that share this instance's subset of a pool of
+  /// \p Count targets, including itself.
   std::vector<config::Endpoint> subsetInstances(std::size_t Count) const;
-  /// How many of those come before this one in an order that is another for
-  /// each \p Key, and the same for each of them (rendezvous hashing, Thaler and
-  /// Ravishankar, 1998).
+  /// Returns this instance's rank among subsetInstances() by rendezvous hashing
+  /// (Thaler and Ravishankar, 1998). The order differs for each \p Key, and all
+  /// of these instances agree on it.
   std::size_t rendezvousRank(std::uint64_t Key, std::size_t Count) const;
-  /// Which of \p Count equal targets this instance should look at first, so
-  /// that instances which know little do not agree on the same ones.
+  /// Returns the index of the target among \p Count equal ones that this
+  /// instance should consider first. Instances start at different indexes, so
+  /// that they do not all choose the same target while they know no load.
   std::size_t firstIndex(std::size_t Count) const;
 
 private:
-  /// Least targets of a part of a pool.
+  /// Minimum number of targets in a partition of a pool.
   static constexpr std::size_t MinPartitionTargets = 6;
 
-  /// Into how many parts a pool of \p Count targets is cut.
+  /// Returns the number of partitions of a pool of \p Count targets.
   std::size_t partitionCount(std::size_t Count) const;
   std::size_t groupOfRank(std::size_t Rank) const {
     return Rank * m_GroupCount / m_Size;
   }
 
   config::Endpoint m_Self;
-  std::vector<config::Endpoint> m_Order; ///< All instances, by rank.
+  std::vector<config::Endpoint>
+      m_Order; ///< All instances in interleaved order.
   std::set<config::Endpoint> m_GroupMembers;
-  std::size_t m_Size = 1; ///< Of the fleet.
+  std::size_t m_Size = 1; ///< Number of instances in the fleet.
   std::size_t m_GroupCount = 1;
   std::size_t m_Group = 0;
-  std::size_t m_Rank = 0; ///< Of this instance in the mixed order.
+  std::size_t m_Rank = 0; ///< Index of this instance in m_Order.
 };
 
 } // namespace yardrill::routing
--- a/Libraries/LibRouting/InterleavedTargets.cpp
+++ b/Libraries/LibRouting/InterleavedTargets.cpp
@@ -35,11 +35,11 @@
 std::size_t InterleavedTargets::countBefore(const Hall &Other,
                                             const Hall &Targets,
                                             std::size_t Index) const {
-  // Index I of N members lies at (I + 1/2) / N. Compared as whole numbers: no
-  // two instances may disagree by a rounding.
+  // The member at index I of N has the position (I + 1/2) / N. Positions are
+  // compared as integers, so that instances cannot differ by rounding.
   std::size_t Position = (2 * Index + 1) * Other.size();
   std::size_t Step = 2 * Targets.size();
-  // Of the other hall, (2 J + 1) * Of.size() < Place.
+  // Number of J in the other hall with (2 J + 1) * Targets.size() < Position.
   std::size_t Below = (Position + Targets.size() - 1) / Step;
   bool IsTied =
       Below < Other.size() && (2 * Below + 1) * Targets.size() == Position;
--- a/Libraries/LibRouting/InterleavedTargets.h
+++ b/Libraries/LibRouting/InterleavedTargets.h
@@ -1,5 +1,4 @@
-//===-- InterleavedTargets.h - The targets of one pool, in the order of all
-//--------===//
+//===-- InterleavedTargets.h - Targets of a pool in interleaved order -----===//
 #ifndef YARDRILL_LIBROUTING_INTERLEAVEDTARGETS_H
 #define YARDRILL_LIBROUTING_INTERLEAVEDTARGETS_H
 
@@ -11,33 +10,39 @@
 
 namespace yardrill::routing {
 
-/// Keeps the order of interleavedOrder() without sorting anew: each data hall's
-/// targets lie evenly over it, so a rank follows from the rank within the hall
-/// and the halls' sizes. One target more or less costs a search and a move of
-/// pointers within its hall, and a run of neighbours a search in each hall.
+/// Maintains the targets of one pool in the order of interleavedOrder().
+///
+/// Each data hall is spread evenly over the order, so the rank of a target
+/// follows from its index within the hall and from the sizes of all halls.
+/// Inserting or erasing a target costs a binary search and a move of pointers
+/// within its hall; a slice costs two binary searches in each hall.
 class InterleavedTargets {
 public:
-  /// \p What stays where it is until it is erased; its data hall, its hash and
-  /// its name do not change meanwhile.
+  /// Adds a target. The reference must stay valid, and its data hall, hash and
+  /// name must not change, until the target is erased.
   void insert(KnownTarget &What);
   void erase(const KnownTarget &What);
 
   std::size_t size() const { return m_Size; }
-  /// The targets at the ranks from \p First to before \p Last.
+  /// Returns the targets at the ranks from \p First up to but excluding
+  /// \p Last.
   std::vector<KnownTarget *> slice(std::size_t First, std::size_t Last) const;
 
-  /// Members looked at since the start.
+  /// Returns how many members were visited since the start; lets tests check
+  /// complexity.
   std::size_t visitCount() const { return m_VisitCount; }
 
 private:
-  using Hall = std::vector<KnownTarget *>; ///< By KnownTarget::ByHash.
+  /// Targets of one data hall, sorted by KnownTarget::ByHash.
+  using Hall = std::vector<KnownTarget *>;
 
-  /// Place of \p Index of \p Of in the whole order.
+  /// Returns the rank of the target at \p Index of \p Targets.
   std::size_t rankOf(const Hall &Targets, std::size_t Index) const;
-  /// How many of \p Other come before \p Index of \p Of.
+  /// Returns how many targets of \p Other precede the one at \p Index of
+  /// \p Targets.
   std::size_t countBefore(const Hall &Other, const Hall &Targets,
                           std::size_t Index) const;
-  /// First index of \p Of whose rank is not below \p Rank.
+  /// Returns the first index of \p Targets whose rank is not below \p Rank.
   std::size_t firstIndexFrom(const Hall &Targets, std::size_t Rank) const;
 
   std::map<core::DataHallName, Hall> m_Halls;
