--- a/Libraries/LibRouting/KnownTarget.cpp
+++ b/Libraries/LibRouting/KnownTarget.cpp
@@ -4,8 +4,7 @@
 
 namespace yardrill::routing {
 
-/// Failures in a row after which a target that has rested is tried with one
-/// request at a time, until one succeeds.
+/// Consecutive failures after which a target is on probation.
 static constexpr unsigned FailuresBeforeProbation = 2;
 
 bool KnownTarget::isOnProbation() const {
--- a/Libraries/LibRouting/KnownTarget.h
+++ b/Libraries/LibRouting/KnownTarget.h
@@ -1,4 +1,4 @@
-//===-- KnownTarget.h - One target as an instance knows it ----------------===//
+//===-- KnownTarget.h - State of one target in the target directory -------===//
 #ifndef YARDRILL_LIBROUTING_KNOWNTARGET_H
 #define YARDRILL_LIBROUTING_KNOWNTARGET_H
 
@@ -12,40 +12,44 @@
 
 namespace yardrill::routing {
 
-/// Work under way at a target, as one instance or all others count it.
+/// Load on a target: that of this instance, or the sum over other instances.
 struct TargetLoad {
-  std::size_t m_Running = 0; ///< Requests sent and not answered.
-  std::uint64_t m_PendingPromptTokens =
-      0; ///< Prompt tokens without a first event.
+  /// Number of requests sent whose response is not complete.
+  std::size_t m_Running = 0;
+  /// Prompt tokens of streams without a first event.
+  std::uint64_t m_PendingPromptTokens = 0;
 
+  /// Subtracts tokens, down to zero.
   void subtractPromptTokens(std::uint32_t Tokens);
 };
 
-/// One target as this instance knows it.
+/// A target with its load and what this instance has learned about it.
 struct KnownTarget {
   Target m_Target;
   std::uint32_t m_Hash = 0; ///< TargetIncarnation::hash().
   TargetLoad m_LocalLoad;
   TargetLoad m_RemoteLoad;
-  double m_ServiceTimeMs = 0; ///< Learned: time of one event or short answer.
-  double m_Slowness = 1;      ///< Against the faster targets of its pool.
-  double m_FailureRate = 0;   ///< Learned: share of failures, decaying.
+  /// Moving average of the time per stream event or short response, in
+  /// milliseconds; 0 while unknown.
+  double m_ServiceTimeMs = 0;
+  double m_Slowness = 1;    ///< Service time relative to the subset's median.
+  double m_FailureRate = 0; ///< Moving average, 0 to 1.
   unsigned m_ConsecutiveFailures = 0;
   core::TimePoint m_CooldownUntil{};
-  /// Another run of a target answers at its address; it never comes back.
+  /// Another incarnation responds at its address; this one will not return.
   bool m_IsReplaced = false;
-  /// Since when its announcement is missing.
+  /// Time since which its announcement is missing.
   std::optional<core::TimePoint> m_ExpiredAt;
 
   std::size_t running() const {
     return m_LocalLoad.m_Running + m_RemoteLoad.m_Running;
   }
-  /// Whether it may get new work at some time.
+  /// Whether it may receive requests now or later, by its announcement.
   bool isOpen() const { return !m_Target.m_IsLeaving && !m_IsReplaced; }
-  /// Whether it failed too lately to be trusted with more than one request.
+  /// Whether it receives only one request at a time until one succeeds.
   bool isOnProbation() const;
 
-  /// By hash and, where two are alike, by name: the same on all instances.
+  /// Orders by hash, then by name; the same order on all instances.
   struct ByHash {
     bool operator()(const KnownTarget *A, const KnownTarget *B) const {
       return std::tie(A->m_Hash, A->m_Target.m_Name) <
--- a/Libraries/LibRouting/Target.h
+++ b/Libraries/LibRouting/Target.h
@@ -1,4 +1,4 @@
-//===-- Target.h - One target as the platform announces it ----------------===//
+//===-- Target.h - Target as announced by the platform --------------------===//
 #ifndef YARDRILL_LIBROUTING_TARGET_H
 #define YARDRILL_LIBROUTING_TARGET_H
 
@@ -11,21 +11,20 @@
 
 namespace yardrill::routing {
 
-/// One life of a target, from its start to its end. A target may start again
-/// under the name that it had; it then holds and knows nothing of before, and
-/// what was learned or counted of the earlier run says nothing about it. Births
-/// are compared for equality alone: a clock that was set back must not make a
-/// later run look like an earlier one.
+/// Identifies one incarnation of a target, from its start to its exit. A target
+/// may restart under the same name, and state of the earlier incarnation does
+/// not apply to the new one. Start times are compared only for equality,
+/// because a clock that was set back would make a later incarnation look older.
 struct TargetIncarnation {
   core::TargetName m_Name;
   core::TargetStartTime m_StartTime;
 
   TargetIncarnation() = default;
-  /// A name alone is that of a target that does not say when it started.
+  /// \param StartTime 0 for a target that does not announce it.
   TargetIncarnation(core::TargetName Name, core::TargetStartTime StartTime = {})
       : m_Name(std::move(Name)), m_StartTime(StartTime) {}
 
-  /// By which instances tell each other of it.
+  /// Returns the hash that identifies the incarnation in load reports.
   std::uint32_t hash() const;
 
   bool operator==(const TargetIncarnation &Other) const {
@@ -37,6 +36,7 @@
   }
 };
 
+/// An announced target.
 struct Target {
   core::TargetName m_Name;
   core::TargetStartTime m_StartTime;
@@ -44,8 +44,8 @@
   core::TargetVersion m_Version;
   config::Endpoint m_Address;
   core::DataHallName m_DataHall;
-  std::size_t m_Slots = 1;  ///< Requests it runs at one time.
-  bool m_IsLeaving = false; ///< Ends soon; gets no new work.
+  std::size_t m_Slots = 1;  ///< Number of requests it runs concurrently.
+  bool m_IsLeaving = false; ///< Exits soon; must get no new requests.
 
   TargetIncarnation run() const { return {m_Name, m_StartTime}; }
   bool operator==(const Target &Other) const {
