--- a/Libraries/LibRouting/SharedRateLimit.cpp
+++ b/Libraries/LibRouting/SharedRateLimit.cpp
@@ -4,8 +4,8 @@
 
 namespace yardrill::routing {
 
-/// Answers that were made before a limit was named may come after one that
-/// names it.
+/// Time during which a response without a limit may be an older one that was
+/// overtaken, and does not clear the limit.
 static constexpr std::chrono::seconds ReorderTime{1};
 
 bool SharedRateLimit::apply(const RateLimitUpdate &Update) {
--- a/Libraries/LibRouting/SharedRateLimit.h
+++ b/Libraries/LibRouting/SharedRateLimit.h
@@ -1,16 +1,14 @@
-//===-- SharedRateLimit.h - A target's limit over all instances
-//---------------===//
+//===-- SharedRateLimit.h - Rate limit shared by all instances ------------===//
 //
-// A target names the requests a second that it takes from all instances
-// together. Nobody hands that sum out. Of the instances that work with the
-// target a few are its senders, the same ones wherever the same instances are
-// known; each sends its part of the limit at an even pace, and the others send
-// nothing. Pacing keeps a little credit for time without requests (the generic
-// cell rate algorithm, ITU-T I.371), so in any time t
+// A target states how many requests a second it accepts from all instances
+// together. A few instances that use the target are its senders; all instances
+// with the same membership select the same ones. Each sender sends its share of
+// the limit, spaced by the generic cell rate algorithm (ITU-T I.371), and the
+// others send nothing. Idle time earns limited credit, so in any time t
 //   n senders send at most  n x (limit / MaxSenders x t + 1 + Tolerance)
 // and MaxSenders of them  limit x t + MaxSenders x (1 + Tolerance).
-// An instance that takes itself for a sender by another list of instances adds
-// the part of one; one that has just become a sender first waits a whole pace.
+// An instance that is a sender only by a different membership adds the share of
+// one sender. A new sender first waits for a full interval.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_SHAREDRATELIMIT_H
@@ -23,52 +21,55 @@
 
 namespace yardrill::routing {
 
-/// What one answer of a target said of its limit.
+/// Rate limit stated by one response of a target.
 struct RateLimitUpdate {
-  std::optional<double> m_PerSecond; ///< Not set: it named none.
-  core::TimePoint m_At{};            ///< When the answer came.
+  std::optional<double> m_PerSecond; ///< Not set: no limit.
+  core::TimePoint m_At{};            ///< Time of the response.
 };
 
-/// The limit of one run of a target, as one instance knows and keeps it.
+/// Enforces this instance's share of the limit of one target incarnation.
 class SharedRateLimit {
 public:
-  /// Senders of one target. Each is a part of the limit that is lost with its
-  /// instance, and one request more that may come at once.
+  /// Maximum number of senders of a target. More senders lose a smaller share
+  /// of the limit with each failed instance, but allow larger bursts.
   static constexpr std::size_t MaxSenders = 3;
-  /// Part of a pace by which a request may come early after a late one.
+  /// Share of an interval by which a request may be early after a late one.
   static constexpr double Tolerance = 1.0 / 3;
-  /// A target that names less, or nothing at all, is still asked so often:
-  /// only an answer tells that its limit has changed.
+  /// Minimum rate at which a target is probed, even if its limit is lower or
+  /// zero, because only a response can raise the limit.
   static constexpr double MinPerSecond = 0.25;
 
-  /// Takes in a word of an answer to this or another instance; an older word
-  /// than the newest changes nothing. \returns whether the limit is another
-  /// one now.
+  /// Applies the limit from a response to this or another instance. Updates
+  /// older than the latest are ignored. \returns whether the limit has changed.
   bool apply(const RateLimitUpdate &Update);
   bool isLimited() const { return m_Update.m_PerSecond.has_value(); }
-  /// The newest word.
+  /// Returns the latest applied update.
   const RateLimitUpdate &latestUpdate() const { return m_Update; }
 
-  /// \param Senders of the target; 0: this instance is none of them.
+  /// \param Senders number of senders of the target; 0 if this instance is not
+  /// one of them.
   void setSenders(std::size_t Senders, core::TimePoint Now);
   bool isSender() const { return m_Senders != 0; }
 
-  /// From when this instance may send one more; none: it may not send.
+  /// Returns when this instance may send the next request; none if it may not
+  /// send any.
   std::optional<core::TimePoint> availableAt() const;
-  /// What this instance may send in a second; only if it is a sender.
+  /// Returns this instance's share in requests a second. Requires isLimited()
+  /// and isSender().
   double localPerSecond() const { return 1 / intervalSeconds(); }
-  /// Takes note of a request that is sent now.
+  /// Counts a request that is sent now.
   void recordSent(core::TimePoint Now);
 
 private:
-  /// Time between two requests of this instance, on average.
+  /// Returns the average time between two requests of this instance. Requires
+  /// isLimited() and isSender().
   double intervalSeconds() const;
 
   RateLimitUpdate m_Update;
   std::size_t m_Senders = 0;
-  /// Of a request, or when this instance became a sender.
+  /// Time of the last request, or when this instance became a sender.
   core::TimePoint m_LastAt{};
-  /// Paces that were taken up then; kept in paces, since these change.
+  /// Bucket level at m_LastAt, in intervals because their length may change.
   double m_BucketLevel = 0;
 };
 
--- a/Libraries/LibRouting/TargetBackpressure.h
+++ b/Libraries/LibRouting/TargetBackpressure.h
@@ -1,5 +1,4 @@
-//===-- TargetBackpressure.h - What a target says of itself in an answer
-//---------===//
+//===-- TargetBackpressure.h - Backpressure stated in a response ----------===//
 #ifndef YARDRILL_LIBROUTING_TARGETBACKPRESSURE_H
 #define YARDRILL_LIBROUTING_TARGETBACKPRESSURE_H
 
@@ -9,18 +8,19 @@
 
 namespace yardrill::routing {
 
-/// On which terms a target takes requests, as one of its answers states them.
+/// Rate limit, back-off and leaving state from the headers of one response.
 struct TargetBackpressure {
-  /// Requests a second that it takes from all instances together.
+  /// Requests a second that the target accepts from all instances together.
   std::optional<double> m_RequestsPerSecond;
-  /// The limit could not be read: what it named before still holds.
+  /// The stated limit could not be parsed; the previous one stays in force.
   bool m_IsLimitUnreadable = false;
-  /// Nor does an answer lift a limit that is not of a run, or whose signature
-  /// is missing: it may come from elsewhere than the target's work.
+  /// The response states no limit, but does not clear the previous one: the
+  /// request did not run or the response is unsigned, so it may not come from
+  /// the target itself.
   bool m_IsLimitUnspecified = false;
-  /// How long it wants nothing from the instance that it answered.
+  /// Time during which the target accepts nothing from this instance.
   std::optional<core::Duration> m_Backoff;
-  bool m_IsLeaving = false; ///< It ends soon; for all instances.
+  bool m_IsLeaving = false; ///< The target exits soon; binds all instances.
 
   bool isEmpty() const {
     return !m_RequestsPerSecond && !m_IsLimitUnreadable && !m_Backoff &&
--- a/Libraries/LibRouting/TargetThrottle.cpp
+++ b/Libraries/LibRouting/TargetThrottle.cpp
@@ -7,11 +7,11 @@
 
 bool TargetThrottle::update(const TargetBackpressure &Backpressure,
                             core::TimePoint Now) {
-  // A longer rest is not shortened by what a later answer asks for.
+  // A later response does not shorten a longer back-off.
   if (Backpressure.m_Backoff)
     m_BackoffUntil = std::max(m_BackoffUntil, Now + *Backpressure.m_Backoff);
   bool IsChanged = Backpressure.m_IsLeaving && setLeaving();
-  // What says nothing of a limit leaves the one that was named.
+  // Responses without usable information leave the limit as it is.
   if (!Backpressure.m_IsLimitUnreadable && !Backpressure.m_IsLimitUnspecified)
     IsChanged =
         m_Limit.apply({Backpressure.m_RequestsPerSecond, Now}) || IsChanged;
--- a/Libraries/LibRouting/TargetThrottle.h
+++ b/Libraries/LibRouting/TargetThrottle.h
@@ -1,8 +1,8 @@
-//===-- TargetThrottle.h - When a target takes a request -----------------===//
+//===-- TargetThrottle.h - Backpressure state of one target ---------------===//
 //
-// What a target says of itself binds, unlike what is guessed of it from its
-// failures: TargetDirectory::tryStartRequest(), which nothing that is sent goes
-// round, asks here.
+// Unlike cooldowns, which are derived from failures, backpressure that a target
+// states is binding. TargetDirectory::tryStartRequest() enforces it for every
+// request.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_TARGETTHROTTLE_H
@@ -15,31 +15,34 @@
 
 namespace yardrill::routing {
 
-/// From when a target takes requests of this instance, and how many.
+/// When and how fast a target accepts requests of this instance.
 struct Availability {
-  core::TimePoint m_At{};
-  std::optional<double> m_PerSecond; ///< Not set: as many as it has places.
+  core::TimePoint m_At{};            ///< Earliest time of the next request.
+  std::optional<double> m_PerSecond; ///< Not set: limited only by its slots.
 };
 
-/// What one run of a target has said of itself, to this instance or to others.
+/// Holds back requests to one incarnation of a target, according to the
+/// backpressure that it stated to this or another instance.
 class TargetThrottle {
 public:
-  /// Takes in the terms of an answer to this instance. \returns whether other
-  /// instances should hear of it.
+  /// Applies the backpressure of a response to this instance. \returns whether
+  /// it has to be reported to other instances.
   bool update(const TargetBackpressure &Backpressure, core::TimePoint Now);
 
-  /// It said so to another instance. \returns whether that is new.
+  /// Marks the incarnation as leaving, permanently. \returns whether it was not
+  /// yet marked.
   bool setLeaving();
   bool isLeaving() const { return m_IsLeaving; }
   bool isBackedOff(core::TimePoint Now) const { return Now < m_BackoffUntil; }
 
-  /// From when a request may be sent there; none: not by this instance.
+  /// Returns when the next request may be sent; none if this instance may not
+  /// send any.
   std::optional<Availability> availability() const;
   bool isOpen(core::TimePoint Now) const {
     auto Next = availability();
     return Next && Next->m_At <= Now;
   }
-  /// Takes note of a request that is sent now.
+  /// Counts a request that is sent now against the limit.
   void recordSent(core::TimePoint Now) { m_Limit.recordSent(Now); }
 
   SharedRateLimit &limit() { return m_Limit; }
@@ -47,8 +50,8 @@
 
 private:
   SharedRateLimit m_Limit;
-  core::TimePoint m_BackoffUntil{}; ///< Asked of this instance alone.
-  bool m_IsLeaving = false;         ///< Never unsaid.
+  core::TimePoint m_BackoffUntil{}; ///< For this instance only.
+  bool m_IsLeaving = false;
 };
 
 } // namespace yardrill::routing
--- a/Libraries/LibRouting/TargetThrottleTable.cpp
+++ b/Libraries/LibRouting/TargetThrottleTable.cpp
@@ -4,13 +4,13 @@
 
 namespace yardrill::routing {
 
-/// What has changed is told for so long, in case datagrams are lost.
+/// Time for which a change is reported repeatedly, in case datagrams are lost.
 static constexpr std::chrono::seconds ChangeReportTime{5};
-/// An instance that may not send hears of the limit from those that may. Where
-/// it hears nothing for so long, all of them are gone; longer than the list of
-/// instances needs to name others.
+/// Time without reports after which an instance that is not a sender drops a
+/// limit, because all senders must be gone. Longer than the membership needs to
+/// select other senders.
 static constexpr std::chrono::seconds ReportTimeout{30};
-/// A target that leaves is gone by then, and its name is never used again.
+/// Time after which a leaving target has exited. Its name is not used again.
 static constexpr std::chrono::minutes LeavingStateLifetime{10};
 
 bool TargetThrottleTable::update(const TargetIncarnation &Incarnation,
@@ -131,7 +131,7 @@
     return Silence >= LeavingStateLifetime;
   if (Known.limit().isLimited())
     return !Known.limit().isSender() && Silence >= ReportTimeout;
-  // Older words may still come in that name the limit which has ended.
+  // Delayed reports may still carry the limit that was cleared.
   return Now - State.m_ChangedAt >= ReportTimeout;
 }
 
--- a/Libraries/LibRouting/TargetThrottleTable.h
+++ b/Libraries/LibRouting/TargetThrottleTable.h
@@ -1,9 +1,9 @@
-//===-- TargetThrottleTable.h - What all targets have said of themselves
-//--------===//
+//===-- TargetThrottleTable.h - Throttles of all targets ------------------===//
 //
-// By runs, and apart from TargetDirectory: an announcement that lapses and
-// comes back, or is older than an answer, changes nothing here. Empty while no
-// target states terms; then each question costs one comparison.
+// Keyed by incarnation and independent of announcements: one that expires and
+// returns, or that is older than a response, changes no throttle. The table is
+// empty while no target states backpressure; then each query costs one
+// comparison.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_TARGETTHROTTLETABLE_H
@@ -19,63 +19,67 @@
 
 namespace yardrill::routing {
 
-/// What other instances should know of one run.
+/// Backpressure of one incarnation, as reported between instances.
 struct BackpressureReport {
   TargetIncarnation m_Incarnation;
   RateLimitUpdate m_Limit;
   bool m_IsLeaving = false;
 };
 
+/// Applies backpressure from responses and from other instances to throttles,
+/// and selects what to report to other instances.
 class TargetThrottleTable {
 public:
-  /// \returns how many senders a limited target has; 0: this instance is none
-  /// of them.
+  /// Returns the number of senders of a limited target, or 0 if this instance
+  /// is not one of them.
   using CountSenders = std::function<std::size_t(const TargetIncarnation &)>;
 
   explicit TargetThrottleTable(CountSenders Counter)
       : m_CountSenders(std::move(Counter)) {}
 
-  /// Takes in the terms of an answer to this instance. \returns whether other
-  /// instances should hear of it.
+  /// Applies the backpressure of a response to this instance. \returns whether
+  /// it has to be reported to other instances.
   bool update(const TargetIncarnation &Incarnation,
               const TargetBackpressure &Backpressure, core::TimePoint Now);
-  /// Takes in what another instance knows. \returns whether it is news.
+  /// Applies a report of another instance. \returns whether it changed
+  /// anything.
   bool update(const BackpressureReport &Report, core::TimePoint Now);
-  /// The senders may be others now.
+  /// Causes all senders to be counted again on the next access.
   void invalidateSenders() { ++m_Generation; }
 
-  /// Whether a request may be sent to the run now.
+  /// Whether a request may be sent to the incarnation now.
   bool isOpen(const TargetIncarnation &Incarnation, core::TimePoint Now);
-  /// From when one may be sent; none: not by this instance.
+  /// Returns when the next request may be sent; none if this instance may not
+  /// send any.
   std::optional<Availability> availability(const TargetIncarnation &Incarnation,
                                            core::TimePoint Now);
-  /// Takes note of a request that is sent now.
+  /// Counts a request that is sent now against the limit.
   void recordSent(const TargetIncarnation &Incarnation, core::TimePoint Now);
 
-  /// Whether the run has said that it ends soon.
+  /// Whether the incarnation has stated that it exits soon.
   bool isLeaving(const TargetIncarnation &Incarnation) const;
 
-  /// What this instance should go on telling the others: limits that it is a
-  /// sender of, and what it was the first to hear.
+  /// Returns the reports to repeat to other instances: limits of which this
+  /// instance is a sender, and recent changes that it received from a target.
   std::vector<BackpressureReport> dueReports(core::TimePoint Now) const;
   BackpressureReport reportOf(const TargetIncarnation &Incarnation) const;
   /// Whether this instance may send to a limited target.
   bool isSender(const TargetIncarnation &Incarnation) const;
-  /// Forgets what nothing was heard of for long.
+  /// Removes entries that have not been updated for long.
   void removeStale(core::TimePoint Now);
-  /// Targets with a limit.
+  /// Returns the number of targets with a limit.
   std::size_t limited() const;
-  /// Targets that want nothing from this instance for a while.
+  /// Returns the number of targets that have asked this instance to back off.
   std::size_t backedOff(core::TimePoint Now) const;
   bool isEmpty() const { return m_Throttles.empty(); }
 
 private:
   struct Entry {
     TargetThrottle m_Throttle;
-    std::size_t m_Generation = 0;  ///< In which its senders were worked out.
-    core::TimePoint m_UpdatedAt{}; ///< From the target or another instance.
+    std::size_t m_Generation = 0;  ///< Generation of its sender count.
+    core::TimePoint m_UpdatedAt{}; ///< Last response or report.
     core::TimePoint m_ChangedAt{};
-    core::TimePoint m_ReportUntil{}; ///< What this instance heard first.
+    core::TimePoint m_ReportUntil{}; ///< For changes that a target stated.
   };
 
   Entry *find(const TargetIncarnation &Incarnation, core::TimePoint Now);
@@ -89,7 +93,7 @@
 
   CountSenders m_CountSenders;
   std::map<TargetIncarnation, Entry> m_Throttles;
-  std::size_t m_Generation = 1; ///< Of all senders; see invalidateSenders().
+  std::size_t m_Generation = 1; ///< Incremented by invalidateSenders().
 };
 
 } // namespace yardrill::routing
