--- a/Libraries/LibRouting/VersionGate.h
+++ b/Libraries/LibRouting/VersionGate.h
@@ -1,4 +1,4 @@
-//===-- VersionGate.h - Which versions of a pool's targets take requests --===//
+//===-- VersionGate.h - Restricts requests to target versions -------------===//
 #ifndef YARDRILL_LIBROUTING_VERSIONGATE_H
 #define YARDRILL_LIBROUTING_VERSIONGATE_H
 
@@ -10,21 +10,24 @@
 
 namespace yardrill::routing {
 
-/// Asked for each placement in a pool whose traffic is moved from one version
-/// to another. Answers hold for the moment only.
+/// Controls which versions of a pool's targets receive requests during a
+/// rollout. The Dispatcher queries it for each request; results are valid only
+/// at the given time.
 class VersionGate {
 public:
   virtual ~VersionGate() = default;
 
-  /// Whether requests that try nothing go to such a target.
+  /// Whether a target may receive requests that are not samples.
   virtual bool mayServe(const Target &What, core::TimePoint Now) const = 0;
-  /// Whether a request on \p Route is to try the version under trial.
+  /// Whether the next request on \p Route should be a sample.
   virtual bool isCanaryDue(std::uint32_t Route, core::TimePoint Now) const = 0;
+  /// Whether the target runs the canary version.
   virtual bool isCanary(const Target &What) const = 0;
-  /// Targets under trial are tried in turns, a share of them at a time, so that
-  /// each is loaded as it will be in the end. \returns which turn it is.
+  /// Returns the index of the current turn. Samples go to one share of the
+  /// canary targets per turn, so that each carries its eventual load.
   virtual std::size_t canaryTurn(core::TimePoint Now) const = 0;
-  /// That part of them, 0 to 1.
+  /// Returns the share of the canary targets that get samples in a turn, 0 to
+  /// 1.
   virtual double canaryShare() const = 0;
 };
 
