--- a/Libraries/LibRouting/DistributedQuota.cpp
+++ b/Libraries/LibRouting/DistributedQuota.cpp
@@ -4,23 +4,20 @@
 
 namespace yardrill::routing {
 
-/// Tokens that were granted and not used go back after this time: long enough
-/// for a caller that was refused for want of a target to return (0.5 s).
+/// Time after which unused grants are returned. Longer than the 0.5 s after
+/// which a caller retries that was refused because no target was free.
 static constexpr std::chrono::seconds GrantCacheTime{1};
-/// An owner that did not answer is passed over for this time, and then asked
-/// by one request again.
+/// Time for which an owner that did not respond is skipped.
 static constexpr std::chrono::milliseconds UnresponsiveTime{250};
-/// An owner that refused is not asked for this time at the most, since others
-/// may give tokens back to it meanwhile.
+/// Maximum time for which an owner that refused is skipped. Other instances may
+/// return tokens to it earlier than it estimated.
 static constexpr std::chrono::milliseconds MaxExhaustedTime{50};
-/// Part of the tolerance that all instances together may let in at once, and
-/// again within a window, while none reaches an owner. Were it a part of the
-/// limit, as if the owners granted that much less, the third of a fleet that is
-/// cut off would add 2.8 times the rate to a window that the owners fill, where
-/// 0.9 and a constant are tolerated (QuotaDeploymentsTest: up to 4.6 times the
-/// tolerance used before). The other half is left for debts and restarts.
+/// Share of the tolerance that isolated instances may use as a burst, and again
+/// within each window, so half of it in any window. The other half covers debts
+/// and restarts. The share is not taken from the limit itself, because owners
+/// do not grant less while instances are isolated.
 static constexpr double IsolatedShare = 0.25;
-/// When to come back after a refusal that no owner gave a time for.
+/// Time until a retry after a refusal for which no owner gave a time.
 static constexpr std::chrono::milliseconds DefaultRetryAfter{250};
 
 std::string toString(QuotaSource Source) {
@@ -50,7 +47,7 @@
 }
 
 QuotaLimits DistributedQuota::isolatedLimits(const QuotaLimits &Limits) const {
-  // While nobody is known, anybody may be at work.
+  // Without a membership, the number of instances is unknown.
   if (m_Ring.size() == 0)
     return {};
   double Tokens = m_Tolerance.tokens(Limits) * IsolatedShare /
@@ -98,7 +95,7 @@
   if (takeCachedGrant(Found->second, Acquisition))
     return QuotaStep::Granted;
   Acquisition.m_RemainingOwners = m_Ring.ownersOf(Acquisition.m_Account);
-  // Callers of all instances meet all owners alike, as each has its own part.
+  // Every owner has its own share, so requests are spread over all of them.
   std::shuffle(Acquisition.m_RemainingOwners.begin(),
                Acquisition.m_RemainingOwners.end(), m_Random);
   auto Own = std::find(Acquisition.m_RemainingOwners.begin(),
@@ -154,7 +151,7 @@
   Acquisition.m_RemainingOwners.pop_back();
   m_UnresponsiveUntil.erase(Owner);
   auto Found = m_AccountStates.find(Acquisition.m_Account);
-  // The account has lost its limit meanwhile.
+  // The account no longer has a limit.
   if (Found == m_AccountStates.end())
     return QuotaStep::Granted;
   AccountState &State = Found->second;
@@ -189,7 +186,7 @@
                                             QuotaAcquisition &Acquisition,
                                             core::TimePoint Now) {
   Acquisition.m_Source = QuotaSource::Alone;
-  // In the mean as many tokens as it holds, whatever requests come.
+  // Admits as many tokens on average as the bucket holds, for any request size.
   double Level = State.m_IsolatedBucket.level(Now);
   double Tokens = Acquisition.m_Tokens;
   std::uniform_real_distribution<double> Chance(0, 1);
--- a/Libraries/LibRouting/DistributedQuota.h
+++ b/Libraries/LibRouting/DistributedQuota.h
@@ -1,11 +1,13 @@
-//===-- DistributedQuota.h - Whether a request is within its account's quota
-//-----===//
+//===-- DistributedQuota.h - Acquires quota for the requests of accounts --===//
 //
-// Pure: it says whom to ask, and is told what they answered. An instance that
-// reaches no owner of an account must assume that the owners grant the whole
-// limit to others. So what it lets in comes from the tolerance, of which each
-// instance of the fleet has its part: too small for a request, which therefore
-// gets in by chance, so that the part is kept in the mean.
+// The quota service of the gateway sends the requests to owners that this class
+// selects, and passes it their responses; the class performs no I/O itself.
+//
+// An isolated instance, which reaches no owner of an account, has to assume
+// that the owners grant the whole limit to other instances. It may only use its
+// equal share of the account's tolerance. Such a share is smaller than one
+// request, so requests are admitted at random such that the share is met on
+// average.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_DISTRIBUTEDQUOTA_H
@@ -23,51 +25,56 @@
 
 namespace yardrill::routing {
 
-/// Where the tokens of a request came from.
+/// Source of the tokens that a request was granted.
 enum class QuotaSource {
-  None,    ///< Its account has no limit, or it was refused.
-  Advance, ///< An owner had granted them earlier.
-  Owner,
-  Alone, ///< No owner was reached: from this instance's part of the tolerance.
+  None,    ///< The account has no limit, or the request was refused.
+  Advance, ///< A cached grant.
+  Owner,   ///< A grant for this request.
+  Alone,   ///< This instance's share of the tolerance; no owner was reached.
 };
 
 std::string toString(QuotaSource Source);
 
-/// One request on its way to the tokens it needs.
+/// State of acquiring the tokens for one request.
 struct QuotaAcquisition {
   AccountHash m_Account = 0;
   std::uint32_t m_Tokens = 0;
-  /// Who granted them; not set: nobody had to.
+  /// Owner that granted the tokens; not set if none did.
   std::optional<config::Endpoint> m_Owner;
-  /// Owners that may still be asked, the next one last.
+  /// Owners that may still be asked; the next one is last.
   std::vector<config::Endpoint> m_RemainingOwners;
   QuotaSource m_Source = QuotaSource::None;
-  /// The shortest of the refusals.
+  /// Shortest retry time of all refusals.
   std::optional<core::Duration> m_RetryAfter;
 };
 
-/// What is to be done next.
+/// Next step of an acquisition.
 enum class QuotaStep {
   Granted,
-  Refused, ///< QuotaAcquisition::m_RetryAfter says when to come back.
-  Ask,     ///< The last of QuotaAcquisition::m_RemainingOwners.
+  Refused, ///< QuotaAcquisition::m_RetryAfter holds the time until a retry.
+  Ask,     ///< Ask the last of QuotaAcquisition::m_RemainingOwners.
 };
 
-/// Tokens to be given back to an owner.
+/// Unused tokens to be returned to an owner.
 struct QuotaReturn {
   config::Endpoint m_Owner;
   AccountHash m_Account = 0;
   std::uint32_t m_Tokens = 0;
 };
 
+/// Acquires quota from owner instances, and owns quotas for other instances.
+///
+/// Every account has a few owners, each with its share of the limit. A request
+/// asks the local one first and the others in random order, until one grants
+/// its tokens or all refuse.
 class DistributedQuota {
 public:
-  /// How long an owner's answer is waited for: twenty times the way between two
-  /// data halls, a third of what an instance of an eighth of a core stalls for
-  /// at its worst.
+  /// Time to wait for an owner's response: twenty times the latency between two
+  /// data halls, and a third of the longest stall of an instance with an eighth
+  /// of a core.
   static constexpr std::chrono::milliseconds ResponseTimeout{60};
 
-  /// \param IsFullAtStart whether no quota was used yet; see QuotaOwner.
+  /// \param IsFullAtStart see QuotaOwner.
   DistributedQuota(config::Endpoint Self, const QuotaTolerance &Tolerance,
                    bool IsFullAtStart, std::uint64_t Seed)
       : m_Self(std::move(Self)), m_LocalOwner(m_Self, IsFullAtStart),
@@ -80,18 +87,21 @@
     m_LocalOwner.setListConfirmed(IsConfirmed);
   }
 
+  /// Starts an acquisition; m_Account and m_Tokens must be set.
   QuotaStep begin(QuotaAcquisition &Acquisition, core::TimePoint Now);
-  /// The owner that was to be asked has answered.
+  /// Continues an acquisition with the response of the owner that was asked.
   QuotaStep handleResponse(QuotaAcquisition &Acquisition,
                            const QuotaResponse &Response, core::TimePoint Now);
-  /// It has not, within Patience.
+  /// Continues an acquisition whose owner did not respond in ResponseTimeout.
   QuotaStep handleTimeout(QuotaAcquisition &Acquisition, core::TimePoint Now);
-  /// Keeps what an owner granted too late, to be used or given back.
+  /// Stores tokens that an owner granted beyond a request, or too late for it,
+  /// for later requests of the account.
   void cacheGrant(const config::Endpoint &Owner, AccountHash Account,
                   std::uint32_t Tokens, core::TimePoint Now);
-  /// Gives back the tokens of a request that did not run.
+  /// Releases the tokens of a request that did not run.
   void giveBack(const QuotaAcquisition &Acquisition, core::TimePoint Now);
-  /// \returns what was kept for long without use, to be sent to its owners.
+  /// Removes cached grants that have not been used for long. \returns those to
+  /// be returned to other instances.
   std::vector<QuotaReturn> takeUnusedGrants(core::TimePoint Now);
 
   /// See QuotaOwner.
@@ -104,30 +114,32 @@
     m_LocalOwner.settleCharge(Account, Tokens, Now);
   }
 
-  /// Answers another instance.
+  /// Handles a request of another instance; see QuotaOwner.
   QuotaResponse handleRequest(const QuotaRequest &Ask, core::TimePoint Now) {
     return m_LocalOwner.handleRequest(Ask, Now);
   }
 
 private:
-  /// Tokens granted and not used yet.
+  /// Tokens that an owner granted and no request has used.
   struct CachedGrant {
     config::Endpoint m_Owner;
     std::uint32_t m_Tokens = 0;
-    core::TimePoint m_Since{}; ///< The oldest of them.
+    core::TimePoint m_Since{}; ///< Time of the oldest grant.
   };
   struct AccountState {
     std::vector<CachedGrant> m_CachedGrants;
-    /// For when no owner is reached; see the top of the file.
+    /// Share of the tolerance that is used while isolated.
     TokenBucket m_IsolatedBucket;
-    /// Owners that refused lately, until they may have tokens again.
+    /// Owners that refused, with the time until which they are not asked.
     std::map<config::Endpoint, core::TimePoint> m_ExhaustedUntil;
   };
 
   void configure(core::TimePoint Now);
-  /// Of what this instance lets in without an owner.
+  /// Returns this instance's share of the tolerance for an account with the
+  /// given limits.
   QuotaLimits isolatedLimits(const QuotaLimits &Limits) const;
   bool takeCachedGrant(AccountState &State, QuotaAcquisition &Acquisition);
+  /// Asks the local owner or selects the next remote one.
   QuotaStep next(QuotaAcquisition &Acquisition, core::TimePoint Now);
   QuotaStep acquireIsolated(AccountState &State, QuotaAcquisition &Acquisition,
                             core::TimePoint Now);
@@ -141,7 +153,7 @@
   std::vector<Account> m_Accounts;
   ConsistentHashRing m_Ring;
   std::unordered_map<AccountHash, AccountState> m_AccountStates;
-  /// Owners that did not answer, until they are asked again.
+  /// Owners that did not respond, with the time until which they are not asked.
   std::map<config::Endpoint, core::TimePoint> m_UnresponsiveUntil;
   std::mt19937_64 m_Random;
 };
