--- a/Libraries/LibRouting/QuotaOwner.cpp
+++ b/Libraries/LibRouting/QuotaOwner.cpp
@@ -7,22 +7,22 @@
 
 namespace yardrill::routing {
 
-/// Until an owner by an earlier list has heard of the next one, or knows that
-/// it would not: mostly half a second, and as long as a watch of the store
-/// takes to fail, about three, where it is cut off.
+/// Time until the previous owner of a share learns of its successor, or that it
+/// would not learn of one: usually half a second, but about three if it is
+/// isolated and its watch of the store has to time out.
 static constexpr std::chrono::seconds HandoverTime{3};
-/// Smaller parts of a debt, in tokens, are not worth the messages: a third of
-/// the median request. Larger ones are shared, since debts of the largest
-/// requests that each owner kept for itself would exceed the tolerance.
+/// Minimum number of tokens in a charge, a third of the median request. Smaller
+/// ones are not worth a message. Larger debts have to be shared, because three
+/// owners with debts of the largest requests would exceed the tolerance.
 static constexpr std::uint32_t MinCharge = 1000;
-/// Part of the burst that may be granted in advance within AdvanceTime, the
-/// time after which the instances give back what they did not use.
+/// Share of the burst that may be granted in advance, and how often that share
+/// is refilled per second. Instances return unused grants after a second.
 static constexpr double AdvanceShare = 0.125;
 static constexpr double AdvancesPerSecond = 1;
-/// Part of what may be granted in advance that one ask gets: several instances
-/// have callers of the same account.
+/// Share of the available advance that one request gets. The rest is left for
+/// other instances with callers of the same account.
 static constexpr double AdvanceOfOneRequest = 0.25;
-/// Nothing is granted in advance below this part of the burst.
+/// Share of the burst below which nothing is granted in advance.
 static constexpr double AdvanceThresholdShare = 0.5;
 
 AccountHash hashOf(const core::AccountName &Account) {
@@ -36,12 +36,12 @@
 }
 
 double QuotaOwner::initialLevel(const QuotaLimits &Limits, double Share) const {
-  // One that others kept until now: they may have granted all of it, and go on
-  // until they hear of the new list.
+  // The previous owner may have granted the whole share, and goes on until it
+  // learns of the new membership.
   if (m_WasConfigured)
     return -core::toSeconds(HandoverTime) * Limits.m_TokensPerSecond * Share;
-  // After a restart: what was granted before is not known. Two restarts of all
-  // owners within a window leave no room for a credit.
+  // After a restart, earlier grants are unknown. All owners may restart twice
+  // within a window, so the tolerance leaves no room for an initial credit.
   return m_IsFullAtStart ? Limits.m_Burst * Share : 0;
 }
 
--- a/Libraries/LibRouting/QuotaOwner.h
+++ b/Libraries/LibRouting/QuotaOwner.h
@@ -1,19 +1,21 @@
-//===-- QuotaOwner.h - The quotas that one instance keeps for all ---------===//
+//===-- QuotaOwner.h - Quotas that one instance owns for the fleet --------===//
 //
-// Pure. Each account has up to three owners, the same ones wherever the list of
-// instances is the same; each keeps its part of the account's rate and burst,
-// and every instance asks one of them before it lets a request in.
+// Each account has up to three owners, which all instances with the same
+// membership derive alike. Each owner holds its share of the account's rate and
+// burst, and every instance asks one of them before it admits a request. The
+// class performs no I/O.
 //
-// An owner lets a request in while it holds anything, and shares the debt with
-// the other owners: each that takes its part relieves it. So what all instances
-// let in, in any time t, stays below
-//   rate x t + burst                  whatever was refilled and held
-//   + one request                     the debt that all owners are in; one more
-//                                     for each that grants before it is told
+// An owner grants a request of any size while its bucket level is above zero,
+// and transfers parts of the resulting debt to the other owners. The tokens
+// granted in any time t therefore stay below
+//   rate x t + burst                  refill and initial level
+//   + one request                     debt of all owners together; one more for
+//                                     each owner that grants before a charge
+//                                     arrives
 //   + burst / 8                       tokens granted in advance
-//   + for each start of an owner, its part of the debt
-// and nothing depends on who else lives, is cut off, or is known to whom. What
-// instances do that reach no owner is bounded by DistributedQuota.
+//   + an owner's share of the debt    for each restart of an owner
+// whichever instances are running, isolated or known to each other. Requests
+// that reach no owner are bounded by DistributedQuota.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_QUOTAOWNER_H
@@ -30,29 +32,29 @@
 
 namespace yardrill::routing {
 
-/// How an account is named between instances: the low half of stableHash() of
-/// its name.
+/// Identifies an account in messages: the low half of stableHash() of its name.
 using AccountHash = std::uint32_t;
 
 AccountHash hashOf(const core::AccountName &Account);
 
-/// What a deployment allows above rate x window + burst.
+/// Excess over rate x window + burst that a deployment allows in each window.
 struct QuotaTolerance {
-  double m_Share = 0;  ///< Of rate x window + burst.
-  double m_Tokens = 0; ///< And these.
+  double m_Share = 0;  ///< Share of rate x window + burst.
+  double m_Tokens = 0; ///< Constant number of tokens in addition.
   core::Duration m_Window = std::chrono::seconds(8);
 
-  /// Tokens, for one account.
+  /// Returns the tolerance in tokens for an account with the given limits.
   double tokens(const QuotaLimits &Limits) const;
 };
 
+/// Request of an instance to an owner.
 struct QuotaRequest {
   AccountHash m_Account = 0;
-  std::uint32_t m_Tokens = 0;   ///< 0: none, it only gives back.
-  std::uint32_t m_Returned = 0; ///< Granted earlier and not used.
+  std::uint32_t m_Tokens = 0;   ///< Wanted tokens; 0 to return tokens only.
+  std::uint32_t m_Returned = 0; ///< Unused tokens of earlier grants.
 };
 
-/// Part of a debt that another owner of the account should take over.
+/// Part of a debt to be taken over by another owner of the account.
 struct QuotaCharge {
   config::Endpoint m_Owner;
   AccountHash m_Account = 0;
@@ -62,57 +64,66 @@
 enum class QuotaVerdict : std::uint8_t {
   Granted,
   Refused,
-  NotOwner, ///< Or it has no configuration yet.
+  NotOwner, ///< Not an owner, or not configured yet.
 };
 
+/// Response of an owner.
 struct QuotaResponse {
   QuotaVerdict m_Verdict = QuotaVerdict::NotOwner;
-  /// Granted; where there is plenty, more than was asked for.
+  /// Granted tokens. More than requested if the bucket is well filled, so that
+  /// the instance can serve later requests from them.
   std::uint32_t m_Tokens = 0;
-  core::Duration m_RetryAfter{}; ///< Of a refusal.
+  core::Duration m_RetryAfter{}; ///< Time until a retry, if refused.
 };
 
+/// Holds this instance's shares of account quotas and grants tokens from them.
 class QuotaOwner {
 public:
-  /// \param IsFullAtStart whether buckets start full, since nothing was drawn
-  /// yet.
+  /// \param IsFullAtStart whether buckets start full. Only for a fleet that has
+  /// granted nothing before.
   QuotaOwner(const config::Endpoint &Self, bool IsFullAtStart)
       : m_Self(Self), m_IsFullAtStart(IsFullAtStart) {}
 
-  /// Takes over what is new, forgets what is no longer this instance's.
+  /// Creates buckets for accounts that this instance newly owns, updates the
+  /// limits of the others, and drops those it no longer owns.
   void configure(const std::vector<Account> &Accounts,
                  const ConsistentHashRing &HashRing, core::TimePoint Now);
-  /// Whether this instance would hear of a change of the list of owners. While
-  /// it would not, it owns nothing: another may own the same by a newer list.
+  /// Sets whether this instance would receive a change of the membership. While
+  /// it would not, it grants nothing, because another instance may own the same
+  /// shares by a newer membership.
   void setListConfirmed(bool IsConfirmed) { m_IsListConfirmed = IsConfirmed; }
   QuotaResponse handleRequest(const QuotaRequest &Request, core::TimePoint Now);
 
-  /// \returns parts of debts made since the last call, to be sent to the other
-  /// owners. Until one has taken its part, it counts here.
+  /// Returns the charges made since the last call, to be sent to other owners.
+  /// The debt stays here until settleCharge().
   std::vector<QuotaCharge> takeCharges() {
     return std::exchange(m_Charges, {});
   }
-  /// Takes over a part of another owner's debt. \returns whether it did.
+  /// Takes over a part of another owner's debt. \returns false if this instance
+  /// does not own the account.
   bool charge(AccountHash Account, std::uint32_t Tokens, core::TimePoint Now);
-  /// Another owner has taken over \p Tokens.
+  /// Reduces the debt by \p Tokens that another owner has taken over.
   void settleCharge(AccountHash Account, std::uint32_t Tokens,
                     core::TimePoint Now);
 
 private:
   struct Bucket {
     TokenBucket m_Tokens;
-    TokenBucket m_Advance; ///< What may still be granted in advance.
-    std::vector<config::Endpoint> m_Others; ///< Owners.
+    TokenBucket m_Advance; ///< Tokens that may be granted in advance.
+    std::vector<config::Endpoint> m_Others; ///< Other owners of the account.
   };
 
+  /// Queues charges that divide a debt evenly over all owners.
   void shareDebt(AccountHash Account, Bucket &Quota, core::TimePoint Now);
-  /// Of a bucket that was not here before.
+  /// Returns the initial level of a new bucket in tokens.
+  /// \param Limits of the whole account.
+  /// \param Share share of this owner, 0 to 1.
   double initialLevel(const QuotaLimits &Limits, double Share) const;
 
   config::Endpoint m_Self;
   bool m_IsFullAtStart;
   bool m_IsListConfirmed = true;
-  bool m_WasConfigured = false; ///< It was configured with others on the ring.
+  bool m_WasConfigured = false; ///< With accounts and a membership.
   std::unordered_map<AccountHash, Bucket> m_Buckets;
   std::vector<QuotaCharge> m_Charges;
 };
