--- a/Libraries/LibRouting/TokenBucket.h
+++ b/Libraries/LibRouting/TokenBucket.h
@@ -1,5 +1,4 @@
-//===-- TokenBucket.h - A token bucket that may go into debt
-//---------------===//
+//===-- TokenBucket.h - Token bucket that may go into debt ----------------===//
 #ifndef YARDRILL_LIBROUTING_TOKENBUCKET_H
 #define YARDRILL_LIBROUTING_TOKENBUCKET_H
 
@@ -7,36 +6,42 @@
 
 namespace yardrill::routing {
 
+/// Rate and burst of a token bucket, in tokens.
 struct QuotaLimits {
   double m_TokensPerSecond = 0;
   double m_Burst = 0;
 
+  /// Returns these limits multiplied by \p Share.
   QuotaLimits part(double Share) const {
     return {m_TokensPerSecond * Share, m_Burst * Share};
   }
 };
 
-/// Within any time t, at most rate x t + burst + one request are taken.
+/// Token bucket for requests of different sizes. Within any time t, at most
+/// rate x t + burst + one request are taken.
 class TokenBucket {
 public:
-  /// \param Level tokens it holds at first, at most the burst.
+  /// \param Level initial number of tokens; limited to the burst.
   TokenBucket(const QuotaLimits &Limits, double Level, core::TimePoint Now);
 
+  /// Changes the limits. The level is reduced to the new burst if it exceeds
+  /// it.
   void setLimits(const QuotaLimits &Limits, core::TimePoint Now);
-  /// One request may be larger than what is left, or than the whole burst: it
-  /// is let in while the level is above zero, and the debt is paid before the
-  /// next.
+  /// Takes tokens if the level is above zero. A request may exceed the level
+  /// and even the burst; the next one then waits until the debt is refilled.
+  /// \returns whether the tokens were taken.
   bool tryTake(double Tokens, core::TimePoint Now);
-  /// Takes tokens whether it holds them or not.
+  /// Takes tokens whatever the level.
   void charge(double Tokens, core::TimePoint Now);
-  /// Gives back what was taken and not used.
+  /// Returns unused tokens to the bucket, up to the burst.
   void giveBack(double Tokens, core::TimePoint Now);
-  /// How long until the bucket holds something again for one who comes back:
-  /// those who were refused lately come back as well.
+  /// Returns the time until a refused request is likely to succeed: until the
+  /// debt and the recently refused tokens, which are retried too, are refilled.
+  /// Zero if the level is above zero.
   core::Duration untilAvailable() const;
-  /// \returns the tokens it holds; below zero: a debt.
+  /// Returns the number of tokens; below zero if the bucket is in debt.
   double level(core::TimePoint Now);
-  /// Takes what is known to be there.
+  /// Takes tokens without a refill. Call level() first and do not exceed it.
   void take(double Tokens) { m_Level -= Tokens; }
   const QuotaLimits &limits() const { return m_Limits; }
 
@@ -45,7 +50,7 @@
 
   QuotaLimits m_Limits;
   double m_Level = 0;
-  double m_Refused = 0; ///< Tokens refused lately; halves every second.
+  double m_Refused = 0; ///< Recently refused tokens; halves every second.
   core::TimePoint m_RefilledAt;
 };
 
