--- a/Libraries/LibRouting/ConsistentHashRing.h
+++ b/Libraries/LibRouting/ConsistentHashRing.h
@@ -1,5 +1,4 @@
-//===-- ConsistentHashRing.h - Which instances keep an account's quota
-//-------------===//
+//===-- ConsistentHashRing.h - Selects the quota owners of accounts -------===//
 #ifndef YARDRILL_LIBROUTING_CONSISTENTHASHRING_H
 #define YARDRILL_LIBROUTING_CONSISTENTHASHRING_H
 
@@ -11,25 +10,28 @@
 
 namespace yardrill::routing {
 
-/// A consistent-hash ring (Karger et al., 1997) over the peer addresses of all
-/// instances. Whoever has the same list names the same owners, whichever of
-/// them live; one instance more or less moves few accounts.
+/// Consistent-hash ring (Karger et al., 1997) of the peer addresses of all
+/// instances. Instances with the same membership select the same owners,
+/// whether or not these are running. Adding or removing an instance moves few
+/// accounts.
 class ConsistentHashRing {
 public:
-  /// Owners of one account. Each keeps its part of the quota, so that the loss
-  /// of one leaves two thirds of the limit, and no other has to take over.
+  /// Maximum number of owners of an account. Each holds a share of the quota,
+  /// so the loss of one of three leaves two thirds of the limit without a
+  /// failover.
   static constexpr std::size_t MaxOwners = 3;
 
-  /// Of nobody.
+  /// Creates a ring without members.
   ConsistentHashRing() = default;
   explicit ConsistentHashRing(const std::vector<config::Endpoint> &Members);
 
   std::size_t size() const { return m_Points.size(); }
-  /// The first members after \p Hash; fewer than MaxOwners in a small fleet.
+  /// Returns the members that follow \p Hash on the ring: MaxOwners, or all if
+  /// there are fewer.
   std::vector<config::Endpoint> ownersOf(std::uint32_t Hash) const;
 
 private:
-  /// By the low half of stableHash() of the address.
+  /// Members sorted by the low half of stableHash() of their address.
   std::vector<std::pair<std::uint32_t, config::Endpoint>> m_Points;
 };
 
