--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -24,10 +24,10 @@
 double RetryBudget::ownAllowance(core::TimePoint Now,
                                  std::size_t Instances) const {
   double Share = m_Limits.m_Allowance / static_cast<double>(Instances);
-  // What an earlier life of the process spent is not known. If each life began
-  // with the whole part, a fleet that restarts in series would spend it with
-  // each; so it grows with the time at work, and lives within one window spend
-  // no more together than one.
+  // Retries before a restart are unknown. If each process started with the full
+  // share, a fleet that restarts repeatedly would spend it each time. The share
+  // grows with the uptime instead, so that all restarts within a window
+  // together spend no more than one share.
   double Uptime =
       core::toSeconds(Now - m_Since) / core::toSeconds(m_Limits.m_Window);
   return Share * std::min(1.0, Uptime);
