--- a/Libraries/LibRouting/FirstEventEstimate.cpp
+++ b/Libraries/LibRouting/FirstEventEstimate.cpp
@@ -5,13 +5,13 @@
 
 namespace yardrill::routing {
 
-/// Weights of the newest observation (RFC 6298, section 2). There the deviation
-/// counts four times; a stream that is given up a little early costs less than
-/// a packet sent twice.
+/// Weights of the newest observation (RFC 6298, section 2).
 static constexpr double MeanWeight = 1.0 / 8;
 static constexpr double DeviationWeight = 1.0 / 4;
+/// RFC 6298 uses 4. Refusing a stream slightly early costs less than sending a
+/// packet twice.
 static constexpr double DeviationFactor = 2;
-/// Without any observation, and at the least.
+/// Minimum, and the estimate without any observation.
 static constexpr std::chrono::milliseconds Floor{150};
 static constexpr std::chrono::milliseconds Ceiling{800};
 
--- a/Libraries/LibRouting/FirstEventEstimate.h
+++ b/Libraries/LibRouting/FirstEventEstimate.h
@@ -1,5 +1,4 @@
-//===-- FirstEventEstimate.h - How long streams take to begin
-//------------------===//
+//===-- FirstEventEstimate.h - Estimates the time to first event ----------===//
 #ifndef YARDRILL_LIBROUTING_FIRSTEVENTESTIMATE_H
 #define YARDRILL_LIBROUTING_FIRSTEVENTESTIMATE_H
 
@@ -7,13 +6,14 @@
 
 namespace yardrill::routing {
 
-/// Learns the time from a stream's dispatch to its first event, as a mean and
-/// a mean deviation, by the method of RFC 6298.
+/// Estimates the time from a stream's dispatch to its first event by mean and
+/// mean deviation, as RFC 6298 does for round-trip times.
 class FirstEventEstimate {
 public:
+  /// Adds an observed time.
   void add(core::Duration Time);
-  /// Nearly all begin within that time; never below a floor, nor above a
-  /// ceiling that leaves most of a caller's patience for waiting.
+  /// Returns the time within which nearly all streams begin, between 150 and
+  /// 800 ms. The ceiling leaves streams some time to wait for a free slot.
   core::Duration upperBound() const;
 
 private:
