--- a/Libraries/LibRouting/RoutingTable.h
+++ b/Libraries/LibRouting/RoutingTable.h
@@ -1,4 +1,4 @@
-//===-- RoutingTable.h - Which request goes to which pool, and for whom ---===//
+//===-- RoutingTable.h - Routes, pools and accounts of a configuration ----===//
 #ifndef YARDRILL_LIBROUTING_ROUTINGTABLE_H
 #define YARDRILL_LIBROUTING_ROUTINGTABLE_H
 
@@ -13,8 +13,8 @@
 
 namespace yardrill::routing {
 
-/// Who is served first: the client account's tier decides, and between those
-/// of one tier the route's.
+/// Priority of a request: compared first by the tier of its client account,
+/// then by that of its route.
 struct Priority {
   core::TierNumber m_Account{1};
   core::TierNumber m_Route{1};
@@ -22,7 +22,7 @@
   bool operator==(const Priority &Other) const {
     return m_Account == Other.m_Account && m_Route == Other.m_Route;
   }
-  /// The higher rank comes first.
+  /// Orders higher priorities first.
   bool operator<(const Priority &Other) const {
     return m_Account == Other.m_Account ? m_Route < Other.m_Route
                                         : m_Account < Other.m_Account;
@@ -32,56 +32,64 @@
 enum class RouteKind {
   Idempotent,    ///< A request may run more than once.
   NonIdempotent, ///< A request runs at most once.
-  Stream,        ///< The answer is a stream of events (text/event-stream).
+  Stream,        ///< The response is an event stream (text/event-stream).
 };
 
+/// Pool of a route, with its share of the route's requests.
 struct WeightedPool {
   core::PoolName m_Pool;
   std::uint32_t m_Weight = 1;
 };
 
+/// Maps requests by host and path prefix to pools, with limits and retry rules.
 struct Route {
   std::string m_Name;
   std::string m_Host;
-  std::string m_Prefix; ///< Of the path; begins and ends with a slash.
-  /// Of host and prefix, set by the table's builder: the same in all versions.
+  std::string m_Prefix; ///< Path prefix; begins and ends with a slash.
+  /// Hash of host and prefix, set by the builder. It does not depend on the
+  /// version of the configuration.
   std::uint32_t m_Hash = 0;
   RouteKind m_Kind = RouteKind::NonIdempotent;
-  core::Duration m_Timeout{}; ///< Longest time until the answer's end.
-  core::Duration m_FirstByteObjective{}; ///< Of the first byte; zero: none.
+  core::Duration m_Timeout{}; ///< Maximum time until the response is complete.
+  core::Duration m_FirstByteObjective{}; ///< Zero: none.
   core::Duration m_MaxEventGap{}; ///< Between events of a stream; zero: none.
   core::TierNumber m_Tier{1};
   std::vector<WeightedPool> m_Pools; ///< Not empty.
-  unsigned m_MaxAttempts = 1;        ///< That may run one request.
-  bool m_IsPublic = false;           ///< Needs no key.
-  bool m_IsResumable = false;        ///< A stream may go on at another target.
+  /// Maximum number of targets that may run a request; attempts that certainly
+  /// did not run do not count.
+  unsigned m_MaxAttempts = 1;
+  bool m_IsPublic = false;    ///< Requests need no key.
+  bool m_IsResumable = false; ///< Streams can resume at another target.
 
   /// Whether a request that may have run can be sent to another target.
   bool isRetryable() const {
     return m_Kind == RouteKind::Idempotent ||
            (m_Kind == RouteKind::Stream && m_IsResumable);
   }
-  /// \param Point uniformly distributed.
+  /// Selects a pool according to the weights.
+  /// \param Point uniformly distributed random number.
   const core::PoolName &choosePool(std::uint64_t Point) const;
 };
 
+/// A set of interchangeable targets.
 struct Pool {
   core::PoolName m_Name;
-  std::size_t m_MaxConnections = 0; ///< Of a target, from all instances.
-  bool m_IsInference = false;       ///< Its targets batch and stream tokens.
-  double m_TokensPerEvent = 1;      ///< Of a model's streams.
+  std::size_t m_MaxConnections = 0; ///< To one target, from all instances.
+  bool m_IsInference = false;       ///< Targets are batching inference engines.
+  double m_TokensPerEvent = 1;      ///< Tokens per event of a stream.
 };
 
+/// A client account with its keys, tier and quota.
 struct Account {
   core::AccountName m_Name;
   std::vector<std::string> m_Keys;
-  core::TierNumber m_Tier{0};   ///< Goes before the route's; 0: it has none.
-  double m_TokensPerSecond = 0; ///< Over all instances; 0: no limit.
-  double m_Burst = 0;
-  std::uint32_t m_DefaultTokens = 1; ///< Charged when a request names no size.
+  core::TierNumber m_Tier{0};   ///< Takes precedence over the route's; 0: none.
+  double m_TokensPerSecond = 0; ///< For all instances together; 0: no limit.
+  double m_Burst = 0;           ///< Tokens, for all instances together.
+  std::uint32_t m_DefaultTokens = 1; ///< Charge for a request without a size.
 };
 
-/// What a caller may send.
+/// Limits on what a caller may send.
 struct CallerLimits {
   std::size_t m_HeaderBytes = 16384;
   std::size_t m_BodyBytes = 4194304;
@@ -89,14 +97,14 @@
   core::Duration m_IdleTimeout = std::chrono::seconds(15);
 };
 
-/// One accepted configuration; immutable.
+/// An accepted configuration; immutable and shared by all requests.
 class RoutingTable {
 public:
   class Builder;
 
   core::ConfigurationVersion version() const { return m_Version; }
-  /// \returns the route with the longest prefix of \p Path at \p Host, or null.
-  /// \param Path without its query.
+  /// Returns the route of \p Host with the longest prefix of \p Path, or null.
+  /// \param Path path without the query.
   const Route *findRoute(const std::string &Host,
                          const std::string &Path) const;
   const Account *findAccountByKey(const std::string &Key) const;
@@ -105,7 +113,8 @@
     return m_Pools;
   }
   const std::vector<Account> &accounts() const { return m_Accounts; }
-  /// Whether requests on routes that are not public need a key.
+  /// Whether any accounts are configured. If so, only public routes can be used
+  /// without a key.
   bool hasAccounts() const { return !m_Accounts.empty(); }
   const CallerLimits &limits() const { return m_Limits; }
 
@@ -118,6 +127,7 @@
   std::unordered_map<core::PoolName, Pool> m_Pools;
 };
 
+/// Builds a RoutingTable; the methods return the builder itself.
 class RoutingTable::Builder {
 public:
   Builder &version(core::ConfigurationVersion Version);
