--- a/Tests/LibRouting/DispatcherTest.cpp
+++ b/Tests/LibRouting/DispatcherTest.cpp
@@ -1,3 +1,4 @@
+//===-- DispatcherTest.cpp - Queueing and assignment of requests ----------===//
 #include "LibRouting/Dispatcher.h"
 
 #include "LibCore/Digest.h"
@@ -130,8 +131,8 @@
     m_Targets.setSubset(FleetSubset({"10.1.0.100", 7600}, Fleet));
     announce("a", 6);
     place(1);
-    // That one request runs here does not mean that all ten groups have one
-    // there, which would fill it.
+    // One local request must not count once for each of the ten groups, which
+    // would fill the target.
     m_Targets.setRemoteLoad({});
     place(2);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(2));
@@ -172,7 +173,7 @@
       }
     };
     PlaceMany(1, 20000);
-    // All of the quick ones, and one at the slow one.
+    // All eight slots of the fast targets and one of the slow target.
     CPPUNIT_ASSERT_EQUAL(std::size_t(9), m_Sent.size());
     for (std::uint64_t Id = 1; Id <= 12; ++Id)
       m_Dispatcher.withdraw(core::RequestId(Id));
@@ -214,7 +215,7 @@
     place(1);
     PlacementRequest Stream = request(2);
     Stream.m_IsInference = true;
-    Stream.m_FirstByteDue = Stream.m_EndsAt; // Its route has no objective.
+    Stream.m_FirstByteDue = Stream.m_EndsAt; // No first-byte objective.
     m_Dispatcher.place(Stream, m_Now);
     m_Now += milliseconds(849);
     m_Dispatcher.dispatchWaiting(m_Now);
@@ -237,7 +238,7 @@
     m_Now += milliseconds(580);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT(m_Refused.empty());
-    // Streams begin 0.4 s after they are sent, and its caller leaves at 1 s.
+    // Streams begin 0.4 s after dispatch, and the caller gives up after 1 s.
     m_Now += milliseconds(30);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(2)) == 1);
@@ -258,7 +259,7 @@
     m_Now += milliseconds(30);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(2)) == 1);
-    // With a free place it is sent, however late.
+    // With a free slot it is sent however late it is.
     m_Targets.recordEnd(core::TargetName("a"), 0);
     Stream.m_Request = core::RequestId(3);
     m_Dispatcher.place(Stream, m_Now);
@@ -285,12 +286,12 @@
     place(1, 1);
     for (std::uint64_t Id = 2; Id <= 6; ++Id)
       place(Id, 3);
-    // One of six places stays free for the higher tier.
+    // One of six slots stays reserved for the higher tier.
     CPPUNIT_ASSERT(!sentTo(5).empty());
     CPPUNIT_ASSERT_EQUAL(std::string(), sentTo(6));
     place(7, 1);
     CPPUNIT_ASSERT(!sentTo(7).empty());
-    // A tier that is alone may use every place.
+    // A tier without requests of other tiers may use every slot.
     m_Targets.recordEnd(core::TargetName(sentTo(7)), 0);
     m_Now += std::chrono::seconds(11);
     place(8, 3);
@@ -336,7 +337,7 @@
     }
     for (std::uint64_t Id = 1; Id <= 6; ++Id) {
       PlacementRequest Long = request(Id);
-      // 0.5 s at the quick target, 2 s at the other, of 1 s.
+      // Takes 0.5 s at the fast target and 2 s at the slow one; 1 s is left.
       Long.m_ExpectedEvents = 50;
       m_Dispatcher.place(Long, m_Now);
       CPPUNIT_ASSERT_EQUAL(std::string("quick"), sentTo(Id));
@@ -375,7 +376,7 @@
     fail("a");
     for (std::uint64_t Id = 1; Id <= 4; ++Id)
       place(Id);
-    // The resting one has free places because it is down.
+    // The target in cooldown has free slots because it is down.
     CPPUNIT_ASSERT_EQUAL(std::string(), sentTo(3));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_Dispatcher.waiting());
     m_Targets.recordEnd(core::TargetName("b"), 0);
@@ -392,7 +393,7 @@
     for (std::uint64_t Id = 1; Id <= 4; ++Id)
       place(Id);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), m_Sent.size());
-    // It answers: as good as any.
+    // Its first event ends the probation.
     m_Targets.recordFirstEvent(core::TargetName("a"), 0);
     m_Dispatcher.dispatchWaiting(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_Sent.size());
@@ -411,14 +412,14 @@
   void testReplacedTargetGetsNothing() {
     announce("a");
     m_Targets.recordReplacement(core::TargetName("a"));
-    // Its announcement may be repeated before it ends.
+    // Its announcement may be repeated before it expires.
     announce("a");
     place(1);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(1)) == 1);
   }
 
-  /// The only target crashed under a request that may be sent again, and is
-  /// back under its name: it is not the run that was tried.
+  /// A retry may go to a target that has restarted under the same name, because
+  /// only its earlier incarnation was tried.
   void testRestartedTargetMayBeTriedAgain() {
     Target Again = target("a");
     Again.m_StartTime = core::TargetStartTime(1);
@@ -437,11 +438,11 @@
     m_Targets.withdraw(core::TargetName("a"), m_Now);
     place(1);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), sentTo(1));
-    // Alone it is gone soon.
+    // A single missing target is removed soon.
     m_Now += milliseconds(1300);
     m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.all().size());
-    // All at once is the mark of an outage: they may yet come back.
+    // If most targets are missing, the store is down and they may return.
     m_Targets.withdraw(core::TargetName("b"), m_Now);
     m_Now += milliseconds(2000);
     m_Targets.removeExpired(m_Now);
