--- a/Tests/LibRouting/DispatcherBackpressureTest.cpp
+++ b/Tests/LibRouting/DispatcherBackpressureTest.cpp
@@ -1,5 +1,4 @@
-//===-- DispatcherBackpressureTest.cpp - Waiting for targets that state terms
-//----===//
+//===-- DispatcherBackpressureTest.cpp - Waiting for throttled targets ----===//
 #include "LibRouting/Dispatcher.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -28,7 +27,7 @@
        },
        [this](core::RequestId Request) { m_Refused.insert(Request); }}};
 
-  /// The only target, under the name "a".
+  /// Announces the only target, "a".
   void announce(std::size_t Places) {
     Target Out;
     Out.m_Name = core::TargetName("a");
@@ -37,7 +36,7 @@
     Out.m_Slots = Places;
     m_Targets.announce(Out);
   }
-  /// Waits 350 ms for a place.
+  /// Returns a request that waits up to 350 ms for a slot.
   PlacementRequest request(std::uint64_t Id, std::uint32_t Tier = 1) const {
     PlacementRequest Out;
     Out.m_Request = core::RequestId(Id);
@@ -58,17 +57,17 @@
   }
 
 public:
-  /// Unlike a rest that was guessed, also where there is no other target and
-  /// the time to wait is over.
+  /// Unlike a cooldown, a back-off also holds if there is no other target and
+  /// the queue deadline has passed.
   void testBackoffHoldsWithoutOtherTargets() {
     announce(2);
     TargetBackpressure BackingOff;
     BackingOff.m_Backoff = milliseconds(300);
     m_Targets.throttles().update(core::TargetName("a"), BackingOff, m_Now);
-    // Waits for the end of the rest.
+    // Waits for the end of the back-off.
     place(1);
     CPPUNIT_ASSERT(m_Refused.empty());
-    // Its time is over before.
+    // Its queue deadline is before that end.
     PlacementRequest Short = request(2);
     Short.m_EndsAt = m_Now + milliseconds(500);
     m_Dispatcher.place(Short, m_Now);
@@ -88,12 +87,13 @@
     TargetBackpressure Limited;
     Limited.m_RequestsPerSecond = 5;
     m_Targets.throttles().update(core::TargetName("a"), Limited, m_Now);
-    // It takes one after 200 ms and one more after 400; these wait 350 ms.
+    // The target accepts one request after 200 ms and one after 400 ms; these
+    // wait up to 350 ms.
     place(1);
     CPPUNIT_ASSERT(m_Refused.empty());
     place(2);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(2)) == 1);
-    // One of a higher tier goes first; the other can't be served in time then.
+    // A request of a lower tier comes after the waiting one, which is too late.
     m_Refused.clear();
     place(3, 2);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(3)) == 1);
