--- a/Tests/LibRouting/QuotaTest.cpp
+++ b/Tests/LibRouting/QuotaTest.cpp
@@ -1,4 +1,4 @@
-//===-- QuotaTest.cpp - Buckets, owners and draws of quotas ---------------===//
+//===-- QuotaTest.cpp - Token buckets, owners and quota acquisition -------===//
 #include "LibRouting/DistributedQuota.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -47,11 +47,11 @@
       Out.push_back({"10.1.0." + std::to_string(10 + I), 7600});
     return Out;
   }
-  /// An instance that owns the account, in a fleet of \p Count.
+  /// Returns an owner of the account in a fleet of \p Count instances.
   config::Endpoint owner(std::size_t Count) const {
     return ConsistentHashRing(members(Count)).ownersOf(m_Account).front();
   }
-  /// One that does not.
+  /// Returns an instance that does not own the account.
   config::Endpoint stranger(std::size_t Count) const {
     auto Owners = ConsistentHashRing(members(Count)).ownersOf(m_Account);
     for (const config::Endpoint &Each : members(Count))
@@ -85,10 +85,10 @@
       while (Bucket.tryTake(50, m_Now))
         Taken += 50;
     }
-    // 8 s x 1000 + 500, and one request that went below zero.
+    // 8 s x 1000 + 500, and one request that left a debt.
     CPPUNIT_ASSERT(Taken <= 8550);
     CPPUNIT_ASSERT(Taken >= 8400);
-    // Without others who were refused, only the debt has to be waited for.
+    // Without recent refusals, only the debt delays the next request.
     m_Now += seconds(20);
     CPPUNIT_ASSERT(Bucket.tryTake(550, m_Now));
     CPPUNIT_ASSERT(Bucket.untilAvailable() <= milliseconds(51));
@@ -122,7 +122,7 @@
       for (const config::Endpoint &Each : HashRing.ownersOf(Hash))
         Owners.insert(Each);
     }
-    // The work is dealt to all.
+    // All instances own accounts.
     CPPUNIT_ASSERT_EQUAL(std::size_t(89), Owners.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
                          ConsistentHashRing(members(1)).ownersOf(5).size());
@@ -136,12 +136,12 @@
     for (std::uint32_t I = 0; I < 8000; ++I)
       if (Before.ownersOf(I * 536870) != After.ownersOf(I * 536870))
         ++Moved;
-    // Three in 90 in the mean; the arcs of the ring differ.
+    // 3 of 90 on average; the arcs of the ring differ in length.
     CPPUNIT_ASSERT(Moved < 8000 * 9 / 90);
   }
 
   void testOwnersTogetherGrantTheLimit() {
-    // Six instances, three of them owners; each first asks one of them.
+    // Six instances, three of them owners.
     std::map<config::Endpoint, DistributedQuota> Quotas;
     for (const config::Endpoint &Each : members(6))
       Quotas.emplace(Each, quotaOf(Each, 6));
@@ -161,13 +161,13 @@
         Taken += Step == QuotaStep::Granted ? 50 : 0;
       }
     }
-    // 8 s x 1000 from empty buckets, and a request for each owner.
+    // 8 s x 1000 from empty buckets, and one request per owner.
     CPPUNIT_ASSERT(Taken <= 8150);
     CPPUNIT_ASSERT(Taken >= 7800);
   }
 
   void testRestartedOwnersStartWithNothing() {
-    // What was granted before the restart is not known.
+    // Grants from before the restart are unknown.
     QuotaOwner Owner(owner(6), false);
     Owner.configure(accounts(1000, 1000), ConsistentHashRing(members(6)),
                     m_Now);
@@ -182,7 +182,8 @@
   }
 
   void testNewOwnerStartsWithNothing() {
-    // It was none among six; the earlier one may have granted all there is.
+    // The instance becomes an owner only by the second membership. The previous
+    // owner may have granted the whole share.
     config::Endpoint Self = stranger(6);
     QuotaOwner Owner(Self, true);
     Owner.configure(accounts(1000, 1000), ConsistentHashRing(members(6)),
@@ -192,8 +193,8 @@
     Owner.configure(accounts(1000, 1000), ConsistentHashRing({Self}), m_Now);
     CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Refused);
-    // The earlier owner may not have heard of it yet, and grants what is
-    // refilled.
+    // The previous owner may not know the new membership yet, and go on
+    // granting what is refilled.
     m_Now += milliseconds(2990);
     CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Refused);
@@ -215,7 +216,7 @@
   }
 
   void testDebtIsSharedByTheOwners() {
-    // Each has a third of 9,000 tokens; one lets in 12,000.
+    // Each owner holds a third of 9,000 tokens, and one grants 12,000.
     auto Owners = ConsistentHashRing(members(6)).ownersOf(m_Account);
     std::map<config::Endpoint, QuotaOwner> All;
     for (const config::Endpoint &Each : Owners) {
@@ -234,8 +235,8 @@
       CPPUNIT_ASSERT(!(Each.m_Owner == Owners[0]));
       CPPUNIT_ASSERT_EQUAL(std::uint32_t(3000), Each.m_Tokens);
     }
-    // Until another has taken its part, all of the debt is here: 9,000 tokens
-    // at 3,000 a second. With one part taken, 6,000.
+    // Until a charge is settled the whole debt remains here: 9,000 tokens at
+    // 3,000 a second. After the first one, 6,000 remain.
     m_Now += milliseconds(10);
     QuotaResponse Refused = First.handleRequest({m_Account, 1, 0}, m_Now);
     CPPUNIT_ASSERT(Refused.m_RetryAfter > milliseconds(2980));
@@ -250,7 +251,7 @@
     CPPUNIT_ASSERT(
         All.at(Owners[2]).handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
         QuotaVerdict::Granted);
-    // Who does not own the account takes nothing over.
+    // An instance that does not own the account takes over nothing.
     QuotaOwner Stranger(stranger(6), true);
     Stranger.configure(accounts(9000, 9000), ConsistentHashRing(members(6)),
                        m_Now);
@@ -276,7 +277,7 @@
     config::Endpoint Owner = Acquisition.m_RemainingOwners.back();
     CPPUNIT_ASSERT(Quota.handleResponse(Acquisition, granted(150), m_Now) ==
                    QuotaStep::Granted);
-    // It did not run; the next one of its account uses the same tokens.
+    // The next request of the account uses the released tokens.
     Quota.giveBack(Acquisition, m_Now);
     QuotaAcquisition Next = acquisition(120);
     CPPUNIT_ASSERT(Quota.begin(Next, m_Now) == QuotaStep::Granted);
@@ -297,7 +298,7 @@
       m_Now += milliseconds(1);
       Advance += Owner.handleRequest({m_Account, 10, 0}, m_Now).m_Tokens - 10;
     }
-    // An eighth of the burst each second, and nothing at the start.
+    // An eighth of the burst per second, and nothing initially.
     CPPUNIT_ASSERT(Advance > 6000);
     CPPUNIT_ASSERT(Advance <= 12500);
   }
@@ -316,7 +317,7 @@
                              {QuotaVerdict::Refused, 0, milliseconds(400)},
                              m_Now) == QuotaStep::Refused);
     CPPUNIT_ASSERT(*Acquisition.m_RetryAfter == milliseconds(200));
-    // All said so just now; nobody is asked again for a while.
+    // No owner is asked again for a while after all have refused.
     QuotaAcquisition Next = acquisition(1);
     CPPUNIT_ASSERT(Quota.begin(Next, m_Now) == QuotaStep::Refused);
     m_Now += milliseconds(60);
@@ -337,7 +338,7 @@
       CPPUNIT_ASSERT(Quota.begin(Next, m_Now) == QuotaStep::Ask);
       CPPUNIT_ASSERT(!(Next.m_RemainingOwners.back() == Unresponsive));
     }
-    // It is tried again later.
+    // Later it is asked again.
     m_Now += seconds(1);
     bool IsAsked = false;
     for (int I = 0; I < 20; ++I) {
@@ -348,8 +349,8 @@
     CPPUNIT_ASSERT(IsAsked);
   }
 
-  /// Tokens that one instance of \p Count lets in for requests of 50, one every
-  /// \p Period until \p Length, while it reaches no owner.
+  /// Returns the tokens that one isolated instance of \p Count grants to
+  /// requests of 50 tokens, which arrive every \p Period until \p Length.
   std::uint32_t grantedIsolated(std::size_t Count,
                                 const QuotaTolerance &Tolerance,
                                 std::uint64_t Seed, core::Duration Period,
@@ -376,14 +377,14 @@
   }
 
   void testIsolatedInstanceUsesTolerance() {
-    // 2,000 tokens are tolerated; a quarter is for all that reach no owner, and
-    // comes again within a window. One of ten has 50 of them by its end.
+    // The tolerance is 2,000 tokens. All isolated instances together may use a
+    // quarter of it per window, so one of ten gets 50.
     QuotaTolerance Tolerance{0.1, 1100, seconds(8)};
     std::uint32_t Taken = 0;
     for (std::uint64_t Seed = 1; Seed <= 200; ++Seed)
       Taken += grantedIsolated(10, Tolerance, Seed, milliseconds(10),
                                seconds(8), true);
-    // 200 x 50 in the mean; five standard deviations are 3,500.
+    // 200 x 50 on average; five standard deviations are 3,500.
     CPPUNIT_ASSERT(Taken >= 6500);
     CPPUNIT_ASSERT(Taken <= 13500);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t(0),
@@ -392,14 +393,14 @@
   }
 
   void testRestartedIsolatedInstancesKeepTolerance() {
-    // Many processes start again and again, and reach nobody for 0.4 s. Each
-    // has a hundredth of 500 in 8 s, 0.25 tokens by then, for requests of 50.
+    // Processes that restart repeatedly and are isolated for 0.4 s. Each gets a
+    // hundredth of 500 tokens in 8 s, so 0.25 by then.
     QuotaTolerance Tolerance{0.1, 1100, seconds(8)};
     std::uint32_t Taken = 0;
     for (std::uint64_t Start = 1; Start <= 20000; ++Start)
       Taken += grantedIsolated(100, Tolerance, Start, milliseconds(100),
                                milliseconds(400), false);
-    // 20,000 x 0.25 in the mean; five standard deviations are 2,500.
+    // 20,000 x 0.25 on average; five standard deviations are 2,500.
     CPPUNIT_ASSERT(Taken >= 2500);
     CPPUNIT_ASSERT(Taken <= 7500);
   }
