--- a/Tests/LibRouting/QuotaModelTest.cpp
+++ b/Tests/LibRouting/QuotaModelTest.cpp
@@ -1,7 +1,7 @@
-//===-- QuotaModelTest.cpp - Quotas of a whole fleet under random faults --===//
+//===-- QuotaModelTest.cpp - Quotas of a fleet under random faults --------===//
 //
-// Every window of an account's quota, summed over all instances, stays within
-// its bound; and an account that asks for less than its limit is served.
+// Guards against fleets that grant more than a quota and its tolerance in any
+// window, and against refusals of accounts that stay below their limit.
 //
 //===----------------------------------------------------------------------===//
 #include "LibRouting/ConsistentHashRing.h"
@@ -20,15 +20,15 @@
 
 namespace {
 
-constexpr double Rate = 47000;  ///< Tokens a second, of each account.
+constexpr double Rate = 47000;  ///< Tokens a second for each account.
 constexpr double Burst = 47000; ///< Tokens.
 constexpr seconds Window{8};
-/// What the users' platform allows above the bound: a tenth, and 190,000.
+/// Bound with the platform's tolerance of 10% and 190,000 tokens.
 constexpr double BoundOfWindow = (Rate * Window.count() + Burst) * 1.1 + 190000;
 constexpr double LargestRequest = 50000; ///< Tokens.
 constexpr std::size_t Accounts = 30;
-/// Asks for four times its limit, the first one for half of its own, and all
-/// others for a tenth of theirs.
+/// Account 0 requests half of its limit, the last account four times its limit,
+/// and all others a tenth.
 constexpr std::size_t Modest = 0;
 constexpr std::size_t Hot = Accounts - 1;
 constexpr double HotLoad = 4;
@@ -36,7 +36,7 @@
 constexpr double OtherLoad = 0.1;
 constexpr milliseconds Length{24000};
 constexpr milliseconds CutTime{5500};
-/// What the users' platform allows above the bound.
+/// Tolerance of the platform in tokens per window.
 constexpr double Tolerance = BoundOfWindow - (Rate * Window.count() + Burst);
 
 enum class Faults { None, KillsOfAll, KillsInTurn, Cuts, Mixed, OneCut };
@@ -62,12 +62,12 @@
     }
   }
 
-  /// The most tokens of any window.
+  /// Returns the tokens granted in the fullest window.
   double mostInWindow(std::size_t Account) const {
     return tests::mostInWindow(m_Fleet.allowed(Account), Window);
   }
-  /// Part of the account's requests that were refused, at instances that were
-  /// cut off or at all others.
+  /// Returns the share of the account's requests that were refused at instances
+  /// that were cut off, or at all others.
   double refusedShare(std::size_t Account, bool IsCutOff) const {
     auto Refused = static_cast<double>(m_Fleet.refused(Account, IsCutOff));
     const auto &Allowed = m_Fleet.allowed(Account);
@@ -79,7 +79,7 @@
     return All > 0 ? Refused / All : 0;
   }
 
-  /// Tokens that an account was let in for without an owner.
+  /// Returns the tokens that isolated instances granted to the account.
   double isolatedTokens(std::size_t Account) const {
     double Out = 0;
     for (const tests::AllowedDraw &Each : m_Fleet.allowed(Account))
@@ -88,7 +88,8 @@
   }
   double cutOffCount() const { return m_CutOffCount; }
 
-  /// Of the modest account, by one bucket that all draw on.
+  /// Returns the share of the modest account's requests that a single bucket
+  /// for the whole fleet refuses.
   double referenceRefusedShare() const {
     return m_ReferenceRefused / m_ReferenceRequests;
   }
@@ -105,8 +106,8 @@
   }
 
   void demand(std::size_t Account, double Load) {
-    // Prompts are long and unlike: 3,000 tokens in the mean, some ten times
-    // that.
+    // Log-normal request sizes: 3,000 tokens on average, some ten times as
+    // many.
     static constexpr double Mean = 3000;
     static constexpr double Spread = 1;
     std::lognormal_distribution<double> Tokens(
@@ -126,7 +127,7 @@
     }
   }
 
-  /// \returns the time until the next fault.
+  /// Injects the next fault. \returns the time until the one after it.
   core::Duration injectFault() {
     Faults What = m_Faults;
     if (What == Faults::Mixed) {
@@ -163,7 +164,7 @@
   std::size_t m_Next = 0;
   tests::QuotaFleet m_Fleet;
   routing::TokenBucket m_ReferenceBucket{{Rate, Burst}, Burst, m_Fleet.now()};
-  double m_CutOffCount = 0; ///< Times that an instance was.
+  double m_CutOffCount = 0; ///< Number of times an instance was cut off.
   double m_ReferenceRequests = 0;
   double m_ReferenceRefused = 0;
 };
@@ -180,9 +181,10 @@
   CPPUNIT_TEST(testMixedFaults);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Plays each size with several seeds. \param Bound of every window.
-  /// \param MostRefused of the requests below the limit, in the mean, beyond
-  /// what one bucket refuses, at instances that are not cut off.
+  /// Simulates fleets of several sizes with several seeds.
+  /// \param Bound maximum tokens in any window.
+  /// \param MostRefused maximum average share of refused requests below the
+  /// limit at connected instances, in excess of what a single bucket refuses.
   static void check(Faults What, double Bound, double MostRefused) {
     constexpr int Seeds = 8;
     for (std::size_t Size : {8, 48, 89, 295}) {
@@ -209,8 +211,8 @@
   }
 
 public:
-  // Beside what one bucket that knows everything refuses of the same requests:
-  // some are as large as its burst.
+  // Compared with a single bucket, because some requests are as large as its
+  // burst and are refused there too.
   void testNoFaults() {
     double Owners = routing::ConsistentHashRing::MaxOwners;
     double Bound =
@@ -218,17 +220,16 @@
     CPPUNIT_ASSERT(Bound < BoundOfWindow);
     check(Faults::None, Bound, 0.002);
   }
-  // After faults, a few may be refused: whoever lost all memory must not assume
-  // that nothing was drawn.
+  // After faults a few requests may be refused, because a restarted owner must
+  // not assume that it granted nothing before.
   void testAllAreKilledTogether() {
     check(Faults::KillsOfAll, BoundOfWindow, 0.05);
   }
   void testKilledInTurn() { check(Faults::KillsInTurn, BoundOfWindow, 0.05); }
   void testSomeAreCutOff() { check(Faults::Cuts, BoundOfWindow, 0.05); }
-  // At instances that are cut off themselves most are refused, as many as the
-  // tolerance demands: it holds 77 requests, and 440 instances that each let
-  // one in would exceed it. They let in what is theirs of it, no less and no
-  // more: at once a quarter, and again within a window.
+  // Isolated instances refuse most requests, because the tolerance covers only
+  // 77 of them for a fleet of up to 440 instances. They must grant exactly
+  // their share of it: a quarter at once, and another quarter per window.
   void testCutOffInstancesUseTheTolerance() {
     constexpr int Seeds = 40;
     constexpr std::size_t Size = 48;
@@ -243,8 +244,8 @@
       Tokens += Simulation.isolatedTokens(Hot);
       Times += Simulation.cutOffCount();
     }
-    // Requests come in by chance; the mean of their squares is 8,150 times
-    // their mean.
+    // Requests are admitted at random; the mean of their squared sizes is 8,150
+    // times their mean size.
     double Deviation = std::sqrt(8150 / (Part * Times));
     std::cerr << "\nof_part=" << Tokens / (Part * Times)
               << " deviation=" << Deviation;
