--- a/Tests/LibRouting/QuotaDeploymentsTest.cpp
+++ b/Tests/LibRouting/QuotaDeploymentsTest.cpp
@@ -1,24 +1,8 @@
-//===-- QuotaDeploymentsTest.cpp - Quotas of all deployments, under faults ===//
+//===-- QuotaDeploymentsTest.cpp - Quotas of all deployments under faults -===//
 //
-// What users saw: one client account's requests ran for more tokens within 8 s
-// than its limit and the tolerance allow, on 78 instances.
-//
-// The order of events, as it was brought about: an account asks for several
-// times its limit. A third of the instances is cut off for some seconds, and
-// none of the account's owners is among them. The owners grant the whole limit
-// to the others; each instance that is cut off lets in its part of the same
-// limit, and one more request of any size. Together they let in up to 5.6 times
-// what may be exceeded.
-//
-// The cause: what an instance lets in without an owner was a part of the limit,
-// as if the owners knew of it and granted that much less. Nobody tells them.
-// The same holds for debts: each owner of three let one request in on credit,
-// and forgot it with its process.
-//
-// The evidence: the logs of such a day, in which every request says who granted
-// its tokens: 3.83 million by owners and 1.34 million by nobody, of 4.84
-// million allowed. The days below come from a search on the code with that
-// fault.
+// Guards against exceeding a quota's tolerance while instances are isolated and
+// the owners grant the whole limit to the others, and after restarts of owners
+// that are in debt.
 //
 //===----------------------------------------------------------------------===//
 #include "QuotaDay.h"
@@ -65,7 +49,8 @@
     return {milliseconds(At), QuotaFault::Kill, Share, milliseconds(Time)};
   }
 
-  /// \returns the part of the tolerance that was used.
+  /// Simulates a scenario and checks its bound. \returns the share of the
+  /// tolerance that was used.
   static double check(const QuotaDay &Day) {
     QuotaDayResult Result = play(Day);
     if (!Result.isKept())
@@ -104,10 +89,8 @@
                 milliseconds(3884)}}));
   }
 
-  /// Instances are added while an owner is cut off from the others and from the
-  /// store. It goes on granting its third of the limit to its own callers, and
-  /// so does the one that owns that third by the new list. In a small fleet
-  /// each has callers enough: up to 1.83 times what may be exceeded.
+  /// Guards against two owners of the same share: instances are added while an
+  /// owner is cut off from the others and from the store.
   void testStaleMemberList() {
     check(day("simulations", 263380, 5.41783, 4261951405298700608,
               {cut(11956, 0.146528, 3679), cut(16273, 0.208981, 5390),
@@ -125,10 +108,8 @@
           day("games", 300000, 6, Seed, {cut(9000, 0.4, 9000), add(9500, 1)}));
   }
 
-  /// Each of three owners lets one request in on credit, and forgets the debt
-  /// with its process. Of requests that are a third of what may be exceeded,
-  /// three and as many again after a kill are more than all of it: up to 1.77
-  /// times.
+  /// Guards against debts that each owner keeps for itself and loses when it is
+  /// killed. Each of these requests is a third of the tolerance.
   void testOnlyTheLargestRequests() {
     QuotaDay Regression = day("simulations", 26381, 4.40108, 3000088,
                               {kill(7599, 0.727954, 1854),
@@ -148,8 +129,8 @@
       }
   }
 
-  /// Limits from the largest down to half of the smallest, all kinds of faults,
-  /// singly and together.
+  /// Random limits, from half of the smallest to the largest, with all kinds of
+  /// faults, single and combined.
   void testRandomScenarios() {
     constexpr std::uint64_t Days = 12;
     for (const QuotaDeployment &Each : QuotaDeployment::all()) {
@@ -160,7 +141,7 @@
     }
   }
 
-  /// Each start forgets what was granted.
+  /// Guards against credit from repeated restarts, which lose earlier grants.
   void testSmallestLimitsUnderKillsInSeries() {
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       for (std::uint64_t Seed = 1; Seed <= 4; ++Seed) {
