--- a/Tests/LibRouting/InterleavedTargetsTest.cpp
+++ b/Tests/LibRouting/InterleavedTargetsTest.cpp
@@ -1,3 +1,4 @@
+//===-- InterleavedTargetsTest.cpp - Order and cost of target changes -----===//
 #include "LibRouting/InterleavedTargets.h"
 
 #include "LibRouting/FleetSubset.h"
@@ -11,8 +12,7 @@
 using namespace yardrill;
 using namespace yardrill::routing;
 
-/// What a target costs that comes, changes or goes is counted in members of its
-/// pool that are looked at, not in time.
+/// Costs are measured in visited pool members instead of time.
 class InterleavedTargetsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(InterleavedTargetsTest);
   CPPUNIT_TEST(testMatchesInterleavedOrder);
@@ -26,7 +26,7 @@
     Target Out;
     Out.m_Name = core::TargetName("t-" + std::to_string(Index));
     Out.m_Pool = core::PoolName("pool");
-    // Halls of unlike sizes.
+    // Data halls of different sizes.
     std::size_t Hall = Index % (Halls * 2);
     Out.m_DataHall = core::DataHallName(
         "hall-" + std::to_string(Hall < Halls ? Hall : Hall % 2));
@@ -86,10 +86,8 @@
       }
   }
 
-  /// 300 instances before 3,000 targets took more than twice the processor time
-  /// that they have: each target that came, changed or went had its whole pool
-  /// sorted anew. Now some thirty members are looked at, beside the instance's
-  /// own part, which is filled anew.
+  /// Guards against sorting the whole pool whenever a target is added, changed
+  /// or removed.
   void testChangeCostIsLogarithmic() {
     core::PoolName Pool("pool");
     for (std::size_t Count : {90, 1002, 3000, 12000}) {
@@ -113,9 +111,9 @@
         Targets.removeExpired(Now);
         Targets.subsetOf(Pool);
       }
-      // Two searches in each of three halls for each of two cuts, one for each
-      // insertion and removal. Each look at a rank compares with at the most
-      // one member of each other hall.
+      // Two rebuilds with two searches in each of three halls, and one search
+      // for each insertion and removal. A rank is computed by at most one
+      // comparison with each other hall.
       static constexpr std::size_t Halls = 3;
       double Search = std::log2(static_cast<double>(Count)) + 1;
       double Each =
@@ -149,13 +147,13 @@
     Targets.setRemoteLoad({{HashOf(1), {1, 0}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Running(0));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Running(1));
-    // It moves to another data hall while others work there.
+    // A target moves to another data hall while it has remote load.
     Target Moved = target(1, 1);
     Moved.m_DataHall = core::DataHallName("another");
     Targets.announce(Moved);
     Targets.setRemoteLoad({});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Running(1));
-    // One goes with the work of others on it.
+    // A target with remote load is removed.
     Targets.setRemoteLoad({{HashOf(2), {3, 0}}});
     Targets.withdraw(target(2, 1).m_Name, core::TimePoint());
     Targets.removeExpired(core::TimePoint() + std::chrono::seconds(9));
