--- a/Tests/LibRouting/FleetSubsetTest.cpp
+++ b/Tests/LibRouting/FleetSubsetTest.cpp
@@ -1,3 +1,4 @@
+//===-- FleetSubsetTest.cpp - Groups of instances and their targets -------===//
 #include "LibRouting/FleetSubset.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,7 +21,7 @@
   static config::Endpoint address(std::size_t Index) {
     return {"10.1.0." + std::to_string(100 + Index), 7600};
   }
-  /// Halls of one half, three tenths and a fifth of the fleet.
+  /// Data halls with 50%, 30% and 20% of the fleet.
   static core::DataHallName hallOf(std::size_t Index) {
     static const char *Halls[] = {"a", "a", "b", "a", "c",
                                   "a", "b", "a", "c", "b"};
@@ -68,8 +69,8 @@
     CPPUNIT_ASSERT(!Subset.isInSubset(89, 90) || !Subset.isInSubset(0, 90));
   }
 
-  // 295 instances and 160 targets had all targets in common, where 222 would
-  // have been cut into parts of six; nobody knew what the others did there.
+  // Guards against pool sizes below which all groups share all targets without
+  // seeing each other's load.
   void testSubsetGrowsSmoothlyWithPool() {
     for (std::size_t Size : {6, 24, 89, 295, 440}) {
       std::size_t Before = 0;
@@ -79,12 +80,12 @@
         std::size_t Own = 0;
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
           Own += Subset.isInSubset(Rank, Count) ? 1 : 0;
-        // An eighth more targets: at the most half of them more or fewer.
+        // With an eighth more targets, the subset at most halves or doubles.
         if (Before != 0) {
           CPPUNIT_ASSERT(Own * 2 + 2 >= Before);
           CPPUNIT_ASSERT(Own <= Before * 2 + 2);
         }
-        // Whoever shares a target with many others hears a good part of them.
+        // Most instances that share a target are group peers.
         double Sharers =
             static_cast<double>(Size * Own) / static_cast<double>(Count);
         double Heard = static_cast<double>(Subset.groupMembers().size() + 1);
@@ -106,7 +107,7 @@
   }
 
   void testOneMoreInstanceMovesFewTargets() {
-    // Whichever instance looks, and on the average of all.
+    // Summed over the subsets of all instances.
     int Moved = 0;
     for (std::size_t I = 0; I < 89; ++I) {
       FleetSubset Before(address(I), fleet(89));
@@ -125,7 +126,7 @@
       std::map<core::DataHallName, int> Counts{{hallOf(I), 1}};
       for (const config::Endpoint &Peer : Subset.groupMembers())
         ++Counts[Fleet.at(Peer)];
-      // Halves, three tenths and a fifth of eight.
+      // 50%, 30% and 20% of eight, rounded down.
       CPPUNIT_ASSERT(Counts[core::DataHallName("a")] >= 3);
       CPPUNIT_ASSERT(Counts[core::DataHallName("b")] >= 2);
       CPPUNIT_ASSERT(Counts[core::DataHallName("c")] >= 1);
