--- a/Tests/LibRouting/LimitModelTest.cpp
+++ b/Tests/LibRouting/LimitModelTest.cpp
@@ -1,8 +1,8 @@
-//===-- LimitModelTest.cpp - Limits of targets in whole fleets ------------===//
+//===-- LimitModelTest.cpp - Rate limits of targets in whole fleets -------===//
 //
-// The sum over all instances of what a limited target gets, against what is
-// allowed: one and a half times the limit, and five, in any 4 s. Instances are
-// killed, frozen, cut off, added and removed, and datagrams are lost or late.
+// Guards against exceeding 1.5 times a target's limit plus 5 requests in any 4
+// s over all instances, while instances are killed, frozen, cut off, added and
+// removed, and datagrams are lost or late.
 //
 //===----------------------------------------------------------------------===//
 #include "LimitFleet.h"
@@ -22,7 +22,7 @@
   CPPUNIT_TEST(testIndependentInstancesExceedTheLimit);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Where the demand is there.
+  /// Minimum share of the limit that is used if there is enough demand.
   static constexpr double LeastServed = 0.8;
 
   static void assertHolds(LimitDay Day, std::uint64_t Days) {
@@ -53,7 +53,7 @@
     Day.m_LimitedShare = 1;
     assertHolds(Day, 20);
   }
-  /// What the model is for: instances that each keep the limit alone.
+  /// Shows that the model detects instances that apply the limit independently.
   void testIndependentInstancesExceedTheLimit() {
     CPPUNIT_ASSERT(playLimitDay({7, 9, 38, 1.4}, LimitWay::Alone).m_WorstShare >
                    1);
