--- a/Tests/LibRouting/SharedRateLimitTest.cpp
+++ b/Tests/LibRouting/SharedRateLimitTest.cpp
@@ -1,3 +1,4 @@
+//===-- SharedRateLimitTest.cpp - Throttles of one instance and senders ---===//
 #include "LibRouting/TargetThrottleTable.h"
 
 #include "LibRouting/FleetSubset.h"
@@ -42,7 +43,7 @@
     Out.m_RequestsPerSecond = PerSecond;
     return Out;
   }
-  /// Requests that are sent in \p Time by one who always has some.
+  /// Returns the number of requests sent in \p Time under constant demand.
   int sentIn(core::Duration Time) {
     int Out = 0;
     core::TimePoint End = m_Now + Time;
@@ -71,7 +72,7 @@
   void testIdleTimeEarnsLimitedCredit() {
     m_Throttles.update(m_Incarnation, limited(1), m_Now);
     m_Now += seconds(60);
-    // One at once, and the next earlier by the tolerance.
+    // One immediately, and the next one early by the tolerance.
     CPPUNIT_ASSERT_EQUAL(1, sentIn(milliseconds(600)));
     CPPUNIT_ASSERT_EQUAL(1, sentIn(milliseconds(100)));
     CPPUNIT_ASSERT_EQUAL(0, sentIn(milliseconds(900)));
@@ -103,7 +104,7 @@
     m_Throttles.update({m_Incarnation, {3.0, m_Now - milliseconds(500)}},
                        m_Now);
     CPPUNIT_ASSERT(m_Throttles.update({m_Incarnation, {2.0, m_Now}}, m_Now));
-    // Told later, heard earlier.
+    // Reported later, but from an earlier response.
     CPPUNIT_ASSERT(!m_Throttles.update(
         {m_Incarnation, {5.0, m_Now - milliseconds(10)}}, m_Now));
     CPPUNIT_ASSERT_EQUAL(
@@ -111,7 +112,7 @@
     m_Now += seconds(3);
     CPPUNIT_ASSERT(m_Throttles.update(m_Incarnation, {}, m_Now));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Throttles.limited());
-    // An ended limit does not come back from a slow peer.
+    // A delayed report does not restore a cleared limit.
     CPPUNIT_ASSERT(
         !m_Throttles.update({m_Incarnation, {2.0, m_Now - seconds(1)}}, m_Now));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Throttles.limited());
@@ -119,7 +120,7 @@
 
   void testReorderedResponseDoesNotClearLimit() {
     m_Throttles.update(m_Incarnation, limited(1), m_Now);
-    // It was made before the limit was named.
+    // The response was made before the limit was stated.
     CPPUNIT_ASSERT(
         !m_Throttles.update(m_Incarnation, {}, m_Now + milliseconds(200)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.limited());
@@ -170,7 +171,7 @@
     CPPUNIT_ASSERT(m_Throttles.update(m_Incarnation, limited(1), m_Now));
     m_Now += seconds(20);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.dueReports(m_Now).size());
-    // One that is no sender hears of it from the others.
+    // An instance that is not a sender does not report the limit.
     m_Senders = 0;
     m_Throttles.invalidateSenders();
     m_Throttles.isOpen(m_Incarnation, m_Now);
@@ -189,7 +190,7 @@
     CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now));
     m_Throttles.removeStale(m_Now + seconds(30));
     CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now));
-    // One that may send finds out by itself.
+    // A sender keeps the limit until a response clears it.
     m_Senders = 1;
     m_Throttles.update({m_Incarnation, {1.0, m_Now}}, m_Now);
     m_Throttles.removeStale(m_Now + seconds(300));
@@ -207,7 +208,7 @@
       m_Throttles.removeStale(m_Now);
     }
     CPPUNIT_ASSERT(m_Throttles.isEmpty());
-    // A rest that is over as well.
+    // An entry is also removed after its back-off.
     TargetBackpressure BackingOff;
     BackingOff.m_Backoff = seconds(3);
     m_Throttles.update(m_Incarnation, BackingOff, m_Now);
@@ -228,7 +229,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.backedOff(m_Now));
     CPPUNIT_ASSERT(m_Throttles.availability(m_Incarnation, m_Now)->m_At ==
                    m_Now + seconds(3));
-    // A new run has none.
+    // A new incarnation has no back-off.
     CPPUNIT_ASSERT(m_Throttles.isOpen(
         {m_Incarnation.m_Name, core::TargetStartTime(8)}, m_Now));
   }
@@ -256,7 +257,7 @@
     CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now + seconds(100)));
     CPPUNIT_ASSERT(!m_Throttles.availability(m_Incarnation, m_Now));
     CPPUNIT_ASSERT(m_Throttles.isLeaving(m_Incarnation));
-    // Told by another instance: not told on.
+    // Changes that another instance reported are not passed on.
     TargetIncarnation Other{core::TargetName("b")};
     CPPUNIT_ASSERT(m_Throttles.update({Other, {}, true}, m_Now));
     CPPUNIT_ASSERT(!m_Throttles.isOpen(Other, m_Now));
