--- a/Tests/LibRouting/TargetDirectoryTest.cpp
+++ b/Tests/LibRouting/TargetDirectoryTest.cpp
@@ -1,3 +1,4 @@
+//===-- TargetDirectoryTest.cpp - Expiry and restarts of targets ----------===//
 #include "LibRouting/TargetDirectory.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -30,11 +31,9 @@
   }
 
 public:
-  /// What users saw: a request reached a target 2.2 s after it had left, where
-  /// 2 s are allowed. Two of a pool of three left within a second, one of them
-  /// without a word before; over half of a pool was taken as an outage of the
-  /// store, for which announcements are missed for longer. It was no outage:
-  /// the announcements of all other pools stood.
+  /// Guards against taking the exit of most targets of one pool for an outage
+  /// of the store, which would keep them in use for longer than the allowed 2
+  /// s.
   void testExpiredTargetsOfSmallPoolAreRemovedSoon() {
     for (const char *Name : {"a", "b", "c"})
       announce(Name, "small");
@@ -50,7 +49,7 @@
     m_Now += milliseconds(900);
     m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT(!m_Targets.find(core::TargetName("b")));
-    // Most of all at once: an outage.
+    // Most targets of all pools are missing, which indicates an outage.
     for (const char *Name : {"c", "d", "e"})
       m_Targets.withdraw(core::TargetName(Name), m_Now);
     m_Now += milliseconds(2000);
@@ -58,9 +57,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), m_Targets.all().size());
   }
 
-  /// A target crashes while it is full, slow, resting after failures and taken
-  /// for replaced, and starts again under its name: all its places are free and
-  /// nothing that was learned holds. The earlier run is known no more.
+  /// Guards against keeping load, cooldown, slowness or replacement of an
+  /// earlier incarnation when a target restarts under the same name.
   void testRestartedTargetStartsFresh() {
     CPPUNIT_ASSERT(announce("a", "pool", 5000));
     announce("b", "pool", 5000);
@@ -74,12 +72,12 @@
     m_Targets.recordReplacement(incarnation("a", 5000));
     std::uint32_t Before = m_Targets.find(core::TargetName("a"))->m_Hash;
     m_Targets.setRemoteLoad({{Before, {4, 4000}}});
-    // An announcement that only says more of the same run changes none of it.
+    // Another announcement of the same incarnation keeps its state.
     CPPUNIT_ASSERT(!announce("a", "pool", 5000));
     CPPUNIT_ASSERT_EQUAL(std::size_t(7),
                          m_Targets.find(core::TargetName("a"))->running());
     m_Targets.withdraw(core::TargetName("a"), m_Now);
-    // Its clock was set back meanwhile.
+    // The target's clock was set back in between.
     CPPUNIT_ASSERT(announce("a", "pool", 4000));
     const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
@@ -88,7 +86,7 @@
     CPPUNIT_ASSERT(Now.isOpen() && !Now.isOnProbation() && !Now.m_ExpiredAt);
     CPPUNIT_ASSERT(Now.m_CooldownUntil <= m_Now && Now.m_FailureRate == 0);
     CPPUNIT_ASSERT(Now.m_Slowness == 1 && Now.m_ServiceTimeMs == 0);
-    // What others told of the earlier run is not counted at this one.
+    // Remote load of the earlier incarnation does not count.
     CPPUNIT_ASSERT(Now.m_Hash != Before);
     m_Targets.setRemoteLoad({{Before, {4, 4000}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
