--- a/Tests/LibRouting/RetryBudgetTest.cpp
+++ b/Tests/LibRouting/RetryBudgetTest.cpp
@@ -1,5 +1,4 @@
-//===-- RetryBudgetTest.cpp - Retry budgets
-//-------------------------------------===//
+//===-- RetryBudgetTest.cpp - Retry ratio and allowance -------------------===//
 #include "LibRouting/RetryBudget.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -25,7 +24,7 @@
     std::vector<core::TimePoint> Taken;
     for (int I = 0; I < 3000; ++I) {
       m_Now += milliseconds(10);
-      // Requests come only in every other five seconds.
+      // Requests alternate between five seconds on and five seconds off.
       if (I / 500 % 2 == 0)
         Budget.recordRequest(m_Now);
       if (Budget.tryTake(m_Now, 1))
@@ -37,7 +36,7 @@
           std::count_if(Taken.begin(), Taken.end(), [&](core::TimePoint Each) {
             return Each >= First && Each < First + seconds(10);
           });
-      // At most 500 requests fall into any window.
+      // Any window contains at most 500 requests.
       CPPUNIT_ASSERT(InWindow <= 100);
     }
   }
@@ -52,7 +51,7 @@
   }
 
   void testAllowanceIsSharedByAllInstances() {
-    // The others are found only after the first retry.
+    // The other instances are discovered after the first retry.
     RetryBudget Budget({0.2, seconds(10), 6});
     CPPUNIT_ASSERT(Budget.tryTake(m_Now, 1));
     CPPUNIT_ASSERT(Budget.tryTake(m_Now, 3));
--- a/Tests/LibRouting/RetryRestartTest.cpp
+++ b/Tests/LibRouting/RetryRestartTest.cpp
@@ -1,10 +1,7 @@
-//===-- RetryRestartTest.cpp - Retries of a fleet that restarts in series -===//
+//===-- RetryRestartTest.cpp - Retries of a fleet that restarts repeatedly ===//
 //
-// Retries beyond the ratio are shared by all instances: each may spend its part
-// within a window, and half of what is allowed is held back, since one that
-// restarts forgets what it spent. A fleet that is killed again and again spends
-// its parts with each life. The same cause as in a quota's exceeded window:
-// what a process may spend without asking comes again with each start.
+// Guards against a fleet that spends its retry allowance again after each
+// restart within one window.
 //
 //===----------------------------------------------------------------------===//
 #include "LibRouting/RetryBudget.h"
@@ -23,7 +20,7 @@
 
 public:
   void testRestartsInSeriesKeepTheAllowance() {
-    // As the gateway sets it: half of 196 retries in 10 s, among 78 instances.
+    // As set by the gateway: half of 196 retries in 10 s for 78 instances.
     constexpr double Allowance = 196;
     constexpr std::size_t Instances = 78;
     RetryLimits Limits{0.2, seconds(10), Allowance / 2};
@@ -36,9 +33,9 @@
         for (RetryBudget &Each : Budgets)
           Retries += Each.tryTake(Now, Instances) ? 1 : 0;
       }
-      Now += milliseconds(400); // Until all run again.
+      Now += milliseconds(400); // Restart of all processes.
     }
-    // All within one window, in which nobody asked for anything new.
+    // All within one window, without any requests.
     CPPUNIT_ASSERT(Retries <= Allowance);
   }
 };
