--- a/Tests/LibRouting/RoutingTableTest.cpp
+++ b/Tests/LibRouting/RoutingTableTest.cpp
@@ -1,3 +1,4 @@
+//===-- RoutingTableTest.cpp - Lookup of routes, accounts and pools -------===//
 #include "LibRouting/RoutingTable.h"
 
 #include <cppunit/extensions/HelperMacros.h>
