--- a/Libraries/LibRouting/QuotaOwner.h
+++ b/Libraries/LibRouting/QuotaOwner.h
@@ -123,7 +123,7 @@
   config::Endpoint m_Self;
   bool m_IsFullAtStart;
   bool m_IsListConfirmed = true;
-  bool m_WasConfigured = false; ///< With accounts and a membership.
+  bool m_WasConfigured = false; ///< Accounts and membership were set.
   std::unordered_map<AccountHash, Bucket> m_Buckets;
   std::vector<QuotaCharge> m_Charges;
 };
--- a/Libraries/LibRouting/RoutingTable.h
+++ b/Libraries/LibRouting/RoutingTable.h
@@ -54,7 +54,7 @@
   core::Duration m_FirstByteObjective{}; ///< Zero: none.
   core::Duration m_MaxEventGap{}; ///< Between events of a stream; zero: none.
   core::TierNumber m_Tier{1};
-  std::vector<WeightedPool> m_Pools; ///< Not empty.
+  std::vector<WeightedPool> m_Pools; ///< At least one.
   /// Maximum number of targets that may run a request; attempts that certainly
   /// did not run do not count.
   unsigned m_MaxAttempts = 1;
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -158,7 +158,7 @@
   std::unordered_multimap<std::uint32_t, KnownTarget *> m_ByHash;
   std::unordered_map<core::PoolName, PoolState> m_Pools;
   std::set<const KnownTarget *, KnownTarget::ByHash> m_Busy;
-  std::vector<KnownTarget *> m_RemotelyBusy; ///< With remote load.
+  std::vector<KnownTarget *> m_RemotelyBusy; ///< Targets with remote load.
   std::set<core::TargetName> m_Expired;
   FleetSubset m_FleetSubset;
   TargetThrottleTable m_Throttles;
--- a/Libraries/LibRouting/TargetThrottle.h
+++ b/Libraries/LibRouting/TargetThrottle.h
@@ -50,7 +50,7 @@
 
 private:
   SharedRateLimit m_Limit;
-  core::TimePoint m_BackoffUntil{}; ///< For this instance only.
+  core::TimePoint m_BackoffUntil{}; ///< Applies to this instance only.
   bool m_IsLeaving = false;
 };
 
--- a/Libraries/LibRouting/TargetThrottleTable.h
+++ b/Libraries/LibRouting/TargetThrottleTable.h
@@ -79,7 +79,7 @@
     std::size_t m_Generation = 0;  ///< Generation of its sender count.
     core::TimePoint m_UpdatedAt{}; ///< Last response or report.
     core::TimePoint m_ChangedAt{};
-    core::TimePoint m_ReportUntil{}; ///< For changes that a target stated.
+    core::TimePoint m_ReportUntil{}; ///< End of repeated reports.
   };
 
   Entry *find(const TargetIncarnation &Incarnation, core::TimePoint Now);
--- a/Tests/LibRouting/QuotaDeploymentsTest.cpp
+++ b/Tests/LibRouting/QuotaDeploymentsTest.cpp
@@ -29,7 +29,7 @@
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       if (Each.m_Name == Name)
         return Each;
-    throw std::logic_error("no deployment " + Name);
+    throw std::logic_error("unknown deployment: " + Name);
   }
 
   static QuotaDay day(const std::string &Name, double Limit, double Load,
--- a/Tests/LibRouting/RetryRestartTest.cpp
+++ b/Tests/LibRouting/RetryRestartTest.cpp
@@ -1,4 +1,4 @@
-//===-- RetryRestartTest.cpp - Retries of a fleet under repeated restarts --===//
+//===-- RetryRestartTest.cpp - Retries of a fleet under repeated restarts ===//
 //
 // Guards against a fleet that spends its retry allowance again after each
 // restart within one window.
