--- a/Tests/LibRouting/LimitModelTest.cpp
+++ b/Tests/LibRouting/LimitModelTest.cpp
@@ -23,7 +23,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   /// Minimum share of the limit that is used if there is enough demand.
-  static constexpr double LeastServed = 0.8;
+  static constexpr double MinServed = 0.8;
 
   static void assertHolds(LimitDay Day, std::uint64_t Days) {
     for (Day.m_Seed = 1; Day.m_Seed <= Days; ++Day.m_Seed) {
@@ -35,7 +35,7 @@
       Day.m_HasFaults = false;
       double Served = playLimitDay(Day, LimitWay::Senders).m_ServedShare;
       CPPUNIT_ASSERT_MESSAGE("served " + std::to_string(Served),
-                             Served >= LeastServed);
+                             Served >= MinServed);
     }
   }
 
--- a/Tests/LibRouting/QuotaModelTest.cpp
+++ b/Tests/LibRouting/QuotaModelTest.cpp
@@ -183,9 +183,9 @@
 
   /// Simulates fleets of several sizes with several seeds.
   /// \param Bound maximum tokens in any window.
-  /// \param MostRefused maximum average share of refused requests below the
+  /// \param MaxRefused maximum average share of refused requests below the
   /// limit at connected instances, in excess of what a single bucket refuses.
-  static void check(Faults What, double Bound, double MostRefused) {
+  static void check(Faults What, double Bound, double MaxRefused) {
     constexpr int Seeds = 8;
     for (std::size_t Size : {8, 48, 89, 295}) {
       double Most = 0;
@@ -206,7 +206,7 @@
                 << " by_one_bucket=" << ReferenceRefused
                 << " refused_where_cut_off=" << RefusedCutOff;
       CPPUNIT_ASSERT(Most <= Bound);
-      CPPUNIT_ASSERT(Refused <= ReferenceRefused + MostRefused);
+      CPPUNIT_ASSERT(Refused <= ReferenceRefused + MaxRefused);
     }
   }
 
