--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -7,72 +7,71 @@
 
 namespace yardrill::routing {
 
-/// Prompt tokens that a target of ordinary speed reads in a millisecond; the
-/// order of size matters, the learned slowness does the rest.
+/// Prompt tokens that a target of median speed processes in a millisecond. An
+/// order of magnitude is enough, because costs scale with the learned slowness.
 static constexpr double PromptTokensPerMs = 50;
-/// What one running request adds to the next one's time: its tokens come
-/// slower, and its end is further away.
+/// Delay that each running request adds to a new one.
 static constexpr double RunningCostMs = 12;
-/// Wait behind each request that has no place at the target yet.
+/// Wait behind each request that exceeds the target's slots.
 static constexpr double QueuedCostMs = 150;
-/// Way to another data hall and back, and the price of its bytes.
+/// Penalty for a target in another data hall: round trip and traffic cost.
 static constexpr double OtherHallCostMs = 2;
-/// A target that fails every request costs as much as this wait.
+/// Penalty for a target with a failure rate of 1.
 static constexpr double FailureCostMs = 2000;
-/// Each millisecond by which an answer would miss its end counts so often.
+/// Weight of each millisecond by which a response would miss its deadline.
 static constexpr double OverrunWeight = 3;
-/// Part of the time left that an answer should take at the most, since its
-/// length and the target's pace are only expected.
+/// Share of the remaining time that a response may be expected to take. The
+/// margin covers errors in its expected length and in the service time.
 static constexpr double UsableTimeShare = 0.8;
-/// Part of a short request's time after which it is sent without a free place.
+/// Share of a short request's time after which it is sent without a free slot.
 static constexpr double MaxWaitShare = 0.35;
-/// A prompt that a target reads within this time holds the streams beside it up
-/// for less than the shortest pause that routes set as a limit (200 ms).
+/// Prefill time below which concurrent streams stall for less than the
+/// shortest event gap that routes allow (200 ms).
 static constexpr double ShortPrefillMs = 100;
-/// Part of a pool's places that the lowest rank leaves free for the others: of
-/// those about as many arrive until all instances know of a dispatch.
+/// Share of a pool's slots that the lowest priority leaves free. About as many
+/// requests of other priorities arrive before all instances know of a dispatch.
 static constexpr double ReservedSlotShare = 0.05;
-/// A rank counts as present for so long after its last request.
+/// Time for which a priority counts as present after its last request.
 static constexpr std::chrono::seconds PriorityMemory{10};
 
-double Dispatcher::cost(const KnownTarget &At, const PlacementRequest &What,
+double Dispatcher::cost(const KnownTarget &Known, const PlacementRequest &What,
                         core::TimePoint Now) const {
   double HallCost =
-      At.m_Target.m_DataHall == m_LocalDataHall ? 0 : OtherHallCostMs;
+      Known.m_Target.m_DataHall == m_LocalDataHall ? 0 : OtherHallCostMs;
   if (m_Policy == PlacementPolicy::LeastOutstanding)
-    return static_cast<double>(At.m_LocalLoad.m_Running) /
-               static_cast<double>(At.m_Target.m_Slots) +
+    return static_cast<double>(Known.m_LocalLoad.m_Running) /
+               static_cast<double>(Known.m_Target.m_Slots) +
            HallCost / 1000;
-  double Running = static_cast<double>(At.running());
-  double Places = static_cast<double>(At.m_Target.m_Slots);
-  double Queued = Running >= Places ? Running - Places + 1 : 0;
+  double Running = static_cast<double>(Known.running());
+  double Slots = static_cast<double>(Known.m_Target.m_Slots);
+  double Queued = Running >= Slots ? Running - Slots + 1 : 0;
   double Prompt = 0;
   if (What.m_IsInference)
-    Prompt = static_cast<double>(At.m_LocalLoad.m_PendingPromptTokens +
-                                 At.m_RemoteLoad.m_PendingPromptTokens +
+    Prompt = static_cast<double>(Known.m_LocalLoad.m_PendingPromptTokens +
+                                 Known.m_RemoteLoad.m_PendingPromptTokens +
                                  What.m_PromptTokens) /
              PromptTokensPerMs;
   double Start =
       (Prompt + Running * RunningCostMs + Queued * QueuedCostMs + 1) *
-      At.m_Slowness;
-  double Finish = Start + What.m_ExpectedEvents * At.m_ServiceTimeMs;
+      Known.m_Slowness;
+  double Finish = Start + What.m_ExpectedEvents * Known.m_ServiceTimeMs;
   double TimeLeft =
       core::toSeconds(What.m_EndsAt - Now) * 1000 * UsableTimeShare;
   double Overrun = std::max(0.0, Finish - TimeLeft);
-  return Start + HallCost + At.m_FailureRate * FailureCostMs +
+  return Start + HallCost + Known.m_FailureRate * FailureCostMs +
          Overrun * OverrunWeight;
 }
 
 //===----------------------------------------------------------------------===//
-// Who goes first
+// Order of requests
 //===----------------------------------------------------------------------===//
 
 void Dispatcher::recordPriority(const PlacementRequest &What,
                                 core::TimePoint Now) {
-  auto &Ranks = m_PriorityLastSeen[What.m_Pool];
-  Ranks[What.m_Priority] = Now;
-  for (auto Each = Ranks.begin(); Each != Ranks.end();)
-    Each = Now - Each->second > PriorityMemory ? Ranks.erase(Each)
+  auto &LastSeen = m_PriorityLastSeen[What.m_Pool];
+  LastSeen[What.m_Priority] = Now;
+  for (auto Each = LastSeen.begin(); Each != LastSeen.end();)
+    Each = Now - Each->second > PriorityMemory ? LastSeen.erase(Each)
                                                : std::next(Each);
 }
 
@@ -101,7 +100,7 @@
 core::TimePoint Dispatcher::queueDeadline(const PlacementRequest &What) const {
   if (m_Policy == PlacementPolicy::LeastOutstanding)
     return What.m_ArrivedAt;
-  // A stream that is sent late displaces one that could still begin in time.
+  // A stream that is sent late takes the slot of one that could begin in time.
   if (What.m_IsInference)
     return std::min(What.m_FirstByteDue, What.m_FirstEventDeadline) -
            m_Targets.expectedFirstEventTime(What.m_Pool);
@@ -111,23 +110,24 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Where
+// Choice of a target
 //===----------------------------------------------------------------------===//
 
-double Dispatcher::prefillTimeMs(const KnownTarget &At, std::uint32_t Tokens) {
-  return static_cast<double>(Tokens) / PromptTokensPerMs * At.m_Slowness;
+double Dispatcher::prefillTimeMs(const KnownTarget &Known,
+                                 std::uint32_t Tokens) {
+  return static_cast<double>(Tokens) / PromptTokensPerMs * Known.m_Slowness;
 }
 
-std::size_t Dispatcher::slotsFor(const KnownTarget &At,
+std::size_t Dispatcher::slotsFor(const KnownTarget &Known,
                                  const PlacementRequest &What) {
-  auto Places = static_cast<double>(At.m_Target.m_Slots);
+  auto Slots = static_cast<double>(Known.m_Target.m_Slots);
   if (!What.m_IsInference ||
-      prefillTimeMs(At, What.m_PromptTokens) < ShortPrefillMs)
-    return At.m_Target.m_Slots;
-  // A long prompt holds up the streams beside it, a slow target's the more. A
-  // limit for short prompts as well would leave slow targets mostly empty.
-  Places = std::max(1.0, std::round(Places / std::max(1.0, At.m_Slowness)));
-  return static_cast<std::size_t>(Places);
+      prefillTimeMs(Known, What.m_PromptTokens) < ShortPrefillMs)
+    return Known.m_Target.m_Slots;
+  // A long prompt stalls concurrent streams, the longer the slower the target.
+  // Short prompts are not limited, or slow targets would stay mostly idle.
+  Slots = std::max(1.0, std::round(Slots / std::max(1.0, Known.m_Slowness)));
+  return static_cast<std::size_t>(Slots);
 }
 
 bool Dispatcher::leavesReservedSlots(const PlacementRequest &What,
@@ -141,9 +141,9 @@
     if (!m_Targets.isOpen(*Each, Now) ||
         (Gate && !Gate->mayServe(Each->m_Target, Now)))
       continue;
-    double Places = static_cast<double>(slotsFor(*Each, What));
-    All += Places;
-    Free += std::max(0.0, Places - static_cast<double>(Each->running()));
+    double Slots = static_cast<double>(slotsFor(*Each, What));
+    All += Slots;
+    Free += std::max(0.0, Slots - static_cast<double>(Each->running()));
   }
   return Free - 1 >= All * ReservedSlotShare;
 }
@@ -156,7 +156,7 @@
 Dispatcher::canaryCandidates(const VersionGate &Gate,
                              const PlacementRequest &What,
                              core::TimePoint Now) const {
-  // A request that failed once is not made to try a version.
+  // A request that has already failed once is not used as a sample.
   if (!What.m_TriedTargets.empty() || !Gate.isCanaryDue(What.m_Route, Now))
     return {};
   std::vector<KnownTarget *> All;
@@ -182,56 +182,56 @@
                                                   core::TimePoint Now) const {
   const VersionGate *Gate = gateOf(What.m_Pool);
   if (Gate) {
-    std::vector<KnownTarget *> Trial = canaryCandidates(*Gate, What, Now);
-    if (!Trial.empty())
-      return Trial;
+    std::vector<KnownTarget *> Canaries = canaryCandidates(*Gate, What, Now);
+    if (!Canaries.empty())
+      return Canaries;
   }
   std::vector<KnownTarget *> Out;
-  auto TakeOf = [&](const std::vector<KnownTarget *> &From) {
+  auto AddCandidates = [&](const std::vector<KnownTarget *> &From) {
     for (KnownTarget *Each : From)
       if (m_Targets.isOpen(*Each, Now) &&
           What.m_TriedTargets.count(Each->m_Target.run()) == 0 &&
           (!Gate || Gate->mayServe(Each->m_Target, Now)))
         Out.push_back(Each);
   };
-  TakeOf(m_Targets.subsetOf(What.m_Pool));
-  // While traffic moves, this instance's part may hold none of the version that
-  // takes requests now.
+  AddCandidates(m_Targets.subsetOf(What.m_Pool));
+  // During a rollout, this instance's subset may contain no target of a version
+  // that takes requests.
   if (Gate && Out.empty())
-    TakeOf(m_Targets.allTargetsOf(What.m_Pool));
-  // A target that has just failed always has free places: where the others are
-  // full, everything that waits would fall on it.
-  auto IsResting = [Now](const KnownTarget *Each) {
+    AddCandidates(m_Targets.allTargetsOf(What.m_Pool));
+  // A failing target always has free slots. Without this it would receive the
+  // whole queue whenever the others are full.
+  auto IsCoolingDown = [Now](const KnownTarget *Each) {
     return Each->m_CooldownUntil > Now;
   };
-  if (!std::all_of(Out.begin(), Out.end(), IsResting))
-    Out.erase(std::remove_if(Out.begin(), Out.end(), IsResting), Out.end());
+  if (!std::all_of(Out.begin(), Out.end(), IsCoolingDown))
+    Out.erase(std::remove_if(Out.begin(), Out.end(), IsCoolingDown), Out.end());
   return Out;
 }
 
-bool Dispatcher::hasFreeSlot(const KnownTarget &At,
+bool Dispatcher::hasFreeSlot(const KnownTarget &Known,
                              const PlacementRequest &What) const {
-  if (At.isOnProbation())
-    return At.m_LocalLoad.m_Running == 0;
-  return At.running() < slotsFor(At, What);
+  if (Known.isOnProbation())
+    return Known.m_LocalLoad.m_Running == 0;
+  return Known.running() < slotsFor(Known, What);
 }
 
 KnownTarget *Dispatcher::choose(const PlacementRequest &What, bool MustSend,
-                                core::TimePoint Now, bool &HasAny) {
+                                core::TimePoint Now, bool &HasCandidate) {
   KnownTarget *Best = nullptr;
-  bool IsBestLapsed = false;
+  bool IsBestExpired = false;
   double BestCost = 0;
   for (KnownTarget *Each : candidates(What, Now)) {
-    HasAny = true;
+    HasCandidate = true;
     if (!MustSend && !hasFreeSlot(*Each, What))
       continue;
-    // One that is not announced any more is used when the others are full.
-    bool IsLapsed = Each->m_ExpiredAt.has_value();
+    // Targets with an expired announcement are used when the others are full.
+    bool IsExpired = Each->m_ExpiredAt.has_value();
     double Cost = cost(*Each, What, Now);
-    if (Best && std::tie(IsLapsed, Cost) >= std::tie(IsBestLapsed, BestCost))
+    if (Best && std::tie(IsExpired, Cost) >= std::tie(IsBestExpired, BestCost))
       continue;
     Best = Each;
-    IsBestLapsed = IsLapsed;
+    IsBestExpired = IsExpired;
     BestCost = Cost;
   }
   return Best;
@@ -252,31 +252,31 @@
 }
 
 bool Dispatcher::trySend(const PlacementRequest &What, core::TimePoint Now) {
-  bool HasAny = false;
+  bool HasCandidate = false;
   bool IsTimeUp = queueDeadline(What) <= Now;
-  // A stream sent to wait at a full target makes all that run there late; its
-  // caller can come back in a better moment.
+  // A stream that queues at a full target delays all streams there, so it is
+  // refused instead; its caller can retry.
   bool MustSend = IsTimeUp && (!What.m_IsInference ||
                                m_Policy == PlacementPolicy::LeastOutstanding);
-  KnownTarget *Best = choose(What, MustSend, Now, HasAny);
-  // Before its caller leaves it may have a place that is kept and still free.
+  KnownTarget *Best = choose(What, MustSend, Now, HasCandidate);
+  // The lowest priority uses a reserved slot only after its queue deadline.
   if (Best && !IsTimeUp && !leavesReservedSlots(What, Now))
     return false;
-  if (!HasAny && !IsTimeUp) {
-    auto OpensAt = nextAvailability(What, Now);
-    if (OpensAt && *OpensAt <= queueDeadline(What))
+  if (!HasCandidate && !IsTimeUp) {
+    auto AvailableAt = nextAvailability(What, Now);
+    if (AvailableAt && *AvailableAt <= queueDeadline(What))
       return false;
   }
-  if (!HasAny || (IsTimeUp && !Best)) {
+  if (!HasCandidate || (IsTimeUp && !Best)) {
     m_Hooks.m_Refuse(What.m_Request);
     return true;
   }
   if (!Best)
     return false;
-  Target Where = Best->m_Target;
-  if (!m_Targets.tryStartRequest(Where.run(), What.m_PromptTokens, Now))
+  Target Chosen = Best->m_Target;
+  if (!m_Targets.tryStartRequest(Chosen.run(), What.m_PromptTokens, Now))
     return false;
-  m_Hooks.m_Send(What.m_Request, Where);
+  m_Hooks.m_Send(What.m_Request, Chosen);
   return true;
 }
 
@@ -289,9 +289,9 @@
       });
   if (!IsBehindOthers && trySend(What, Now))
     return;
-  // Those ahead get what limited targets take until it would be too late.
-  auto OpensAt = nextAvailability(What, Now);
-  if (OpensAt && *OpensAt > queueDeadline(What))
+  // Throttled targets would accept the request only after its deadline.
+  auto AvailableAt = nextAvailability(What, Now);
+  if (AvailableAt && *AvailableAt > queueDeadline(What))
     return m_Hooks.m_Refuse(What.m_Request);
   m_Waiting.emplace(What.m_Request, What);
 }
@@ -316,8 +316,8 @@
             [&](const PlacementRequest *A, const PlacementRequest *B) {
               return precedes(*A, *B, Now);
             });
-  // Where one finds no place, those behind it find none either, unless their
-  // time to be sent without one has come.
+  // Once a request finds no slot in a pool, later ones are skipped unless their
+  // queue deadline has passed.
   std::set<core::PoolName> Full;
   for (const PlacementRequest *What : Order) {
     if (Full.count(What->m_Pool) != 0 && Now < queueDeadline(*What))
--- a/Libraries/LibRouting/QuotaOwner.cpp
+++ b/Libraries/LibRouting/QuotaOwner.cpp
@@ -7,22 +7,22 @@
 
 namespace yardrill::routing {
 
-/// Until an owner by an earlier list has heard of the next one, or knows that
-/// it would not: mostly half a second, and as long as a watch of the store
-/// takes to fail, about three, where it is cut off.
+/// Time until the previous owner of a share learns of its successor, or that it
+/// would not learn of one: usually half a second, but about three if it is
+/// isolated and its watch of the store has to time out.
 static constexpr std::chrono::seconds HandoverTime{3};
-/// Smaller parts of a debt, in tokens, are not worth the messages: a third of
-/// the median request. Larger ones are shared, since debts of the largest
-/// requests that each owner kept for itself would exceed the tolerance.
+/// Minimum number of tokens in a charge, a third of the median request. Smaller
+/// ones are not worth a message. Larger debts have to be shared, because three
+/// owners with debts of the largest requests would exceed the tolerance.
 static constexpr std::uint32_t MinCharge = 1000;
-/// Part of the burst that may be granted in advance within AdvanceTime, the
-/// time after which the instances give back what they did not use.
+/// Share of the burst that may be granted in advance, and how often that share
+/// is refilled per second. Instances return unused grants after a second.
 static constexpr double AdvanceShare = 0.125;
 static constexpr double AdvancesPerSecond = 1;
-/// Part of what may be granted in advance that one ask gets: several instances
-/// have callers of the same account.
+/// Share of the available advance that one request gets. The rest is left for
+/// other instances with callers of the same account.
 static constexpr double AdvanceOfOneRequest = 0.25;
-/// Nothing is granted in advance below this part of the burst.
+/// Share of the burst below which nothing is granted in advance.
 static constexpr double AdvanceThresholdShare = 0.5;
 
 AccountHash hashOf(const core::AccountName &Account) {
@@ -35,14 +35,14 @@
   return Bound * m_Share + m_Tokens;
 }
 
-double QuotaOwner::initialLevel(const QuotaLimits &Limits, double Part) const {
-  // One that others kept until now: they may have granted all of it, and go on
-  // until they hear of the new list.
+double QuotaOwner::initialLevel(const QuotaLimits &Limits, double Share) const {
+  // The previous owner may have granted the whole share, and goes on until it
+  // learns of the new membership.
   if (m_WasConfigured)
-    return -core::toSeconds(HandoverTime) * Limits.m_TokensPerSecond * Part;
-  // After a restart: what was granted before is not known. Two restarts of all
-  // owners within a window leave no room for a credit.
-  return m_IsFullAtStart ? Limits.m_Burst * Part : 0;
+    return -core::toSeconds(HandoverTime) * Limits.m_TokensPerSecond * Share;
+  // After a restart, earlier grants are unknown. All owners may restart twice
+  // within a window, so the tolerance leaves no room for an initial credit.
+  return m_IsFullAtStart ? Limits.m_Burst * Share : 0;
 }
 
 static QuotaLimits advanceLimits(const QuotaLimits &Limits) {
@@ -61,12 +61,12 @@
         std::find(Owners.begin(), Owners.end(), m_Self) != Owners.end();
     if (!IsOwn || Each.m_TokensPerSecond <= 0)
       continue;
-    double Part = 1 / static_cast<double>(Owners.size());
+    double Share = 1 / static_cast<double>(Owners.size());
     QuotaLimits All{Each.m_TokensPerSecond, Each.m_Burst};
-    QuotaLimits Limits = All.part(Part);
+    QuotaLimits Limits = All.part(Share);
     auto Known = m_Buckets.find(Hash);
     if (Known == m_Buckets.end()) {
-      TokenBucket Tokens(Limits, initialLevel(All, Part), Now);
+      TokenBucket Tokens(Limits, initialLevel(All, Share), Now);
       TokenBucket Advance(advanceLimits(Limits), 0, Now);
       Known = Next.emplace(Hash, Bucket{Tokens, Advance, {}}).first;
     } else {
@@ -82,24 +82,24 @@
       m_WasConfigured || (!Accounts.empty() && HashRing.size() > 0);
 }
 
-QuotaResponse QuotaOwner::handleRequest(const QuotaRequest &Ask,
+QuotaResponse QuotaOwner::handleRequest(const QuotaRequest &Request,
                                         core::TimePoint Now) {
   QuotaResponse Out;
-  auto Found = m_Buckets.find(Ask.m_Account);
+  auto Found = m_Buckets.find(Request.m_Account);
   if (Found == m_Buckets.end() || !m_IsListConfirmed)
     return Out;
   TokenBucket &Tokens = Found->second.m_Tokens;
-  Tokens.giveBack(Ask.m_Returned, Now);
+  Tokens.giveBack(Request.m_Returned, Now);
   Out.m_Verdict = QuotaVerdict::Granted;
-  if (Ask.m_Tokens == 0)
+  if (Request.m_Tokens == 0)
     return Out;
-  if (!Tokens.tryTake(Ask.m_Tokens, Now)) {
+  if (!Tokens.tryTake(Request.m_Tokens, Now)) {
     Out.m_Verdict = QuotaVerdict::Refused;
     Out.m_RetryAfter = Tokens.untilAvailable();
     return Out;
   }
-  shareDebt(Ask.m_Account, Found->second, Now);
-  Out.m_Tokens = Ask.m_Tokens;
+  shareDebt(Request.m_Account, Found->second, Now);
+  Out.m_Tokens = Request.m_Tokens;
   if (Tokens.level(Now) < Tokens.limits().m_Burst * AdvanceThresholdShare)
     return Out;
   TokenBucket &Advance = Found->second.m_Advance;
@@ -109,15 +109,15 @@
   return Out;
 }
 
-void QuotaOwner::shareDebt(AccountHash Account, Bucket &Of,
+void QuotaOwner::shareDebt(AccountHash Account, Bucket &Quota,
                            core::TimePoint Now) {
-  double Debt = -Of.m_Tokens.level(Now);
-  double All = static_cast<double>(1 + Of.m_Others.size());
-  auto Part = static_cast<std::uint32_t>(std::max(0.0, Debt) / All);
-  if (Part < MinCharge)
+  double Debt = -Quota.m_Tokens.level(Now);
+  double All = static_cast<double>(1 + Quota.m_Others.size());
+  auto Share = static_cast<std::uint32_t>(std::max(0.0, Debt) / All);
+  if (Share < MinCharge)
     return;
-  for (const config::Endpoint &Each : Of.m_Others)
-    m_Charges.push_back({Each, Account, Part});
+  for (const config::Endpoint &Each : Quota.m_Others)
+    m_Charges.push_back({Each, Account, Share});
 }
 
 bool QuotaOwner::charge(AccountHash Account, std::uint32_t Tokens,
--- a/Libraries/LibRouting/TargetThrottle.cpp
+++ b/Libraries/LibRouting/TargetThrottle.cpp
@@ -7,14 +7,15 @@
 
 bool TargetThrottle::update(const TargetBackpressure &Backpressure,
                             core::TimePoint Now) {
-  // A longer rest is not shortened by what a later answer asks for.
+  // A later response does not shorten a longer back-off.
   if (Backpressure.m_Backoff)
     m_BackoffUntil = std::max(m_BackoffUntil, Now + *Backpressure.m_Backoff);
-  bool IsNews = Backpressure.m_IsLeaving && setLeaving();
-  // What says nothing of a limit leaves the one that was named.
+  bool IsChanged = Backpressure.m_IsLeaving && setLeaving();
+  // Responses without usable information leave the limit as it is.
   if (!Backpressure.m_IsLimitUnreadable && !Backpressure.m_IsLimitUnspecified)
-    IsNews = m_Limit.apply({Backpressure.m_RequestsPerSecond, Now}) || IsNews;
-  return IsNews;
+    IsChanged =
+        m_Limit.apply({Backpressure.m_RequestsPerSecond, Now}) || IsChanged;
+  return IsChanged;
 }
 
 bool TargetThrottle::setLeaving() { return !std::exchange(m_IsLeaving, true); }
--- a/Tests/LibRouting/FleetSubsetTest.cpp
+++ b/Tests/LibRouting/FleetSubsetTest.cpp
@@ -1,3 +1,4 @@
+//===-- FleetSubsetTest.cpp - Groups of instances and their targets -------===//
 #include "LibRouting/FleetSubset.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,7 +21,7 @@
   static config::Endpoint address(std::size_t Index) {
     return {"10.1.0." + std::to_string(100 + Index), 7600};
   }
-  /// Halls of one half, three tenths and a fifth of the fleet.
+  /// Data halls with 50%, 30% and 20% of the fleet.
   static core::DataHallName hallOf(std::size_t Index) {
     static const char *Halls[] = {"a", "a", "b", "a", "c",
                                   "a", "b", "a", "c", "b"};
@@ -35,11 +36,11 @@
 
 public:
   void testSmallFleetIsOneGroup() {
-    FleetSubset Share(address(3), fleet(7));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Share.groupMembers().size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Share.groupCount());
+    FleetSubset Subset(address(3), fleet(7));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(6), Subset.groupMembers().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Subset.groupCount());
     for (std::size_t Rank = 0; Rank < 12; ++Rank)
-      CPPUNIT_ASSERT(Share.isInSubset(Rank, 12));
+      CPPUNIT_ASSERT(Subset.isInSubset(Rank, 12));
     CPPUNIT_ASSERT(FleetSubset().isInSubset(5, 6));
   }
 
@@ -47,14 +48,14 @@
     auto Fleet = fleet(89);
     std::map<std::size_t, int> Owners;
     for (std::size_t I = 0; I < 89; ++I) {
-      FleetSubset Share(address(I), Fleet);
-      CPPUNIT_ASSERT_EQUAL(std::size_t(12), Share.groupCount());
-      CPPUNIT_ASSERT(Share.groupMembers().size() >= 6 &&
-                     Share.groupMembers().size() <= 7);
-      for (const config::Endpoint &Peer : Share.groupMembers())
+      FleetSubset Subset(address(I), Fleet);
+      CPPUNIT_ASSERT_EQUAL(std::size_t(12), Subset.groupCount());
+      CPPUNIT_ASSERT(Subset.groupMembers().size() >= 6 &&
+                     Subset.groupMembers().size() <= 7);
+      for (const config::Endpoint &Peer : Subset.groupMembers())
         CPPUNIT_ASSERT(FleetSubset(Peer, Fleet).isGroupPeer(address(I)));
       for (std::size_t Rank = 0; Rank < 90; ++Rank)
-        Owners[Rank] += Share.isInSubset(Rank, 90) ? 1 : 0;
+        Owners[Rank] += Subset.isInSubset(Rank, 90) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(90), Owners.size());
     for (const auto &[Rank, Count] : Owners)
@@ -62,32 +63,32 @@
   }
 
   void testFewTargetsAreSharedByAll() {
-    FleetSubset Share(address(40), fleet(89));
+    FleetSubset Subset(address(40), fleet(89));
     for (std::size_t Rank = 0; Rank < 3; ++Rank)
-      CPPUNIT_ASSERT(Share.isInSubset(Rank, 3));
-    CPPUNIT_ASSERT(!Share.isInSubset(89, 90) || !Share.isInSubset(0, 90));
+      CPPUNIT_ASSERT(Subset.isInSubset(Rank, 3));
+    CPPUNIT_ASSERT(!Subset.isInSubset(89, 90) || !Subset.isInSubset(0, 90));
   }
 
-  // 295 instances and 160 targets had all targets in common, where 222 would
-  // have been cut into parts of six; nobody knew what the others did there.
+  // Guards against pool sizes below which all groups share all targets without
+  // seeing each other's load.
   void testSubsetGrowsSmoothlyWithPool() {
     for (std::size_t Size : {6, 24, 89, 295, 440}) {
       std::size_t Before = 0;
       for (std::size_t Count = 3; Count <= 12000; Count += 1 + Count / 8) {
-        FleetSubset Share(address(Size / 2), fleet(Size),
-                          FleetSubset::groupSizeFor(Size, Count));
+        FleetSubset Subset(address(Size / 2), fleet(Size),
+                           FleetSubset::groupSizeFor(Size, Count));
         std::size_t Own = 0;
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
-          Own += Share.isInSubset(Rank, Count) ? 1 : 0;
-        // An eighth more targets: at the most half of them more or fewer.
+          Own += Subset.isInSubset(Rank, Count) ? 1 : 0;
+        // With an eighth more targets, the subset at most halves or doubles.
         if (Before != 0) {
           CPPUNIT_ASSERT(Own * 2 + 2 >= Before);
           CPPUNIT_ASSERT(Own <= Before * 2 + 2);
         }
-        // Whoever shares a target with many others hears a good part of them.
+        // Most instances that share a target are group peers.
         double Sharers =
             static_cast<double>(Size * Own) / static_cast<double>(Count);
-        double Heard = static_cast<double>(Share.groupMembers().size() + 1);
+        double Heard = static_cast<double>(Subset.groupMembers().size() + 1);
         if (Count >= Size / 2)
           CPPUNIT_ASSERT(Heard * 1.25 >= Sharers);
         Before = Own;
@@ -106,7 +107,7 @@
   }
 
   void testOneMoreInstanceMovesFewTargets() {
-    // Whichever instance looks, and on the average of all.
+    // Summed over the subsets of all instances.
     int Moved = 0;
     for (std::size_t I = 0; I < 89; ++I) {
       FleetSubset Before(address(I), fleet(89));
@@ -121,11 +122,11 @@
   void testEachGroupMixesDataHalls() {
     auto Fleet = fleet(80);
     for (std::size_t I = 0; I < 80; ++I) {
-      FleetSubset Share(address(I), Fleet);
+      FleetSubset Subset(address(I), Fleet);
       std::map<core::DataHallName, int> Counts{{hallOf(I), 1}};
-      for (const config::Endpoint &Peer : Share.groupMembers())
+      for (const config::Endpoint &Peer : Subset.groupMembers())
         ++Counts[Fleet.at(Peer)];
-      // Halves, three tenths and a fifth of eight.
+      // 50%, 30% and 20% of eight, rounded down.
       CPPUNIT_ASSERT(Counts[core::DataHallName("a")] >= 3);
       CPPUNIT_ASSERT(Counts[core::DataHallName("b")] >= 2);
       CPPUNIT_ASSERT(Counts[core::DataHallName("c")] >= 1);
--- a/Tests/LibRouting/RetryRestartTest.cpp
+++ b/Tests/LibRouting/RetryRestartTest.cpp
@@ -1,10 +1,7 @@
-//===-- RetryRestartTest.cpp - Retries of a fleet that restarts in series -===//
+//===-- RetryRestartTest.cpp - Retries of a fleet under repeated restarts ===//
 //
-// Retries beyond the ratio are shared by all instances: each may spend its part
-// within a window, and half of what is allowed is held back, since one that
-// restarts forgets what it spent. A fleet that is killed again and again spends
-// its parts with each life. The same cause as in a quota's exceeded window:
-// what a process may spend without asking comes again with each start.
+// Guards against a fleet that spends its retry allowance again after each
+// restart within one window.
 //
 //===----------------------------------------------------------------------===//
 #include "LibRouting/RetryBudget.h"
@@ -23,23 +20,23 @@
 
 public:
   void testRestartsInSeriesKeepTheAllowance() {
-    // As the gateway sets it: half of 196 retries in 10 s, among 78 instances.
+    // As set by the gateway: half of 196 retries in 10 s for 78 instances.
     constexpr double Allowance = 196;
     constexpr std::size_t Instances = 78;
     RetryLimits Limits{0.2, seconds(10), Allowance / 2};
     core::TimePoint Now{std::chrono::hours(1)};
-    double Taken = 0;
-    for (int Life = 0; Life < 4; ++Life) {
+    double Retries = 0;
+    for (int Restart = 0; Restart < 4; ++Restart) {
       std::vector<RetryBudget> Budgets(Instances, RetryBudget(Limits, Now));
       for (int I = 0; I < 20; ++I) {
         Now += milliseconds(100);
         for (RetryBudget &Each : Budgets)
-          Taken += Each.tryTake(Now, Instances) ? 1 : 0;
+          Retries += Each.tryTake(Now, Instances) ? 1 : 0;
       }
-      Now += milliseconds(400); // Until all run again.
+      Now += milliseconds(400); // Restart of all processes.
     }
-    // All within one window, in which nobody asked for anything new.
-    CPPUNIT_ASSERT(Taken <= Allowance);
+    // All within one window, without any requests.
+    CPPUNIT_ASSERT(Retries <= Allowance);
   }
 };
 
--- a/Tests/LibRouting/TargetDirectoryTest.cpp
+++ b/Tests/LibRouting/TargetDirectoryTest.cpp
@@ -1,3 +1,4 @@
+//===-- TargetDirectoryTest.cpp - Expiry and restarts of targets ----------===//
 #include "LibRouting/TargetDirectory.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,23 +17,23 @@
   core::TimePoint m_Now{std::chrono::hours(1)};
   TargetDirectory m_Targets;
 
-  bool announce(const char *Name, const char *Pool, std::int64_t Birth = 0) {
+  bool announce(const char *Name, const char *Pool,
+                std::int64_t StartTime = 0) {
     Target What;
     What.m_Name = core::TargetName(Name);
-    What.m_StartTime = core::TargetStartTime(Birth);
+    What.m_StartTime = core::TargetStartTime(StartTime);
     What.m_Pool = core::PoolName(Pool);
     return m_Targets.announce(What) == AnnouncementEffect::NewRun;
   }
-  static TargetIncarnation run(const char *Name, std::int64_t Birth) {
-    return {core::TargetName(Name), core::TargetStartTime(Birth)};
+  static TargetIncarnation incarnation(const char *Name,
+                                       std::int64_t StartTime) {
+    return {core::TargetName(Name), core::TargetStartTime(StartTime)};
   }
 
 public:
-  /// What users saw: a request reached a target 2.2 s after it had left, where
-  /// 2 s are allowed. Two of a pool of three left within a second, one of them
-  /// without a word before; over half of a pool was taken as an outage of the
-  /// store, for which announcements are missed for longer. It was no outage:
-  /// the announcements of all other pools stood.
+  /// Guards against taking the exit of most targets of one pool for an outage
+  /// of the store, which would keep them in use for longer than the allowed 2
+  /// s.
   void testExpiredTargetsOfSmallPoolAreRemovedSoon() {
     for (const char *Name : {"a", "b", "c"})
       announce(Name, "small");
@@ -48,7 +49,7 @@
     m_Now += milliseconds(900);
     m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT(!m_Targets.find(core::TargetName("b")));
-    // Most of all at once: an outage.
+    // Most targets of all pools are missing, which indicates an outage.
     for (const char *Name : {"c", "d", "e"})
       m_Targets.withdraw(core::TargetName(Name), m_Now);
     m_Now += milliseconds(2000);
@@ -56,28 +57,27 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), m_Targets.all().size());
   }
 
-  /// A target crashes while it is full, slow, resting after failures and taken
-  /// for replaced, and starts again under its name: all its places are free and
-  /// nothing that was learned holds. The earlier run is known no more.
+  /// Guards against keeping load, cooldown, slowness or replacement of an
+  /// earlier incarnation when a target restarts under the same name.
   void testRestartedTargetStartsFresh() {
     CPPUNIT_ASSERT(announce("a", "pool", 5000));
     announce("b", "pool", 5000);
     for (int I = 0; I < 3; ++I) {
-      m_Targets.tryStartRequest(run("a", 5000), 1000, m_Now);
-      m_Targets.recordFailure(run("a", 5000), TargetFailure::Unreachable,
-                              m_Now);
-      m_Targets.recordServiceTime(run("a", 5000), milliseconds(90));
-      m_Targets.recordServiceTime(run("b", 5000), milliseconds(10));
+      m_Targets.tryStartRequest(incarnation("a", 5000), 1000, m_Now);
+      m_Targets.recordFailure(incarnation("a", 5000),
+                              TargetFailure::Unreachable, m_Now);
+      m_Targets.recordServiceTime(incarnation("a", 5000), milliseconds(90));
+      m_Targets.recordServiceTime(incarnation("b", 5000), milliseconds(10));
     }
-    m_Targets.recordReplacement(run("a", 5000));
+    m_Targets.recordReplacement(incarnation("a", 5000));
     std::uint32_t Before = m_Targets.find(core::TargetName("a"))->m_Hash;
     m_Targets.setRemoteLoad({{Before, {4, 4000}}});
-    // An announcement that only says more of the same run changes none of it.
+    // Another announcement of the same incarnation keeps its state.
     CPPUNIT_ASSERT(!announce("a", "pool", 5000));
     CPPUNIT_ASSERT_EQUAL(std::size_t(7),
                          m_Targets.find(core::TargetName("a"))->running());
     m_Targets.withdraw(core::TargetName("a"), m_Now);
-    // Its clock was set back meanwhile.
+    // The target's clock was set back in between.
     CPPUNIT_ASSERT(announce("a", "pool", 4000));
     const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
@@ -86,26 +86,27 @@
     CPPUNIT_ASSERT(Now.isOpen() && !Now.isOnProbation() && !Now.m_ExpiredAt);
     CPPUNIT_ASSERT(Now.m_CooldownUntil <= m_Now && Now.m_FailureRate == 0);
     CPPUNIT_ASSERT(Now.m_Slowness == 1 && Now.m_ServiceTimeMs == 0);
-    // What others told of the earlier run is not counted at this one.
+    // Remote load of the earlier incarnation does not count.
     CPPUNIT_ASSERT(Now.m_Hash != Before);
     m_Targets.setRemoteLoad({{Before, {4, 4000}}});
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
-    CPPUNIT_ASSERT(!m_Targets.findByIncarnation(run("a", 5000)));
+    CPPUNIT_ASSERT(!m_Targets.findByIncarnation(incarnation("a", 5000)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2),
                          m_Targets.subsetOf(core::PoolName("pool")).size());
   }
 
   void testRequestsOfEndedRunAreIgnored() {
     announce("a", "pool", 1);
-    m_Targets.tryStartRequest(run("a", 1), 1000, m_Now);
-    m_Targets.tryStartRequest(run("a", 1), 1000, m_Now);
+    m_Targets.tryStartRequest(incarnation("a", 1), 1000, m_Now);
+    m_Targets.tryStartRequest(incarnation("a", 1), 1000, m_Now);
     announce("a", "pool", 2);
-    m_Targets.tryStartRequest(run("a", 2), 700, m_Now);
-    m_Targets.recordFirstEvent(run("a", 1), 1000);
-    m_Targets.recordEnd(run("a", 1), 1000);
-    m_Targets.recordEnd(run("a", 1), 1000);
-    m_Targets.recordFailure(run("a", 1), TargetFailure::Unreachable, m_Now);
-    m_Targets.recordReplacement(run("a", 1));
+    m_Targets.tryStartRequest(incarnation("a", 2), 700, m_Now);
+    m_Targets.recordFirstEvent(incarnation("a", 1), 1000);
+    m_Targets.recordEnd(incarnation("a", 1), 1000);
+    m_Targets.recordEnd(incarnation("a", 1), 1000);
+    m_Targets.recordFailure(incarnation("a", 1), TargetFailure::Unreachable,
+                            m_Now);
+    m_Targets.recordReplacement(incarnation("a", 1));
     const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Now.running());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(700),
