--- a/Libraries/LibInstance/Instance.cpp
+++ b/Libraries/LibInstance/Instance.cpp
@@ -271,7 +271,7 @@
   for (const PeerStatus &Peer : m_Peers->status())
     Peers.push_back(
         json::object{{"name", Peer.m_Name.value()},
-                     {"peer_address", Peer.m_Home.m_Peer.toString()},
+                     {"peer_address", Peer.m_Instance.m_Peer.toString()},
                      {"configuration_version", Peer.m_Version.value()},
                      {"silent_for_ms", Peer.m_SilentFor.count() / 1000},
                      {"is_stopping", Peer.m_IsStopping}});
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerDuty.cpp
@@ -171,7 +171,7 @@
   Out.m_IsStopping = m_IsStopping;
   std::vector<decision::InstanceRef> Known;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
-    Known.push_back(Peer.m_Home);
+    Known.push_back(Peer.m_Instance);
   std::sample(Known.begin(), Known.end(), std::back_inserter(Out.m_RecentPeers),
               OthersInHeartbeat, m_Random);
   return Out;
@@ -183,7 +183,7 @@
              m_Settings.m_Peers.m_Seeds.end());
   All.insert(m_HintedPeers.begin(), m_HintedPeers.end());
   for (const auto &[Incarnation, Peer] : m_Directory.all())
-    All.insert(Peer.m_Home.m_Peer);
+    All.insert(Peer.m_Instance.m_Peer);
   All.erase(m_Self.m_Peer);
   std::size_t Count = All.size() <= SmallFleet ? All.size() : FewPeers;
   std::vector<config::Endpoint> Chosen;
@@ -199,7 +199,7 @@
   for (const peer::KnownPeer &Gone : m_Directory.expire(Now))
     core::LogLine("peer-silent", core::LogLevel::Warning)
         .add("instance", Gone.m_LastHeartbeat.m_Name)
-        .add("peer", Gone.m_Home.m_Peer.toString());
+        .add("peer", Gone.m_Instance.m_Peer.toString());
   countInstances();
   publishStatus(Now);
 }
@@ -228,7 +228,7 @@
                   m_Listed.end();
   bool IsReplaced = Member.m_Peer == m_Self.m_Peer;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
-    IsReplaced = IsReplaced || Peer.m_Home.m_Peer == Member.m_Peer;
+    IsReplaced = IsReplaced || Peer.m_Instance.m_Peer == Member.m_Peer;
   if (IsListed && !IsReplaced)
     return;
   m_FirstOrderAt.erase(Member.m_Incarnation);
@@ -243,7 +243,7 @@
 void PeerDuty::publishStatus(core::TimePoint Now) {
   std::vector<PeerStatus> Next;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
-    Next.push_back({Peer.m_LastHeartbeat.m_Name, Peer.m_Home,
+    Next.push_back({Peer.m_LastHeartbeat.m_Name, Peer.m_Instance,
                     Peer.m_LastHeartbeat.m_Version, Now - Peer.m_HeardAt,
                     Peer.m_LastHeartbeat.m_IsStopping});
   m_Metrics.setGauge("yardrill_peers", static_cast<double>(Next.size()));
--- a/Libraries/LibInstance/PeerDuty.h
+++ b/Libraries/LibInstance/PeerDuty.h
@@ -27,7 +27,7 @@
 
 struct PeerStatus {
   core::InstanceName m_Name;
-  decision::InstanceRef m_Home;
+  decision::InstanceRef m_Instance;
   core::ConfigurationVersion m_Version;
   core::Duration m_SilentFor{};
   bool m_IsStopping = false;
--- a/Tests/LibGateway/EventSplitterTest.cpp
+++ b/Tests/LibGateway/EventSplitterTest.cpp
@@ -13,7 +13,7 @@
   CPPUNIT_TEST_SUITE(EventSplitterTest);
   CPPUNIT_TEST(testEventsDoNotDependOnHowBytesAreSplit);
   CPPUNIT_TEST(testPartialEventIsHeldBack);
-  CPPUNIT_TEST(testStoreTransferReadsBack);
+  CPPUNIT_TEST(testMirrorUpdateRoundTrip);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -44,12 +44,13 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), Splitter.lastId());
   }
 
-  void testStoreTransferReadsBack() {
+  void testMirrorUpdateRoundTrip() {
     platform::StoreMirror Mirror(10);
     Mirror.replaceAll(platform::Revision(5),
                       {{"k", std::string("v\0w", 3), platform::Revision(4)}});
-    auto Snapshot = MirrorUpdate::decode(MirrorUpdate::whole(Mirror).encode());
-    CPPUNIT_ASSERT(Snapshot.m_IsWhole);
+    auto Snapshot =
+        MirrorUpdate::decode(MirrorUpdate::snapshot(Mirror).encode());
+    CPPUNIT_ASSERT(Snapshot.m_IsSnapshot);
     platform::StoreMirror Other(10);
     Snapshot.applyTo(Other);
     CPPUNIT_ASSERT(Other.revision() == platform::Revision(5));
@@ -58,7 +59,7 @@
                  {{"k", "", platform::Revision(6), true}});
     auto Changes = MirrorUpdate::decode(
         MirrorUpdate::since(Mirror, Other.revision()).encode());
-    CPPUNIT_ASSERT(!Changes.m_IsWhole);
+    CPPUNIT_ASSERT(!Changes.m_IsSnapshot);
     Changes.applyTo(Other);
     CPPUNIT_ASSERT(Other.content().empty());
     CPPUNIT_ASSERT_THROW(MirrorUpdate::decode("nonsense"), core::Error);
--- a/Tests/Support/RolloutFleet.cpp
+++ b/Tests/Support/RolloutFleet.cpp
@@ -175,7 +175,7 @@
     bool IsHeard = hasEnded() && m_Now > m_EndHeardAt && By.m_CutUntil < m_Now;
     if (IsHeard)
       IsNew = m_Result.m_End->m_State == State::Completed;
-    By.m_Participant->sent(RouteHash, IsNew, m_Now);
+    By.m_Participant->recordSent(RouteHash, IsNew, m_Now);
     countSent(IsNew);
     std::size_t Target = IsNew && How == Traffic::Sample
                              ? sampled(Which)
