--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -10,7 +10,8 @@
 /// Prompt tokens that a target of median speed processes in a millisecond. An
 /// order of magnitude is enough, because costs scale with the learned slowness.
 static constexpr double PromptTokensPerMs = 50;
-/// Delay that each running request adds to a new one.
+/// Delay that each running request adds to a new one: events arrive more slowly
+/// and the response ends later.
 static constexpr double RunningCostMs = 12;
 /// Wait behind each request that exceeds the target's slots.
 static constexpr double QueuedCostMs = 150;
--- a/Libraries/LibRouting/DistributedQuota.h
+++ b/Libraries/LibRouting/DistributedQuota.h
@@ -115,8 +115,9 @@
   }
 
   /// Handles a request of another instance; see QuotaOwner.
-  QuotaResponse handleRequest(const QuotaRequest &Ask, core::TimePoint Now) {
-    return m_LocalOwner.handleRequest(Ask, Now);
+  QuotaResponse handleRequest(const QuotaRequest &Request,
+                              core::TimePoint Now) {
+    return m_LocalOwner.handleRequest(Request, Now);
   }
 
 private:
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -59,14 +59,20 @@
   /// precede every send. \returns whether the request may be sent.
   bool tryStartRequest(const TargetIncarnation &Incarnation,
                        std::uint32_t PromptTokens, core::TimePoint Now);
+  /// Removes a started prompt from the pending load, and ends a probation.
   void recordFirstEvent(const TargetIncarnation &Incarnation,
                         std::uint32_t PromptTokens);
+  /// Removes a request from the load.
+  /// \param PendingPromptTokens prompt tokens still without a first event.
   void recordEnd(const TargetIncarnation &Incarnation,
                  std::uint32_t PendingPromptTokens);
+  /// Raises the failure rate and starts a cooldown. The first failure of a
+  /// request that ran starts none.
   void recordFailure(const TargetIncarnation &Incarnation, TargetFailure How,
                      core::TimePoint Now);
   /// Excludes an incarnation because another one responded at its address.
   void recordReplacement(const TargetIncarnation &Incarnation);
+  /// Lowers the failure rate and ends a probation.
   void recordSuccess(const TargetIncarnation &Incarnation);
   /// Records the time between two events of a stream, or the duration of one
   /// short response.
