--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -63,7 +63,7 @@
     // Before anything is dispatched: some of its targets may be leaving.
     Scheduler.setLeavingTargets(m_LeavingTargets);
     Scheduler.configure(*m_Configuration, Pool, Now);
-    Scheduler.setInstances(m_Instances, Now);
+    Scheduler.setInstances(m_InstanceCount, Now);
     if (m_IsStopping)
       Scheduler.setStopping();
   }
@@ -82,9 +82,9 @@
 //===----------------------------------------------------------------------===//
 
 void DecisionCore::on(const RequestArrived &What, core::TimePoint Now) {
-  auto [Location, IsNew] = m_Requests.emplace(What.m_Request, RequestState());
+  auto [Inserted, IsNew] = m_Requests.emplace(What.m_Request, RequestState());
   assert(IsNew && "request ids are never used again");
-  RequestState &Request = Location->second;
+  RequestState &Request = Inserted->second;
   Request.m_Arrival = What;
   Request.m_ArrivedAt = Now;
   ++m_OpenByAccount[What.m_Account];
@@ -120,16 +120,16 @@
   if (!m_Policy)
     return;
   const RequestArrived &Arrival = Request.m_Arrival;
-  policy::PolicyRequest Asked;
-  Asked.m_Account = Arrival.m_Account.value();
-  Asked.m_Tier = Arrival.m_Tier.value();
-  Asked.m_Pool = Arrival.m_Pool.value();
-  Asked.m_PrefillTokens = Arrival.m_PrefillTokens;
-  Asked.m_OutputTokens = Arrival.m_OutputTokens;
-  Asked.m_IsRepeatable = !Arrival.m_IsIdentityRequired;
-  Asked.m_Queued = Pool.queued();
-  Asked.m_Running = Pool.running();
-  policy::PolicyOutcome Outcome = m_Policy->decide(Asked);
+  policy::PolicyRequest PolicyInput;
+  PolicyInput.m_Account = Arrival.m_Account.value();
+  PolicyInput.m_Tier = Arrival.m_Tier.value();
+  PolicyInput.m_Pool = Arrival.m_Pool.value();
+  PolicyInput.m_PrefillTokens = Arrival.m_PrefillTokens;
+  PolicyInput.m_OutputTokens = Arrival.m_OutputTokens;
+  PolicyInput.m_IsRepeatable = !Arrival.m_IsIdentityRequired;
+  PolicyInput.m_Queued = Pool.queued();
+  PolicyInput.m_Running = Pool.running();
+  policy::PolicyOutcome Outcome = m_Policy->decide(PolicyInput);
   if (Outcome.m_Failure != policy::PolicyFailure::None)
     ++m_PolicyFailures;
   Request.m_Policy = std::move(Outcome.m_Decision);
@@ -405,7 +405,7 @@
 }
 
 void DecisionCore::on(const InstanceCountChanged &What, core::TimePoint Now) {
-  m_Instances = What.m_Count;
+  m_InstanceCount = What.m_Count;
   for (auto &[Name, Pool] : m_Pools)
     Pool->setInstances(What.m_Count, Now);
 }
--- a/Libraries/LibDecision/DecisionCore.h
+++ b/Libraries/LibDecision/DecisionCore.h
@@ -90,7 +90,7 @@
   std::uint64_t m_Seed = 0;
   core::Duration m_Retention{};
   bool m_IsStopping = false;
-  std::uint32_t m_Instances = 1;
+  std::uint32_t m_InstanceCount = 1;
   config::ConfigurationHandle m_Configuration;
   std::map<core::PoolName, std::unique_ptr<PoolScheduler>> m_Pools;
   std::unordered_map<core::RequestId, RequestState> m_Requests;
--- a/Libraries/LibDecision/IdentityTable.cpp
+++ b/Libraries/LibDecision/IdentityTable.cpp
@@ -5,7 +5,7 @@
 namespace yardrill::decision {
 
 /// How long past its time a record stays that is still in use.
-static const std::chrono::seconds BusyExtension(10);
+static const std::chrono::seconds InUseExtension(10);
 
 IdentityRecord *IdentityTable::find(const std::string &Name) {
   auto Found = m_Records.find(Name);
@@ -42,7 +42,7 @@
                   Record.m_State == IdentityState::Running;
     if (IsBusy) {
       m_Expiries.erase(m_Expiries.begin());
-      Record.m_ForgetAt = Now + BusyExtension;
+      Record.m_ForgetAt = Now + InUseExtension;
       m_Expiries.emplace(Record.m_ForgetAt, Name);
       continue;
     }
--- a/Libraries/LibDecision/PoolQueue.cpp
+++ b/Libraries/LibDecision/PoolQueue.cpp
@@ -69,7 +69,7 @@
   auto Owner = Tier.m_Accounts.find(At.m_Account);
   AccountQueue &Account = Owner->second;
   const Entry &Item = At.m_Entry->second;
-  double Share = Item.m_Cost / Item.m_Weight;
+  double Charge = Item.m_Cost / Item.m_Weight;
   Tier.m_Order.erase({Account.m_StartTag, At.m_Account});
   if (At.m_Arrival)
     Tier.m_Sheddable.erase(*At.m_Arrival);
@@ -77,7 +77,7 @@
   --Tier.m_Size;
   if (IsServed) {
     Tier.m_VirtualTime = std::max(Tier.m_VirtualTime, Account.m_StartTag);
-    Account.m_StartTag += Share;
+    Account.m_StartTag += Charge;
   }
   if (!Account.m_Waiting.empty())
     Tier.m_Order.emplace(Account.m_StartTag, At.m_Account);
--- a/Libraries/LibDecision/PoolScheduler.cpp
+++ b/Libraries/LibDecision/PoolScheduler.cpp
@@ -157,16 +157,17 @@
 
 void PoolScheduler::enforceQueueLimit(core::TimePoint Now) {
   while (m_Queue.size() > m_QueueLimit) {
-    auto Last = m_Queue.shedCandidate();
-    if (!Last)
+    auto Candidate = m_Queue.shedCandidate();
+    if (!Candidate)
       return;
     // Not the lowest tier and no permission: it keeps waiting. What may pile
     // up is bounded by the open connections.
-    if (!m_Member.mayShed(Last->m_Tier, Now))
+    if (!m_Member.mayShed(Candidate->m_Tier, Now))
       return;
-    RequestState &Request = m_Hooks.m_Find(Last->m_Request);
+    RequestState &Request = m_Hooks.m_Find(Candidate->m_Request);
     withdraw(Request);
-    m_Hooks.m_Refuse(Request, RefusalKind::QueueFull, validUntil(Last->m_Tier));
+    m_Hooks.m_Refuse(Request, RefusalKind::QueueFull,
+                     validUntil(Candidate->m_Tier));
   }
 }
 
@@ -255,14 +256,14 @@
   auto Lowest = m_Running.find(m_Lowest);
   if (Lowest == m_Running.end() || Lowest->second.empty())
     return;
-  std::size_t Wanted = countUrgent(Now);
+  std::size_t Remaining = countUrgent(Now);
   // The youngest first: least of their work is lost.
   for (auto Id = Lowest->second.rbegin();
-       Id != Lowest->second.rend() && Wanted > 0; ++Id) {
+       Id != Lowest->second.rend() && Remaining > 0; ++Id) {
     RequestState &Request = m_Hooks.m_Find(*Id);
     if (!Request.m_Arrival.m_IsEvictable)
       continue;
-    --Wanted;
+    --Remaining;
     if (Request.m_IsCancelled)
       continue;
     Request.m_IsCancelled = true;
@@ -316,9 +317,9 @@
   for (const auto &[Tier, Waiting] : m_Deadlines) {
     if (Waiting.empty() || !(Tier < m_Lowest))
       continue;
-    auto Last = m_Queue.shedCandidate();
-    bool IsLast = Last && Last->m_Tier == Tier;
-    if (Waiting.begin()->first <= Now || (IsQueueFull && IsLast))
+    auto Candidate = m_Queue.shedCandidate();
+    bool IsCandidateTier = Candidate && Candidate->m_Tier == Tier;
+    if (Waiting.begin()->first <= Now || (IsQueueFull && IsCandidateTier))
       return Tier;
   }
   return core::TierNumber(0);
@@ -373,19 +374,19 @@
 void PoolScheduler::leadPool(core::TimePoint Now) {
   if (auto Record = m_Leader->recordToWrite())
     m_Hooks.m_Emit(WriteThresholdRecord{m_Name, m_Leader->revision(), *Record});
-  for (auto &[Member, Order] : m_Leader->step(Now)) {
+  for (auto &[Member, Command] : m_Leader->step(Now)) {
     if (Member == m_Self)
-      applyCommand(Order, Now);
+      applyCommand(Command, Now);
     else
-      m_Hooks.m_Emit(SendThresholdCommand{Member, Order});
+      m_Hooks.m_Emit(SendThresholdCommand{Member, Command});
   }
 }
 
-void PoolScheduler::applyCommand(const ThresholdCommand &Order,
+void PoolScheduler::applyCommand(const ThresholdCommand &Command,
                                  core::TimePoint Now) {
-  if (m_Leader && m_Leader->epoch() < Order.m_Stamp.m_Epoch)
+  if (m_Leader && m_Leader->epoch() < Command.m_Stamp.m_Epoch)
     m_Leader.reset();
-  if (!m_Member.applyCommand(Order, Now))
+  if (!m_Member.applyCommand(Command, Now))
     return;
   m_CampaignAt = core::TimePoint();
   evictBelowThreshold();
--- a/Libraries/LibDecision/PoolScheduler.h
+++ b/Libraries/LibDecision/PoolScheduler.h
@@ -56,7 +56,7 @@
   void readmit(RequestState &Request, core::TimePoint Now);
   void timePassed(core::TimePoint Now);
 
-  void applyCommand(const ThresholdCommand &Order, core::TimePoint Now);
+  void applyCommand(const ThresholdCommand &Command, core::TimePoint Now);
   void handleReport(const ThresholdReport &Report, core::TimePoint Now);
   void recordRead(const ThresholdRecordRead &Read, core::TimePoint Now);
   void recordWritten(const ThresholdRecordWritten &Written,
--- a/Libraries/LibDecision/TargetTable.cpp
+++ b/Libraries/LibDecision/TargetTable.cpp
@@ -40,10 +40,10 @@
   m_Highest = Highest;
   std::map<core::TargetName, TargetState> Next;
   for (const config::Target &T : Pool.m_Targets) {
-    auto Known = m_Targets.find(T.m_Name);
+    auto Previous = m_Targets.find(T.m_Name);
     TargetState State;
-    if (Known != m_Targets.end())
-      State = Known->second;
+    if (Previous != m_Targets.end())
+      State = Previous->second;
     State.m_Target = T;
     State.m_NameHash = core::stableHash(T.m_Name.value());
     State.m_IsLeavingByList = m_Leaving.count(T.m_Name) != 0;
@@ -70,7 +70,7 @@
 }
 
 std::size_t TargetTable::instanceShare(const TargetState &Target) const {
-  return (Target.m_Target.m_Slots + m_Instances - 1) / m_Instances;
+  return (Target.m_Target.m_Slots + m_InstanceCount - 1) / m_InstanceCount;
 }
 
 /// Requests of \p Target that would be served before one of \p Tier.
@@ -92,15 +92,15 @@
 bool TargetTable::leavesReservedSlots(core::TierNumber Tier) const {
   if (m_ReservedSlots == 0)
     return true;
-  std::size_t Places = 0;
+  std::size_t Slots = 0;
   std::size_t Running = 0;
   for (const auto &[Name, State] : m_Targets) {
-    Places += State.m_Target.m_Slots -
-              std::min(State.m_Target.m_Slots, m_ReservedSlots);
+    Slots += State.m_Target.m_Slots -
+             std::min(State.m_Target.m_Slots, m_ReservedSlots);
     Running +=
         countServedBefore(State, Tier) - countServedBefore(State, m_Highest);
   }
-  return Running < (Places + m_Instances - 1) / m_Instances;
+  return Running < (Slots + m_InstanceCount - 1) / m_InstanceCount;
 }
 
 TargetTable::PrefixTargets
--- a/Libraries/LibDecision/TargetTable.h
+++ b/Libraries/LibDecision/TargetTable.h
@@ -52,7 +52,7 @@
 public:
   /// Takes over what is already known of targets that stay.
   void configure(const config::Pool &Pool, core::TierNumber Highest);
-  void setInstances(std::uint32_t Count) { m_Instances = Count; }
+  void setInstances(std::uint32_t Count) { m_InstanceCount = Count; }
   void setLeaving(const std::set<core::TargetName> &Leaving);
 
   /// \returns the target that would finish soonest, prefill weighed, among
@@ -95,7 +95,7 @@
   PrefixTargets prefixTargets(std::uint64_t PrefixHash) const;
 
   std::map<core::TargetName, TargetState> m_Targets;
-  std::uint32_t m_Instances = 1;
+  std::uint32_t m_InstanceCount = 1;
   std::size_t m_ReservedSlots = 0;
   double m_PrefillWeight = 1;
   std::set<core::TargetName> m_Leaving; ///< By the instance list.
--- a/Libraries/LibDecision/ThresholdLeader.cpp
+++ b/Libraries/LibDecision/ThresholdLeader.cpp
@@ -6,9 +6,9 @@
 
 ThresholdLeader::ThresholdLeader(core::PoolName Pool, InstanceRef Self,
                                  ThresholdRecord Record, std::int64_t Revision,
-                                 ThresholdTimings Times, core::TimePoint Now)
+                                 ThresholdTimings Timings, core::TimePoint Now)
     : m_Pool(std::move(Pool)), m_Self(std::move(Self)),
-      m_Record(std::move(Record)), m_Revision(Revision), m_Timings(Times),
+      m_Record(std::move(Record)), m_Revision(Revision), m_Timings(Timings),
       m_LastPermitAt(Now), m_LastPressureAt(Now) {}
 
 void ThresholdLeader::setTiers(core::TierNumber Highest,
@@ -115,18 +115,18 @@
 }
 
 core::TierNumber ThresholdLeader::updateGoal(core::TimePoint Now) {
-  core::TierNumber Wanted = m_Lowest;
+  core::TierNumber HighestToShed = m_Lowest;
   for (const auto &[Incarnation, Last] : m_Reports) {
     core::TierNumber Tier = Last.m_Report.m_TierToShed;
     bool IsFresh = Now - Last.m_At <= m_Timings.m_MaxReportAge;
-    if (IsFresh && Tier.value() != 0 && Tier < Wanted)
-      Wanted = std::max(Tier, m_Highest);
+    if (IsFresh && Tier.value() != 0 && Tier < HighestToShed)
+      HighestToShed = std::max(Tier, m_Highest);
   }
   // Pressure that comes and goes must not move the floor each time.
   bool IsFirst = m_LastGoal.value() == 0;
-  if (IsFirst || !(m_LastGoal < Wanted) ||
+  if (IsFirst || !(m_LastGoal < HighestToShed) ||
       Now - m_LastPressureAt > m_Timings.m_LoweringDelay) {
-    m_LastGoal = Wanted;
+    m_LastGoal = HighestToShed;
     m_LastPressureAt = Now;
   }
   return m_LastGoal;
@@ -192,23 +192,23 @@
 ThresholdLeader::step(core::TimePoint Now) {
   advance(Now);
   m_HasPressure = false;
-  std::vector<std::pair<InstanceRef, ThresholdCommand>> Orders;
+  std::vector<std::pair<InstanceRef, ThresholdCommand>> Commands;
   for (const InstanceRef &Member : m_Record.m_Members) {
-    ThresholdCommand Order;
-    Order.m_Pool = m_Pool;
-    Order.m_To = Member.m_Incarnation;
-    Order.m_Leader = m_Self;
-    Order.m_Stamp = {epoch(), m_Sequence};
-    Order.m_Phase = m_Phase;
-    Order.m_Threshold = m_Threshold;
+    ThresholdCommand Command;
+    Command.m_Pool = m_Pool;
+    Command.m_To = Member.m_Incarnation;
+    Command.m_Leader = m_Self;
+    Command.m_Stamp = {epoch(), m_Sequence};
+    Command.m_Phase = m_Phase;
+    Command.m_Threshold = m_Threshold;
     auto Found = m_Reports.find(Member.m_Incarnation);
     if (Found != m_Reports.end())
-      Order.m_ReportSentAt = Found->second.m_Report.m_SentAt;
+      Command.m_ReportSentAt = Found->second.m_Report.m_SentAt;
     if (m_Phase == ThresholdPhase::Shed)
       m_LastPermitAt = Now;
-    Orders.emplace_back(Member, Order);
+    Commands.emplace_back(Member, Command);
   }
-  return Orders;
+  return Commands;
 }
 
 } // namespace yardrill::decision
--- a/Libraries/LibDecision/ThresholdLeader.h
+++ b/Libraries/LibDecision/ThresholdLeader.h
@@ -25,7 +25,7 @@
 public:
   /// \param Record as written, with this instance as leader.
   ThresholdLeader(core::PoolName Pool, InstanceRef Self, ThresholdRecord Record,
-                  std::int64_t Revision, ThresholdTimings Times,
+                  std::int64_t Revision, ThresholdTimings Timings,
                   core::TimePoint Now);
 
   void setTiers(core::TierNumber Highest, core::TierNumber Lowest);
--- a/Libraries/LibDecision/ThresholdMember.cpp
+++ b/Libraries/LibDecision/ThresholdMember.cpp
@@ -5,8 +5,8 @@
 namespace yardrill::decision {
 
 ThresholdMember::ThresholdMember(core::PoolName Pool, InstanceRef Self,
-                                 ThresholdTimings Times)
-    : m_Pool(std::move(Pool)), m_Self(std::move(Self)), m_Timings(Times) {}
+                                 ThresholdTimings Timings)
+    : m_Pool(std::move(Pool)), m_Self(std::move(Self)), m_Timings(Timings) {}
 
 void ThresholdMember::setTiers(core::TierNumber Highest,
                                core::TierNumber Lowest) {
@@ -30,25 +30,25 @@
   return Now < m_ShedPermitUntil && !(Tier < threshold());
 }
 
-bool ThresholdMember::applyCommand(const ThresholdCommand &Order,
+bool ThresholdMember::applyCommand(const ThresholdCommand &Command,
                                    core::TimePoint Now) {
-  if (Order.m_To != m_Self.m_Incarnation || Order.m_Stamp < m_Stamp)
+  if (Command.m_To != m_Self.m_Incarnation || Command.m_Stamp < m_Stamp)
     return false;
-  m_Stamp = Order.m_Stamp;
-  m_Leader = Order.m_Leader;
-  m_LeaderEpoch = Order.m_Stamp.m_Epoch;
+  m_Stamp = Command.m_Stamp;
+  m_Leader = Command.m_Leader;
+  m_LeaderEpoch = Command.m_Stamp.m_Epoch;
   m_LastCommandAt = Now;
-  switch (Order.m_Phase) {
+  switch (Command.m_Phase) {
   case ThresholdPhase::Adopt:
     m_ShedPermitUntil = core::TimePoint();
     break;
   case ThresholdPhase::Hold:
     m_ShedPermitUntil = core::TimePoint();
-    m_Threshold = Order.m_Threshold;
+    m_Threshold = Command.m_Threshold;
     break;
   case ThresholdPhase::Shed: {
-    m_Threshold = Order.m_Threshold;
-    core::TimePoint Reported{core::Duration(Order.m_ReportSentAt)};
+    m_Threshold = Command.m_Threshold;
+    core::TimePoint Reported{core::Duration(Command.m_ReportSentAt)};
     m_ShedPermitUntil =
         std::max(m_ShedPermitUntil, Reported + m_Timings.m_PermitLifetime);
     break;
--- a/Libraries/LibDecision/ThresholdMember.h
+++ b/Libraries/LibDecision/ThresholdMember.h
@@ -34,7 +34,7 @@
 class ThresholdMember {
 public:
   ThresholdMember(core::PoolName Pool, InstanceRef Self,
-                  ThresholdTimings Times);
+                  ThresholdTimings Timings);
 
   /// The pool's highest and lowest tier by the configuration in force.
   void setTiers(core::TierNumber Highest, core::TierNumber Lowest);
@@ -51,7 +51,7 @@
   ThresholdStamp stamp() const { return m_Stamp; }
 
   /// \returns false when the order is stale or not for this incarnation.
-  bool applyCommand(const ThresholdCommand &Order, core::TimePoint Now);
+  bool applyCommand(const ThresholdCommand &Command, core::TimePoint Now);
   /// Takes the leader from the pool's record, until an order comes.
   void setLeader(const InstanceRef &Leader, std::uint64_t Epoch);
 
--- a/Libraries/LibDecision/Trace.cpp
+++ b/Libraries/LibDecision/Trace.cpp
@@ -79,17 +79,18 @@
   }
 
   void observe(const Action &What) {
-    if (const auto *Go = std::get_if<Dispatch>(&What)) {
+    if (const auto *DispatchAction = std::get_if<Dispatch>(&What)) {
       ++m_Result.m_Dispatched;
-      bool IsFirst = m_AtTarget.insert(Go->m_Request).second;
+      bool IsFirst = m_AtTarget.insert(DispatchAction->m_Request).second;
       m_Result.m_DuplicateDispatches += IsFirst ? 0 : 1;
     }
-    const auto *No = std::get_if<Refuse>(&What);
-    if (!No)
+    const auto *RefuseAction = std::get_if<Refuse>(&What);
+    if (!RefuseAction)
       return;
     ++m_Result.m_Refused;
-    bool IsNotRun = describe(No->m_Kind).m_RunState == RunState::NotRun;
-    if (IsNotRun && m_AtTarget.count(No->m_Request) != 0)
+    bool IsNotRun =
+        describe(RefuseAction->m_Kind).m_RunState == RunState::NotRun;
+    if (IsNotRun && m_AtTarget.count(RefuseAction->m_Request) != 0)
       ++m_Result.m_RefusedAfterDispatch;
   }
 
--- a/Libraries/LibQuarantine/Gossip.cpp
+++ b/Libraries/LibQuarantine/Gossip.cpp
@@ -21,9 +21,9 @@
 /// Contents in the store's entry; with three runs each it has 15 KB.
 static constexpr std::size_t MaxStoredContents = 256;
 
-void Gossip::noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
-                            core::TimePoint Now) {
-  m_Table.noteTargetExit(Content, Run, Now);
+void Gossip::noteTargetExit(const ContentDigest &Content,
+                            IncarnationHash Incarnation, core::TimePoint Now) {
+  m_Table.noteTargetExit(Content, Incarnation, Now);
   broadcastUpdates(Now);
 }
 
@@ -32,8 +32,9 @@
   broadcastUpdates(Now);
 }
 
-void Gossip::merge(const std::vector<Observation> &Seen, core::TimePoint Now) {
-  for (const Observation &Each : Seen)
+void Gossip::merge(const std::vector<Observation> &Observed,
+                   core::TimePoint Now) {
+  for (const Observation &Each : Observed)
     m_Table.merge(Each, Now);
   broadcastUpdates(Now);
 }
@@ -43,12 +44,12 @@
 //===----------------------------------------------------------------------===//
 
 void Gossip::broadcastUpdates(core::TimePoint Now) {
-  std::vector<Observation> News = m_Table.takeUpdates();
-  if (News.empty())
+  std::vector<Observation> Updates = m_Table.takeUpdates();
+  if (Updates.empty())
     return;
-  m_Hooks.m_Broadcast(News);
+  m_Hooks.m_Broadcast(Updates);
   m_PendingBroadcasts.push_back(
-      {std::move(News), 0, Now + RebroadcastDelays.front()});
+      {std::move(Updates), 0, Now + RebroadcastDelays.front()});
 }
 
 void Gossip::rebroadcast(core::TimePoint Now) {
@@ -56,7 +57,7 @@
     PendingBroadcast Each = std::move(m_PendingBroadcasts.front());
     m_PendingBroadcasts.pop_front();
     if (Each.m_NextAt <= Now) {
-      m_Hooks.m_Broadcast(Each.m_Seen);
+      m_Hooks.m_Broadcast(Each.m_Observations);
       if (++Each.m_RepeatCount == RebroadcastDelays.size())
         continue;
       Each.m_NextAt = Now + RebroadcastDelays[Each.m_RepeatCount];
@@ -69,14 +70,14 @@
   if (Now - m_LastGossipAt < GossipPeriod)
     return;
   m_LastGossipAt = Now;
-  std::vector<Observation> Unrecorded;
+  std::vector<Observation> Unstored;
   for (const ContentDigest &Each :
        m_Table.suspectedContents(MinIncarnationsToStore))
-    for (const Observation &Seen : m_Table.observations(Each))
-      if (m_Stored.count(Seen) == 0)
-        Unrecorded.push_back(Seen);
-  if (!Unrecorded.empty())
-    m_Hooks.m_SendToSample(Unrecorded);
+    for (const Observation &Observed : m_Table.observations(Each))
+      if (m_Stored.count(Observed) == 0)
+        Unstored.push_back(Observed);
+  if (!Unstored.empty())
+    m_Hooks.m_SendToSample(Unstored);
 }
 
 void Gossip::upkeep(core::TimePoint Now) {
@@ -90,12 +91,12 @@
 //===----------------------------------------------------------------------===//
 
 bool Gossip::mergeStored(const std::string &Text, core::TimePoint Now) {
-  auto Seen = parseObservations(Text);
+  auto Observed = parseObservations(Text);
   m_Stored.clear();
-  if (!Seen)
+  if (!Observed)
     return false;
-  m_Stored.insert(Seen->begin(), Seen->end());
-  merge(*Seen, Now);
+  m_Stored.insert(Observed->begin(), Observed->end());
+  merge(*Observed, Now);
   return true;
 }
 
@@ -106,8 +107,8 @@
     Suspects.resize(MaxStoredContents);
   std::vector<Observation> Out;
   for (const ContentDigest &Each : Suspects)
-    for (const Observation &Seen : m_Table.observations(Each))
-      Out.push_back(Seen);
+    for (const Observation &Observed : m_Table.observations(Each))
+      Out.push_back(Observed);
   // What was excused stays: whoever missed that must hear of it. Not what came
   // since, or each end of a target would be written for popular contents.
   for (const Observation &Each : m_Stored)
@@ -115,9 +116,10 @@
         MinIncarnationsToStore)
       Out.push_back({Each.m_Content, Each.m_Incarnation,
                      m_Table.isCleared(Each.m_Content, Each.m_Incarnation)});
-  std::size_t Most = MaxStoredContents * QuarantineTable::MaxIncarnations;
-  if (Out.size() > Most)
-    Out.resize(Most);
+  std::size_t MaxObservations =
+      MaxStoredContents * QuarantineTable::MaxIncarnations;
+  if (Out.size() > MaxObservations)
+    Out.resize(MaxObservations);
   std::sort(Out.begin(), Out.end());
   return formatObservations(Out);
 }
--- a/Libraries/LibQuarantine/Gossip.h
+++ b/Libraries/LibQuarantine/Gossip.h
@@ -35,11 +35,11 @@
       : m_Hooks(std::move(Hooks)), m_Table(m_Hooks.m_Changed) {}
 
   // What is seen here, as in QuarantineTable.
-  void noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
+  void noteTargetExit(const ContentDigest &Content, IncarnationHash Incarnation,
                       core::TimePoint Now);
   void noteSuccess(const ContentDigest &Content, core::TimePoint Now);
   /// Takes what another instance tells.
-  void merge(const std::vector<Observation> &Seen, core::TimePoint Now);
+  void merge(const std::vector<Observation> &Observed, core::TimePoint Now);
   /// Takes what the store holds. \returns false when it can't be read.
   bool mergeStored(const std::string &Text, core::TimePoint Now);
   /// What the store should hold.
@@ -52,7 +52,7 @@
 private:
   /// Observations on their way to all others.
   struct PendingBroadcast {
-    std::vector<Observation> m_Seen;
+    std::vector<Observation> m_Observations;
     std::size_t m_RepeatCount = 0; ///< Told again so far.
     core::TimePoint m_NextAt{};
   };
--- a/Libraries/LibQuarantine/QuarantineFormat.cpp
+++ b/Libraries/LibQuarantine/QuarantineFormat.cpp
@@ -8,10 +8,10 @@
 static constexpr int HexBase = 16;
 static constexpr char ClearedMark = '-';
 
-std::string formatObservations(const std::vector<Observation> &Seen) {
+std::string formatObservations(const std::vector<Observation> &Observed) {
   std::ostringstream Out;
   const ContentDigest *Before = nullptr;
-  for (const Observation &Each : Seen) {
+  for (const Observation &Each : Observed) {
     if (!Before || !(*Before == Each.m_Content))
       Out << (Before ? "\n" : "") << Each.m_Content;
     Before = &Each.m_Content;
@@ -24,8 +24,8 @@
   return Out.str();
 }
 
-static std::optional<Observation> readRun(const ContentDigest &Content,
-                                          const std::string &Word) {
+static std::optional<Observation> parseObservation(const ContentDigest &Content,
+                                                   const std::string &Word) {
   Observation Out;
   Out.m_Content = Content;
   const char *End = Word.data() + Word.size();
@@ -51,10 +51,10 @@
     if (!Content)
       return std::nullopt;
     while (Words >> Word) {
-      auto Seen = readRun(*Content, Word);
-      if (!Seen)
+      auto Observed = parseObservation(*Content, Word);
+      if (!Observed)
         return std::nullopt;
-      Out.push_back(*Seen);
+      Out.push_back(*Observed);
     }
   }
   return Out;
@@ -62,11 +62,11 @@
 
 std::optional<std::string> withContentCleared(const std::string &Text,
                                               const ContentDigest &Content) {
-  auto Seen = parseObservations(Text);
-  if (!Seen)
+  auto Observed = parseObservations(Text);
+  if (!Observed)
     return std::nullopt;
   bool IsThere = false;
-  for (Observation &Each : *Seen) {
+  for (Observation &Each : *Observed) {
     if (!(Each.m_Content == Content))
       continue;
     IsThere = true;
@@ -74,7 +74,7 @@
   }
   if (!IsThere)
     return std::nullopt;
-  return formatObservations(*Seen);
+  return formatObservations(*Observed);
 }
 
 } // namespace yardrill::quarantine
--- a/Libraries/LibQuarantine/QuarantineFormat.h
+++ b/Libraries/LibQuarantine/QuarantineFormat.h
@@ -14,7 +14,7 @@
 /// On each line a content, and after blanks the runs that ended under it, in
 /// hex; an excused one ends with a minus. In the order of \p Seen, which must
 /// have the observations of one content next to each other.
-std::string formatObservations(const std::vector<Observation> &Seen);
+std::string formatObservations(const std::vector<Observation> &Observed);
 
 /// \returns nothing when \p Text is not what formatObservations() gives.
 std::optional<std::vector<Observation>>
--- a/Libraries/LibQuarantine/QuarantineTable.cpp
+++ b/Libraries/LibQuarantine/QuarantineTable.cpp
@@ -11,7 +11,7 @@
 
 std::size_t QuarantineTable::Entry::incriminatingIncarnations() const {
   return static_cast<std::size_t>(
-      std::count_if(m_Runs.begin(), m_Runs.end(),
+      std::count_if(m_Incarnations.begin(), m_Incarnations.end(),
                     [](const auto &Each) { return !Each.second; }));
 }
 
@@ -23,12 +23,12 @@
 }
 
 bool QuarantineTable::isCleared(const ContentDigest &Content,
-                                IncarnationHash Run) const {
+                                IncarnationHash Incarnation) const {
   auto Found = m_Entries.find(Content);
   if (Found == m_Entries.end())
     return true;
-  auto Seen = Found->second.m_Runs.find(Run);
-  return Seen == Found->second.m_Runs.end() || Seen->second;
+  auto Observed = Found->second.m_Incarnations.find(Incarnation);
+  return Observed == Found->second.m_Incarnations.end() || Observed->second;
 }
 
 std::vector<Observation>
@@ -36,16 +36,16 @@
   std::vector<Observation> Out;
   auto Found = m_Entries.find(Content);
   if (Found != m_Entries.end())
-    for (const auto &[Run, IsCleared] : Found->second.m_Runs)
-      Out.push_back({Content, Run, IsCleared});
+    for (const auto &[Incarnation, IsCleared] : Found->second.m_Incarnations)
+      Out.push_back({Content, Incarnation, IsCleared});
   return Out;
 }
 
 std::vector<ContentDigest>
 QuarantineTable::suspectedContents(std::size_t Least) const {
   std::vector<ContentDigest> Out;
-  for (const auto &[Content, Which] : m_Entries)
-    if (Which.incriminatingIncarnations() >= Least)
+  for (const auto &[Content, Suspect] : m_Entries)
+    if (Suspect.incriminatingIncarnations() >= Least)
       Out.push_back(Content);
   std::sort(Out.begin(), Out.end());
   return Out;
@@ -62,10 +62,11 @@
 //===----------------------------------------------------------------------===//
 
 void QuarantineTable::noteTargetExit(const ContentDigest &Content,
-                                     IncarnationHash Run, core::TimePoint Now) {
-  Observation Seen{Content, Run, hasRecentSuccess(Content, Now)};
-  if (apply(Seen, Now))
-    m_Updates.push_back(Seen);
+                                     IncarnationHash Incarnation,
+                                     core::TimePoint Now) {
+  Observation Observed{Content, Incarnation, hasRecentSuccess(Content, Now)};
+  if (apply(Observed, Now))
+    m_Updates.push_back(Observed);
 }
 
 void QuarantineTable::noteSuccess(const ContentDigest &Content,
@@ -84,63 +85,65 @@
 
 bool QuarantineTable::hasRecentSuccess(const ContentDigest &Content,
                                        core::TimePoint Now) const {
-  const Success &Seen = m_RecentSuccesses[Content.m_High % SuccessSlots];
-  return Seen.m_IsSet && Seen.m_Content == Content &&
-         Now - Seen.m_At <= SuccessWindow;
+  const Success &Observed = m_RecentSuccesses[Content.m_High % SuccessSlots];
+  return Observed.m_IsSet && Observed.m_Content == Content &&
+         Now - Observed.m_At <= SuccessWindow;
 }
 
 //===----------------------------------------------------------------------===//
 // What others say
 //===----------------------------------------------------------------------===//
 
-void QuarantineTable::merge(const Observation &Seen, core::TimePoint Now) {
+void QuarantineTable::merge(const Observation &Observed, core::TimePoint Now) {
   bool IsClearedHere =
-      !Seen.m_IsCleared && hasRecentSuccess(Seen.m_Content, Now);
-  Observation Known = Seen;
-  Known.m_IsCleared = Seen.m_IsCleared || IsClearedHere;
+      !Observed.m_IsCleared && hasRecentSuccess(Observed.m_Content, Now);
+  Observation Known = Observed;
+  Known.m_IsCleared = Observed.m_IsCleared || IsClearedHere;
   // The others have not seen it answered.
   if (apply(Known, Now) && IsClearedHere)
     m_Updates.push_back(Known);
 }
 
-bool QuarantineTable::apply(const Observation &Seen, core::TimePoint Now) {
-  if (m_Entries.find(Seen.m_Content) == m_Entries.end())
-    makeRoom();
-  Entry &Which = m_Entries[Seen.m_Content];
-  auto Found = Which.m_Runs.find(Seen.m_Incarnation);
-  bool IsKnown = Found != Which.m_Runs.end();
+bool QuarantineTable::apply(const Observation &Observed, core::TimePoint Now) {
+  if (m_Entries.find(Observed.m_Content) == m_Entries.end())
+    evictIfFull();
+  Entry &Suspect = m_Entries[Observed.m_Content];
+  auto Found = Suspect.m_Incarnations.find(Observed.m_Incarnation);
+  bool IsKnown = Found != Suspect.m_Incarnations.end();
   // Excused is for good.
-  if (IsKnown && (Found->second || !Seen.m_IsCleared))
+  if (IsKnown && (Found->second || !Observed.m_IsCleared))
     return false;
-  bool WasQuarantined = Which.incriminatingIncarnations() >= RunsToQuarantine;
+  bool WasQuarantined = Suspect.incriminatingIncarnations() >= RunsToQuarantine;
   if (IsKnown) {
     Found->second = true;
   } else {
-    makeRoom(Which);
-    if (Which.m_Runs.size() >= MaxIncarnations)
+    evictIfFull(Suspect);
+    if (Suspect.m_Incarnations.size() >= MaxIncarnations)
       return false;
-    Which.m_Runs.emplace(Seen.m_Incarnation, Seen.m_IsCleared);
+    Suspect.m_Incarnations.emplace(Observed.m_Incarnation,
+                                   Observed.m_IsCleared);
   }
-  Which.m_ChangedAt = Now;
-  bool IsQuarantined = Which.incriminatingIncarnations() >= RunsToQuarantine;
+  Suspect.m_ChangedAt = Now;
+  bool IsQuarantined = Suspect.incriminatingIncarnations() >= RunsToQuarantine;
   if (IsQuarantined == WasQuarantined)
     return true;
   m_Quarantined += IsQuarantined ? 1 : -1;
   if (m_Changed)
-    m_Changed(Seen.m_Content, IsQuarantined);
+    m_Changed(Observed.m_Content, IsQuarantined);
   return true;
 }
 
-void QuarantineTable::makeRoom(Entry &Which) const {
-  if (Which.m_Runs.size() < MaxIncarnations)
+void QuarantineTable::evictIfFull(Entry &Suspect) const {
+  if (Suspect.m_Incarnations.size() < MaxIncarnations)
     return;
-  auto Excused = std::find_if(Which.m_Runs.begin(), Which.m_Runs.end(),
-                              [](const auto &Each) { return Each.second; });
-  if (Excused != Which.m_Runs.end())
-    Which.m_Runs.erase(Excused);
+  auto Cleared =
+      std::find_if(Suspect.m_Incarnations.begin(), Suspect.m_Incarnations.end(),
+                   [](const auto &Each) { return Each.second; });
+  if (Cleared != Suspect.m_Incarnations.end())
+    Suspect.m_Incarnations.erase(Cleared);
 }
 
-void QuarantineTable::makeRoom() {
+void QuarantineTable::evictIfFull() {
   if (m_Entries.size() < MaxContents)
     return;
   auto Least = std::min_element(
--- a/Libraries/LibQuarantine/QuarantineTable.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -62,17 +62,18 @@
       : m_Changed(std::move(Changed)) {}
 
   /// A target ended under it, at this instance.
-  void noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
+  void noteTargetExit(const ContentDigest &Content, IncarnationHash Incarnation,
                       core::TimePoint Now);
   /// A target answered it whole, and went on.
   void noteSuccess(const ContentDigest &Content, core::TimePoint Now);
   /// What another instance or the store says.
-  void merge(const Observation &Seen, core::TimePoint Now);
+  void merge(const Observation &Observed, core::TimePoint Now);
 
   /// Runs that stand against it.
   std::size_t incriminatingIncarnations(const ContentDigest &Content) const;
   /// Whether the run says nothing against it; also when it is not known.
-  bool isCleared(const ContentDigest &Content, IncarnationHash Run) const;
+  bool isCleared(const ContentDigest &Content,
+                 IncarnationHash Incarnation) const;
   bool isSuspect(const ContentDigest &Content) const {
     return incriminatingIncarnations(Content) >= RunsToSuspect;
   }
@@ -90,7 +91,7 @@
 
 private:
   struct Entry {
-    std::map<IncarnationHash, bool> m_Runs; ///< Whether it is excused.
+    std::map<IncarnationHash, bool> m_Incarnations; ///< Whether it is excused.
     core::TimePoint m_ChangedAt{};
 
     std::size_t incriminatingIncarnations() const;
@@ -108,9 +109,9 @@
   bool hasRecentSuccess(const ContentDigest &Content,
                         core::TimePoint Now) const;
   /// \returns whether it changed anything.
-  bool apply(const Observation &Seen, core::TimePoint Now);
-  void makeRoom();
-  void makeRoom(Entry &Which) const;
+  bool apply(const Observation &Observed, core::TimePoint Now);
+  void evictIfFull();
+  void evictIfFull(Entry &Suspect) const;
 
   Hook m_Changed;
   std::unordered_map<ContentDigest, Entry> m_Entries;
--- a/Libraries/LibRollout/Comparison.cpp
+++ b/Libraries/LibRollout/Comparison.cpp
@@ -75,18 +75,19 @@
     for (auto &[Route, Times] : Seen)
       Baseline.try_emplace(Route, std::move(Times));
   }
-  std::map<std::uint32_t, int> Middle;
+  std::map<std::uint32_t, int> Median;
   for (const auto &[Route, Times] : Baseline)
-    Middle[Route] = binAt(Times, 0.5);
-  std::map<std::pair<Side, std::uint32_t>, RelativeTimes> ByRun;
+    Median[Route] = binAt(Times, 0.5);
+  std::map<std::pair<Side, std::uint32_t>, RelativeTimes> ByIncarnation;
   for (const auto &[Key, Counts] : Sum)
     for (std::size_t I = 0; I < TimeBinCount; ++I)
       if (Counts.m_Times[I] > 0)
-        ByRun[{Key.m_Side, Key.m_Target}]
-             [static_cast<int>(I) - Middle[Key.m_Route]] += Counts.m_Times[I];
+        ByIncarnation[{Key.m_Side, Key.m_Target}]
+                     [static_cast<int>(I) - Median[Key.m_Route]] +=
+            Counts.m_Times[I];
   std::map<std::pair<Side, std::uint32_t>, int> SlowFrom;
-  for (const auto &[Run, Times] : ByRun)
-    SlowFrom[Run] = slowThreshold(Run.first, Times);
+  for (const auto &[Incarnation, Times] : ByIncarnation)
+    SlowFrom[Incarnation] = slowThreshold(Incarnation.first, Times);
   for (const auto &[Key, Counts] : Sum) {
     auto From = SlowFrom.find({Key.m_Side, Key.m_Target});
     if (From == SlowFrom.end() || From->second == NeverSlow)
@@ -95,7 +96,7 @@
     Count &Into = (Key.m_Side == Side::New ? Of.m_New : Of.m_Old)[Key.m_Target];
     Into.m_All += Counts.successes();
     for (std::size_t I = 0; I < TimeBinCount; ++I)
-      if (static_cast<int>(I) - Middle[Key.m_Route] >= From->second)
+      if (static_cast<int>(I) - Median[Key.m_Route] >= From->second)
         Into.m_Bad += Counts.m_Times[I];
   }
 }
@@ -116,8 +117,8 @@
       std::sqrt(Baseline * (1 - Baseline) / (Old.m_All + 1)) + MinBaseline;
   Baseline = std::min(Baseline, 0.9);
   double Best = -std::numeric_limits<double>::max();
-  for (double More : ExcessShares) {
-    double Share = std::min(Baseline + More, 0.97);
+  for (double Excess : ExcessShares) {
+    double Share = std::min(Baseline + Excess, 0.97);
     Best = std::max(Best, New.m_Bad * std::log(Share / Baseline) +
                               (New.m_All - New.m_Bad) *
                                   std::log((1 - Share) / (1 - Baseline)));
@@ -137,10 +138,10 @@
     Sorted.push_back(Each);
   std::sort(Sorted.begin(), Sorted.end(),
             [](const Count &A, const Count &B) { return A.m_Bad > B.m_Bad; });
-  auto Aside = static_cast<std::size_t>(
+  auto Trimmed = static_cast<std::size_t>(
       std::ceil(static_cast<double>(Sorted.size()) * TrimmedPart));
   Count Rest;
-  for (std::size_t I = Aside; I < Sorted.size(); ++I) {
+  for (std::size_t I = Trimmed; I < Sorted.size(); ++I) {
     Rest.m_All += Sorted[I].m_All;
     Rest.m_Bad += Sorted[I].m_Bad;
   }
--- a/Libraries/LibRollout/Coordinator.cpp
+++ b/Libraries/LibRollout/Coordinator.cpp
@@ -51,28 +51,28 @@
                   MaxSampleShare);
 }
 
-Permit Coordinator::handleReport(core::IncarnationId From, const Report &Told,
-                                 core::TimePoint Now) {
+Permit Coordinator::handleReport(core::IncarnationId From,
+                                 const Report &Received, core::TimePoint Now) {
   ParticipantState &Participant = m_Participants[From];
-  for (const auto &[Key, Counts] : Told.m_Counts) {
-    ResponseCounts &Held = Participant.m_Counts[Key];
+  for (const auto &[Key, Counts] : Received.m_Counts) {
+    ResponseCounts &Known = Participant.m_Counts[Key];
     // A report that overtook another one.
-    if (Held.total() < Counts.total())
-      Held = Counts;
+    if (Known.total() < Counts.total())
+      Known = Counts;
   }
-  if (Participant.m_LastReport.m_Number <= Told.m_Number) {
-    Participant.m_LastReport = Told;
+  if (Participant.m_LastReport.m_Number <= Received.m_Number) {
+    Participant.m_LastReport = Received;
     Participant.m_LastReport.m_Counts.clear();
   }
-  Participant.m_HeardAt = Now;
+  Participant.m_LastReportAt = Now;
   Permit Out;
   Out.m_Order = m_Order.m_Id;
-  Out.m_Report = Told.m_Number;
+  Out.m_Report = Received.m_Number;
   Out.m_Traffic = m_End ? Traffic::Old : m_Traffic;
   // Completed, but not everywhere heard of yet.
   if (m_End && m_End->m_State == State::Completed)
     Out.m_Traffic = Traffic::New;
-  Out.m_Share = share(Told.m_Age);
+  Out.m_Share = share(Received.m_Age);
   return Out;
 }
 
@@ -111,16 +111,17 @@
 
 std::optional<Decision> Coordinator::decideSampling(const PoolCapacity &Targets,
                                                     core::Duration Age) {
-  double Part = core::toSeconds(Age) / core::toSeconds(m_Order.m_BakeTime);
+  double ElapsedPart =
+      core::toSeconds(Age) / core::toSeconds(m_Order.m_BakeTime);
   bool IsUnsuspected = !m_Judgement.isSuspect() &&
                        m_Judgement.m_NewResponses >= MinResponses &&
                        m_Judgement.m_MinGoodScore > -MaxScoreAgainst;
-  bool MayMove =
-      m_Judgement.isGood() || (Part >= LateSamplePart && IsUnsuspected);
+  bool MayShift =
+      m_Judgement.isGood() || (ElapsedPart >= LateSamplePart && IsUnsuspected);
   // Nothing is left to be moved: a restart after the others were stopped.
-  bool HasNoOld = Targets.m_OldSlots == 0 && Targets.m_NewSlots > 0;
-  if (Part >= SamplePart && MayMove &&
-      (hasEnoughCapacity(Targets) || HasNoOld)) {
+  bool HasNoOldSlots = Targets.m_OldSlots == 0 && Targets.m_NewSlots > 0;
+  if (ElapsedPart >= SamplePart && MayShift &&
+      (hasEnoughCapacity(Targets) || HasNoOldSlots)) {
     m_Traffic = Traffic::New;
     return std::nullopt;
   }
@@ -128,7 +129,7 @@
     return std::nullopt;
   if (Targets.m_NewSlots == 0)
     return end(State::RolledBack, "no-targets");
-  if (MayMove)
+  if (MayShift)
     return end(State::RolledBack, "too-few-targets");
   if (m_Judgement.isSuspect())
     return end(State::RolledBack, m_Judgement.m_Worst.m_Kind);
@@ -139,7 +140,7 @@
   return std::all_of(m_Participants.begin(), m_Participants.end(),
                      [Now](const auto &E) {
                        const ParticipantState &Each = E.second;
-                       if (Now - Each.m_HeardAt > ParticipantTimeout)
+                       if (Now - Each.m_LastReportAt > ParticipantTimeout)
                          return true;
                        return Each.m_LastReport.m_Traffic == Traffic::New &&
                               Each.m_LastReport.m_RunningOld == 0;
--- a/Libraries/LibRollout/Coordinator.h
+++ b/Libraries/LibRollout/Coordinator.h
@@ -43,7 +43,7 @@
   Coordinator(Order What, const ExposureLimits &Limits, core::TimePoint Now);
 
   /// \returns the answer to it.
-  Permit handleReport(core::IncarnationId From, const Report &Told,
+  Permit handleReport(core::IncarnationId From, const Report &Received,
                       core::TimePoint Now);
   /// To be called several times a second. \param Age of the order.
   /// \returns the end of the order; asked again it stays what it was.
@@ -57,7 +57,7 @@
   struct ParticipantState {
     Report m_LastReport;
     ResponseCountsByKey m_Counts;
-    core::TimePoint m_HeardAt{};
+    core::TimePoint m_LastReportAt{};
   };
 
   /// Of the requests that are to try the new version, by how many there are.
--- a/Libraries/LibRollout/Evidence.cpp
+++ b/Libraries/LibRollout/Evidence.cpp
@@ -26,10 +26,10 @@
     m_Times[I] += Other.m_Times[I];
 }
 
-void Evidence::addResponse(const ResponseCountsKey &Where, ResponseQuality How,
-                           core::Duration Time) {
-  ResponseCounts &Counts = m_Counts[Where];
-  if (How == ResponseQuality::Failed)
+void Evidence::addResponse(const ResponseCountsKey &Key,
+                           ResponseQuality Quality, core::Duration Time) {
+  ResponseCounts &Counts = m_Counts[Key];
+  if (Quality == ResponseQuality::Failed)
     ++Counts.m_Failures;
   else
     ++Counts.m_Times[timeBin(core::toSeconds(Time) * 1000)];
--- a/Libraries/LibRollout/Evidence.h
+++ b/Libraries/LibRollout/Evidence.h
@@ -54,9 +54,9 @@
 class Evidence {
 public:
   /// \param Time that the answer took, at the size that all are brought to.
-  void addResponse(const ResponseCountsKey &Where, ResponseQuality How,
+  void addResponse(const ResponseCountsKey &Key, ResponseQuality Quality,
                    core::Duration Time);
-  const ResponseCountsByKey &cells() const { return m_Counts; }
+  const ResponseCountsByKey &counts() const { return m_Counts; }
 
 private:
   ResponseCountsByKey m_Counts;
--- a/Libraries/LibRollout/Judge.cpp
+++ b/Libraries/LibRollout/Judge.cpp
@@ -13,15 +13,15 @@
                                       const ResponseCountsByKey &Before) {
   ResponseCountsByKey Out;
   for (const auto &[Key, Counts] : Now) {
-    ResponseCounts Grown = Counts;
+    ResponseCounts Increase = Counts;
     auto Old = Before.find(Key);
     if (Old != Before.end()) {
-      Grown.m_Failures -= Old->second.m_Failures;
+      Increase.m_Failures -= Old->second.m_Failures;
       for (std::size_t I = 0; I < TimeBinCount; ++I)
-        Grown.m_Times[I] -= Old->second.m_Times[I];
+        Increase.m_Times[I] -= Old->second.m_Times[I];
     }
-    if (Grown.total() > 0)
-      Out.emplace(Key, Grown);
+    if (Increase.total() > 0)
+      Out.emplace(Key, Increase);
   }
   return Out;
 }
@@ -44,8 +44,8 @@
 }
 
 Judgement Judge::evaluate(const ResponseCountsByKey &Sum, core::TimePoint Now) {
-  Comparison Whole(Sum);
-  Judgement Out = Whole.judge();
+  Comparison AllTime(Sum);
+  Judgement Out = AllTime.judge();
   for (auto Span : Spans) {
     // The newest snapshot that is at least so old.
     const Snapshot *From = nullptr;
--- a/Libraries/LibRollout/Participant.cpp
+++ b/Libraries/LibRollout/Participant.cpp
@@ -29,18 +29,18 @@
          m_SampleBudget.isSampleAllowed(Route);
 }
 
-void Participant::applyPermit(const Permit &Given, core::TimePoint Now) {
-  if (Given.m_Order != m_Order.m_Id)
+void Participant::applyPermit(const Permit &Received, core::TimePoint Now) {
+  if (Received.m_Order != m_Order.m_Id)
     return;
-  auto Which =
-      std::find_if(m_SentReports.begin(), m_SentReports.end(),
-                   [&](const auto &E) { return E.m_Number == Given.m_Report; });
+  auto Which = std::find_if(
+      m_SentReports.begin(), m_SentReports.end(),
+      [&](const auto &E) { return E.m_Number == Received.m_Report; });
   // One that comes late may be older than one that is in force.
-  if (Which == m_SentReports.end() || Given.m_Report < m_Permit.m_Report)
+  if (Which == m_SentReports.end() || Received.m_Report < m_Permit.m_Report)
     return;
-  if (traffic(Now) != Given.m_Traffic)
+  if (traffic(Now) != Received.m_Traffic)
     m_SampleBudget.reset();
-  m_Permit = Given;
+  m_Permit = Received;
   m_PermitUntil = Which->m_At + Permit::Lifetime;
 }
 
@@ -51,19 +51,19 @@
   m_SampleBudget.sent(Route, IsNew, IsSampling ? m_Permit.m_Share : 0);
 }
 
-void Participant::recordResponse(const ResponseCountsKey &Where,
-                                 ResponseQuality How, core::Duration Time,
+void Participant::recordResponse(const ResponseCountsKey &Key,
+                                 ResponseQuality Quality, core::Duration Time,
                                  core::TimePoint Now) {
-  m_Evidence.addResponse(Where, How, Time);
-  m_Changed.insert(Where);
-  checkLocalResponses(Where, How, Now);
+  m_Evidence.addResponse(Key, Quality, Time);
+  m_Changed.insert(Key);
+  checkLocalResponses(Key, Quality, Now);
 }
 
-void Participant::checkLocalResponses(const ResponseCountsKey &Where,
-                                      ResponseQuality How,
+void Participant::checkLocalResponses(const ResponseCountsKey &Key,
+                                      ResponseQuality Quality,
                                       core::TimePoint Now) {
-  bool IsFailure = How == ResponseQuality::Failed;
-  if (Where.m_Side == Side::Old) {
+  bool IsFailure = Quality == ResponseQuality::Failed;
+  if (Key.m_Side == Side::Old) {
     m_OldFailureShare +=
         FailureShareWeight * ((IsFailure ? 1 : 0) - m_OldFailureShare);
     return;
@@ -73,14 +73,15 @@
     m_RecentFailures.pop_front();
   auto Failed = static_cast<double>(
       std::count(m_RecentFailures.begin(), m_RecentFailures.end(), true));
-  bool IsPlain = m_RecentFailures.size() == OwnSampleSize &&
-                 Failed / OwnSampleSize > m_OldFailureShare + MinLocalExcess;
-  if (IsPlain && traffic(Now) == Traffic::New)
+  bool IsClearlyWorse =
+      m_RecentFailures.size() == OwnSampleSize &&
+      Failed / OwnSampleSize > m_OldFailureShare + MinLocalExcess;
+  if (IsClearlyWorse && traffic(Now) == Traffic::New)
     m_StoppedUntil = Now + Permit::Lifetime;
 }
 
 ResponseCountsByKey Participant::countsToReport() {
-  const ResponseCountsByKey &All = m_Evidence.cells();
+  const ResponseCountsByKey &All = m_Evidence.counts();
   ResponseCountsByKey Out;
   for (const ResponseCountsKey &Each : m_Changed)
     Out.emplace(Each, All.at(Each));
--- a/Libraries/LibRollout/Participant.h
+++ b/Libraries/LibRollout/Participant.h
@@ -28,9 +28,9 @@
   /// Whether a request on \p Route is to try the new version now.
   bool isSampleDue(std::uint32_t Route, core::TimePoint Now) const;
 
-  void applyPermit(const Permit &Given, core::TimePoint Now);
+  void applyPermit(const Permit &Received, core::TimePoint Now);
   void sent(std::uint32_t Route, bool IsNew, core::TimePoint Now);
-  void recordResponse(const ResponseCountsKey &Where, ResponseQuality How,
+  void recordResponse(const ResponseCountsKey &Key, ResponseQuality Quality,
                       core::Duration Time, core::TimePoint Now);
   /// The next report. \param RunningOld see Report.
   Report report(std::uint32_t RunningOld, core::TimePoint Now);
@@ -46,8 +46,8 @@
   bool isStopped(core::TimePoint Now) const { return Now < m_StoppedUntil; }
   /// Stops by itself where all goes to the new version and it plainly fails:
   /// sooner than the coordinator can.
-  void checkLocalResponses(const ResponseCountsKey &Where, ResponseQuality How,
-                           core::TimePoint Now);
+  void checkLocalResponses(const ResponseCountsKey &Key,
+                           ResponseQuality Quality, core::TimePoint Now);
 
   struct SentReport {
     std::uint64_t m_Number = 0;
--- a/Libraries/LibRollout/SampleBudget.h
+++ b/Libraries/LibRollout/SampleBudget.h
@@ -28,7 +28,7 @@
   static constexpr double MaxSaved = 4;
 
   double m_Allowance = 0;
-  std::map<std::uint32_t, std::uint32_t> m_Tries; ///< By route.
+  std::map<std::uint32_t, std::uint32_t> m_Samples; ///< By route.
 };
 
 } // namespace yardrill::rollout
--- a/Tests/LibDecision/LeavingTargetTest.cpp
+++ b/Tests/LibDecision/LeavingTargetTest.cpp
@@ -18,7 +18,7 @@
   std::uint64_t m_NextRequest = 1;
   std::uint64_t m_NextVersion = 1;
 
-  std::vector<Action> tell(const Event &What) {
+  std::vector<Action> process(const Event &What) {
     return m_Core.handle(What, m_Now);
   }
 
@@ -29,7 +29,7 @@
     for (const std::string &Name : Targets)
       Text += "      - {name: " + Name +
               ", address: 127.0.0.1:1, data_hall: x, places: 4}\n";
-    tell(ConfigurationAccepted{config::FleetConfiguration::parse(
+    process(ConfigurationAccepted{config::FleetConfiguration::parse(
         Text, "test", core::ConfigurationVersion(m_NextVersion++))});
   }
 
@@ -38,33 +38,33 @@
     What.m_Request = core::RequestId(m_NextRequest++);
     What.m_Tier = core::TierNumber(1);
     What.m_Pool = core::PoolName("p");
-    auto Actions = tell(What);
+    auto Actions = process(What);
     return !Actions.empty() && std::holds_alternative<Dispatch>(Actions[0]);
   }
 
 public:
-  void setUp() override { tell(InstanceStarted{}); }
+  void setUp() override { process(InstanceStarted{}); }
 
   /// An instance that starts may hear the list before the configuration.
   void testHeardBeforeTheConfiguration() {
-    tell(TargetStateChanged{core::TargetName("t"), true});
+    process(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
     CPPUNIT_ASSERT(!isDispatched());
   }
 
   void testHeardBeforeTheTargetIsAdded() {
     publish({"other"});
-    tell(TargetStateChanged{core::TargetName("t"), true});
+    process(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
     CPPUNIT_ASSERT(!isDispatched());
   }
 
   void testComesBack() {
     publish({"t"});
-    tell(TargetStateChanged{core::TargetName("t"), true});
+    process(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
     CPPUNIT_ASSERT(!isDispatched());
-    tell(TargetStateChanged{core::TargetName("t"), false});
+    process(TargetStateChanged{core::TargetName("t"), false});
     CPPUNIT_ASSERT(isDispatched());
   }
 };
--- a/Tests/LibDecision/PolicyInForceTest.cpp
+++ b/Tests/LibDecision/PolicyInForceTest.cpp
@@ -34,11 +34,11 @@
                        "y, places: 1}\n"
                        "policy: |\n  " +
                        Policy + "\n";
-    tell(ConfigurationAccepted{config::FleetConfiguration::parse(
+    process(ConfigurationAccepted{config::FleetConfiguration::parse(
         Text, "test", core::ConfigurationVersion(m_NextVersion++))});
   }
 
-  std::vector<Action> tell(const Event &What) {
+  std::vector<Action> process(const Event &What) {
     return m_Core.handle(What, m_Now);
   }
 
@@ -48,7 +48,7 @@
     What.m_Tier = core::TierNumber(1);
     What.m_Pool = core::PoolName("p");
     What.m_OutputTokens = OutputTokens;
-    return tell(What);
+    return process(What);
   }
 
   static const Dispatch &dispatchIn(const std::vector<Action> &Actions) {
@@ -58,14 +58,14 @@
   }
 
   std::vector<Action> end(std::uint64_t Request) {
-    return tell(ResponseEnded{core::RequestId(Request)});
+    return process(ResponseEnded{core::RequestId(Request)});
   }
 
 public:
   void setUp() override {
     InstanceStarted Start;
     Start.m_Identities = 10;
-    tell(Start);
+    process(Start);
   }
 
   void testOrderWithinAnAccount() {
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT(std::get<Refuse>(Actions.front()).m_Request ==
                    core::RequestId(6));
     m_Now += std::chrono::seconds(5);
-    for (const Action &Each : tell(TimePassed{}))
+    for (const Action &Each : process(TimePassed{}))
       CPPUNIT_ASSERT(!std::holds_alternative<Refuse>(Each));
   }
 
--- a/Tests/LibDecision/TierOrderScheduleTest.cpp
+++ b/Tests/LibDecision/TierOrderScheduleTest.cpp
@@ -87,11 +87,11 @@
   void run() {
     for (int I = 0; I < Ticks; ++I) {
       m_Now += Tick;
-      fail();
+      injectFaults();
       deliver();
       for (int Index = 0; Index < Instances; ++Index)
         if (isAwake(Index))
-          live(Index);
+          runTick(Index);
     }
   }
 
@@ -103,7 +103,7 @@
   bool chance(double Probability) {
     return std::uniform_real_distribution<>(0, 1)(m_Random) < Probability;
   }
-  int below(int Limit) { return static_cast<int>(m_Random() % Limit); }
+  int drawBelow(int Limit) { return static_cast<int>(m_Random() % Limit); }
   Simulated *at(int Index) { return m_All[static_cast<size_t>(Index)].get(); }
   bool isAwake(int Index) {
     return at(Index) && at(Index)->m_FrozenUntil <= m_Now;
@@ -119,30 +119,30 @@
     Start.m_Self = at(Index)->m_Instance;
     Start.m_Seed = m_Random();
     Start.m_Identities = 10;
-    tell(Index, Start);
-    tell(Index, ConfigurationAccepted{m_Configuration});
-    tell(Index, InstanceCountChanged{Instances});
+    process(Index, Start);
+    process(Index, ConfigurationAccepted{m_Configuration});
+    process(Index, InstanceCountChanged{Instances});
   }
 
   /// Kills, freezes, cuts and outages.
-  void fail() {
+  void injectFaults() {
     if (chance(0.003))
       m_IsStoreUp = !m_IsStoreUp;
     if (chance(0.01)) {
-      m_Cut.clear();
+      m_CutLinks.clear();
       for (int A = 0; A < Instances && chance(0.5); ++A)
         for (int B = 0; B < Instances; ++B)
           if (chance(0.3))
-            m_Cut.insert({A, B});
+            m_CutLinks.insert({A, B});
     }
-    int Index = below(Instances);
+    int Index = drawBelow(Instances);
     if (at(Index) && chance(0.002)) {
       m_Dead.emplace_back(m_Now, at(Index)->m_Instance.m_Incarnation);
       m_All[static_cast<size_t>(Index)].reset();
     } else if (!at(Index) && chance(0.05)) {
       boot(Index);
     } else if (at(Index) && chance(0.004)) {
-      at(Index)->m_FrozenUntil = m_Now + Tick * (10 + below(200));
+      at(Index)->m_FrozenUntil = m_Now + Tick * (10 + drawBelow(200));
     }
   }
 
@@ -155,11 +155,11 @@
 
   void send(int From, const InstanceRef &To, const Event &What) {
     int Index = indexOf(To.m_Incarnation);
-    if (Index < 0 || m_Cut.count({From, Index}) != 0 || chance(0.05))
+    if (Index < 0 || m_CutLinks.count({From, Index}) != 0 || chance(0.05))
       return;
-    core::Duration Delay = Tick * below(3);
+    core::Duration Delay = Tick * drawBelow(3);
     if (chance(0.03))
-      Delay = Tick * (10 + below(60));
+      Delay = Tick * (10 + drawBelow(60));
     m_Messages.push_back({m_Now + Delay, To.m_Incarnation, What});
   }
 
@@ -174,15 +174,15 @@
     m_Messages = Later;
     for (Message &Each : Due)
       if (int Index = indexOf(Each.m_To); Index >= 0)
-        tell(Index, Each.m_What);
+        process(Index, Each.m_What);
   }
 
-  void live(int Index) {
+  void runTick(int Index) {
     Simulated &Who = *at(Index);
     // The list lags by two seconds, and removal needs silence besides.
     for (const auto &[DiedAt, Incarnation] : m_Dead)
       if (m_Now - DiedAt > std::chrono::seconds(7) && chance(0.1))
-        tell(Index, MemberGone{Incarnation});
+        process(Index, MemberGone{Incarnation});
     settleRefusals(Index);
     std::vector<core::RequestId> Ended;
     for (const auto &[Id, At] : Who.m_EndsAt)
@@ -190,7 +190,7 @@
         Ended.push_back(Id);
     for (core::RequestId Id : Ended)
       end(Index, Id, ResponseOutcome::Complete);
-    tell(Index, TimePassed{});
+    process(Index, TimePassed{});
     // Bursts and quiet times, so that the floor goes up and down.
     bool IsBurst = (m_Now.time_since_epoch() / std::chrono::seconds(20)) % 2;
     for (int I = 0; I < (IsBurst ? 3 : 1); ++I)
@@ -199,13 +199,13 @@
     // Each instance has callers of its own kind for a while: where only low
     // tiers arrive, a wrong floor at once lets one run.
     if (chance(0.01))
-      Who.m_Kind = static_cast<CallerKind>(below(4));
+      Who.m_Kind = static_cast<CallerKind>(drawBelow(4));
   }
 
   core::TierNumber drawTier(CallerKind Kind) {
     switch (Kind) {
     case CallerKind::All:
-      return core::TierNumber(static_cast<std::uint32_t>(1 + below(3)));
+      return core::TierNumber(static_cast<std::uint32_t>(1 + drawBelow(3)));
     case CallerKind::High:
       return core::TierNumber(1);
     case CallerKind::Middle:
@@ -226,13 +226,13 @@
     Who.m_Tiers[What.m_Request] = What.m_Tier;
     if (!What.m_IsEvictable)
       Who.m_NotEvictable.insert(What.m_Request);
-    tell(Index, What);
+    process(Index, What);
   }
 
   void end(int Index, core::RequestId Id, ResponseOutcome Outcome) {
     at(Index)->m_EndsAt.erase(Id);
     ++m_Served;
-    tell(Index, ResponseEnded{Id, Outcome, false, 0});
+    process(Index, ResponseEnded{Id, Outcome, false, 0});
   }
 
   /// Refusals reach the wire a little later; a frozen process's much later.
@@ -251,7 +251,7 @@
       if (IsSent)
         check(Index, Each.m_What.m_Request);
       if (IsLimited)
-        tell(Index, RefusalSettled{Each.m_What.m_Request, IsSent});
+        process(Index, RefusalSettled{Each.m_What.m_Request, IsSent});
     }
   }
 
@@ -270,25 +270,26 @@
     }
   }
 
-  void tell(int Index, const Event &What) {
+  void process(int Index, const Event &What) {
     for (const Action &Next : at(Index)->m_Core.handle(What, m_Now))
       act(Index, Next);
   }
 
   void act(int Index, const Action &What) {
     Simulated &Who = *at(Index);
-    if (const auto *Go = std::get_if<Dispatch>(&What))
-      Who.m_EndsAt[Go->m_Request] = m_Now + Tick * (1 + below(60));
-    if (const auto *No = std::get_if<Refuse>(&What))
-      Who.m_Refusals.push_back({m_Now + Tick * below(2), *No});
-    if (const auto *Cut = std::get_if<Cancel>(&What)) {
-      CPPUNIT_ASSERT(Who.m_NotEvictable.count(Cut->m_Request) == 0);
-      check(Index, Cut->m_Request);
+    if (const auto *DispatchAction = std::get_if<Dispatch>(&What))
+      Who.m_EndsAt[DispatchAction->m_Request] =
+          m_Now + Tick * (1 + drawBelow(60));
+    if (const auto *RefuseAction = std::get_if<Refuse>(&What))
+      Who.m_Refusals.push_back({m_Now + Tick * drawBelow(2), *RefuseAction});
+    if (const auto *CancelAction = std::get_if<Cancel>(&What)) {
+      CPPUNIT_ASSERT(Who.m_NotEvictable.count(CancelAction->m_Request) == 0);
+      check(Index, CancelAction->m_Request);
       // A cancelled request goes on for a while.
-      Who.m_EndsAt[Cut->m_Request] = m_Now + Tick * (1 + below(3));
+      Who.m_EndsAt[CancelAction->m_Request] = m_Now + Tick * (1 + drawBelow(3));
     }
-    if (const auto *Order = std::get_if<SendThresholdCommand>(&What))
-      send(Index, Order->m_To, Order->m_Command);
+    if (const auto *CommandAction = std::get_if<SendThresholdCommand>(&What))
+      send(Index, CommandAction->m_To, CommandAction->m_Command);
     if (const auto *Report = std::get_if<SendThresholdReport>(&What))
       send(Index, Report->m_To, Report->m_Report);
     if (std::get_if<ReadThresholdRecord>(&What))
@@ -330,7 +331,7 @@
   config::ConfigurationHandle m_Configuration;
   std::unique_ptr<Simulated> m_All[Instances];
   std::deque<Message> m_Messages;
-  std::set<std::pair<int, int>> m_Cut;
+  std::set<std::pair<int, int>> m_CutLinks;
   std::vector<std::pair<core::TimePoint, core::IncarnationId>> m_Dead;
   Stored m_Store;
   bool m_IsStoreUp = true;
@@ -346,8 +347,9 @@
 
 public:
   void testRandomSchedules() {
-    const char *Wanted = std::getenv("YARDRILL_SCHEDULES");
-    unsigned Count = Wanted ? static_cast<unsigned>(std::atoi(Wanted)) : 300;
+    const char *RequestedCount = std::getenv("YARDRILL_SCHEDULES");
+    unsigned Count =
+        RequestedCount ? static_cast<unsigned>(std::atoi(RequestedCount)) : 300;
     std::size_t Sheds = 0;
     std::size_t Violations = 0;
     std::size_t Served = 0;
--- a/Tests/LibQuarantine/GossipTest.cpp
+++ b/Tests/LibQuarantine/GossipTest.cpp
@@ -23,13 +23,13 @@
 
   core::TimePoint m_Now = core::steadyNow();
   const ContentDigest m_Content{1, 2};
-  std::size_t m_ToldAll = 0;
-  std::size_t m_ToldSome = 0;
+  std::size_t m_BroadcastCount = 0;
+  std::size_t m_SampleSendCount = 0;
 
   GossipHooks counting() {
     GossipHooks Out;
-    Out.m_Broadcast = [this](const auto &) { ++m_ToldAll; };
-    Out.m_SendToSample = [this](const auto &) { ++m_ToldSome; };
+    Out.m_Broadcast = [this](const auto &) { ++m_BroadcastCount; };
+    Out.m_SendToSample = [this](const auto &) { ++m_SampleSendCount; };
     return Out;
   }
   void pass(Gossip &Which, milliseconds Time) {
@@ -40,10 +40,10 @@
 public:
   /// No instance sees more than one.
   void testExitsAtThreeInstancesAddUp() {
-    std::vector<Observation> Told;
+    std::vector<Observation> Received;
     GossipHooks Hooks = counting();
     Hooks.m_Broadcast = [&](const std::vector<Observation> &Seen) {
-      Told.insert(Told.end(), Seen.begin(), Seen.end());
+      Received.insert(Received.end(), Seen.begin(), Seen.end());
     };
     Gossip A(Hooks);
     Gossip B(Hooks);
@@ -51,7 +51,7 @@
     A.noteTargetExit(m_Content, 10, m_Now);
     B.noteTargetExit(m_Content, 11, m_Now);
     C.noteTargetExit(m_Content, 12, m_Now);
-    C.merge(Told, m_Now);
+    C.merge(Received, m_Now);
     CPPUNIT_ASSERT(C.table().isQuarantined(m_Content));
     CPPUNIT_ASSERT(!A.table().isQuarantined(m_Content));
   }
@@ -59,13 +59,13 @@
   void testBroadcastsRepeatedly() {
     Gossip Which(counting());
     Which.noteTargetExit(m_Content, 10, m_Now);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_ToldAll);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_BroadcastCount);
     pass(Which, milliseconds(2000));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_ToldAll);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_BroadcastCount);
     pass(Which, milliseconds(5000));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_ToldAll);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_BroadcastCount);
     // What one run alone stands against is not told for ever.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_ToldSome);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_SampleSendCount);
   }
 
   void testGossipsUntilStored() {
@@ -73,21 +73,21 @@
     Which.noteTargetExit(m_Content, 10, m_Now);
     Which.noteTargetExit(m_Content, 11, m_Now);
     pass(Which, seconds(5));
-    CPPUNIT_ASSERT(m_ToldSome >= 4);
+    CPPUNIT_ASSERT(m_SampleSendCount >= 4);
     CPPUNIT_ASSERT(Which.mergeStored(Which.storedText(), m_Now));
-    m_ToldSome = 0;
+    m_SampleSendCount = 0;
     pass(Which, seconds(5));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_ToldSome);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_SampleSendCount);
     // The third one is not there yet.
     Which.noteTargetExit(m_Content, 12, m_Now);
     pass(Which, seconds(3));
-    CPPUNIT_ASSERT(m_ToldSome >= 2);
+    CPPUNIT_ASSERT(m_SampleSendCount >= 2);
   }
 
   void testStoreOutlastsAllInstances() {
     Gossip Before(counting());
-    for (IncarnationHash Run : {10, 11, 12})
-      Before.noteTargetExit(m_Content, Run, m_Now);
+    for (IncarnationHash Incarnation : {10, 11, 12})
+      Before.noteTargetExit(m_Content, Incarnation, m_Now);
     Before.noteTargetExit({3, 4}, 10, m_Now);
     Gossip After(counting());
     CPPUNIT_ASSERT(After.mergeStored(Before.storedText(), m_Now));
@@ -98,18 +98,18 @@
 
   void testClearedContentReachesLateReplicas() {
     Gossip Which(counting());
-    for (IncarnationHash Run : {10, 11, 12})
-      Which.noteTargetExit(m_Content, Run, m_Now);
-    auto Lifted = withContentCleared(Which.storedText(), m_Content);
-    CPPUNIT_ASSERT(Lifted);
+    for (IncarnationHash Incarnation : {10, 11, 12})
+      Which.noteTargetExit(m_Content, Incarnation, m_Now);
+    auto ClearedText = withContentCleared(Which.storedText(), m_Content);
+    CPPUNIT_ASSERT(ClearedText);
     Gossip Missed = Which;
-    CPPUNIT_ASSERT(Which.mergeStored(*Lifted, m_Now));
+    CPPUNIT_ASSERT(Which.mergeStored(*ClearedText, m_Now));
     CPPUNIT_ASSERT(!Which.table().isQuarantined(m_Content));
     // Its next writing still says so.
-    CPPUNIT_ASSERT_EQUAL(*Lifted, Which.storedText());
+    CPPUNIT_ASSERT_EQUAL(*ClearedText, Which.storedText());
     CPPUNIT_ASSERT(Missed.mergeStored(Which.storedText(), m_Now));
     CPPUNIT_ASSERT(!Missed.table().isQuarantined(m_Content));
-    CPPUNIT_ASSERT(!withContentCleared(*Lifted, {7, 7}));
+    CPPUNIT_ASSERT(!withContentCleared(*ClearedText, {7, 7}));
   }
 
   void testPopularContentIsNotRewritten() {
@@ -118,12 +118,12 @@
     Which.noteTargetExit(m_Content, 11, m_Now);
     Which.mergeStored(Which.storedText(), m_Now);
     Which.noteSuccess(m_Content, m_Now);
-    std::string Excused = Which.storedText();
-    Which.mergeStored(Excused, m_Now);
-    for (IncarnationHash Run = 20; Run < 40; ++Run) {
-      Which.noteTargetExit(m_Content, Run, m_Now);
+    std::string StoredText = Which.storedText();
+    Which.mergeStored(StoredText, m_Now);
+    for (IncarnationHash Incarnation = 20; Incarnation < 40; ++Incarnation) {
+      Which.noteTargetExit(m_Content, Incarnation, m_Now);
       Which.noteSuccess(m_Content, m_Now);
-      CPPUNIT_ASSERT_EQUAL(Excused, Which.storedText());
+      CPPUNIT_ASSERT_EQUAL(StoredText, Which.storedText());
     }
   }
 
--- a/Tests/LibQuarantine/QuarantineTableTest.cpp
+++ b/Tests/LibQuarantine/QuarantineTableTest.cpp
@@ -64,8 +64,8 @@
     std::vector<bool> Changes;
     QuarantineTable Table(
         [&](const ContentDigest &, bool Is) { Changes.push_back(Is); });
-    for (IncarnationHash Run : {10, 11, 12})
-      Table.noteTargetExit(content(1), Run, m_Now);
+    for (IncarnationHash Incarnation : {10, 11, 12})
+      Table.noteTargetExit(content(1), Incarnation, m_Now);
     Table.noteSuccess(content(1), m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0),
                          Table.incriminatingIncarnations(content(1)));
@@ -78,14 +78,14 @@
     Table.noteSuccess(content(1), m_Now);
     Table.takeUpdates();
     m_Now += seconds(20);
-    for (IncarnationHash Run : {10, 11, 12})
-      Table.merge({content(1), Run, false}, m_Now);
+    for (IncarnationHash Incarnation : {10, 11, 12})
+      Table.merge({content(1), Incarnation, false}, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0),
                          Table.incriminatingIncarnations(content(1)));
     // The others have not seen the answer.
-    std::vector<Observation> News = Table.takeUpdates();
-    CPPUNIT_ASSERT_EQUAL(std::size_t(3), News.size());
-    for (const Observation &Each : News)
+    std::vector<Observation> Updates = Table.takeUpdates();
+    CPPUNIT_ASSERT_EQUAL(std::size_t(3), Updates.size());
+    for (const Observation &Each : Updates)
       CPPUNIT_ASSERT(Each.m_IsCleared);
   }
 
@@ -94,8 +94,8 @@
     QuarantineTable Table;
     Table.noteSuccess(content(1), m_Now);
     m_Now += seconds(31);
-    for (IncarnationHash Run : {10, 11, 12})
-      Table.noteTargetExit(content(1), Run, m_Now);
+    for (IncarnationHash Incarnation : {10, 11, 12})
+      Table.noteTargetExit(content(1), Incarnation, m_Now);
     CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
   }
 
@@ -111,10 +111,10 @@
 
   void testMergeIsOrderIndependent() {
     std::vector<Observation> All;
-    for (IncarnationHash Run = 0; Run < 6; ++Run) {
-      All.push_back({content(1), Run, false});
-      if (Run % 2 == 0)
-        All.push_back({content(1), Run, true});
+    for (IncarnationHash Incarnation = 0; Incarnation < 6; ++Incarnation) {
+      All.push_back({content(1), Incarnation, false});
+      if (Incarnation % 2 == 0)
+        All.push_back({content(1), Incarnation, true});
     }
     std::mt19937 Random(1);
     for (int Round = 0; Round < 50; ++Round) {
@@ -144,8 +144,8 @@
   /// quarantined.
   void testLeastSuspectedContentsAreEvicted() {
     QuarantineTable Table;
-    for (IncarnationHash Run : {10, 11, 12})
-      Table.noteTargetExit(content(1), Run, m_Now);
+    for (IncarnationHash Incarnation : {10, 11, 12})
+      Table.noteTargetExit(content(1), Incarnation, m_Now);
     for (std::uint64_t I = 2; I < 5000; ++I)
       Table.noteTargetExit(content(I), 10, m_Now + milliseconds(I));
     CPPUNIT_ASSERT_EQUAL(QuarantineTable::MaxContents, Table.size());
@@ -158,15 +158,15 @@
 
   void testManyRunsAreBounded() {
     QuarantineTable Table;
-    for (IncarnationHash Run = 0; Run < 100; ++Run)
-      Table.noteTargetExit(content(1), Run, m_Now);
+    for (IncarnationHash Incarnation = 0; Incarnation < 100; ++Incarnation)
+      Table.noteTargetExit(content(1), Incarnation, m_Now);
     CPPUNIT_ASSERT_EQUAL(QuarantineTable::MaxIncarnations,
                          Table.observations(content(1)).size());
     // Excused ones give way.
     Table.noteSuccess(content(1), m_Now);
     m_Now += seconds(60);
-    for (IncarnationHash Run : {200, 201, 202})
-      Table.noteTargetExit(content(1), Run, m_Now);
+    for (IncarnationHash Incarnation : {200, 201, 202})
+      Table.noteTargetExit(content(1), Incarnation, m_Now);
     CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
   }
 };
--- a/Tests/LibRollout/ParticipantTest.cpp
+++ b/Tests/LibRollout/ParticipantTest.cpp
@@ -30,8 +30,8 @@
     Out.m_BakeTime = seconds(10);
     return Out;
   }
-  Permit permit(const Report &Told, Traffic How, double Share = 0.1) const {
-    return {OrderId(7), Told.m_Number, How, Share};
+  Permit permit(const Report &Received, Traffic How, double Share = 0.1) const {
+    return {OrderId(7), Received.m_Number, How, Share};
   }
   void give(Participant &To, Traffic How, double Share = 0.1) {
     To.applyPermit(permit(To.report(0, m_Now), How, Share), m_Now);
@@ -46,55 +46,55 @@
 
 public:
   void testNothingWithoutAPermit() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
     for (int I = 0; I < 100; ++I) {
-      CPPUNIT_ASSERT(!Own.isSampleDue(1, m_Now));
-      Own.sent(1, false, m_Now);
+      CPPUNIT_ASSERT(!Tested.isSampleDue(1, m_Now));
+      Tested.sent(1, false, m_Now);
     }
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
   }
 
   void testPermitLapsesFromItsReport() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
-    Report Told = Own.report(0, m_Now);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
+    Report Received = Tested.report(0, m_Now);
     m_Now += milliseconds(1000);
-    Own.applyPermit(permit(Told, Traffic::New), m_Now);
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::New);
+    Tested.applyPermit(permit(Received, Traffic::New), m_Now);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::New);
     m_Now += milliseconds(499);
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::New);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::New);
     m_Now += milliseconds(1);
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
   }
 
   void testLateAndForeignPermitsAreIgnored() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
-    Report First = Own.report(0, m_Now);
-    Report Second = Own.report(0, m_Now);
-    Own.applyPermit(permit(Second, Traffic::Old), m_Now);
-    Own.applyPermit(permit(First, Traffic::New), m_Now);
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
+    Report First = Tested.report(0, m_Now);
+    Report Second = Tested.report(0, m_Now);
+    Tested.applyPermit(permit(Second, Traffic::Old), m_Now);
+    Tested.applyPermit(permit(First, Traffic::New), m_Now);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
     Permit Foreign = permit(Second, Traffic::New);
     Foreign.m_Order = OrderId(8);
-    Own.applyPermit(Foreign, m_Now);
+    Tested.applyPermit(Foreign, m_Now);
     Permit Unasked = permit(Second, Traffic::New);
     Unasked.m_Report = 99;
-    Own.applyPermit(Unasked, m_Now);
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
+    Tested.applyPermit(Unasked, m_Now);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
     m_Now += seconds(3);
-    Own.report(0, m_Now);
-    Own.applyPermit(permit(Second, Traffic::New), m_Now);
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
+    Tested.report(0, m_Now);
+    Tested.applyPermit(permit(Second, Traffic::New), m_Now);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
   }
 
   void testShareIsNeverExceeded() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
     int New = 0;
     for (int I = 0; I < 2000; ++I) {
       if (I % 20 == 0)
-        give(Own, Traffic::Sample, 0.06);
-      bool IsNew = Own.isSampleDue(static_cast<std::uint32_t>(I % 3), m_Now);
+        give(Tested, Traffic::Sample, 0.06);
+      bool IsNew = Tested.isSampleDue(static_cast<std::uint32_t>(I % 3), m_Now);
       New += IsNew ? 1 : 0;
-      Own.sent(static_cast<std::uint32_t>(I % 3), IsNew, m_Now);
+      Tested.sent(static_cast<std::uint32_t>(I % 3), IsNew, m_Now);
       CPPUNIT_ASSERT(New <= 0.06 * (I + 1));
       m_Now += milliseconds(7);
     }
@@ -102,98 +102,102 @@
   }
 
   void testRareRoutesAreSampled() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
-    std::map<std::uint32_t, int> Tries;
+    Participant Tested(order(), core::Duration::zero(), m_Now);
+    std::map<std::uint32_t, int> Samples;
     for (int I = 0; I < 4000; ++I) {
       if (I % 20 == 0)
-        give(Own, Traffic::Sample);
+        give(Tested, Traffic::Sample);
       std::uint32_t Route = I % 25 == 0 ? 2 : 1;
-      bool IsNew = Own.isSampleDue(Route, m_Now);
-      Tries[Route] += IsNew ? 1 : 0;
-      Own.sent(Route, IsNew, m_Now);
+      bool IsNew = Tested.isSampleDue(Route, m_Now);
+      Samples[Route] += IsNew ? 1 : 0;
+      Tested.sent(Route, IsNew, m_Now);
       m_Now += milliseconds(7);
     }
     // One of 25 requests; a tenth of all tries would be 16 by their share.
-    CPPUNIT_ASSERT(Tries[2] >= 80);
-    CPPUNIT_ASSERT(Tries[1] >= 200);
+    CPPUNIT_ASSERT(Samples[2] >= 80);
+    CPPUNIT_ASSERT(Samples[1] >= 200);
   }
 
   void testStopsByItself() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
-    give(Own, Traffic::New);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
+    give(Tested, Traffic::New);
     for (std::uint32_t I = 0; I < 8; ++I)
-      Own.recordResponse(key(Side::New, I),
-                         I % 2 == 0 ? ResponseQuality::Failed
-                                    : ResponseQuality::Succeeded,
-                         milliseconds(50), m_Now);
-    CPPUNIT_ASSERT(Own.traffic(m_Now) == Traffic::Old);
+      Tested.recordResponse(key(Side::New, I),
+                            I % 2 == 0 ? ResponseQuality::Failed
+                                       : ResponseQuality::Succeeded,
+                            milliseconds(50), m_Now);
+    CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
   }
 
   void testRepeatedReportsCountOnce() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
-    Coordinator Leads(order(), ExposureLimits(), m_Now);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
+    Coordinator Leader(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 40; ++I) {
-      Own.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
-                         milliseconds(50), m_Now);
-      Own.recordResponse(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
-                         milliseconds(50), m_Now);
+      Tested.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
+                            milliseconds(50), m_Now);
+      Tested.recordResponse(key(Side::New, 10 + I % 4),
+                            ResponseQuality::Succeeded, milliseconds(50),
+                            m_Now);
     }
-    Report Told = Own.report(0, m_Now);
+    Report Received = Tested.report(0, m_Now);
     for (int I = 0; I < 5; ++I)
-      Leads.handleReport(core::IncarnationId(1), Told, m_Now);
+      Leader.handleReport(core::IncarnationId(1), Received, m_Now);
     m_Now += milliseconds(200);
-    Leads.decide({16, 16}, seconds(1), m_Now);
-    CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_NewResponses);
-    CPPUNIT_ASSERT_EQUAL(40U, Leads.judgement().m_OldResponses);
+    Leader.decide({16, 16}, seconds(1), m_Now);
+    CPPUNIT_ASSERT_EQUAL(40U, Leader.judgement().m_NewResponses);
+    CPPUNIT_ASSERT_EQUAL(40U, Leader.judgement().m_OldResponses);
   }
 
   void testLostCountsAreReportedAgain() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
-    Coordinator Leads(order(), ExposureLimits(), m_Now);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
+    Coordinator Leader(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 60; ++I)
-      Own.recordResponse(key(Side::Old, I), ResponseQuality::Succeeded,
-                         milliseconds(50), m_Now);
-    Own.report(0, m_Now); // Lost.
+      Tested.recordResponse(key(Side::Old, I), ResponseQuality::Succeeded,
+                            milliseconds(50), m_Now);
+    Tested.report(0, m_Now); // Lost.
     for (int I = 0; I < 8; ++I) {
-      Report Told = Own.report(0, m_Now);
-      CPPUNIT_ASSERT(Told.m_Counts.size() <= 9);
-      Leads.handleReport(core::IncarnationId(1), Told, m_Now);
+      Report Received = Tested.report(0, m_Now);
+      CPPUNIT_ASSERT(Received.m_Counts.size() <= 9);
+      Leader.handleReport(core::IncarnationId(1), Received, m_Now);
     }
-    Leads.decide({16, 16}, seconds(1), m_Now);
-    CPPUNIT_ASSERT_EQUAL(60U, Leads.judgement().m_OldResponses);
+    Leader.decide({16, 16}, seconds(1), m_Now);
+    CPPUNIT_ASSERT_EQUAL(60U, Leader.judgement().m_OldResponses);
   }
 
   void testCompletesOnlyWhenDrained() {
-    Participant Own(order(), core::Duration::zero(), m_Now);
-    Coordinator Leads(order(), ExposureLimits(), m_Now);
-    auto Tell = [&](std::uint32_t RunningOld) {
-      Own.applyPermit(Leads.handleReport(core::IncarnationId(1),
-                                         Own.report(RunningOld, m_Now), m_Now),
-                      m_Now);
+    Participant Tested(order(), core::Duration::zero(), m_Now);
+    Coordinator Leader(order(), ExposureLimits(), m_Now);
+    auto Exchange = [&](std::uint32_t RunningOld) {
+      Tested.applyPermit(Leader.handleReport(core::IncarnationId(1),
+                                             Tested.report(RunningOld, m_Now),
+                                             m_Now),
+                         m_Now);
     };
     for (std::uint32_t I = 0; I < 100; ++I) {
-      Own.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
-                         milliseconds(50), m_Now);
-      Own.recordResponse(key(Side::New, 10 + I % 4), ResponseQuality::Succeeded,
-                         milliseconds(50), m_Now);
+      Tested.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
+                            milliseconds(50), m_Now);
+      Tested.recordResponse(key(Side::New, 10 + I % 4),
+                            ResponseQuality::Succeeded, milliseconds(50),
+                            m_Now);
     }
-    Tell(3);
+    Exchange(3);
     m_Now += seconds(7);
-    Tell(3);
-    CPPUNIT_ASSERT(!Leads.decide({16, 16}, seconds(7), m_Now));
-    CPPUNIT_ASSERT(Leads.traffic() == Traffic::New);
+    Exchange(3);
+    CPPUNIT_ASSERT(!Leader.decide({16, 16}, seconds(7), m_Now));
+    CPPUNIT_ASSERT(Leader.traffic() == Traffic::New);
     m_Now += milliseconds(300);
-    Tell(2);
-    Tell(2);
-    CPPUNIT_ASSERT(!Leads.decide({16, 16}, milliseconds(7300), m_Now));
+    Exchange(2);
+    Exchange(2);
+    CPPUNIT_ASSERT(!Leader.decide({16, 16}, milliseconds(7300), m_Now));
     m_Now += milliseconds(300);
-    Tell(0);
-    auto End = Leads.decide({16, 16}, milliseconds(7600), m_Now);
+    Exchange(0);
+    auto End = Leader.decide({16, 16}, milliseconds(7600), m_Now);
     CPPUNIT_ASSERT(End && End->m_State == State::Completed);
     // Those that come late still hear where to send.
-    CPPUNIT_ASSERT(
-        Leads.handleReport(core::IncarnationId(2), Own.report(0, m_Now), m_Now)
-            .m_Traffic == Traffic::New);
+    CPPUNIT_ASSERT(Leader
+                       .handleReport(core::IncarnationId(2),
+                                     Tested.report(0, m_Now), m_Now)
+                       .m_Traffic == Traffic::New);
   }
 };
 
