--- a/Libraries/LibDecision/Action.h
+++ b/Libraries/LibDecision/Action.h
@@ -1,4 +1,9 @@
-//===-- Action.h - All that the decision core asks for --------------------===//
+//===-- Action.h - Actions that the decision core returns -----------------===//
+//
+// DecisionCore::handle() returns actions; LibInstance carries them out. Every
+// struct is plain data that a trace can record.
+//
+//===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBDECISION_ACTION_H
 #define YARDRILL_LIBDECISION_ACTION_H
 
@@ -16,25 +21,28 @@
 
 namespace yardrill::decision {
 
-/// Connect to the target and, if that succeeds, send the request. Given at
-/// most once for each request, unless ConnectFailed came back.
+/// Connects to the target and, if that succeeds, sends the request. Returned
+/// again for the same request only after a ConnectFailed event.
 struct Dispatch {
   core::RequestId m_Request;
   core::TargetName m_Target;
   config::Endpoint m_Address;
-  bool m_StoreResponse = false; ///< Store it for a repeated identity.
+  /// Whether the response is stored for later requests with the same identity.
+  bool m_StoreResponse = false;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Request, m_Target, m_Address, m_StoreResponse);
   }
 };
 
-/// Answer the caller now; nothing more will be done for the request.
+/// Refuses the request. The core forgets it, unless m_ValidUntil is set: then
+/// RefusalSettled must follow.
 struct Refuse {
   core::RequestId m_Request;
   RefusalKind m_Kind = RefusalKind::NotReady;
-  std::uint32_t m_RetryAfterSeconds = 0; ///< 0: not sent.
-  /// Steady microseconds after which this may no longer be sent; 0: never.
+  std::uint32_t m_RetryAfterSeconds = 0; ///< 0: no Retry-After header.
+  /// Time on the steady clock, in microseconds, after which the refusal must
+  /// not be sent any longer; 0: no limit.
   std::int64_t m_ValidUntil = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -42,20 +50,20 @@
   }
 };
 
-/// The caller left before dispatch; the request is forgotten, not run.
+/// Closes a request whose caller disconnected before dispatch. It was not run.
 struct Drop {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
 
-/// Stop a dispatched request at its target; ResponseEnded follows.
+/// Cancels a dispatched request at its target; ResponseEnded follows.
 struct Cancel {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
 
-/// Record in the platform's service that this instance is the key's home,
-/// unless somebody is already; ClaimCompleted follows.
+/// Claims an Idempotency-Key for this instance in the platform's key-value
+/// service, unless the key has an owner; ClaimCompleted follows.
 struct Claim {
   core::RequestId m_Request;
   std::string m_Identity;
@@ -64,7 +72,7 @@
   }
 };
 
-/// Pass the request on to its home and its answer back.
+/// Forwards the request to the owner of its identity and relays the response.
 struct Forward {
   core::RequestId m_Request;
   InstanceRef m_Owner;
@@ -73,37 +81,40 @@
   }
 };
 
-/// Answer with the stored answer of an earlier request.
+/// Answers a request with the stored response of an earlier one.
 struct SendStoredResponse {
   core::RequestId m_Request;
-  core::RequestId m_Original;
+  core::RequestId m_Original; ///< Request whose response was stored.
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Request, m_Original);
   }
 };
 
-/// The stored answer is no longer needed.
+/// Discards the stored response of a request whose identity has expired.
 struct DiscardStoredResponse {
   core::RequestId m_Original;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Original); }
 };
 
+/// Reads the pool's threshold record; ThresholdRecordRead follows, unless the
+/// platform does not respond.
 struct ReadThresholdRecord {
   core::PoolName m_Pool;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Pool); }
 };
 
-/// Compare-and-swap of the pool's record, with this instance as its leader.
+/// Writes the pool's threshold record by compare-and-swap, with this instance
+/// as its leader; ThresholdRecordWritten follows.
 struct WriteThresholdRecord {
   core::PoolName m_Pool;
-  std::int64_t m_Revision = 0; ///< The record's, as read; 0: must be absent.
+  std::int64_t m_Revision = 0; ///< Expected revision; 0: expected absent.
   ThresholdRecord m_Record;
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Pool, m_Revision, m_Record);
   }
 };
 
-/// Give the pool's leadership up, so that another instance may take it.
+/// Gives up the pool's leadership, so that another instance can take it.
 struct ResignLeadership {
   core::PoolName m_Pool;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Pool); }
--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -53,21 +53,23 @@
     if (!m_Configuration->policy().empty())
       m_Policy = policy::PolicyProgram::compile(m_Configuration->policy());
   } catch (const core::Error &) {
-    // Publishing checks it first; without a program the defaults hold.
+    // Publishing compiles the program first, so this is unexpected. Requests
+    // get the default decision.
     ++m_PolicyFailures;
   }
   for (const config::Pool &Pool : m_Configuration->pools()) {
     if (!findPool(Pool.m_Name))
       addPool(Pool);
     PoolScheduler &Scheduler = *findPool(Pool.m_Name);
-    // Before anything is dispatched: some of its targets may be leaving.
+    // Must precede configure(), which dispatches waiting requests.
     Scheduler.setLeavingTargets(m_LeavingTargets);
     Scheduler.configure(*m_Configuration, Pool, Now);
     Scheduler.setInstances(m_InstanceCount, Now);
     if (m_IsStopping)
       Scheduler.setStopping();
   }
-  // A pool that was taken out finishes what it has, with no new targets.
+  // A removed pool keeps its scheduler, without targets, until its requests
+  // have ended.
   for (auto &[Name, Scheduler] : m_Pools) {
     if (m_Configuration->findPool(Name))
       continue;
@@ -78,7 +80,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// A request's life
+// Arrival and end of requests
 //===----------------------------------------------------------------------===//
 
 void DecisionCore::on(const RequestArrived &What, core::TimePoint Now) {
@@ -181,7 +183,7 @@
   RequestState &Request = Found->second;
   switch (Request.m_Phase) {
   case RequestPhase::Dispatched:
-    // Too late: ResponseEnded says how it ends.
+    // ResponseEnded follows and ends the request.
     return;
   case RequestPhase::Queued:
     findPool(Request.m_Arrival.m_Pool)->withdraw(Request);
@@ -215,7 +217,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Requests with an identity: at most once over a caller's retries
+// Requests with an identity run at most once over a caller's retries
 //===----------------------------------------------------------------------===//
 
 IdentityRecord *DecisionCore::findRecord(const RequestState &Request) {
@@ -229,7 +231,7 @@
   const Identity &Id = *Request.m_Arrival.m_Identity;
   bool IsTicket = Id.m_Kind == IdentityKind::Ticket;
   if (IsTicket && !(Id.m_Owner == m_Self)) {
-    // Forwarded to us, but meant for an earlier process at this address.
+    // Forwarded for an earlier process at this address.
     if (Request.m_Arrival.m_IsForwarded)
       return refuse(Request, RefusalKind::OwnerLost);
     emit(Forward{Request.id(), Id.m_Owner});
@@ -239,7 +241,7 @@
     return refuse(Request, RefusalKind::IdentityExpired);
   if (IdentityRecord *Record = findRecord(Request))
     return handleRepeat(Request, *Record, Now);
-  // Its home is here, says the claim, but nothing is known of it here.
+  // The sender found a claim of this instance, but there is no record of it.
   if (!IsTicket && Request.m_Arrival.m_IsForwarded)
     return refuse(Request, RefusalKind::OwnerLost);
   if (m_Identities.isFull())
@@ -278,7 +280,7 @@
   case IdentityState::Ended:
     return refuse(Request, Record.m_FinalRefusal);
   case IdentityState::NotRun:
-    // A claim that was never confirmed has to be confirmed first.
+    // An unconfirmed claim must be confirmed before the request runs.
     Record.m_State = Record.m_MayHoldClaim ? IdentityState::Claiming
                                            : IdentityState::Running;
     return startRunner(Request, Record, Now);
@@ -303,7 +305,8 @@
   }
   if (What.m_Outcome == ClaimOutcome::Unavailable)
     return refuse(Request, RefusalKind::ClaimUnavailable);
-  // The claim is of our own process, yet its record is gone: it may have run.
+  // This process claimed the key, but the earlier record is gone: the request
+  // may have run.
   if (What.m_Owner == m_Self)
     return refuse(Request, RefusalKind::OwnerLost);
   std::vector<core::RequestId> All = Record.m_Waiting;
@@ -371,7 +374,7 @@
     return;
   bool WasClaiming = Record->m_State == IdentityState::Claiming;
   Record->m_State = IdentityState::NotRun;
-  // The claim that is under way may yet succeed.
+  // The pending claim may still succeed.
   Record->m_MayHoldClaim = Record->m_MayHoldClaim || WasClaiming;
   if (Waiting.empty())
     return;
@@ -381,7 +384,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Time, targets, instances and the tier order
+// Time, targets, instances and the admission threshold
 //===----------------------------------------------------------------------===//
 
 void DecisionCore::on(const TimePassed &, core::TimePoint Now) {
--- a/Libraries/LibDecision/DecisionCore.h
+++ b/Libraries/LibDecision/DecisionCore.h
@@ -1,8 +1,8 @@
-//===-- DecisionCore.h - The deterministic machine behind all decisions ---===//
+//===-- DecisionCore.h - Deterministic state machine of an instance -------===//
 //
-// No clock, socket, lock or randomness of its own: the time and the seed come
-// in with the events, so a recorded trace replays to the same actions
-// (brief, "How we want it proved").
+// Uses no clock, socket, lock or random source of its own: the time and the
+// seed come in with the events, so that a recorded trace replays to the same
+// actions (brief, "How we want it proved").
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBDECISION_DECISIONCORE_H
@@ -22,10 +22,11 @@
 
 namespace yardrill::decision {
 
-/// Owns all decision state of one instance. Single-threaded.
+/// Owns the scheduling state of one instance: its pools, open requests and
+/// identities. Not thread-safe; LibInstance calls it on the decision thread.
 class DecisionCore {
 public:
-  /// Takes one event; \returns what has to be done, in order.
+  /// Handles one event. \returns the actions to carry out, in order.
   std::vector<Action> handle(const Event &What, core::TimePoint Now);
 
   std::size_t openRequests() const { return m_Requests.size(); }
@@ -63,42 +64,46 @@
   PoolScheduler *findPool(const core::PoolName &Name);
   void addPool(const config::Pool &Pool);
   void admit(RequestState &Request, core::TimePoint Now);
-  /// Asks the operators' program; a failing one is counted and the default
-  /// used, so that it never loses a request.
+  /// Runs the operators' policy program on the request. A failure is counted,
+  /// and the default decision is used instead.
   void applyPolicy(RequestState &Request, const PoolScheduler &Pool);
-  /// Answers the caller and forgets the request; with a \p ValidUntil the
-  /// request is kept until RefusalSettled.
+  /// Refuses the request and forgets it. With a \p ValidUntil, the request
+  /// stays open until RefusalSettled.
   void refuse(RequestState &Request, RefusalKind Kind,
               core::TimePoint ValidUntil = {});
   void forget(core::RequestId Id);
 
-  // Requests with an identity.
+  // Requests with an identity. The runner of an identity is the request that
+  // is run for it; repeats wait for the runner's response.
   void admitWithIdentity(RequestState &Request, core::TimePoint Now);
   void handleRepeat(RequestState &Request, IdentityRecord &Record,
                     core::TimePoint Now);
   void startRunner(RequestState &Request, IdentityRecord &Record,
                    core::TimePoint Now);
   void finishIdentity(const RequestState &Request, const ResponseEnded &End);
-  /// The runner was given up before dispatch: \p Kind answers those who wait.
+  /// Ends an identity whose runner was refused before dispatch, and refuses
+  /// the waiting repeats with \p Kind.
   void abandonRunner(const RequestState &Request, RefusalKind Kind);
-  /// The runner's caller left: the next who waits runs instead.
+  /// Makes the first waiting repeat the runner if \p Request, whose caller
+  /// disconnected, was it; otherwise only removes \p Request from the repeats.
   void promoteWaiting(const RequestState &Request, core::TimePoint Now);
   IdentityRecord *findRecord(const RequestState &Request);
 
   std::vector<Action> m_Actions;
   InstanceRef m_Self;
   std::uint64_t m_Seed = 0;
-  core::Duration m_Retention{};
+  core::Duration m_Retention{}; ///< Lifetime of the record of a key.
   bool m_IsStopping = false;
   std::uint32_t m_InstanceCount = 1;
   config::ConfigurationHandle m_Configuration;
   std::map<core::PoolName, std::unique_ptr<PoolScheduler>> m_Pools;
   std::unordered_map<core::RequestId, RequestState> m_Requests;
   std::unordered_map<core::AccountName, std::size_t> m_OpenByAccount;
-  /// By the list, whether or not a pool has them yet.
+  /// All leaving targets of the instance list, including those that no pool
+  /// has yet.
   std::set<core::TargetName> m_LeavingTargets;
   IdentityTable m_Identities;
-  std::unique_ptr<policy::PolicyProgram> m_Policy; ///< Null: none published.
+  std::unique_ptr<policy::PolicyProgram> m_Policy; ///< Null: no program.
   std::uint64_t m_PolicyFailures = 0;
 };
 
--- a/Libraries/LibDecision/Event.h
+++ b/Libraries/LibDecision/Event.h
@@ -1,7 +1,7 @@
-//===-- Event.h - All that the decision core is told ----------------------===//
+//===-- Event.h - Events that the decision core handles -------------------===//
 //
-// Every struct is plain data and can be recorded, so that a trace replays to
-// the same actions.
+// Every struct is plain data that a trace can record, so that replaying the
+// trace gives the same actions.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBDECISION_EVENT_H
@@ -24,11 +24,12 @@
 
 namespace yardrill::decision {
 
-/// The first event of a process.
+/// First event of a process; sets what does not change while it runs.
 struct InstanceStarted {
   InstanceRef m_Self;
-  std::uint64_t m_Seed = 0; ///< Of the core's random numbers.
-  std::uint64_t m_Identities = 0;
+  std::uint64_t m_Seed = 0;       ///< Seed of the core's random numbers.
+  std::uint64_t m_Identities = 0; ///< Capacity of the identity table.
+  /// Time for which the identity of an Idempotency-Key is remembered.
   std::int64_t m_RetentionMicros = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -36,7 +37,8 @@
   }
 };
 
-/// A configuration was accepted; its version is above every earlier one.
+/// A new configuration is in force. The core ignores it unless its version is
+/// higher than the current one.
 struct ConfigurationAccepted {
   config::ConfigurationHandle m_Configuration;
 
@@ -51,17 +53,18 @@
   }
 };
 
+/// A caller or another instance sent a request.
 struct RequestArrived {
-  core::RequestId m_Request;
+  core::RequestId m_Request; ///< Never reused.
   core::AccountName m_Account;
   core::TierNumber m_Tier;
   core::PoolName m_Pool;
-  std::uint32_t m_PrefillTokens = 0; ///< Estimated.
-  std::uint32_t m_OutputTokens = 0;  ///< The caller's limit.
-  std::uint64_t m_PrefixHash = 0;    ///< 0: no prefix to share.
+  std::uint32_t m_PrefillTokens = 0; ///< Estimate from the prompt's size.
+  std::uint32_t m_OutputTokens = 0;  ///< Upper limit set by the caller.
+  std::uint64_t m_PrefixHash = 0;    ///< Hash of the prompt's prefix; 0: none.
   bool m_IsIdentityRequired = false;
-  bool m_IsForwarded = false; ///< By another instance, to this home.
-  bool m_IsEvictable = true;  ///< False: never evicted once dispatched.
+  bool m_IsForwarded = false; ///< Forwarded to this instance as the owner.
+  bool m_IsEvictable = true;  ///< False: not cancelled once dispatched.
   std::optional<Identity> m_Identity;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -71,35 +74,36 @@
   }
 };
 
-/// The caller hung up before its answer began.
+/// The caller closed its connection before the response started.
 struct CallerDisconnected {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
 
-/// The dispatched target could not be connected to: no byte was sent.
+/// Connecting to the dispatched target failed; no byte was sent to it.
 struct ConnectFailed {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
 
-/// First byte of the answer's body.
+/// The first byte of the response body arrived from the target.
 struct ResponseStarted {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
 };
 
 enum class ResponseOutcome : std::uint8_t {
-  Complete,           ///< The whole answer came.
-  Broken,             ///< The target broke off after bytes were sent.
-  CallerDisconnected, ///< Cancelled because the caller hung up.
-  Evicted,            ///< Cancelled by Cancel.
+  Complete,           ///< The complete response arrived.
+  Broken,             ///< The target failed after bytes were sent to it.
+  CallerDisconnected, ///< Cancelled because the caller disconnected.
+  Evicted,            ///< Cancelled by a Cancel action.
 };
 
+/// A dispatched request no longer runs at its target.
 struct ResponseEnded {
   core::RequestId m_Request;
   ResponseOutcome m_Outcome = ResponseOutcome::Complete;
-  bool m_IsStored = false; ///< The answer is stored for a repeated identity.
+  bool m_IsStored = false; ///< Whether the response is stored for repeats.
   std::uint32_t m_OutputTokens = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -107,7 +111,7 @@
   }
 };
 
-/// A refusal with a time limit was written, or not because the limit passed.
+/// A refusal with a time limit was sent, or dropped because the limit passed.
 struct RefusalSettled {
   core::RequestId m_Request;
   bool m_IsSent = false;
@@ -117,16 +121,17 @@
 };
 
 enum class ClaimOutcome : std::uint8_t {
-  Won,         ///< Ours: this instance is the key's home.
-  Held,        ///< Another claim stands.
-  Unavailable, ///< Not made, or perhaps made without our knowing.
+  Won,         ///< This instance is the key's owner.
+  Held,        ///< Another claim of the key exists.
+  Unavailable, ///< The claim was not made, or its outcome is unknown.
 };
 
+/// The outcome of a Claim action.
 struct ClaimCompleted {
   core::RequestId m_Request;
   ClaimOutcome m_Outcome = ClaimOutcome::Unavailable;
-  InstanceRef m_Owner; ///< Of a held claim.
-  /// The claim may yet take effect at the platform.
+  InstanceRef m_Owner; ///< Instance that holds the key if the outcome is Held.
+  /// Whether the write may still take effect at the platform.
   bool m_MayTakeEffect = false;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -134,7 +139,7 @@
   }
 };
 
-/// The instance list or the target itself says whether it takes new work.
+/// The instance list shows a target as leaving, or as taking new work again.
 struct TargetStateChanged {
   core::TargetName m_Target;
   bool m_IsLeaving = false;
@@ -143,16 +148,19 @@
   }
 };
 
-/// How many live instances share the targets, this one included.
+/// The number of live instances that share the targets, including this one,
+/// has changed.
 struct InstanceCountChanged {
   std::uint32_t m_Count = 1;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Count); }
 };
 
+/// Timer tick: runs what is due at the time given with the event.
 struct TimePassed {
   template <class Archive> void serialize(Archive &) {}
 };
 
+/// The process is to stop: no new request is accepted from here on.
 struct StopRequested {
   template <class Archive> void serialize(Archive &) {}
 };
