--- a/Libraries/LibDecision/ThresholdLeader.cpp
+++ b/Libraries/LibDecision/ThresholdLeader.cpp
@@ -29,7 +29,7 @@
     return true;
   }
   auto &Last = m_Reports[From];
-  // Datagrams may come out of order.
+  // Datagrams may arrive out of order.
   if (Last.m_Report.m_SentAt > Report.m_SentAt)
     return true;
   Last = {Report, Now};
@@ -122,7 +122,7 @@
     if (IsFresh && Tier.value() != 0 && Tier < HighestToShed)
       HighestToShed = std::max(Tier, m_Highest);
   }
-  // Pressure that comes and goes must not move the floor each time.
+  // Hysteresis: short breaks in the pressure must not lower the threshold.
   bool IsFirst = m_LastGoal.value() == 0;
   if (IsFirst || !(m_LastGoal < HighestToShed) ||
       Now - m_LastPressureAt > m_Timings.m_LoweringDelay) {
@@ -142,8 +142,8 @@
   core::TierNumber Goal = updateGoal(Now);
   switch (m_Phase) {
   case ThresholdPhase::Adopt:
-    // All have dropped the permissions of earlier leaders, so any floor is
-    // safe now; this one evicts nothing.
+    // All members have dropped the permits of earlier leaders, so any threshold
+    // is safe. The lowest one in use evicts nothing.
     if (allConfirmed())
       enter(ThresholdPhase::Hold, lowestMemberThreshold());
     return;
@@ -166,12 +166,13 @@
       return enter(ThresholdPhase::Hold, Goal);
   }
   if (m_Threshold < Goal) {
-    // A permission at this floor may have been given before a raise.
+    // A permit for this threshold, sent before an earlier raise, may still be
+    // in force.
     m_IsRevoking = true;
     return enter(ThresholdPhase::Hold, m_Threshold);
   }
-  // The lowest tier may always be shed; a higher one only when nothing below
-  // it runs anywhere.
+  // The lowest tier may always be shed, a higher one only when nothing below it
+  // runs at any member.
   bool MayShedThresholdTier = !(m_Threshold < m_Lowest) || AreConfirmed;
   if (Goal < m_Threshold && MayShedThresholdTier)
     return enter(ThresholdPhase::Hold, nextHigherTier(m_Threshold));
--- a/Libraries/LibDecision/ThresholdLeader.h
+++ b/Libraries/LibDecision/ThresholdLeader.h
@@ -1,5 +1,4 @@
-//===-- ThresholdLeader.h - The leader's part in a pool's tier order
-//----------===//
+//===-- ThresholdLeader.h - Leader of a pool's admission threshold --------===//
 #ifndef YARDRILL_LIBDECISION_THRESHOLDLEADER_H
 #define YARDRILL_LIBDECISION_THRESHOLDLEADER_H
 
@@ -13,41 +12,43 @@
 
 namespace yardrill::decision {
 
-/// Moves a pool's floor one tier at a time, each step confirmed by every
-/// member that a leader has ever commanded and that is not known to be gone.
+/// Moves the admission threshold of a pool for all instances. Raising goes one
+/// tier at a time; each step is confirmed by every recorded member, which is
+/// each one that a leader has ever commanded and that is not known to be gone.
 ///
-/// Raising to tier T: first all stop admitting and evict what is below T;
-/// only when all have confirmed may T be shed, under permissions that expire.
-/// Lowering: permissions are withdrawn, and acknowledged or waited out, before
-/// a lower tier is admitted again. The design note 0002 gives the reasons and
-/// the runs that show what each rule is for.
+/// Raising to tier T: all members stop admitting lower tiers and evict their
+/// requests. Only when all have confirmed may T be shed, under permits that
+/// expire. Lowering: permits are revoked, which is confirmed or waited out,
+/// before a lower tier is admitted again. Design note 0002 gives the reasons.
 class ThresholdLeader {
 public:
-  /// \param Record as written, with this instance as leader.
+  /// \param Record the pool's record as written, with this instance as leader.
   ThresholdLeader(core::PoolName Pool, InstanceRef Self, ThresholdRecord Record,
                   std::int64_t Revision, ThresholdTimings Timings,
                   core::TimePoint Now);
 
   void setTiers(core::TierNumber Highest, core::TierNumber Lowest);
-  /// \returns false when the report shows a leader of a higher epoch: this one
-  /// has to step down.
+  /// \returns false if the report shows a leader of a higher epoch; this leader
+  /// must then step down.
   bool handleReport(const ThresholdReport &Report, core::TimePoint Now);
-  /// The member takes no further part; it is written out of the record.
+  /// Removes a member that has left or is gone from the next record.
   void memberGone(core::IncarnationId Incarnation);
 
-  /// The record to be written, when members came or went and no write is
-  /// under way.
+  /// Returns the record to write if the members have changed and no write is
+  /// pending.
   std::optional<ThresholdRecord> recordToWrite();
-  /// \returns false when the write lost to another leader: step down.
+  /// Handles the outcome of the pending write. \returns false if it failed;
+  /// this leader must then step down.
   bool recordWritten(bool IsWritten, std::int64_t Revision);
   std::int64_t revision() const { return m_Revision; }
 
-  /// Moves on where all have confirmed, and returns an order for each
-  /// recorded member.
+  /// Advances the protocol where its conditions hold. \returns a command for
+  /// each recorded member.
   std::vector<std::pair<InstanceRef, ThresholdCommand>>
   step(core::TimePoint Now);
 
-  /// Everything is admitted, all have confirmed, and nobody is under pressure.
+  /// Whether all tiers are admitted, all members have confirmed and none is
+  /// under pressure.
   bool isQuiet() const;
   ThresholdPhase phase() const { return m_Phase; }
   core::TierNumber threshold() const { return m_Threshold; }
@@ -65,17 +66,18 @@
   void advanceShed(core::TierNumber Goal, core::TimePoint Now);
   void enter(ThresholdPhase Phase, core::TierNumber Threshold);
   bool allConfirmed() const;
-  /// Highest tier that a member needs to shed; the lowest tier when none.
+  /// Recomputes and returns the threshold to aim for: the highest tier that a
+  /// member needs to shed, or the lowest tier if there is no pressure.
   core::TierNumber updateGoal(core::TimePoint Now);
-  /// Only after all have confirmed.
+  /// Returns the lowest threshold of the members. All must have confirmed.
   core::TierNumber lowestMemberThreshold() const;
   core::TierNumber nextHigherTier(core::TierNumber Tier) const;
 
   core::PoolName m_Pool;
   InstanceRef m_Self;
-  ThresholdRecord m_Record; ///< As last written.
-  std::map<core::IncarnationId, InstanceRef>
-      m_NewMembers; ///< Heard, not yet recorded.
+  ThresholdRecord m_Record; ///< Record as last written.
+  /// Instances that have reported and are not yet recorded.
+  std::map<core::IncarnationId, InstanceRef> m_NewMembers;
   std::vector<core::IncarnationId> m_RemovedMembers;
   std::optional<ThresholdRecord> m_PendingRecord;
   std::int64_t m_Revision;
@@ -85,13 +87,13 @@
   ThresholdPhase m_Phase = ThresholdPhase::Adopt;
   std::uint64_t m_Sequence = 1;
   core::TierNumber m_Threshold{1};
-  /// Set while the floor is about to be lowered: permissions that were sent
-  /// before may still stand.
+  /// Set before the threshold is lowered, while permits that were sent earlier
+  /// may still be in force.
   bool m_IsRevoking = false;
   core::TimePoint m_LastPermitAt;
   core::TimePoint m_LastPressureAt;
   core::TierNumber m_LastGoal{0};
-  bool m_HasPressure = false; ///< Reported since the last step.
+  bool m_HasPressure = false; ///< Pressure was reported since the last step().
   std::map<core::IncarnationId, ReceivedReport> m_Reports;
 };
 
--- a/Libraries/LibDecision/ThresholdMember.cpp
+++ b/Libraries/LibDecision/ThresholdMember.cpp
@@ -10,7 +10,7 @@
 
 void ThresholdMember::setTiers(core::TierNumber Highest,
                                core::TierNumber Lowest) {
-  // A floor at the old lowest tier meant "everything"; it still does.
+  // A threshold that admitted all tiers continues to do so.
   if (m_Threshold && !(*m_Threshold < m_Lowest))
     m_Threshold = Lowest;
   m_Highest = Highest;
--- a/Libraries/LibDecision/ThresholdMember.h
+++ b/Libraries/LibDecision/ThresholdMember.h
@@ -1,5 +1,4 @@
-//===-- ThresholdMember.h - One instance's part in a pool's tier order
-//--------===//
+//===-- ThresholdMember.h - Admission threshold of one instance -----------===//
 #ifndef YARDRILL_LIBDECISION_THRESHOLDMEMBER_H
 #define YARDRILL_LIBDECISION_THRESHOLDMEMBER_H
 
@@ -10,49 +9,52 @@
 
 namespace yardrill::decision {
 
-/// Times of the protocol; the same at every instance.
+/// Times of the threshold protocol. All instances must use the same.
 struct ThresholdTimings {
-  /// A permission lasts this long after the report it answers was sent.
+  /// Lifetime of a permit, from the sending of the report that it answers.
   core::Duration m_PermitLifetime = std::chrono::seconds(2);
-  /// Added by the leader when it waits out permissions: covers clock rates
-  /// that differ by up to one part in four.
+  /// Time that the leader waits beyond the lifetime of permits; covers clock
+  /// rates that differ by up to one part in four.
   core::Duration m_ClockMargin = std::chrono::milliseconds(500);
-  /// How long pressure must be gone before the floor is lowered.
+  /// Time without pressure after which the threshold is lowered.
   core::Duration m_LoweringDelay = std::chrono::seconds(3);
-  /// A report older than this says nothing about pressure.
+  /// Age up to which a report counts as a sign of pressure.
   core::Duration m_MaxReportAge = std::chrono::seconds(2);
 };
 
-/// Keeps the promise "a higher tier is never shed while a lower tier still
-/// runs" on the member's side:
-///  - a tier below the floor is not admitted;
-///  - a tier is shed only if it is the pool's lowest, or under a permission
-///    that has not expired, which a leader gives only while no member runs
-///    anything below the floor;
+/// Decides at one instance which tiers of a pool may be admitted and shed, so
+/// that a higher tier is never shed while a lower tier still runs:
+///  - a tier below the threshold is not admitted;
+///  - a tier is shed only if it is the pool's lowest, or under an unexpired
+///    permit, which a leader grants only while no member runs a request below
+///    the threshold;
 ///  - until a leader has commanded this incarnation, only the highest tier is
 ///    admitted.
+/// Called by PoolScheduler. ThresholdLeader is the other side of the protocol.
 class ThresholdMember {
 public:
   ThresholdMember(core::PoolName Pool, InstanceRef Self,
                   ThresholdTimings Timings);
 
-  /// The pool's highest and lowest tier by the configuration in force.
+  /// Sets the highest and lowest tier of the configuration in force.
   void setTiers(core::TierNumber Highest, core::TierNumber Lowest);
 
   bool mayAdmit(core::TierNumber Tier) const { return !(threshold() < Tier); }
   bool mayShed(core::TierNumber Tier, core::TimePoint Now) const;
+  /// Returns the lowest tier that is admitted.
   core::TierNumber threshold() const;
-  /// Whether a leader has set a floor for this incarnation.
+  /// Whether a leader has set a threshold for this incarnation.
   bool hasThreshold() const { return m_Threshold.has_value(); }
-  /// When the permission ends; in the past when there is none.
+  /// Returns the expiry of the permit; a time in the past if there is none.
   core::TimePoint shedPermitUntil() const { return m_ShedPermitUntil; }
   const std::optional<InstanceRef> &leader() const { return m_Leader; }
   core::TimePoint lastCommandAt() const { return m_LastCommandAt; }
   ThresholdStamp stamp() const { return m_Stamp; }
 
-  /// \returns false when the order is stale or not for this incarnation.
+  /// \returns false if the command is stale or for another incarnation.
   bool applyCommand(const ThresholdCommand &Command, core::TimePoint Now);
-  /// Takes the leader from the pool's record, until an order comes.
+  /// Sets the leader from the pool's record, unless the leader of a later epoch
+  /// is known.
   void setLeader(const InstanceRef &Leader, std::uint64_t Epoch);
 
   ThresholdReport report(bool IsConfirmed, core::TierNumber TierToShed,
@@ -64,7 +66,7 @@
   ThresholdTimings m_Timings;
   core::TierNumber m_Highest{1};
   core::TierNumber m_Lowest{1};
-  std::optional<core::TierNumber> m_Threshold; ///< None: nobody commanded us.
+  std::optional<core::TierNumber> m_Threshold; ///< Empty: no command yet.
   ThresholdStamp m_Stamp;
   core::TimePoint m_ShedPermitUntil{};
   std::optional<InstanceRef> m_Leader;
