--- a/Libraries/LibDecision/Identity.h
+++ b/Libraries/LibDecision/Identity.h
@@ -1,4 +1,4 @@
-//===-- Identity.h - What makes two requests the same request -------------===//
+//===-- Identity.h - Identity of a request over its retries ---------------===//
 #ifndef YARDRILL_LIBDECISION_IDENTITY_H
 #define YARDRILL_LIBDECISION_IDENTITY_H
 
@@ -10,15 +10,17 @@
 
 namespace yardrill::decision {
 
+/// Source of an identity.
 enum class IdentityKind : std::uint8_t {
   Ticket, ///< Issued by an instance, which alone may run the request.
-  Key,    ///< The caller's own Idempotency-Key; claimed before it runs.
+  Key,    ///< Idempotency-Key of the caller; claimed before the request runs.
 };
 
-/// The instance that alone may run the requests of an identity.
+/// Refers to one incarnation of an instance. Two references are equal if they
+/// have the same incarnation.
 struct InstanceRef {
   core::IncarnationId m_Incarnation;
-  config::Endpoint m_Peer; ///< Its peer address, TCP.
+  config::Endpoint m_Peer; ///< Peer address (TCP).
 
   bool operator==(const InstanceRef &Other) const {
     return m_Incarnation == Other.m_Incarnation;
@@ -28,15 +30,18 @@
   }
 };
 
+/// Identifies a request over its retries: requests with the same identity run
+/// at most once. The owner of an identity is the instance that alone may run
+/// its requests.
 struct Identity {
   IdentityKind m_Kind = IdentityKind::Key;
-  /// Unique over all client accounts: it contains the account's name.
+  /// Unique over all client accounts, since it contains the account's name.
   std::string m_Name;
-  /// Of method, path and body; the same identity must come with the same.
+  /// Digest of method, path and body, which must be the same in each retry.
   std::uint64_t m_BodyDigest = 0;
-  InstanceRef m_Owner; ///< Of a ticket; unused for a key.
-  /// Of a ticket: microseconds on its home's steady clock, which nobody else
-  /// needs to read.
+  InstanceRef m_Owner; ///< Owner of a ticket; unused for a key.
+  /// Expiry of a ticket in microseconds on its owner's steady clock; unused for
+  /// a key. Only the owner reads it.
   std::int64_t m_ExpiresAt = 0;
 
   template <class Archive> void serialize(Archive &Ar) {
--- a/Libraries/LibDecision/IdentityTable.cpp
+++ b/Libraries/LibDecision/IdentityTable.cpp
@@ -4,7 +4,7 @@
 
 namespace yardrill::decision {
 
-/// How long past its time a record stays that is still in use.
+/// Time by which the expiry of a record that is in use is extended.
 static const std::chrono::seconds InUseExtension(10);
 
 IdentityRecord *IdentityTable::find(const std::string &Name) {
--- a/Libraries/LibDecision/IdentityTable.h
+++ b/Libraries/LibDecision/IdentityTable.h
@@ -1,4 +1,4 @@
-//===-- IdentityTable.h - Requests that may run only once -----------------===//
+//===-- IdentityTable.h - Identities that an instance owns ----------------===//
 #ifndef YARDRILL_LIBDECISION_IDENTITYTABLE_H
 #define YARDRILL_LIBDECISION_IDENTITYTABLE_H
 
@@ -15,29 +15,32 @@
 
 namespace yardrill::decision {
 
+/// Progress of the one execution of an identity.
 enum class IdentityState : std::uint8_t {
-  Claiming, ///< The platform is being asked; nothing was dispatched.
-  Running,  ///< Waiting here or dispatched.
-  Stored,   ///< Ran; the answer is stored under the runner's id.
-  Ended,    ///< Ran, or may have; no answer to give.
-  NotRun,   ///< Never dispatched; this home may still run it.
+  Claiming, ///< A claim is pending; nothing was dispatched.
+  Running,  ///< The runner is waiting or dispatched.
+  Stored,   ///< Ran; the response is stored under the runner's id.
+  Ended,    ///< Ran, or may have run; no response is available.
+  NotRun,   ///< Never dispatched; the owner may still run it.
 };
 
+/// State of one identity. Its runner is the request that is run for it.
 struct IdentityRecord {
   IdentityKind m_Kind = IdentityKind::Key;
   std::uint64_t m_BodyDigest = 0;
   IdentityState m_State = IdentityState::Claiming;
   core::RequestId m_Runner;
-  std::vector<core::RequestId> m_Waiting; ///< Repeats that joined the runner.
-  RefusalKind m_FinalRefusal =
-      RefusalKind::ResponseNotStored; ///< Answer when Ended.
-  /// A claim of ours may stand at the platform although we never heard so.
+  std::vector<core::RequestId> m_Waiting; ///< Repeats that wait for the runner.
+  /// Refusal for repeats in the state Ended.
+  RefusalKind m_FinalRefusal = RefusalKind::ResponseNotStored;
+  /// Whether the platform may hold an unconfirmed claim of this instance.
   bool m_MayHoldClaim = false;
   core::TimePoint m_ForgetAt{};
 };
 
-/// A bounded table of identities whose home is this instance. A record is
-/// forgotten only when its identity can no longer be accepted.
+/// Bounded table of the identities that this instance owns, used by
+/// DecisionCore. Records expire with their retention or ticket and are never
+/// evicted to make room, since a forgotten identity could run a second time.
 class IdentityTable {
 public:
   void setCapacity(std::size_t Capacity) { m_Capacity = Capacity; }
@@ -48,8 +51,8 @@
   IdentityRecord &insert(const Identity &Id, core::RequestId Runner,
                          core::TimePoint ForgetAt);
   void erase(const std::string &Name);
-  /// Forgets records past their time that nothing waits for.
-  /// \returns runners whose kept answers are no longer needed.
+  /// Removes expired records that are not in use.
+  /// \returns the runners whose stored responses can be discarded.
   std::vector<core::RequestId> expire(core::TimePoint Now);
 
 private:
--- a/Libraries/LibDecision/PoolQueue.cpp
+++ b/Libraries/LibDecision/PoolQueue.cpp
@@ -14,7 +14,7 @@
   TierQueue &Tier = m_Tiers[Item.m_Tier];
   AccountQueue &Account = Tier.m_Accounts[Item.m_Account];
   if (Account.m_Waiting.empty()) {
-    // An account that was away gets no credit for the time it did not use.
+    // An account that was idle gets no credit for the time it did not use.
     Account.m_StartTag = std::max(Account.m_StartTag, Tier.m_VirtualTime);
     Tier.m_Order.emplace(Account.m_StartTag, Item.m_Account);
   }
@@ -82,7 +82,7 @@
   if (!Account.m_Waiting.empty())
     Tier.m_Order.emplace(Account.m_StartTag, At.m_Account);
   else if (Tier.m_Order.empty())
-    // Nobody waits: the accounts' past turns no longer matter.
+    // With no request waiting, past service no longer matters.
     Tier.m_Accounts.clear();
   return true;
 }
--- a/Libraries/LibDecision/PoolQueue.h
+++ b/Libraries/LibDecision/PoolQueue.h
@@ -15,50 +15,58 @@
 
 namespace yardrill::decision {
 
-/// Orders by tier, then fairly between client accounts, then by the policy's
-/// order, then by arrival.
-/// Fair is start-time fair queueing: an account's next request may start when
-/// its earlier ones, divided by its weight, have had their turn.
+/// Priority queue of waiting requests: ordered by tier, then fairly between
+/// client accounts, then by the policy's order, then by arrival. Used by
+/// PoolScheduler.
+///
+/// Fairness is start-time fair queueing: each request that is served advances
+/// its account's start tag by the request's cost divided by the account's
+/// weight, and the account with the smallest start tag is served next.
 class PoolQueue {
 public:
+  /// A waiting request.
   struct Entry {
     core::RequestId m_Request;
     core::TierNumber m_Tier;
     core::AccountName m_Account;
     double m_Weight = 1;
-    double m_Cost = 1;  ///< Expected work, in any one unit.
-    double m_Order = 0; ///< Within tier and account, smaller goes first.
+    double m_Cost = 1;  ///< Expected work, in the same unit for all entries.
+    double m_Order = 0; ///< Order within tier and account; smaller is first.
     bool m_IsSheddable = true;
   };
 
   void push(const Entry &Item);
-  /// Puts a request back in front of its account's others.
+  /// Puts a request back, ahead of the others of its account with the same
+  /// m_Order.
   void pushFront(const Entry &Item);
-  /// Next to run among tiers up to \p LowestTier.
+  /// Returns the next request to serve among the tiers from the highest down to
+  /// \p LowestTier.
   std::optional<core::RequestId> front(core::TierNumber LowestTier) const;
-  /// The request that is refused first: lowest tier, latest arrival there,
-  /// among those that may be shed.
+  /// Returns the request to shed first: the latest arrival of the lowest tier
+  /// that has sheddable requests.
   std::optional<Entry> shedCandidate() const;
-  /// Takes out a request that runs now: its account's turn is used.
-  /// \returns false when it does not wait here.
+  /// Removes a request that is served now and charges its account.
+  /// \returns false if the request is not in the queue.
   bool dequeue(core::RequestId Request);
-  /// Takes out a request that does not run: its account keeps its turn.
+  /// Removes a request that is not served, without charging its account.
+  /// \returns false if the request is not in the queue.
   bool remove(core::RequestId Request);
 
   std::size_t size() const { return m_Locations.size(); }
   bool isEmpty() const { return m_Locations.empty(); }
 
 private:
-  /// The policy's order, then the arrival.
+  /// Sort key within an account: the policy's order, then the arrival.
   using Position = std::pair<double, std::int64_t>;
   struct AccountQueue {
     std::map<Position, Entry> m_Waiting;
-    double m_StartTag = 0; ///< Virtual time at which its first may start.
+    double m_StartTag = 0; ///< Virtual time at which the next request starts.
   };
   struct TierQueue {
     std::unordered_map<core::AccountName, AccountQueue> m_Accounts;
+    /// Accounts with waiting requests, by start tag.
     std::set<std::pair<double, core::AccountName>> m_Order;
-    std::list<core::RequestId> m_Sheddable;
+    std::list<core::RequestId> m_Sheddable; ///< Sheddable requests by arrival.
     double m_VirtualTime = 0;
     std::size_t m_Size = 0;
   };
@@ -66,7 +74,7 @@
     core::TierNumber m_Tier;
     core::AccountName m_Account;
     std::map<Position, Entry>::iterator m_Entry;
-    /// None when it may not be shed.
+    /// Position in m_Sheddable; empty if the request may not be shed.
     std::optional<std::list<core::RequestId>::iterator> m_Arrival;
   };
 
--- a/Libraries/LibDecision/RequestState.h
+++ b/Libraries/LibDecision/RequestState.h
@@ -9,22 +9,24 @@
 
 namespace yardrill::decision {
 
+/// Position of a request on its way through the core.
 enum class RequestPhase : std::uint8_t {
-  New,        ///< Not placed yet.
+  New,        ///< Not queued or dispatched yet.
   Claiming,   ///< Its identity is being claimed.
-  Joined,     ///< Waits for another request of the same identity.
-  Queued,     ///< Waits for a place.
-  Dispatched, ///< Given to a target, for good unless the connect fails.
-  Refusing,   ///< Its refusal is being written, under a permission.
+  Joined,     ///< Waits for the runner of the same identity.
+  Queued,     ///< Waits for a free slot.
+  Dispatched, ///< Sent to a target; queued again only if connecting fails.
+  Refusing,   ///< A refusal that is valid for a limited time is being sent.
 };
 
+/// A request between its arrival and its end. Owned by DecisionCore.
 struct RequestState {
   RequestArrived m_Arrival;
   core::TimePoint m_ArrivedAt;
   core::TimePoint m_Deadline;
   RequestPhase m_Phase = RequestPhase::New;
   policy::PolicyDecision m_Policy;
-  double m_Weight = 1; ///< Of its client account.
+  double m_Weight = 1; ///< Weight of the client account in fair queueing.
   core::TargetName m_Target;
   core::TimePoint m_DispatchedAt;
   std::optional<core::TimePoint> m_BeganAt;
