--- a/Libraries/LibDecision/PoolScheduler.cpp
+++ b/Libraries/LibDecision/PoolScheduler.cpp
@@ -6,15 +6,15 @@
 
 namespace yardrill::decision {
 
-/// From this part of its deadline on, a waiting request of a higher tier takes
-/// the place of a running one of the lowest tier.
+/// Part of its deadline after which a waiting request of a higher tier preempts
+/// a running one of the lowest tier.
 static const int PreemptNumerator = 1;
 static const int PreemptDenominator = 2;
 static const double MaxRetrySeconds = 120;
 static const double MinRetrySpread = 0.75;
 static const double MaxRetrySpread = 1.75;
 static const double CompletionRateWeight = 0.1;
-/// Requests that one pass over the queue may step over.
+/// Limit on the waiting requests that one pass over the queue skips.
 static const std::size_t MaxSkippedRequests = 16;
 static const double ExpectedCostPerToken = 1.0 / 256;
 
@@ -59,10 +59,11 @@
 
 void PoolScheduler::admit(RequestState &Request, core::TimePoint Now) {
   if (m_Targets.all().empty())
-    // An idle pool could not have run it either.
+    // Not load shedding: no tier can run in a pool without targets, so this
+    // refusal needs no permit.
     return m_Hooks.m_Refuse(Request, RefusalKind::NoTarget, {});
   bool IsAdmitted = m_Member.mayAdmit(Request.tier());
-  // Before a leader's first word a lower tier waits: the floor is not known.
+  // Until a leader has set the threshold, lower tiers wait.
   if (!IsAdmitted && m_Member.hasThreshold() &&
       m_Member.mayShed(Request.tier(), Now))
     return m_Hooks.m_Refuse(Request, RefusalKind::TierShed,
@@ -71,7 +72,7 @@
   if (IsAdmitted && IsFirst && tryDispatch(Request, Now))
     return;
   enqueue(Request, false);
-  // Those before it may wait for targets of their own.
+  // The requests ahead of it may be restricted to targets that are full.
   if (!IsFirst)
     dispatchWaiting(Now);
   enforceQueueLimit(Now);
@@ -84,7 +85,7 @@
   auto Target = m_Targets.choose(Work, Request.tier(), Now, m_Random);
   if (!Target)
     return false;
-  // At most once (brief): a request that was dispatched never comes here again.
+  // A request is dispatched at most once (brief).
   assert(Request.m_Phase != RequestPhase::Dispatched);
   Request.m_Phase = RequestPhase::Dispatched;
   Request.m_Target = *Target;
@@ -129,7 +130,7 @@
 }
 
 void PoolScheduler::dispatchWaiting(core::TimePoint Now) {
-  // Set aside: those whose policy names targets that have no place now.
+  // Skipped requests, whose policy allows only targets without a free slot.
   std::vector<core::RequestId> Restricted;
   while (auto Next = m_Queue.front(m_Member.threshold())) {
     RequestState &Request = m_Hooks.m_Find(*Next);
@@ -141,7 +142,7 @@
     const auto &Policy = Request.m_Policy;
     bool IsRestricted =
         !Policy.m_DataHalls.empty() || !Policy.m_Targets.empty();
-    // A lower tier has no place where a higher one has none.
+    // If an unrestricted request finds no slot, no later one does.
     if (!IsRestricted || Restricted.size() >= MaxSkippedRequests)
       break;
     withdraw(Request);
@@ -160,8 +161,8 @@
     auto Candidate = m_Queue.shedCandidate();
     if (!Candidate)
       return;
-    // Not the lowest tier and no permission: it keeps waiting. What may pile
-    // up is bounded by the open connections.
+    // Without a permit, a tier above the lowest keeps waiting. The open
+    // connections bound the excess.
     if (!m_Member.mayShed(Candidate->m_Tier, Now))
       return;
     RequestState &Request = m_Hooks.m_Find(Candidate->m_Request);
@@ -172,7 +173,7 @@
 }
 
 void PoolScheduler::refuseOverdue(core::TimePoint Now) {
-  // The lowest tier first, so that no higher one is refused before it.
+  // Starts with the lowest tier, so that no higher one is refused before it.
   for (auto Tier = m_Deadlines.rbegin(); Tier != m_Deadlines.rend(); ++Tier) {
     auto &Waiting = Tier->second;
     while (!Waiting.empty() && Waiting.begin()->first <= Now) {
@@ -257,7 +258,7 @@
   if (Lowest == m_Running.end() || Lowest->second.empty())
     return;
   std::size_t Remaining = countUrgent(Now);
-  // The youngest first: least of their work is lost.
+  // The newest requests lose the least work.
   for (auto Id = Lowest->second.rbegin();
        Id != Lowest->second.rend() && Remaining > 0; ++Id) {
     RequestState &Request = m_Hooks.m_Find(*Id);
@@ -275,17 +276,17 @@
   refuseOverdue(Now);
   preemptLowestTier(Now);
   enforceQueueLimit(Now);
-  // A paused target's pause may have ended.
+  // The connect back-off of a target may have ended.
   dispatchWaiting(Now);
   maintainTierOrder(Now);
 }
 
 //===----------------------------------------------------------------------===//
-// Tier order across instances
+// Threshold protocol between instances
 //===----------------------------------------------------------------------===//
 
-/// Between reports and orders while something is going on, and while all is
-/// quiet; a change is told at once.
+/// Period of reports and commands under load, and while isQuiet(). A change
+/// ends the idle period early.
 static const std::chrono::milliseconds ActiveReportPeriod(200);
 static const std::chrono::milliseconds IdleReportPeriod(1500);
 static const std::chrono::seconds LeaderTimeout(5);
@@ -330,7 +331,7 @@
   for (; Below != m_Running.end(); ++Below) {
     for (core::RequestId Id : Below->second) {
       RequestState &Request = m_Hooks.m_Find(Id);
-      // A call that may not be cut is waited for.
+      // Requests that may not be evicted run to their end.
       if (Request.m_IsCancelled || !Request.m_Arrival.m_IsEvictable)
         continue;
       Request.m_IsCancelled = true;
@@ -429,7 +430,7 @@
     return m_Member.setLeader(Read.m_Record.m_Leader, Read.m_Record.m_Epoch);
   if (m_Leader || m_IsStopping)
     return;
-  // Candidates wait for different times, so that one of them is first.
+  // Random delays make it likely that one candidate writes first.
   std::uniform_int_distribution<std::int64_t> Delay(
       0, core::Duration(MaxCampaignDelay).count());
   m_CampaignAt = Now + core::Duration(Delay(m_Random));
@@ -440,7 +441,7 @@
   if (m_Leader) {
     if (!m_Leader->recordWritten(Written.m_IsWritten, Written.m_Revision))
       m_Leader.reset();
-    // Our own farewell is in the record: nobody has to wait for us.
+    // The record no longer names this instance, so no member waits for it.
     else if (m_IsStopping && !m_Leader->hasMember(m_Self)) {
       m_Leader.reset();
       m_Hooks.m_Emit(ResignLeadership{m_Name});
--- a/Libraries/LibDecision/PoolScheduler.h
+++ b/Libraries/LibDecision/PoolScheduler.h
@@ -1,4 +1,4 @@
-//===-- PoolScheduler.h - Who runs, where and when, in one pool -----------===//
+//===-- PoolScheduler.h - Scheduling of one pool at one instance ----------===//
 #ifndef YARDRILL_LIBDECISION_POOLSCHEDULER_H
 #define YARDRILL_LIBDECISION_POOLSCHEDULER_H
 
@@ -18,16 +18,19 @@
 
 namespace yardrill::decision {
 
-/// What the scheduler asks of its owner. The owner keeps the requests.
+/// Callbacks of a scheduler into DecisionCore, which owns the requests.
 struct PoolHooks {
   std::function<void(Action)> m_Emit;
   std::function<RequestState &(core::RequestId)> m_Find;
-  /// Refuses for good, and tells everyone who waits for the same answer.
+  /// Refuses a request, and the repeats that wait for its response. With a
+  /// ValidUntil, the request stays open until RefusalSettled.
   std::function<void(RequestState &, RefusalKind, core::TimePoint ValidUntil)>
       m_Refuse;
 };
 
-/// One pool at this instance: its queue, its targets and its tier order.
+/// Schedules the requests of one pool at this instance: admits, queues,
+/// dispatches, sheds and evicts them, and takes part in the pool's threshold
+/// protocol as a member and, if elected, as the leader. Owned by DecisionCore.
 class PoolScheduler {
 public:
   PoolScheduler(const core::PoolName &Name, const InstanceRef &Self,
@@ -36,23 +39,25 @@
   void configure(const config::FleetConfiguration &Configuration,
                  const config::Pool &Pool, core::TimePoint Now);
   void setInstances(std::uint32_t Count, core::TimePoint Now);
-  /// Targets that get no new work, by the instance list.
+  /// Sets the targets that the instance list shows as leaving. They get no new
+  /// requests.
   void setLeavingTargets(const std::set<core::TargetName> &Leaving);
-  /// Some of them take work again.
+  /// Dispatches waiting requests after a target takes new work again.
   void targetsReturned(core::TimePoint Now) { dispatchWaiting(Now); }
-  /// Takes part in the tier order until nothing runs here; a leader then
-  /// writes itself out of the record and resigns.
+  /// Starts leaving the threshold protocol: the member leaves once no request
+  /// is waiting or running here, and a leader resigns after it has removed
+  /// itself from the record.
   void setStopping() { m_IsStopping = true; }
 
   /// Dispatches, queues or refuses a new request.
   void admit(RequestState &Request, core::TimePoint Now);
-  /// Takes a waiting request out. \returns false when it does not wait here.
+  /// Removes a waiting request. \returns false if it is not in the queue.
   bool withdraw(RequestState &Request);
   void connectFailed(RequestState &Request, core::TimePoint Now);
-  /// The dispatched request no longer runs at its target.
+  /// Handles the end of a dispatched request.
   void requestEnded(RequestState &Request, const ResponseEnded &End,
                     core::TimePoint Now);
-  /// Puts a request back whose refusal came too late to be sent.
+  /// Queues a request again whose refusal expired before it was sent.
   void readmit(RequestState &Request, core::TimePoint Now);
   void timePassed(core::TimePoint Now);
 
@@ -63,8 +68,9 @@
                      core::TimePoint Now);
   void memberGone(core::IncarnationId Incarnation);
 
-  /// When to come back, from the queue and the pace at which it empties, with
-  /// a spread so that those who were refused together do not return together.
+  /// Returns a Retry-After value in seconds: the time to drain the queue at the
+  /// recent completion rate, with random jitter so that callers who were
+  /// refused together do not retry together.
   std::uint32_t retryAfterSeconds();
 
   std::size_t queued() const { return m_Queue.size(); }
@@ -72,7 +78,7 @@
   const TargetTable &targets() const { return m_Targets; }
   const ThresholdMember &member() const { return m_Member; }
   bool isLeader() const { return m_Leader != nullptr; }
-  /// "adopt", "hold" or "shed" at the leader; "" elsewhere.
+  /// Returns "adopt", "hold" or "shed" at the leader, "" at other instances.
   const char *leaderPhase() const;
 
 private:
@@ -82,21 +88,29 @@
   void dispatchWaiting(core::TimePoint Now);
   void enforceQueueLimit(core::TimePoint Now);
   void refuseOverdue(core::TimePoint Now);
-  /// Waiting requests above the lowest tier that have waited for long.
+  /// Counts waiting requests above the lowest tier that have used up the part
+  /// of their deadline after which they preempt.
   std::size_t countUrgent(core::TimePoint Now) const;
-  /// Cancels one running request of the lowest tier for each of those: that
-  /// tier may always be shed, and the floor need not move for a few.
+  /// Cancels one running request of the lowest tier for each urgent one. That
+  /// tier may always be shed, so a few requests need no higher threshold.
   void preemptLowestTier(core::TimePoint Now);
   void evictBelowThreshold();
   void updateCompletionRate(core::TimePoint Now);
   bool runsBelowThreshold() const;
+  /// Returns the highest tier whose waiting requests are overdue or would have
+  /// to be shed from a full queue, leaving out the lowest; 0 if there is none.
   core::TierNumber tierUnderPressure(core::TimePoint Now) const;
+  /// Returns the time until which a refusal of \p Tier may be sent: the
+  /// permit's expiry, or 0 (no limit) for the lowest tier.
   core::TimePoint validUntil(core::TierNumber Tier) const;
+  /// Sends due reports and commands, and looks for a leader.
   void maintainTierOrder(core::TimePoint Now);
-  /// Nothing to tell the pool's leader or members soon.
+  /// Whether the pool's leader and members need no update soon.
   bool isQuiet(core::TimePoint Now) const;
   void sendReport(core::TimePoint Now);
   void leadPool(core::TimePoint Now);
+  /// Campaigns for the leadership if due, or reads the pool's record when the
+  /// leader has been silent.
   void seekLeader(core::TimePoint Now);
 
   core::PoolName m_Name;
@@ -117,12 +131,12 @@
            std::set<std::pair<core::TimePoint, core::RequestId>>>
       m_Deadlines;
   std::map<core::TierNumber, std::set<core::RequestId>> m_Running;
-  double m_CompletionRate = 0; ///< Requests ended, a second, smoothed.
+  double m_CompletionRate = 0; ///< Smoothed, in requests per second.
   core::TimePoint m_LastCompletionAt{};
   core::TimePoint m_LastReportAt{};
   ThresholdStamp m_ReportedStamp;
   core::TimePoint m_NextRecordReadAt{};
-  core::TimePoint m_CampaignAt{}; ///< Zero: not a candidate.
+  core::TimePoint m_CampaignAt{}; ///< Time of the campaign; 0: none planned.
   std::optional<ThresholdRecordRead> m_LastRecord;
 };
 
--- a/Libraries/LibDecision/TargetTable.cpp
+++ b/Libraries/LibDecision/TargetTable.cpp
@@ -9,17 +9,17 @@
 
 namespace yardrill::decision {
 
-/// Rates assumed of a target that has not answered yet, tokens a second.
+/// Rates assumed for a target without a response yet, in tokens per second.
 static const double InitialDecodeRate = 30;
 static const double InitialPrefillRate = 3000;
-/// Weight of the newest observation in a learned rate.
+/// Weight of the newest observation in the moving average of a rate.
 static const double RateWeight = 0.2;
-/// Predictions this close count as equal; the choice is drawn, so that
-/// instances that know the same do not all go to the same target.
+/// Ratio up to which predictions count as tied. Ties are broken at random, so
+/// that instances with the same state do not all choose the same target.
 static const double TieFactor = 1.05;
 static const std::chrono::milliseconds InitialBackoff(100);
 static const std::uint32_t MaxBackoffDoublings = 6;
-/// Fewer tokens say nothing about a rate.
+/// Minimum number of tokens from which a rate is updated.
 static const std::uint32_t MinTokensForRate = 4;
 
 template <class List>
@@ -49,7 +49,7 @@
     State.m_IsLeavingByList = m_Leaving.count(T.m_Name) != 0;
     Next.emplace(T.m_Name, State);
   }
-  // A target that was taken out is kept, as leaving, until it is empty.
+  // A removed target stays, marked as leaving, until its requests have ended.
   for (auto &[Name, State] : m_Targets) {
     if (Next.count(Name) != 0 || State.m_Running == 0)
       continue;
@@ -59,7 +59,7 @@
   m_Targets = std::move(Next);
   m_ReservedSlots = Pool.m_ReservedSlots;
   m_PrefillWeight = Pool.m_PrefillWeight;
-  // The brief says so of model engines only.
+  // Per the brief, only model engines honour priorities.
   m_HonoursPriority = Pool.m_Kind == config::PoolKind::Model;
 }
 
@@ -73,7 +73,8 @@
   return (Target.m_Target.m_Slots + m_InstanceCount - 1) / m_InstanceCount;
 }
 
-/// Requests of \p Target that would be served before one of \p Tier.
+/// Counts requests at \p Target of the same or a higher tier, which are served
+/// before a new one of \p Tier.
 static std::size_t countServedBefore(const TargetState &Target,
                                      core::TierNumber Tier) {
   std::size_t Count = 0;
@@ -112,7 +113,7 @@
   for (const auto &[Name, State] : m_Targets) {
     std::size_t Rank = PrefixHash;
     boost::hash_combine(Rank, State.m_NameHash);
-    // The highest ranks so far, in descending order.
+    // Inserts the target into the highest ranks, in descending order.
     const TargetState *Next = &State;
     for (std::size_t I = 0; I < PrefixTargetCount; ++I) {
       if (Preferred[I] && Rank <= Ranks[I])
@@ -134,7 +135,7 @@
   double Prefill =
       Target.m_PrefillRate > 0 ? Target.m_PrefillRate : InitialPrefillRate;
   double Seconds = Work.m_OutputTokens / Decode;
-  // A fuller target is slower for everyone in its batch.
+  // A fuller batch slows down all of its requests.
   double Fill = static_cast<double>(Target.m_Running) /
                 static_cast<double>(instanceShare(Target));
   if (!IsPrefixCached)
@@ -147,7 +148,7 @@
                     core::TimePoint Now, std::mt19937_64 &Random) const {
   if (m_Highest < Tier && !leavesReservedSlots(Tier))
     return std::nullopt;
-  // Full pools are asked most often, so places are looked at first.
+  // Checks slots before the costlier prediction: most calls find a full pool.
   std::vector<std::pair<double, const TargetState *>> Candidates;
   for (const auto &[Name, State] : m_Targets)
     if (State.takesNewWork(Now) && hasFreeSlot(State, Tier) &&
--- a/Libraries/LibDecision/TargetTable.h
+++ b/Libraries/LibDecision/TargetTable.h
@@ -1,4 +1,4 @@
-//===-- TargetTable.h - What is known of one pool's targets ---------------===//
+//===-- TargetTable.h - Load and speed of the targets of a pool -----------===//
 #ifndef YARDRILL_LIBDECISION_TARGETTABLE_H
 #define YARDRILL_LIBDECISION_TARGETTABLE_H
 
@@ -18,27 +18,29 @@
 
 namespace yardrill::decision {
 
-/// What a request will probably cost a target.
+/// Work that a request is expected to cause at a target.
 struct ExpectedWork {
   std::uint32_t m_PrefillTokens = 0;
   std::uint32_t m_OutputTokens = 0;
   std::uint64_t m_PrefixHash = 0;
-  /// Where the policy lets it run; null: anywhere.
+  /// Policy decision with the allowed data halls and targets; null: all.
   const policy::PolicyDecision *m_Allowed = nullptr;
 
   bool isAllowedAt(const config::Target &Target) const;
 };
 
-/// One target as this instance knows it.
+/// State of one target at this instance.
 struct TargetState {
   config::Target m_Target;
-  std::uint64_t m_NameHash = 0; ///< The same at every instance.
-  bool m_IsLeavingByList = false;
-  std::size_t m_Running = 0; ///< Dispatched by this instance.
+  std::uint64_t m_NameHash = 0;   ///< Same at all instances.
+  bool m_IsLeavingByList = false; ///< The instance list shows it as leaving.
+  std::size_t m_Running = 0;      ///< Requests dispatched by this instance.
   std::map<core::TierNumber, std::size_t> m_RunningByTier;
-  double m_DecodeRate = 0;  ///< Learned, tokens a second of one stream.
-  double m_PrefillRate = 0; ///< Learned, tokens a second.
-  std::uint32_t m_ConnectFailures = 0; ///< Failed connects in a row.
+  /// Moving average of one stream, in tokens per second; 0: no response yet.
+  double m_DecodeRate = 0;
+  /// Moving average, in tokens per second; 0: no response yet.
+  double m_PrefillRate = 0;
+  std::uint32_t m_ConnectFailures = 0; ///< Consecutive failed connects.
   core::TimePoint m_ConnectRetryAt{};
 
   bool takesNewWork(core::TimePoint Now) const {
@@ -47,16 +49,17 @@
   }
 };
 
-/// Chooses targets by predicted finish and learns their speed.
+/// Chooses the target of a request by its predicted completion time, and learns
+/// the speed of targets from their responses. Used by PoolScheduler.
 class TargetTable {
 public:
-  /// Takes over what is already known of targets that stay.
+  /// Applies a new configuration and keeps the state of targets that remain.
   void configure(const config::Pool &Pool, core::TierNumber Highest);
   void setInstances(std::uint32_t Count) { m_InstanceCount = Count; }
   void setLeaving(const std::set<core::TargetName> &Leaving);
 
-  /// \returns the target that would finish soonest, prefill weighed, among
-  /// those with a place for this tier; none when there is no place.
+  /// \returns the target with a free slot for this tier that is predicted to
+  /// finish first, chosen at random among near ties; nothing if there is none.
   std::optional<core::TargetName> choose(const ExpectedWork &Work,
                                          core::TierNumber Tier,
                                          core::TimePoint Now,
@@ -66,6 +69,8 @@
   void finished(const core::TargetName &Name, core::TierNumber Tier);
   void connectFailed(const core::TargetName &Name, core::TierNumber Tier,
                      core::TimePoint Now);
+  /// Updates the rates of a target after a complete response: \p FirstByte is
+  /// the time to its first byte and \p Rest the time from there to its end.
   void updateRates(const core::TargetName &Name, const ExpectedWork &Work,
                    core::Duration FirstByte, core::Duration Rest,
                    std::uint32_t OutputTokens);
@@ -74,31 +79,34 @@
   const std::map<core::TargetName, TargetState> &all() const {
     return m_Targets;
   }
-  /// Places this instance may fill at \p Target: its share among instances.
+  /// Returns the number of slots of \p Target that this instance may use, which
+  /// is an equal share, rounded up.
   std::size_t instanceShare(const TargetState &Target) const;
 
 private:
-  /// Targets at which a shared prefix is expected to be in the cache.
+  /// Number of targets whose cache is expected to hold a shared prefix.
   static constexpr std::size_t PrefixTargetCount = 2;
   using PrefixTargets = std::array<const TargetState *, PrefixTargetCount>;
 
-  /// A target that honours priorities serves a higher tier before what waits
-  /// there of a lower one, so only work of the same or a higher tier counts.
+  /// Whether the target has a free slot for \p Tier. A target that honours
+  /// priorities serves higher tiers first, so only requests of the same or a
+  /// higher tier count there.
   bool hasFreeSlot(const TargetState &Target, core::TierNumber Tier) const;
-  /// Whether one more request of a lower tier leaves, over the whole pool, the
-  /// places free that are kept for the highest.
+  /// Whether one more request of \p Tier, which is not the highest, leaves the
+  /// slots free that are reserved for the highest tier, summed over the pool.
   bool leavesReservedSlots(core::TierNumber Tier) const;
+  /// Returns a relative cost of running \p Work at \p Target, in about seconds.
   double predictedFinish(const TargetState &Target, const ExpectedWork &Work,
                          bool IsPrefixCached) const;
-  /// Where the prefix is expected: its first targets by rendezvous hash, the
-  /// same at every instance without a message.
+  /// Returns the targets whose cache is expected to hold the prefix. Rendezvous
+  /// hashing makes all instances agree without messages.
   PrefixTargets prefixTargets(std::uint64_t PrefixHash) const;
 
   std::map<core::TargetName, TargetState> m_Targets;
   std::uint32_t m_InstanceCount = 1;
   std::size_t m_ReservedSlots = 0;
   double m_PrefillWeight = 1;
-  std::set<core::TargetName> m_Leaving; ///< By the instance list.
+  std::set<core::TargetName> m_Leaving; ///< Leaving targets of the list.
   core::TierNumber m_Highest{1};
   bool m_HonoursPriority = false;
 };
--- a/Libraries/LibDecision/Trace.cpp
+++ b/Libraries/LibDecision/Trace.cpp
@@ -13,7 +13,7 @@
 
 static const char EventStart[] = "{\"at\":";
 
-/// cereal's JSON is one value a line; strip the line breaks it adds.
+/// Removes the line breaks that cereal puts between JSON values.
 static std::string flatten(const std::string &Json) {
   std::string Out;
   for (char C : Json)
@@ -68,7 +68,7 @@
 
 namespace {
 
-/// Follows which requests are at a target, to count what may never happen.
+/// Tracks which requests are at a target and counts violations.
 class OutcomeCounter {
 public:
   explicit OutcomeCounter(ReplayResult &Result) : m_Result(Result) {}
--- a/Libraries/LibDecision/Trace.h
+++ b/Libraries/LibDecision/Trace.h
@@ -1,8 +1,9 @@
-//===-- Trace.h - Recorded decisions --------------------------------------===//
+//===-- Trace.h - Recording and replay of decisions -----------------------===//
 //
-// A trace is text: for each event one JSON line `{"at":…,"event":…}` and then
-// one line `{"action":…}` for each action that followed. docs/TRACES.md
-// describes the fields.
+// A trace is text: one JSON line `{"at":…,"event":…}` for each event, followed
+// by a line `{"action":…}` for each action that the core returned. Empty lines
+// and lines that start with `#` are ignored. docs/TRACES.md describes the
+// fields.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBDECISION_TRACE_H
@@ -18,7 +19,7 @@
 
 namespace yardrill::decision {
 
-/// Writes each event and its actions as they happen.
+/// Writes each event and its actions to a stream and flushes it.
 class TraceWriter {
 public:
   explicit TraceWriter(std::ostream &Out) : m_Out(Out) {}
@@ -29,26 +30,27 @@
   std::ostream &m_Out;
 };
 
+/// Outcome of replay(). The counts cover the trace up to the first difference.
 struct ReplayResult {
   std::size_t m_Events = 0;
   std::size_t m_Actions = 0;
-  /// Line of the first difference; 0 when there is none.
+  /// Line number of the first difference; 0: none.
   std::size_t m_DifferentLine = 0;
   std::string m_Expected;
   std::string m_Actual;
   std::size_t m_Dispatched = 0;
-  /// Dispatches of a request that was dispatched before, with no failed
-  /// connect between: breaks "at most once".
+  /// Repeated dispatches of a request without a failed connect in between,
+  /// which violate "at most once".
   std::size_t m_DuplicateDispatches = 0;
   std::size_t m_Refused = 0;
-  /// Refusals as not run of a request that was dispatched.
+  /// Refusals that state "not run" for a dispatched request.
   std::size_t m_RefusedAfterDispatch = 0;
 
   bool isSame() const { return m_DifferentLine == 0; }
 };
 
-/// Feeds a trace's events to a new core and compares its actions.
-/// \throws core::Error of kind Trace when the trace cannot be read.
+/// Feeds the events of a trace to a new core and compares the actions.
+/// \throws core::Error of kind Trace if the trace cannot be parsed.
 ReplayResult replay(std::istream &Trace);
 
 } // namespace yardrill::decision
