--- a/Tests/LibDecision/LeavingTargetTest.cpp
+++ b/Tests/LibDecision/LeavingTargetTest.cpp
@@ -1,4 +1,9 @@
-//===-- LeavingTargetTest.cpp - What the list says is kept ----------------===//
+//===-- LeavingTargetTest.cpp - Leaving targets of the instance list ------===//
+//
+// A target that the instance list shows as leaving gets no request, also when
+// the list arrives before the configuration that adds the target.
+//
+//===----------------------------------------------------------------------===//
 #include "LibDecision/DecisionCore.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -45,7 +50,7 @@
 public:
   void setUp() override { process(InstanceStarted{}); }
 
-  /// An instance that starts may hear the list before the configuration.
+  /// A starting instance may receive the list before the configuration.
   void testHeardBeforeTheConfiguration() {
     process(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
--- a/Tests/LibDecision/PolicyInForceTest.cpp
+++ b/Tests/LibDecision/PolicyInForceTest.cpp
@@ -1,4 +1,4 @@
-//===-- PolicyInForceTest.cpp - What a policy program decides -------------===//
+//===-- PolicyInForceTest.cpp - Effect of policy programs on scheduling ---===//
 #include "LibDecision/DecisionCore.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -75,7 +75,7 @@
     arrive(30);
     arrive(10);
     arrive(20);
-    // Each end frees a place for the next in the policy's order.
+    // Each end frees a slot for the next request in the policy's order.
     CPPUNIT_ASSERT(dispatchIn(end(1)).m_Request == core::RequestId(4));
     CPPUNIT_ASSERT(dispatchIn(end(2)).m_Request == core::RequestId(5));
     CPPUNIT_ASSERT(dispatchIn(end(4)).m_Request == core::RequestId(3));
@@ -85,7 +85,7 @@
     publish("function decide(r) if r.output_tokens > 5 then return "
             "{data_halls = {'y'}} end return {targets = {'near'}} end");
     CPPUNIT_ASSERT(dispatchIn(arrive(9)).m_Target == core::TargetName("far"));
-    // This one waits for its own hall, and does not hold up the next.
+    // A request that waits for a full data hall does not block the next one.
     CPPUNIT_ASSERT(arrive(9).empty());
     CPPUNIT_ASSERT(dispatchIn(arrive(1)).m_Target == core::TargetName("near"));
     CPPUNIT_ASSERT(dispatchIn(end(1)).m_Request == core::RequestId(2));
@@ -97,7 +97,8 @@
       dispatchIn(arrive(9));
     for (int I = 0; I < 3; ++I)
       CPPUNIT_ASSERT(arrive(9).empty());
-    // The queue is full of what may not be shed: the newcomer goes.
+    // The queue is full of requests that may not be shed, so the new one is
+    // refused.
     auto Actions = arrive(1);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Actions.size());
     CPPUNIT_ASSERT(std::get<Refuse>(Actions.front()).m_Request ==
--- a/Tests/LibDecision/PoolQueueTest.cpp
+++ b/Tests/LibDecision/PoolQueueTest.cpp
@@ -71,8 +71,8 @@
     CPPUNIT_ASSERT(Heavy >= 29 && Heavy <= 31);
   }
 
-  /// A request that is taken out and put back, since its own targets are
-  /// full, must not put its account behind the others.
+  /// An account must not be charged for a request that is removed and put back
+  /// because its allowed targets are full.
   void testSteppingOverCostsNoTurn() {
     auto Waiting = push(2, "restricted");
     push(2, "other");
@@ -84,7 +84,7 @@
     }
     pop();
     pop();
-    // Of the first two served, one was the restricted account's.
+    // One of the two requests served was the restricted account's.
     CPPUNIT_ASSERT(pop() != Waiting);
   }
 
--- a/Tests/LibDecision/TierOrderScheduleTest.cpp
+++ b/Tests/LibDecision/TierOrderScheduleTest.cpp
@@ -1,11 +1,8 @@
-//===-- TierOrderScheduleTest.cpp - Random schedules of the floor ---------===//
+//===-- TierOrderScheduleTest.cpp - Tier order under random faults --------===//
 //
-// Drives real decision cores, several instances of one pool, through random
-// schedules: leaders killed, frozen and cut, store outages, a lagging list,
-// lost, late and reordered messages, refusals written late. The checker looks
-// at all instances at once: no refusal of a tier may be written while a lower
-// tier runs anywhere (brief: "A higher tier is never shed while a lower tier
-// still runs").
+// Runs the decision cores of several instances of a pool under random faults
+// and checks that no tier is shed while a lower one runs at any instance
+// (brief: "A higher tier is never shed while a lower tier still runs").
 //
 //===----------------------------------------------------------------------===//
 #include "LibDecision/DecisionCore.h"
@@ -54,7 +51,7 @@
 
 enum class CallerKind { All, High, Middle, Low };
 
-/// One process: its core and what runs at targets for it.
+/// One process: its core, and the requests that it runs at targets.
 struct Simulated {
   InstanceRef m_Instance;
   DecisionCore m_Core;
@@ -74,7 +71,7 @@
   core::TimePoint m_LeaseUntil{};
 };
 
-/// One schedule, the same for the same seed.
+/// One simulation, determined by its seed.
 class Schedule {
 public:
   explicit Schedule(unsigned Seed) : m_Random(Seed) {
@@ -124,7 +121,7 @@
     process(Index, InstanceCountChanged{Instances});
   }
 
-  /// Kills, freezes, cuts and outages.
+  /// Draws store outages, network partitions, kills, starts and freezes.
   void injectFaults() {
     if (chance(0.003))
       m_IsStoreUp = !m_IsStoreUp;
@@ -179,7 +176,7 @@
 
   void runTick(int Index) {
     Simulated &Who = *at(Index);
-    // The list lags by two seconds, and removal needs silence besides.
+    // The instance list lags, and removal also requires silence.
     for (const auto &[DiedAt, Incarnation] : m_Dead)
       if (m_Now - DiedAt > std::chrono::seconds(7) && chance(0.1))
         process(Index, MemberGone{Incarnation});
@@ -191,13 +188,13 @@
     for (core::RequestId Id : Ended)
       end(Index, Id, ResponseOutcome::Complete);
     process(Index, TimePassed{});
-    // Bursts and quiet times, so that the floor goes up and down.
+    // Bursts alternate with low load, so that the threshold moves both ways.
     bool IsBurst = (m_Now.time_since_epoch() / std::chrono::seconds(20)) % 2;
     for (int I = 0; I < (IsBurst ? 3 : 1); ++I)
       if (chance(0.5))
         arrive(Index);
-    // Each instance has callers of its own kind for a while: where only low
-    // tiers arrive, a wrong floor at once lets one run.
+    // Instances differ in the tiers that arrive: where only low ones do, a
+    // wrong threshold shows at once.
     if (chance(0.01))
       Who.m_Kind = static_cast<CallerKind>(drawBelow(4));
   }
@@ -235,7 +232,8 @@
     process(Index, ResponseEnded{Id, Outcome, false, 0});
   }
 
-  /// Refusals reach the wire a little later; a frozen process's much later.
+  /// Sends due refusals, which are delayed, and much more so in a frozen
+  /// process.
   void settleRefusals(int Index) {
     Simulated &Who = *at(Index);
     std::deque<PendingRefusal> Due;
@@ -255,7 +253,7 @@
     }
   }
 
-  /// A request is shed now, by refusal or by eviction.
+  /// Checks a request that is shed now, by refusal or by eviction.
   void check(int Index, core::RequestId Id) {
     core::TierNumber Tier = at(Index)->m_Tiers.at(Id);
     m_HigherSheds += Tier < core::TierNumber(3);
@@ -285,7 +283,7 @@
     if (const auto *CancelAction = std::get_if<Cancel>(&What)) {
       CPPUNIT_ASSERT(Who.m_NotEvictable.count(CancelAction->m_Request) == 0);
       check(Index, CancelAction->m_Request);
-      // A cancelled request goes on for a while.
+      // A cancelled request ends after a short delay.
       Who.m_EndsAt[CancelAction->m_Request] = m_Now + Tick * (1 + drawBelow(3));
     }
     if (const auto *CommandAction = std::get_if<SendThresholdCommand>(&What))
@@ -319,7 +317,7 @@
       m_Store.m_LeaseUntil = m_Now + std::chrono::seconds(9);
       ++m_Store.m_Revision;
     }
-    // Some answers are lost after the write took effect.
+    // Some responses are lost after the write took effect.
     Out.m_IsWritten = IsCurrent && !chance(0.05);
     Out.m_Revision = m_Store.m_Revision;
     m_Messages.push_back(
@@ -363,7 +361,7 @@
     std::cout << " schedules=" << Count << " served=" << Served
               << " higher_sheds=" << Sheds << " violations=" << Violations;
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Violations);
-    // The schedules must reach the case they are about.
+    // The simulations must shed tiers above the lowest at all.
     CPPUNIT_ASSERT(Sheds > Count);
   }
 };
