--- a/Libraries/LibQuarantine/ContentDigest.h
+++ b/Libraries/LibQuarantine/ContentDigest.h
@@ -1,4 +1,4 @@
-//===-- ContentDigest.h - What a request asks, however often it comes -----===//
+//===-- ContentDigest.h - Digest of a request's content -------------------===//
 #ifndef YARDRILL_LIBQUARANTINE_CONTENTDIGEST_H
 #define YARDRILL_LIBQUARANTINE_CONTENTDIGEST_H
 
@@ -12,26 +12,28 @@
 
 namespace yardrill::quarantine {
 
-/// What makes two attempts the same request: who asks, and what a target would
-/// run. Ids, deadlines and where a stream goes on differ between attempts.
+/// The parts of a request that are the same in all its attempts: the client
+/// account and what a target would run. Request ids, deadlines and the position
+/// at which a stream resumes differ between attempts and are left out.
 struct Content {
-  std::string_view m_Account; ///< Of the client; empty: none.
+  std::string_view m_Account; ///< Name of the client account; empty: none.
   std::string_view m_Host;
   std::string_view m_Method;
   std::string_view m_Target; ///< Path and query as sent.
   std::string_view m_Body;
 };
 
-/// 128 bits of SHA-256 (FIPS 180-4): nobody can make a request whose digest is
-/// that of another client account's.
+/// The first 128 bits of SHA-256 (FIPS 180-4) over a request's content. No
+/// client can produce a request with the digest of another account's request
+/// and so have that one quarantined.
 struct ContentDigest {
   std::uint64_t m_High = 0;
   std::uint64_t m_Low = 0;
 
   static ContentDigest of(const Content &What);
-  /// \returns nothing when \p Text is not what toString() gives.
+  /// Parses 32 hex digits. \returns nothing if \p Text is anything else.
   static std::optional<ContentDigest> parse(std::string_view Text);
-  /// 32 lower-case hex digits.
+  /// Returns 32 lower-case hex digits.
   std::string toString() const;
 
   bool operator==(const ContentDigest &Other) const {
@@ -46,7 +48,7 @@
 
 } // namespace yardrill::quarantine
 
-/// All bits of a digest are alike.
+/// Uses the low half, since all bits of a digest are evenly distributed.
 template <> struct std::hash<yardrill::quarantine::ContentDigest> {
   std::size_t
   operator()(const yardrill::quarantine::ContentDigest &Digest) const {
--- a/Libraries/LibQuarantine/Gossip.cpp
+++ b/Libraries/LibQuarantine/Gossip.cpp
@@ -7,18 +7,19 @@
 
 namespace yardrill::quarantine {
 
-/// When everybody is told again, after the time before: a lost datagram, and a
-/// second of losses, cost no more than a little delay.
+/// Delays between the repeats of a broadcast. They span more than a second, so
+/// that a lost datagram or a second of losses only delays an update.
 static constexpr std::array<std::chrono::milliseconds, 3> RebroadcastDelays{
     std::chrono::milliseconds(100), std::chrono::milliseconds(300),
     std::chrono::milliseconds(1200)};
-/// How often a few others are told of what the store does not hold.
+/// Period of sending unstored observations to a few other instances.
 static constexpr std::chrono::seconds GossipPeriod{1};
-/// The store should hold suspects: one run alone is what most requests have
-/// that were under way when a target ended.
+/// Incriminating incarnations from which a content is stored. Lower would store
+/// nearly every request that was running when a target exited.
 static constexpr std::size_t MinIncarnationsToStore =
     QuarantineTable::RunsToSuspect;
-/// Contents in the store's entry; with three runs each it has 15 KB.
+/// Limit on the contents in the store's entry, which keeps it at about 15 KB
+/// with three incarnations each.
 static constexpr std::size_t MaxStoredContents = 256;
 
 void Gossip::noteTargetExit(const ContentDigest &Content,
@@ -40,7 +41,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Between instances
+// Exchange with other instances
 //===----------------------------------------------------------------------===//
 
 void Gossip::broadcastUpdates(core::TimePoint Now) {
@@ -87,7 +88,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// In the store
+// Exchange with the store
 //===----------------------------------------------------------------------===//
 
 bool Gossip::mergeStored(const std::string &Text, core::TimePoint Now) {
@@ -109,8 +110,9 @@
   for (const ContentDigest &Each : Suspects)
     for (const Observation &Observed : m_Table.observations(Each))
       Out.push_back(Observed);
-  // What was excused stays: whoever missed that must hear of it. Not what came
-  // since, or each end of a target would be written for popular contents.
+  // Stored observations stay after they are cleared, for the instances that
+  // missed the clearing. Later exits under such a content are not added, or
+  // each exit under a popular content would cause a write.
   for (const Observation &Each : m_Stored)
     if (m_Table.incriminatingIncarnations(Each.m_Content) <
         MinIncarnationsToStore)
--- a/Libraries/LibQuarantine/Gossip.h
+++ b/Libraries/LibQuarantine/Gossip.h
@@ -1,10 +1,13 @@
-//===-- Gossip.h - One instance's part in what all know of bad requests ---===//
+//===-- Gossip.h - Replication of the quarantine between instances --------===//
 //
-// Pure: time is handed in, and what is to be sent comes out through hooks. What
-// an instance sees of targets that end goes to all others at once, several
-// times, since datagrams are lost. What stands against a content belongs into
-// the store, where it outlasts a restart of all instances; until it stands
-// there, every instance goes on telling a few others of it.
+// Updates of an instance are broadcast to all others at once and repeated a few
+// times, since datagrams get lost. Observations of suspect contents are also
+// written to the store, where they survive a restart of all instances; until
+// the store holds them, each instance keeps sending them to a few random
+// others.
+//
+// Uses no clock or I/O: the time is a parameter, and messages are sent through
+// hooks.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBQUARANTINE_GOSSIP_H
@@ -20,40 +23,44 @@
 
 namespace yardrill::quarantine {
 
+/// Callbacks through which Gossip sends and reports changes.
 struct GossipHooks {
-  /// Sends to all other instances; any of it may be lost.
+  /// Sends to all other instances. Messages may be lost.
   std::function<void(const std::vector<Observation> &)> m_Broadcast;
-  /// Sends to a few others, other ones each time.
+  /// Sends to a few randomly chosen other instances.
   std::function<void(const std::vector<Observation> &)> m_SendToSample;
-  /// A content is quarantined, or is not any more.
+  /// Called when a content is quarantined or released.
   QuarantineTable::Hook m_Changed;
 };
 
+/// Keeps the QuarantineTable of this instance in sync with those of the others
+/// and with the store. Used by QuarantineService.
 class Gossip {
 public:
   explicit Gossip(GossipHooks Hooks)
       : m_Hooks(std::move(Hooks)), m_Table(m_Hooks.m_Changed) {}
 
-  // What is seen here, as in QuarantineTable.
+  // Records an observation of this instance and broadcasts the change; see
+  // QuarantineTable.
   void noteTargetExit(const ContentDigest &Content, IncarnationHash Incarnation,
                       core::TimePoint Now);
   void noteSuccess(const ContentDigest &Content, core::TimePoint Now);
-  /// Takes what another instance tells.
+  /// Merges observations received from another instance.
   void merge(const std::vector<Observation> &Observed, core::TimePoint Now);
-  /// Takes what the store holds. \returns false when it can't be read.
+  /// Merges the text of the store's entry. \returns false if it is malformed.
   bool mergeStored(const std::string &Text, core::TimePoint Now);
-  /// What the store should hold.
+  /// Returns the text that the store's entry should have.
   std::string storedText() const;
-  /// Tells again what is due. To be called a few times a second.
+  /// Sends due repeats and gossip. Must be called a few times per second.
   void upkeep(core::TimePoint Now);
 
   const QuarantineTable &table() const { return m_Table; }
 
 private:
-  /// Observations on their way to all others.
+  /// A broadcast that is to be repeated.
   struct PendingBroadcast {
     std::vector<Observation> m_Observations;
-    std::size_t m_RepeatCount = 0; ///< Told again so far.
+    std::size_t m_RepeatCount = 0; ///< Number of repeats sent so far.
     core::TimePoint m_NextAt{};
   };
 
@@ -63,7 +70,7 @@
 
   GossipHooks m_Hooks;
   QuarantineTable m_Table;
-  std::set<Observation> m_Stored; ///< In the store's entry.
+  std::set<Observation> m_Stored; ///< Observations in the store's entry.
   std::deque<PendingBroadcast> m_PendingBroadcasts;
   core::TimePoint m_LastGossipAt{};
 };
--- a/Libraries/LibQuarantine/QuarantineFormat.h
+++ b/Libraries/LibQuarantine/QuarantineFormat.h
@@ -1,5 +1,4 @@
-//===-- QuarantineFormat.h - What the store holds of quarantined contents
-//---===//
+//===-- QuarantineFormat.h - Text format of the quarantine in the store ---===//
 #ifndef YARDRILL_LIBQUARANTINE_QUARANTINEFORMAT_H
 #define YARDRILL_LIBQUARANTINE_QUARANTINEFORMAT_H
 
@@ -11,17 +10,19 @@
 
 namespace yardrill::quarantine {
 
-/// On each line a content, and after blanks the runs that ended under it, in
-/// hex; an excused one ends with a minus. In the order of \p Seen, which must
-/// have the observations of one content next to each other.
+/// Formats observations with one line for each content: its digest, then the
+/// incarnations that exited under it, in hex and separated by spaces. A `-`
+/// marks a cleared incarnation. Observations of the same content must be
+/// adjacent in \p Observed.
 std::string formatObservations(const std::vector<Observation> &Observed);
 
-/// \returns nothing when \p Text is not what formatObservations() gives.
+/// Parses the output of formatObservations(). \returns nothing if \p Text is
+/// malformed.
 std::optional<std::vector<Observation>>
 parseObservations(const std::string &Text);
 
-/// The same text with all runs of \p Content excused. \returns nothing when
-/// the text can't be read or does not have it.
+/// Returns \p Text with all incarnations of \p Content cleared, or nothing if
+/// the text is malformed or does not contain it.
 std::optional<std::string> withContentCleared(const std::string &Text,
                                               const ContentDigest &Content);
 
--- a/Libraries/LibQuarantine/QuarantineTable.cpp
+++ b/Libraries/LibQuarantine/QuarantineTable.cpp
@@ -4,9 +4,9 @@
 
 namespace yardrill::quarantine {
 
-/// For so long a whole answer speaks for a content against news of ends that
-/// are on their way, or happen meanwhile. A new version of the targets, which
-/// the content may end, is known to be one after this time.
+/// Time for which a success clears exits that are reported or happen after it.
+/// It is limited because a new version of the targets may exit under a content
+/// that the version before it answered.
 static constexpr std::chrono::seconds SuccessWindow{30};
 
 std::size_t QuarantineTable::Entry::incriminatingIncarnations() const {
@@ -58,7 +58,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What is seen here
+// Observations of this instance
 //===----------------------------------------------------------------------===//
 
 void QuarantineTable::noteTargetExit(const ContentDigest &Content,
@@ -91,7 +91,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What others say
+// Observations of other instances and of the store
 //===----------------------------------------------------------------------===//
 
 void QuarantineTable::merge(const Observation &Observed, core::TimePoint Now) {
@@ -99,7 +99,7 @@
       !Observed.m_IsCleared && hasRecentSuccess(Observed.m_Content, Now);
   Observation Known = Observed;
   Known.m_IsCleared = Observed.m_IsCleared || IsClearedHere;
-  // The others have not seen it answered.
+  // Other instances do not know of the success that cleared it.
   if (apply(Known, Now) && IsClearedHere)
     m_Updates.push_back(Known);
 }
@@ -110,7 +110,7 @@
   Entry &Suspect = m_Entries[Observed.m_Content];
   auto Found = Suspect.m_Incarnations.find(Observed.m_Incarnation);
   bool IsKnown = Found != Suspect.m_Incarnations.end();
-  // Excused is for good.
+  // A cleared incarnation stays cleared.
   if (IsKnown && (Found->second || !Observed.m_IsCleared))
     return false;
   bool WasQuarantined = Suspect.incriminatingIncarnations() >= RunsToQuarantine;
--- a/Libraries/LibQuarantine/QuarantineTable.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -1,16 +1,18 @@
-//===-- QuarantineTable.h - Which requests end the targets that run them
-//---===//
+//===-- QuarantineTable.h - Contents that make targets exit ---------------===//
 //
-// Pure: time is handed in. When a target ends, every request that ran there may
-// have ended it, and no instance sees more than its own. So what is kept is not
-// a count but a set: for each content the runs of targets that ended under it.
-// Sets can be put together in any order, twice and late, by messages and by the
-// store alike, and give the same everywhere.
+// When a target exits, each request that ran there may be the cause, and an
+// instance sees only its own requests. The table therefore keeps a set instead
+// of a count: for each content, the incarnations of targets that exited while
+// it ran there. Sets merge in any order, repeatedly and late, whether they come
+// from messages or from the store, and give the same result at all instances.
 //
-// A run is excused, for good, once the content was answered whole after it, or
-// an operator lifted it. A content that three runs stand against is kept from
-// all targets: one that ends targets never ends well, and any other one is
-// under way at the end of three different targets only by chance.
+// An incarnation is cleared for good once the content was answered successfully
+// after its exit, or an operator cleared the content. Otherwise it incriminates
+// the content. A content with three incriminating incarnations is quarantined:
+// one that makes targets exit never succeeds, and any other is running at the
+// exit of three targets only by coincidence.
+//
+// Uses no clock: the time is a parameter.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBQUARANTINE_QUARANTINETABLE_H
@@ -31,12 +33,12 @@
 /// routing::TargetIncarnation::hash().
 using IncarnationHash = std::uint32_t;
 
-/// That a run of a target ended while a request with that content was under
-/// way there.
+/// States that an incarnation of a target exited while a request with this
+/// content was running there.
 struct Observation {
   ContentDigest m_Content;
   IncarnationHash m_Incarnation = 0;
-  bool m_IsCleared = false; ///< And that it says nothing any more.
+  bool m_IsCleared = false; ///< Whether the exit no longer incriminates.
 
   bool operator<(const Observation &Other) const {
     return std::tie(m_Content, m_Incarnation, m_IsCleared) <
@@ -44,34 +46,37 @@
   }
 };
 
+/// Bounded table of contents and the exits that incriminate them. Gossip keeps
+/// the tables of all instances in sync.
 class QuarantineTable {
 public:
-  /// Runs that must stand against a content.
+  /// Incriminating incarnations from which a content is quarantined.
   static constexpr std::size_t RunsToQuarantine = 3;
-  /// From here on it is a suspect: an attempt under which another target ends
-  /// is not sent on at once.
+  /// Incriminating incarnations from which a content is suspect: an attempt
+  /// that ran at an exiting target is not retried at once.
   static constexpr std::size_t RunsToSuspect = RunsToQuarantine - 1;
-  /// Kept at one time; those that least stands against give way.
+  /// Limit on the contents in the table; the least incriminated are evicted.
   static constexpr std::size_t MaxContents = 1024;
-  /// For each content; excused ones give way.
+  /// Limit on the incarnations of one content; cleared ones are evicted.
   static constexpr std::size_t MaxIncarnations = 16;
 
-  /// Called when a content is quarantined, or is not any more.
+  /// Called when a content is quarantined or released.
   using Hook = std::function<void(const ContentDigest &, bool IsQuarantined)>;
   explicit QuarantineTable(Hook Changed = nullptr)
       : m_Changed(std::move(Changed)) {}
 
-  /// A target ended under it, at this instance.
+  /// Records that a target exited while this instance ran the content there.
   void noteTargetExit(const ContentDigest &Content, IncarnationHash Incarnation,
                       core::TimePoint Now);
-  /// A target answered it whole, and went on.
+  /// Records that a target answered the content successfully.
   void noteSuccess(const ContentDigest &Content, core::TimePoint Now);
-  /// What another instance or the store says.
+  /// Merges an observation of another instance or from the store.
   void merge(const Observation &Observed, core::TimePoint Now);
 
-  /// Runs that stand against it.
+  /// Returns the number of incarnations that incriminate the content.
   std::size_t incriminatingIncarnations(const ContentDigest &Content) const;
-  /// Whether the run says nothing against it; also when it is not known.
+  /// Whether the incarnation does not incriminate the content, also because it
+  /// is unknown.
   bool isCleared(const ContentDigest &Content,
                  IncarnationHash Incarnation) const;
   bool isSuspect(const ContentDigest &Content) const {
@@ -82,33 +87,36 @@
   }
   std::size_t quarantined() const { return m_Quarantined; }
   std::size_t size() const { return m_Entries.size(); }
-  /// All that is known of a content; empty: nothing.
+  /// Returns all observations of a content, cleared ones included.
   std::vector<Observation> observations(const ContentDigest &Content) const;
-  /// Contents that at least \p Least runs stand against, in order.
+  /// Returns the contents with at least \p Least incriminating incarnations, in
+  /// ascending order of digest.
   std::vector<ContentDigest> suspectedContents(std::size_t Least) const;
-  /// What was noted here since the last call, for the others to merge.
+  /// Returns the changes made at this instance since the last call, for other
+  /// instances to merge.
   std::vector<Observation> takeUpdates();
 
 private:
   struct Entry {
-    std::map<IncarnationHash, bool> m_Incarnations; ///< Whether it is excused.
+    /// Maps each incarnation to whether it is cleared.
+    std::map<IncarnationHash, bool> m_Incarnations;
     core::TimePoint m_ChangedAt{};
 
     std::size_t incriminatingIncarnations() const;
   };
-  /// A content that was answered whole.
+  /// The last success of a content.
   struct Success {
     ContentDigest m_Content;
     core::TimePoint m_At{};
     bool m_IsSet = false;
   };
-  /// Contents answered whole lately, each in the place of its digest; one that
-  /// has the same place takes it.
+  /// Size of the cache of recent successes. It is direct-mapped: a digest
+  /// replaces another one of the same slot.
   static constexpr std::size_t SuccessSlots = 1024;
 
   bool hasRecentSuccess(const ContentDigest &Content,
                         core::TimePoint Now) const;
-  /// \returns whether it changed anything.
+  /// Applies an observation. \returns whether it changed the table.
   bool apply(const Observation &Observed, core::TimePoint Now);
   void evictIfFull();
   void evictIfFull(Entry &Suspect) const;
--- a/Tests/LibDecision/TierOrderScheduleTest.cpp
+++ b/Tests/LibDecision/TierOrderScheduleTest.cpp
@@ -361,7 +361,8 @@
     std::cout << " schedules=" << Count << " served=" << Served
               << " higher_sheds=" << Sheds << " violations=" << Violations;
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Violations);
-    // The simulations must shed tiers above the lowest at all.
+    // On average, each simulation must shed more than one request above the
+    // lowest tier, or the check above proves little.
     CPPUNIT_ASSERT(Sheds > Count);
   }
 };
