--- a/Libraries/LibQuarantine/QuarantineTable.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -6,9 +6,9 @@
 // it ran there. Sets merge in any order, repeatedly and late, whether they come
 // from messages or from the store, and give the same result at all instances.
 //
-// An incarnation is cleared for good once the content was answered successfully
-// after its exit, or an operator cleared the content. Otherwise it incriminates
-// the content. A content with three incriminating incarnations is quarantined:
+// An incarnation is cleared for good if the content was answered successfully
+// after its exit or shortly before, or if an operator cleared the content.
+// Otherwise it incriminates the content. A content with three incriminating incarnations is quarantined:
 // one that makes targets exit never succeeds, and any other is running at the
 // exit of three targets only by coincidence.
 //
--- a/Tests/LibQuarantine/ContentDigestTest.cpp
+++ b/Tests/LibQuarantine/ContentDigestTest.cpp
@@ -1,4 +1,4 @@
-//===-- ContentDigestTest.cpp - What makes two attempts the same request --===//
+//===-- ContentDigestTest.cpp - Digests of requests and their text --------===//
 #include "LibQuarantine/ContentDigest.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,8 +20,8 @@
 public:
   void testIsTheSameForTheSameContent() {
     CPPUNIT_ASSERT(ContentDigest::of(usual()) == ContentDigest::of(usual()));
-    // All instances, of any build, must agree: FIPS 180-4 over the five parts,
-    // each after its length as eight bytes, the lowest first.
+    // All builds must give the same digest: SHA-256 (FIPS 180-4) over the five
+    // parts, each preceded by its length as eight bytes, little-endian.
     CPPUNIT_ASSERT_EQUAL(std::string("2c34ce1df23b838c5abf2a7f6437cca3"),
                          ContentDigest::of({}).toString());
   }
--- a/Tests/LibQuarantine/GossipTest.cpp
+++ b/Tests/LibQuarantine/GossipTest.cpp
@@ -1,4 +1,4 @@
-//===-- GossipTest.cpp - What instances and the store tell each other -----===//
+//===-- GossipTest.cpp - Exchange of the quarantine -----------------------===//
 #include "LibQuarantine/Gossip.h"
 #include "LibQuarantine/QuarantineFormat.h"
 
@@ -38,7 +38,7 @@
   }
 
 public:
-  /// No instance sees more than one.
+  /// Each instance sees only one of the three exits.
   void testExitsAtThreeInstancesAddUp() {
     std::vector<Observation> Received;
     GossipHooks Hooks = counting();
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_BroadcastCount);
     pass(Which, milliseconds(5000));
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), m_BroadcastCount);
-    // What one run alone stands against is not told for ever.
+    // A content with one incriminating incarnation is not sent repeatedly.
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_SampleSendCount);
   }
 
@@ -78,7 +78,7 @@
     m_SampleSendCount = 0;
     pass(Which, seconds(5));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_SampleSendCount);
-    // The third one is not there yet.
+    // The third incarnation is not stored yet.
     Which.noteTargetExit(m_Content, 12, m_Now);
     pass(Which, seconds(3));
     CPPUNIT_ASSERT(m_SampleSendCount >= 2);
@@ -105,7 +105,7 @@
     Gossip Missed = Which;
     CPPUNIT_ASSERT(Which.mergeStored(*ClearedText, m_Now));
     CPPUNIT_ASSERT(!Which.table().isQuarantined(m_Content));
-    // Its next writing still says so.
+    // The text to store still has it cleared.
     CPPUNIT_ASSERT_EQUAL(*ClearedText, Which.storedText());
     CPPUNIT_ASSERT(Missed.mergeStored(Which.storedText(), m_Now));
     CPPUNIT_ASSERT(!Missed.table().isQuarantined(m_Content));
--- a/Tests/LibQuarantine/QuarantineModelTest.cpp
+++ b/Tests/LibQuarantine/QuarantineModelTest.cpp
@@ -1,9 +1,9 @@
-//===-- QuarantineModelTest.cpp - Whole fleets that meet bad requests -----===//
+//===-- QuarantineModelTest.cpp - Quarantine in simulated fleets ----------===//
 //
-// The bound is the stated aim: of a request under which three targets ended,
-// instances in touch send no more than three attempts later than the contact
-// time after that. Faults are drawn: kills of some and of all, cuts, a store
-// that is away, targets that end by themselves, lost datagrams.
+// Checks the required bound under random faults: once three targets have exited
+// under a content and the contact time has passed, instances that can reach the
+// others send it at most three more times. Contents that do not make targets
+// exit must not be refused.
 //
 //===----------------------------------------------------------------------===//
 #include "QuarantineFleet.h"
@@ -44,7 +44,7 @@
     checkDays(2, 295, 300);
   }
 
-  /// The end of the third target is known to nobody any more.
+  /// No instance is left that knows of the third target's exit.
   void testAllRestartedWithoutAStore() {
     QuarantineDay Day;
     Day.m_Faults = {{0ms, 20000ms, QuarantineFaultKind::StoreDown},
--- a/Tests/LibQuarantine/QuarantineTableTest.cpp
+++ b/Tests/LibQuarantine/QuarantineTableTest.cpp
@@ -1,5 +1,4 @@
-//===-- QuarantineTableTest.cpp - What stands against a content
-//------------===//
+//===-- QuarantineTableTest.cpp - Incriminated and cleared contents -------===//
 #include "LibQuarantine/QuarantineTable.h"
 
 #include <algorithm>
@@ -44,13 +43,13 @@
     CPPUNIT_ASSERT(!Table.isQuarantined(content(2)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Table.quarantined());
     CPPUNIT_ASSERT(Changes == std::vector<bool>{true});
-    // It holds, however long.
+    // A quarantine does not expire.
     Table.noteTargetExit(content(2), 10, m_Now + std::chrono::hours(100));
     CPPUNIT_ASSERT(Table.isQuarantined(content(1)));
   }
 
-  /// Several attempts of one content may run at a target that ends, and
-  /// several instances see the end of each.
+  /// Several attempts of one content may run at a target that exits, and
+  /// several instances may report that exit.
   void testDuplicateReportsCountOnce() {
     QuarantineTable Table;
     for (int I = 0; I < 5; ++I)
@@ -82,14 +81,15 @@
       Table.merge({content(1), Incarnation, false}, m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0),
                          Table.incriminatingIncarnations(content(1)));
-    // The others have not seen the answer.
+    // Other instances do not know of the success.
     std::vector<Observation> Updates = Table.takeUpdates();
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), Updates.size());
     for (const Observation &Each : Updates)
       CPPUNIT_ASSERT(Each.m_IsCleared);
   }
 
-  /// A new version of the targets may end under what the last one served.
+  /// A new version of the targets may exit under a content that the previous
+  /// version answered.
   void testOldSuccessIsIgnored() {
     QuarantineTable Table;
     Table.noteSuccess(content(1), m_Now);
@@ -140,8 +140,8 @@
     CPPUNIT_ASSERT(Table.takeUpdates().empty());
   }
 
-  /// Somebody who sends another body each time must not push out what is
-  /// quarantined.
+  /// A client that sends a different body each time must not cause the eviction
+  /// of quarantined contents.
   void testLeastSuspectedContentsAreEvicted() {
     QuarantineTable Table;
     for (IncarnationHash Incarnation : {10, 11, 12})
@@ -162,7 +162,7 @@
       Table.noteTargetExit(content(1), Incarnation, m_Now);
     CPPUNIT_ASSERT_EQUAL(QuarantineTable::MaxIncarnations,
                          Table.observations(content(1)).size());
-    // Excused ones give way.
+    // Cleared incarnations are evicted first.
     Table.noteSuccess(content(1), m_Now);
     m_Now += seconds(60);
     for (IncarnationHash Incarnation : {200, 201, 202})
