--- a/Libraries/LibRollout/Evidence.h
+++ b/Libraries/LibRollout/Evidence.h
@@ -1,7 +1,7 @@
-//===-- Evidence.h - How the answers of two versions turned out -----------===//
+//===-- Evidence.h - Response counters of the old and the new version -----===//
 //
-// Counters that only grow, so that one that is told twice, late or not at all
-// changes nothing that the next one does not mend.
+// Counters only grow, so reports of them may be repeated, delayed or lost: the
+// next report makes up for it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROLLOUT_EVIDENCE_H
@@ -16,9 +16,10 @@
 
 namespace yardrill::rollout {
 
+/// Side of a comparison: the old version or the new one.
 enum class Side : std::uint8_t { Old, New };
 
-/// Answers of one run of a target on one route.
+/// Key of the counters of one incarnation of a target on one route.
 struct ResponseCountsKey {
   Side m_Side = Side::Old;
   std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash().
@@ -30,13 +31,16 @@
   }
 };
 
-/// Half an octave wide, from 1 ms to 4 s; the ends take what lies beyond.
+/// Number of time bins. They are half an octave wide, from 1 ms to 4 s; the
+/// outermost ones also count times beyond.
 constexpr std::size_t TimeBinCount = 24;
+/// Returns the bin of a time.
 std::size_t timeBin(double Milliseconds);
 
+/// Counters of responses.
 struct ResponseCounts {
   std::uint32_t m_Failures = 0;
-  /// Whole answers by their times, which are brought to one size of request.
+  /// Successful responses by time, normalized to one size of request.
   std::array<std::uint32_t, TimeBinCount> m_Times{};
 
   std::uint32_t successes() const;
@@ -46,14 +50,17 @@
 
 using ResponseCountsByKey = std::map<ResponseCountsKey, ResponseCounts>;
 
+/// Quality of a response, as evidence for or against a version.
 enum class ResponseQuality {
   Succeeded,
-  Failed, ///< An error of the target's own, or an answer that broke off.
+  Failed, ///< Error of the target itself, or an interrupted response.
 };
 
+/// Counts the responses that an instance has received in a roll-out. Used by
+/// Participant.
 class Evidence {
 public:
-  /// \param Time that the answer took, at the size that all are brought to.
+  /// Counts a response. \param Time its time, normalized to one request size.
   void addResponse(const ResponseCountsKey &Key, ResponseQuality Quality,
                    core::Duration Time);
   const ResponseCountsByKey &counts() const { return m_Counts; }
--- a/Libraries/LibRollout/Order.h
+++ b/Libraries/LibRollout/Order.h
@@ -1,8 +1,8 @@
-//===-- Order.h - What operators ask for, and what became of it -----------===//
+//===-- Order.h - Roll-out orders, their status and their record ----------===//
 //
-// An order moves a pool's traffic to the targets of one version, which are
-// started beside the others. Its end is final: completed, and the other targets
-// are stopped at once; or rolled back, and those of the version are drained.
+// An order moves the traffic of a pool to the targets of a new version, which
+// run beside the old ones. It ends once: completed, and the old targets are
+// stopped at once, or rolled back, and the new targets are drained.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROLLOUT_ORDER_H
@@ -18,21 +18,22 @@
 
 namespace yardrill::rollout {
 
-/// The store's revision of an order: the same words, written again, are
-/// another order.
+/// Identifies an order by its revision in the store. Writing the same text
+/// again makes a new order.
 using OrderId = core::StrongType<struct OrderIdTag, std::int64_t>;
 
+/// Roll-out that an operator has ordered.
 struct Order {
   OrderId m_Id;
   core::PoolName m_Pool;
-  core::TargetVersion m_Version;
-  /// From the order's acknowledgement until its deadline.
+  core::TargetVersion m_Version; ///< Version to move the traffic to.
+  /// Time from the acknowledgement of the order to its deadline.
   core::Duration m_BakeTime{};
 };
 
 enum class State { InProgress, Completed, RolledBack };
 
-/// What operators read.
+/// Status of the last order of a pool, which operators read from the store.
 struct Status {
   State m_State = State::InProgress;
   core::TargetVersion m_Version;
@@ -42,20 +43,20 @@
   }
 };
 
-/// What the status does not say and a fleet that starts anew must know. Written
-/// together with it.
+/// State of a pool's roll-outs that is stored beside the status, for fleets
+/// that restart. Written together with the status.
 struct Record {
-  OrderId m_Order; ///< That the status is about.
-  /// When the order was first seen, in seconds since 1970, by the clock of who
-  /// wrote this.
+  OrderId m_Order; ///< Order that the status refers to.
+  /// Time at which the order was first seen, in seconds since 1970, by the
+  /// clock of the instance that wrote the record.
   std::int64_t m_SeenAtWallSeconds = 0;
-  /// Versions that get nothing any more: found bad, left behind by a completed
-  /// order, or given up for another one.
+  /// Versions that get no requests: rolled back, replaced by a completed order,
+  /// or abandoned for another order.
   std::set<core::TargetVersion> m_Excluded;
 
-  /// A line for each.
+  /// Formats the record as text, with one field on each line.
   std::string toText() const;
-  /// \returns none when it can't be read.
+  /// Parses the output of toText(). \returns nothing if it is malformed.
   static std::optional<Record> parse(const std::string &Text);
 };
 
--- a/Libraries/LibRollout/Permit.h
+++ b/Libraries/LibRollout/Permit.h
@@ -1,4 +1,9 @@
-//===-- Permit.h - What an instance may send to a version under trial -----===//
+//===-- Permit.h - Reports and permits of a roll-out ----------------------===//
+//
+// Each instance (participant) reports to the coordinator of a roll-out and gets
+// a permit in response, which allows it to send requests to the new version.
+//
+//===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROLLOUT_PERMIT_H
 #define YARDRILL_LIBROLLOUT_PERMIT_H
 
@@ -7,46 +12,49 @@
 
 namespace yardrill::rollout {
 
-/// Where new requests of a pool go.
+/// Version to which new requests of a pool are sent.
 enum class Traffic : std::uint8_t {
-  Old,    ///< To the old version alone; so without a permit, too.
-  Sample, ///< A share to the new one.
-  New,    ///< To the new one alone.
+  Old,    ///< The old version only; also without a permit.
+  Sample, ///< The old version, with samples to the new one.
+  New,    ///< The new version only.
 };
 
-/// How often each instance reports: rarer in a large fleet, since all report to
-/// one.
+/// Returns the period of a participant's reports. It grows with the number of
+/// instances, since all of them report to one coordinator.
 constexpr core::Duration reportPeriod(std::size_t Instances) {
   return std::chrono::milliseconds(250 + Instances);
 }
-/// How often the coordinator looks at the evidence.
+/// Period at which the coordinator evaluates the evidence.
 constexpr std::chrono::milliseconds EvaluationPeriod{200};
 
-/// Given by the coordinator in answer to a report. It lapses by itself, so that
-/// an instance that hears nothing sends nothing to the new version.
+/// Permission to send requests to the new version, granted by the coordinator
+/// in response to a report. It expires, so that an instance that is cut off
+/// stops sending to the new version.
 struct Permit {
-  /// From the sending of the report that it answers. Three reports of a large
-  /// fleet; a bad version must have had its last request 5 s after its 50th bad
-  /// answer.
+  /// Lifetime from the sending of the report: three report periods of a large
+  /// fleet, and short enough that a bad version gets its last request within
+  /// the required 5 s after its 50th bad response.
   static constexpr std::chrono::milliseconds Lifetime{1500};
 
   OrderId m_Order;
   std::uint64_t m_Report = 0; ///< Number of the report that it answers.
   Traffic m_Traffic = Traffic::Old;
-  double m_Share = 0; ///< Of the instance's requests to the pool, for Sample.
+  /// Share of the instance's requests to the pool that may be samples, 0 to 1.
+  double m_Share = 0;
 };
 
-/// What an instance tells the coordinator several times a second.
+/// Periodic report of an instance to the coordinator.
 struct Report {
   OrderId m_Order;
-  std::uint64_t m_Number = 0;
-  core::Duration m_Age{}; ///< Of the order, as far as the sender knows.
-  Traffic m_Traffic = Traffic::Old; ///< That it follows now.
-  /// Requests under way at targets of other versions.
+  std::uint64_t m_Number = 0; ///< Grows with each report of the sender.
+  core::Duration m_Age{};     ///< Age of the order, as known to the sender.
+  Traffic m_Traffic = Traffic::Old; ///< Traffic mode in force at the sender.
+  /// Requests that are running at targets of other versions.
   std::uint32_t m_RunningOld = 0;
-  std::uint32_t m_Sent = 0;     ///< Requests to the pool since the order.
-  std::uint32_t m_SentNew = 0;  ///< Of these, to the new version.
-  ResponseCountsByKey m_Counts; ///< Some or all; each is complete.
+  std::uint32_t m_Sent = 0;    ///< Requests sent to the pool since the order.
+  std::uint32_t m_SentNew = 0; ///< Part of m_Sent that went to the new version.
+  /// Counters of some or all keys, each with its total since the order.
+  ResponseCountsByKey m_Counts;
 };
 
 } // namespace yardrill::rollout
--- a/Libraries/LibRollout/SampleBudget.cpp
+++ b/Libraries/LibRollout/SampleBudget.cpp
@@ -7,7 +7,7 @@
 bool SampleBudget::isSampleAllowed(std::uint32_t Route) const {
   if (m_Allowance < 1)
     return false;
-  // With much saved up, routes that come rarely are not waited for any longer.
+  // With a nearly full budget, stops waiting for requests on rare routes.
   if (m_Allowance >= MaxSaved - 1)
     return true;
   auto Own = m_Samples.find(Route);
