--- a/Libraries/LibRollout/Comparison.cpp
+++ b/Libraries/LibRollout/Comparison.cpp
@@ -6,18 +6,20 @@
 
 namespace yardrill::rollout {
 
-/// A version is looked at for failing, or being slow, so much more often: of
-/// bad ones a part of the answers is meant, which users notice from about a
-/// tenth on. The larger ones find a plainly bad version with fewer answers.
+/// Increases in the share of failed or slow responses that are tested for.
+/// Users notice about a tenth. The larger ones detect a clearly bad version
+/// with fewer responses.
 static constexpr double ExcessShares[] = {0.12, 0.25, 0.5};
-/// Share that is taken for usual where the old side has shown nothing yet.
+/// Share of bad responses that is added to the baseline of the old side, which
+/// keeps it above 0 where the old side has shown none.
 static constexpr double MinBaseline = 0.015;
-/// An answer is slow from three half octaves (2.8 times) above the quarter of
-/// its target's answers that are quickest; a target, above the pool's middle.
+/// Number of time bins (half octaves; three are a factor of 2.8) from which a
+/// response is slow above the first quartile of its target's responses, and a
+/// target is slow by its median above the routes' medians.
 static constexpr int SlowBins = 3;
 static constexpr double MinResponsesPerTarget = 4;
-/// Part of the new targets, those that look worst, that a finding must not rest
-/// on.
+/// Part of the new targets, those with the most bad responses, on which a
+/// finding must not depend.
 static constexpr double TrimmedPart = 0.25;
 static constexpr int NeverSlow = std::numeric_limits<int>::max();
 
@@ -35,7 +37,7 @@
   }
 }
 
-/// \returns the first bin at which \p Share of all is reached.
+/// Returns the bin of a histogram that contains the quantile \p Share (0 to 1).
 template <class Map> static int binAt(const Map &Counts, double Share) {
   double All = 0;
   for (const auto &[Bin, Count] : Counts)
@@ -63,8 +65,8 @@
 }
 
 void Comparison::countSlow(const ResponseCountsByKey &Sum) {
-  // What is usual on each route, by the old side, or where it has no answers by
-  // the new one.
+  // The baseline of a route is from the old side, or from the new one if the
+  // old one has no responses there.
   std::map<std::uint32_t, std::map<int, double>> Baseline;
   for (Side Which : {Side::Old, Side::New}) {
     std::map<std::uint32_t, std::map<int, double>> Seen;
@@ -112,7 +114,7 @@
 
 double Comparison::score(const Count &New, const Count &Old) {
   double Baseline = (Old.m_Bad + 0.5) / (Old.m_All + 1);
-  // Half of the way to what a few answers may hide.
+  // Adds one standard error, since a small sample may understate the share.
   Baseline +=
       std::sqrt(Baseline * (1 - Baseline) / (Old.m_All + 1)) + MinBaseline;
   Baseline = std::min(Baseline, 0.9);
@@ -123,7 +125,7 @@
                               (New.m_All - New.m_Bad) *
                                   std::log((1 - Share) / (1 - Baseline)));
   }
-  // The best of several is a little high by chance.
+  // Corrects for taking the best of several alternatives.
   return Best > 0 ? std::max(0.0, Best - std::log(std::size(ExcessShares)))
                   : Best;
 }
@@ -145,8 +147,8 @@
     Rest.m_All += Sorted[I].m_All;
     Rest.m_Bad += Sorted[I].m_Bad;
   }
-  // The rest alone need not suffice, but must point the same way: it counts
-  // four times, so that a third of the targets that answered bears it out.
+  // The remaining targets need not suffice alone, but must point the same way.
+  // With a factor of four, about a third of the targets suffices.
   return std::min(All, 4 * std::max(0.0, score(Rest, Old)));
 }
 
@@ -162,7 +164,7 @@
     Sum += score(sum(Of.m_New), sum(Of.m_Old));
     SumRobust += Score;
   }
-  // Routes are independent: what speaks for all being worse adds up.
+  // Routes are independent, so their scores add up.
   if (std::min(Sum, SumRobust) > Into.m_Worst.m_Score)
     Into.m_Worst = {std::min(Sum, SumRobust), 0, Kind};
 }
@@ -170,7 +172,8 @@
 void Comparison::compareTargets(Judgement &Into) const {
   if (m_NewTargets.m_All == 0 || m_OldTargets.m_All == 0)
     return;
-  // Chance of so many slow ones, if the new ones are drawn as the old ones are.
+  // Probability of at least as many slow targets if the new ones were as often
+  // slow as the old ones (binomial distribution).
   double Baseline = (m_OldTargets.m_Bad + 0.1) / (m_OldTargets.m_All + 0.2);
   double Chance = 0;
   double Term = std::pow(1 - Baseline, m_NewTargets.m_All);
@@ -179,8 +182,8 @@
       Chance += Term;
     Term *= (m_NewTargets.m_All - K) / (K + 1) * Baseline / (1 - Baseline);
   }
-  // Looked at anew only when another target has answered: one in 10,000 will
-  // do.
+  // The factor makes 1e-4 enough for isBad(), since the evidence changes only
+  // with another target.
   double Score = -std::log(std::max(Chance, 1e-12)) * 1.25;
   if (Score > Into.m_Worst.m_Score)
     Into.m_Worst = {Score, 0, "slow-targets"};
--- a/Libraries/LibRollout/Comparison.h
+++ b/Libraries/LibRollout/Comparison.h
@@ -1,4 +1,4 @@
-//===-- Comparison.h - Two versions, over one span of time ----------------===//
+//===-- Comparison.h - Comparison of two versions over a time span --------===//
 #ifndef YARDRILL_LIBROLLOUT_COMPARISON_H
 #define YARDRILL_LIBROLLOUT_COMPARISON_H
 
@@ -9,6 +9,8 @@
 
 namespace yardrill::rollout {
 
+/// Compares the responses of the new version with those of the old one. Used by
+/// Judge for each time span.
 class Comparison {
 public:
   explicit Comparison(const ResponseCountsByKey &Sum);
@@ -16,7 +18,7 @@
   Judgement judge() const;
 
 private:
-  /// Bad ones of some answers of one target on one route.
+  /// Number of responses (or of targets) and of the bad ones among them.
   struct Count {
     double m_All = 0;
     double m_Bad = 0;
@@ -27,26 +29,30 @@
     ByTarget m_New;
   };
   using ByRoute = std::map<std::uint32_t, Sides>;
-  /// Times of one target, on all routes, over what is usual on each.
+  /// Histogram of a target's response times on all routes, in time bins
+  /// relative to the median bin of the route.
   using RelativeTimes = std::map<int, double>;
 
   void countFailures(const ResponseCountsByKey &Sum);
   void countSlow(const ResponseCountsByKey &Sum);
-  /// Notes which targets are slow as a whole. \returns the bin from which on an
-  /// answer of the target is slow; none where it has too few.
+  /// Counts the target, and whether it is slow on all responses. \returns the
+  /// relative bin from which its responses are slow; NeverSlow if it has too
+  /// few responses.
   int slowThreshold(Side Which, const RelativeTimes &Times);
   static Count sum(const ByTarget &Of);
-  /// How likely the new side's count is if it is worse, over if it is not.
+  /// Returns the log-likelihood ratio of the new side's count, between a worse
+  /// version and one as good as the old side.
   static double score(const Count &New, const Count &Old);
-  /// The same, unless it rests on a few targets alone: those may have troubles
-  /// of their own.
+  /// Returns score(), limited so that a few bad targets alone, which may have
+  /// faults of their own, do not make the version look worse.
   static double robustScore(const Sides &What);
   void compare(const ByRoute &What, const char *Kind, Judgement &Into) const;
   void compareTargets(Judgement &Into) const;
 
   ByRoute m_Failures;
   ByRoute m_Slow;
-  Count m_OldTargets; ///< Slow ones of those with enough answers.
+  /// Targets with enough responses, and the slow ones among them.
+  Count m_OldTargets;
   Count m_NewTargets;
 };
 
--- a/Libraries/LibRollout/Coordinator.cpp
+++ b/Libraries/LibRollout/Coordinator.cpp
@@ -4,32 +4,34 @@
 
 namespace yardrill::rollout {
 
-/// Part of the allowed share that samples take. The rest is for the time in
-/// which all goes to the new version, before the deadline, and one that fails
-/// only then is found.
+/// Part of the allowed share that is used for samples. The rest covers a
+/// version that fails only after all traffic has moved to it, before the
+/// deadline.
 static constexpr double SampleShare = 0.6;
-/// Part of the time in which the version is only sampled, however good: those
-/// that turn bad late are found in it.
+/// Part of the bake time during which the new version is only sampled, however
+/// good it looks, to find versions that turn bad late.
 static constexpr double SamplePart = 0.7;
-/// Part after which it is enough that nothing speaks against it.
+/// Part of the bake time after which the absence of evidence against the new
+/// version suffices to move all traffic.
 static constexpr double LateSamplePart = 0.82;
+/// Minimum number of responses of the new version after LateSamplePart.
 static constexpr std::uint32_t MinResponses = 20;
-/// Against the version on any route, at that time.
+/// Maximum score against the new version on any route after LateSamplePart.
 static constexpr double MaxScoreAgainst = 1.5;
-/// Part of the requests that are allowed beyond the share, which samples take
-/// where there are few requests. With 40 a second for 12 s the share alone is
-/// 20 answers: 4 of 25 versions that failed two in five were not found by them.
+/// Part of the slack that is used for samples in pools with few requests, where
+/// the share alone gives too few responses to find a bad version.
 static constexpr double SlackShare = 0.4;
 static constexpr double MaxSampleShare = 0.25;
-/// The end is written so long before the deadline: a call to a slow store.
+/// Time before the deadline at which the outcome is written; covers a call to a
+/// slow store.
 static constexpr std::chrono::milliseconds DeadlineMargin{500};
-/// A coordinator that has just begun waits until all have told it what they
-/// know.
+/// Time for which a new coordinator collects reports before it decides anything
+/// but the rollback of a bad version.
 static constexpr std::chrono::milliseconds TakeoverDelay{1200};
-/// Part of the old places that must be there on the new side before all goes
-/// there: pools are sized for bursts.
+/// Ratio of new to old slots from which all traffic may move. It is below 1
+/// since pools are sized for bursts.
 static constexpr double MinCapacityRatio = 0.6;
-/// Who has not reported for so long has no permit, and counts no more.
+/// Silence after which a participant is ignored. Its permit has expired then.
 static constexpr std::chrono::milliseconds ParticipantTimeout =
     2 * Permit::Lifetime;
 
@@ -56,7 +58,7 @@
   ParticipantState &Participant = m_Participants[From];
   for (const auto &[Key, Counts] : Received.m_Counts) {
     ResponseCounts &Known = Participant.m_Counts[Key];
-    // A report that overtook another one.
+    // Counters only grow, so a lower total is from a reordered report.
     if (Known.total() < Counts.total())
       Known = Counts;
   }
@@ -69,7 +71,8 @@
   Out.m_Order = m_Order.m_Id;
   Out.m_Report = Received.m_Number;
   Out.m_Traffic = m_End ? Traffic::Old : m_Traffic;
-  // Completed, but not everywhere heard of yet.
+  // After completion, participants that have not seen the outcome yet keep
+  // sending to the new version.
   if (m_End && m_End->m_State == State::Completed)
     Out.m_Traffic = Traffic::New;
   Out.m_Share = share(Received.m_Age);
@@ -118,7 +121,7 @@
                        m_Judgement.m_MinGoodScore > -MaxScoreAgainst;
   bool MayShift =
       m_Judgement.isGood() || (ElapsedPart >= LateSamplePart && IsUnsuspected);
-  // Nothing is left to be moved: a restart after the others were stopped.
+  // After a restart, the old targets may have been stopped already.
   bool HasNoOldSlots = Targets.m_OldSlots == 0 && Targets.m_NewSlots > 0;
   if (ElapsedPart >= SamplePart && MayShift &&
       (hasEnoughCapacity(Targets) || HasNoOldSlots)) {
@@ -151,7 +154,8 @@
                                                     core::TimePoint Now) {
   if (isDrained(Now))
     return end(State::Completed, "good");
-  // What still runs at old targets then is cut: the deadline goes first.
+  // Requests that still run at old targets are interrupted: the deadline takes
+  // precedence.
   if (Age >= m_Order.m_BakeTime - DeadlineMargin)
     return end(State::Completed, "good-at-the-deadline");
   return std::nullopt;
--- a/Libraries/LibRollout/Coordinator.h
+++ b/Libraries/LibRollout/Coordinator.h
@@ -1,10 +1,13 @@
-//===-- Coordinator.h - Gives permits and decides how an order ends -------===//
+//===-- Coordinator.h - Coordinator of a roll-out -------------------------===//
 //
-// Pure. Each instance can do it; the one does that comes first among those that
-// follow the store. Two that both think so, for a while, each see a part of the
-// evidence and give permits within the same share; how the order ends is
-// written once, under a condition. One that takes over is told all counters
-// within a period of the reports.
+// Any instance can coordinate; the first among those that follow the store
+// does. If two do so for a while, each sees a part of the evidence, and both
+// grant permits within the same share; a compare-and-swap makes the outcome of
+// the order unique. After a takeover, the next reports bring all counters
+// again.
+//
+// Uses no clock or I/O: the time is a parameter, and RolloutService exchanges
+// the messages.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROLLOUT_COORDINATOR_H
@@ -18,35 +21,38 @@
 
 namespace yardrill::rollout {
 
-/// Targets of the pool that take new work, as the store announces them.
+/// Slots of the pool's targets that take new requests, according to the store.
 struct PoolCapacity {
   std::size_t m_NewSlots = 0;
   std::size_t m_OldSlots = 0;
 };
 
-/// Of all requests to a pool from an order to its deadline, what a bad version
-/// may get.
+/// Limit on the requests that a bad version may get, of all requests to the
+/// pool from the order to its deadline.
 struct ExposureLimits {
-  double m_Share = 0.1;
-  double m_Slack = 50; ///< Requests beyond it.
+  double m_Share = 0.1; ///< Share of the requests, 0 to 1.
+  double m_Slack = 50;  ///< Number of requests beyond the share.
 };
 
-/// How an order ends, and why.
+/// Outcome of an order.
 struct Decision {
   State m_State = State::RolledBack;
   const char *m_Reason = "";
   Judgement m_Judgement;
 };
 
+/// Collects the reports of all participants, grants them permits and decides
+/// how the order ends. Used by RolloutService.
 class Coordinator {
 public:
   Coordinator(Order What, const ExposureLimits &Limits, core::TimePoint Now);
 
-  /// \returns the answer to it.
+  /// Handles a report. \returns the permit to send in response.
   Permit handleReport(core::IncarnationId From, const Report &Received,
                       core::TimePoint Now);
-  /// To be called several times a second. \param Age of the order.
-  /// \returns the end of the order; asked again it stays what it was.
+  /// Evaluates the evidence; must be called several times per second.
+  /// \param Age age of the order.
+  /// \returns the outcome once the order has ended; it does not change later.
   std::optional<Decision> decide(const PoolCapacity &Targets,
                                  core::Duration Age, core::TimePoint Now);
   const Judgement &judgement() const { return m_Judgement; }
@@ -60,11 +66,12 @@
     core::TimePoint m_LastReportAt{};
   };
 
-  /// Of the requests that are to try the new version, by how many there are.
+  /// Returns the share of requests to sample, which is higher for pools with
+  /// few requests.
   double share(core::Duration Age) const;
   ResponseCountsByKey sum() const;
   bool hasEnoughCapacity(const PoolCapacity &Targets) const;
-  /// Whether nothing runs at old targets any more, and nothing will.
+  /// Whether no request runs at old targets and none will be sent there.
   bool isDrained(core::TimePoint Now) const;
   std::optional<Decision> end(State How, const char *Reason);
   std::optional<Decision> decideSampling(const PoolCapacity &Targets,
--- a/Libraries/LibRollout/Judge.cpp
+++ b/Libraries/LibRollout/Judge.cpp
@@ -4,8 +4,8 @@
 
 namespace yardrill::rollout {
 
-/// Spans that are looked at beside the whole time: a version that turns bad
-/// late shows in the shorter ones first.
+/// Recent spans that are evaluated beside the whole time. A version that turns
+/// bad late shows in them first.
 static constexpr std::chrono::milliseconds Spans[] = {
     std::chrono::milliseconds(1500), std::chrono::milliseconds(4000)};
 
@@ -26,8 +26,9 @@
   return Out;
 }
 
-/// With fewer answers of the old version in a span, all of its answers are
-/// taken for what is usual: once all goes to the new one there are none.
+/// Number of responses of the old version in a span below which all of its
+/// responses are the baseline. Once all traffic goes to the new version, spans
+/// have none of the old one.
 static constexpr std::uint32_t MinOldResponses = 100;
 
 static ResponseCountsByKey withOldSide(ResponseCountsByKey Span,
@@ -47,7 +48,7 @@
   Comparison AllTime(Sum);
   Judgement Out = AllTime.judge();
   for (auto Span : Spans) {
-    // The newest snapshot that is at least so old.
+    // Finds the newest snapshot that is at least as old as the span.
     const Snapshot *From = nullptr;
     for (const Snapshot &Each : m_Past)
       if (Now - Each.m_At >= Span)
--- a/Libraries/LibRollout/Judge.h
+++ b/Libraries/LibRollout/Judge.h
@@ -1,10 +1,12 @@
-//===-- Judge.h - Whether a version is worse than the one before it -------===//
+//===-- Judge.h - Canary analysis of a new version ------------------------===//
 //
-// Pure. New against old in the same time, for each route and for all together:
-// failures, answers that take several times as long as others of the same
-// target, and targets that are slow as a whole. Engines of one pool may differ
-// several times in speed; so a target is first of all compared with itself.
+// Compares the new version with the old one over the same time, on each route
+// and on all together, by three criteria: failures, responses that take several
+// times as long as others of the same target, and targets that are slow on all
+// responses. The targets of a pool may differ in speed by several times, so a
+// response is compared with others of its own target first.
 //
+// Uses no clock: the time is a parameter.
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROLLOUT_JUDGE_H
 #define YARDRILL_LIBROLLOUT_JUDGE_H
@@ -16,37 +18,42 @@
 
 namespace yardrill::rollout {
 
-/// What speaks for one version being worse, as a sum of logarithms of
-/// likelihood ratios (Wald's sequential test): above 0 for, below against.
+/// Evidence that the new version is worse. The score is a sum of log-likelihood
+/// ratios (Wald's sequential test); a positive one speaks for it being worse.
 struct Finding {
   double m_Score = 0;
-  std::uint32_t m_Route = 0; ///< 0: all of them together.
+  std::uint32_t m_Route = 0; ///< Hash of the route; 0: all routes together.
   const char *m_Kind = "";   ///< "failures", "slow-answers", "slow-targets".
 };
 
+/// Result of an evaluation.
 struct Judgement {
-  Finding m_Worst;
-  /// The least that speaks for the version being as good, over all routes that
-  /// the old one serves.
+  Finding m_Worst; ///< Finding with the highest score.
+  /// Lowest score for the new version being as good, over all routes with
+  /// responses of the old one.
   double m_MinGoodScore = 0;
   std::uint32_t m_NewResponses = 0;
   std::uint32_t m_NewFailures = 0;
-  std::uint32_t m_NewTargets = 0; ///< That answered.
+  std::uint32_t m_NewTargets = 0; ///< New targets with enough responses.
   std::uint32_t m_OldResponses = 0;
   std::uint32_t m_OldFailures = 0;
 
-  /// One version in 1e5 that is no worse scores so high at one look. A roll-out
-  /// has some 30 looks at three spans and several routes: below 1 in 1,000.
+  /// Whether the new version is worse. A version that is not scores this high
+  /// in one evaluation with a probability of 1e-5, and in a roll-out (some 30
+  /// evaluations of three spans and several routes) with less than 1e-3.
   bool isBad() const { return m_Worst.m_Score > 11.5; }
-  /// One in 100 that is worse by what is looked for scores so low.
+  /// Whether the new version is as good. A version that is worse by the share
+  /// looked for scores this low with a probability of 1e-2.
   bool isGood() const { return !isSuspect() && m_MinGoodScore >= 4.6; }
-  /// Something speaks against it, if not enough.
+  /// Whether there is evidence against the new version, if not enough.
   bool isSuspect() const { return m_Worst.m_Score > 4.6; }
 };
 
+/// Judges the new version by all evidence and by that of recent time spans.
+/// Used by Coordinator.
 class Judge {
 public:
-  /// \param Sum of all evidence so far. To be called a few times a second.
+  /// Must be called a few times per second. \param Sum all evidence so far.
   Judgement evaluate(const ResponseCountsByKey &Sum, core::TimePoint Now);
 
 private:
@@ -55,7 +62,7 @@
     ResponseCountsByKey m_Sum;
   };
 
-  std::deque<Snapshot> m_Past; ///< Of the last seconds.
+  std::deque<Snapshot> m_Past; ///< Snapshots back to the longest span.
 };
 
 } // namespace yardrill::rollout
--- a/Libraries/LibRollout/Participant.cpp
+++ b/Libraries/LibRollout/Participant.cpp
@@ -4,12 +4,13 @@
 
 namespace yardrill::rollout {
 
-/// Cells of a report, where fewer changed: they fit one datagram.
+/// Number of counters up to which a report is filled with unchanged ones. They
+/// fit in one datagram.
 static constexpr std::size_t MaxRepeatedCounts = 9;
-/// Weight of the newest answer of the old version.
+/// Weight of the newest response in the old version's share of failures.
 static constexpr double FailureShareWeight = 0.05;
-/// By how much the new version's share of failures must exceed the old one's
-/// for an instance to stop by itself.
+/// Excess of the new version's share of failures over the old one's at which an
+/// instance stops on its own.
 static constexpr double MinLocalExcess = 0.35;
 
 Participant::Participant(Order What, core::Duration Age, core::TimePoint Now)
@@ -35,7 +36,7 @@
   auto Which = std::find_if(
       m_SentReports.begin(), m_SentReports.end(),
       [&](const auto &E) { return E.m_Number == Received.m_Report; });
-  // One that comes late may be older than one that is in force.
+  // A late permit may be older than the one in force.
   if (Which == m_SentReports.end() || Received.m_Report < m_Permit.m_Report)
     return;
   if (traffic(Now) != Received.m_Traffic)
--- a/Libraries/LibRollout/Participant.h
+++ b/Libraries/LibRollout/Participant.h
@@ -1,6 +1,7 @@
-//===-- Participant.h - One instance's part in a roll-out ---------------===//
+//===-- Participant.h - One instance in a roll-out ------------------------===//
 //
-// Pure. Says where new requests of the pool may go, and keeps the evidence.
+// Uses no clock or I/O: the time is a parameter, and RolloutService exchanges
+// the messages.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROLLOUT_PARTICIPANT_H
@@ -14,38 +15,46 @@
 
 namespace yardrill::rollout {
 
+/// Tells an instance to which version it may send new requests of the pool, and
+/// collects the evidence that it reports to the coordinator.
 class Participant {
 public:
-  /// \param Age of the order already, as a start after it finds it.
+  /// \param Age age of the order, above 0 if the instance started after it.
   Participant(Order What, core::Duration Age, core::TimePoint Now);
 
+  /// Returns the age of the order.
   core::Duration age(core::TimePoint Now) const { return Now - m_Since; }
-  /// Another instance knows of it for longer.
+  /// Raises the age to one that another instance knows.
   void raiseAge(core::Duration Age, core::TimePoint Now);
 
+  /// Returns the version for new requests: the permit's, or the old one without
+  /// a permit in force or while stopped.
   Traffic traffic(core::TimePoint Now) const;
+  /// Returns the share of samples in the last permit, 0 to 1.
   double share() const { return m_Permit.m_Share; }
-  /// Whether a request on \p Route is to try the new version now.
+  /// Whether a request on \p Route should be a sample of the new version.
   bool isSampleDue(std::uint32_t Route, core::TimePoint Now) const;
 
+  /// Applies a permit, unless it is late, older than the current one, or for
+  /// another order.
   void applyPermit(const Permit &Received, core::TimePoint Now);
   void sent(std::uint32_t Route, bool IsNew, core::TimePoint Now);
   void recordResponse(const ResponseCountsKey &Key, ResponseQuality Quality,
                       core::Duration Time, core::TimePoint Now);
-  /// The next report. \param RunningOld see Report.
+  /// Returns the next report. \param RunningOld see Report::m_RunningOld.
   Report report(std::uint32_t RunningOld, core::TimePoint Now);
 
 private:
-  /// Answers of the new version that an instance looks at by itself.
+  /// Number of recent responses of the new version in the local check.
   static constexpr std::size_t OwnSampleSize = 8;
 
-  /// Cells that changed since the last report, and some of the others in turn:
-  /// what was lost is told again within some reports. All cells in each report
-  /// would take a small coordinator half of its time.
+  /// Returns the counters that changed since the last report, and some of the
+  /// others in rotation, so that lost ones are repeated within a few reports.
+  /// Reporting all each time would take half of a small coordinator's time.
   ResponseCountsByKey countsToReport();
   bool isStopped(core::TimePoint Now) const { return Now < m_StoppedUntil; }
-  /// Stops by itself where all goes to the new version and it plainly fails:
-  /// sooner than the coordinator can.
+  /// Stops the traffic to the new version for a permit's lifetime if all goes
+  /// there and it clearly fails. This is faster than the coordinator.
   void checkLocalResponses(const ResponseCountsKey &Key,
                            ResponseQuality Quality, core::TimePoint Now);
 
@@ -59,15 +68,15 @@
   Permit m_Permit;
   core::TimePoint m_PermitUntil{};
   core::TimePoint m_StoppedUntil{};
-  std::deque<SentReport>
-      m_SentReports; ///< Reports that a permit may still answer.
+  /// Reports that a permit may still answer.
+  std::deque<SentReport> m_SentReports;
   SampleBudget m_SampleBudget;
   Evidence m_Evidence;
-  std::set<ResponseCountsKey> m_Changed; ///< Since the last report.
-  ResponseCountsKey m_LastReported;      ///< In turn.
-  std::deque<bool>
-      m_RecentFailures;         ///< Of the last answers of the new version.
-  double m_OldFailureShare = 0; ///< Decaying.
+  std::set<ResponseCountsKey> m_Changed; ///< Keys to report next.
+  ResponseCountsKey m_LastReported;      ///< Position in the rotation.
+  /// Whether each of the last responses of the new version failed.
+  std::deque<bool> m_RecentFailures;
+  double m_OldFailureShare = 0; ///< Moving average, 0 to 1.
   std::uint64_t m_NextReport = 1;
   std::uint32_t m_Sent = 0;
   std::uint32_t m_SentNew = 0;
