--- a/Tests/LibRollout/ParticipantTest.cpp
+++ b/Tests/LibRollout/ParticipantTest.cpp
@@ -113,7 +113,7 @@
       Tested.sent(Route, IsNew, m_Now);
       m_Now += milliseconds(7);
     }
-    // One of 25 requests; a tenth of all tries would be 16 by their share.
+    // One in 25 requests is on route 2: 16 samples by its share of requests.
     CPPUNIT_ASSERT(Samples[2] >= 80);
     CPPUNIT_ASSERT(Samples[1] >= 200);
   }
@@ -193,7 +193,7 @@
     Exchange(0);
     auto End = Leader.decide({16, 16}, milliseconds(7600), m_Now);
     CPPUNIT_ASSERT(End && End->m_State == State::Completed);
-    // Those that come late still hear where to send.
+    // Participants that report after completion still get a permit.
     CPPUNIT_ASSERT(Leader
                        .handleReport(core::IncarnationId(2),
                                      Tested.report(0, m_Now), m_Now)
--- a/Tests/LibRollout/RolloutModelTest.cpp
+++ b/Tests/LibRollout/RolloutModelTest.cpp
@@ -7,9 +7,9 @@
 using namespace yardrill::tests;
 using rollout::State;
 
-/// Whole roll-outs over fleets in simulated time; the bounds are the
-/// platform's: a tenth of the requests and 50 more up to the deadline, nothing
-/// 5 s after the 50th bad answer.
+/// Roll-outs in simulated fleets. Checks the platform's bounds: a bad version
+/// gets at most a tenth of the requests and 50 more until the deadline, and
+/// none later than 5 s after its 50th bad response.
 class RolloutModelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RolloutModelTest);
   CPPUNIT_TEST(testGoodVersionsAreCompletedInTime);
@@ -25,7 +25,8 @@
     int m_Completed = 0;
     int m_InTime = 0;
     double m_MaxExcess = -1e9; ///< Requests beyond the allowed share.
-    double m_Longest = 0;      ///< After the 50th bad answer, seconds.
+    /// Time from the 50th bad response to the last request, in seconds.
+    double m_Longest = 0;
     double m_LastEnd = 0;
   };
 
@@ -89,7 +90,7 @@
     checkGood(play(Case, 40, "good-unlike-hardware"));
     Case.m_Shape = VersionShape::Slow;
     checkBad(play(Case, 25, "slow-unlike-hardware"));
-    // All of its answers, not a part of them.
+    // All responses are slow, not only a part of them.
     Case.m_BadPart = 1;
     Case.m_BadTimes = 5;
     checkBad(play(Case, 25, "all-slow-unlike-hardware"));
