--- a/Libraries/LibQuarantine/QuarantineTable.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -8,9 +8,9 @@
 //
 // An incarnation is cleared for good if the content was answered successfully
 // after its exit or shortly before, or if an operator cleared the content.
-// Otherwise it incriminates the content. A content with three incriminating incarnations is quarantined:
-// one that makes targets exit never succeeds, and any other is running at the
-// exit of three targets only by coincidence.
+// Otherwise it incriminates the content. A content with three incriminating
+// incarnations is quarantined: one that makes targets exit never succeeds, and
+// any other is running at the exit of three targets only by coincidence.
 //
 // Uses no clock: the time is a parameter.
 //
--- a/Libraries/LibRollout/Judge.cpp
+++ b/Libraries/LibRollout/Judge.cpp
@@ -4,7 +4,7 @@
 
 namespace yardrill::rollout {
 
-/// Recent spans that are evaluated beside the whole time. A version that turns
+/// Recent spans that are evaluated beside the entire time. A version that turns
 /// bad late shows in them first.
 static constexpr std::chrono::milliseconds Spans[] = {
     std::chrono::milliseconds(1500), std::chrono::milliseconds(4000)};
