--- a/Libraries/LibQuarantine/QuarantineTable.cpp
+++ b/Libraries/LibQuarantine/QuarantineTable.cpp
@@ -42,10 +42,10 @@
 }
 
 std::vector<ContentDigest>
-QuarantineTable::suspectedContents(std::size_t Least) const {
+QuarantineTable::suspectedContents(std::size_t MinIncarnations) const {
   std::vector<ContentDigest> Out;
   for (const auto &[Content, Suspect] : m_Entries)
-    if (Suspect.incriminatingIncarnations() >= Least)
+    if (Suspect.incriminatingIncarnations() >= MinIncarnations)
       Out.push_back(Content);
   std::sort(Out.begin(), Out.end());
   return Out;
--- a/Libraries/LibQuarantine/QuarantineTable.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -89,9 +89,10 @@
   std::size_t size() const { return m_Entries.size(); }
   /// Returns all observations of a content, cleared ones included.
   std::vector<Observation> observations(const ContentDigest &Content) const;
-  /// Returns the contents with at least \p Least incriminating incarnations, in
-  /// ascending order of digest.
-  std::vector<ContentDigest> suspectedContents(std::size_t Least) const;
+  /// Returns the contents with at least \p MinIncarnations incriminating
+  /// incarnations, in ascending order of digest.
+  std::vector<ContentDigest>
+  suspectedContents(std::size_t MinIncarnations) const;
   /// Returns the changes made at this instance since the last call, for other
   /// instances to merge.
   std::vector<Observation> takeUpdates();
