--- a/Libraries/LibRollout/Participant.cpp
+++ b/Libraries/LibRollout/Participant.cpp
@@ -45,7 +45,8 @@
   m_PermitUntil = Which->m_At + Permit::Lifetime;
 }
 
-void Participant::sent(std::uint32_t Route, bool IsNew, core::TimePoint Now) {
+void Participant::recordSent(std::uint32_t Route, bool IsNew,
+                             core::TimePoint Now) {
   ++m_Sent;
   m_SentNew += IsNew ? 1 : 0;
   bool IsSampling = traffic(Now) == Traffic::Sample;
--- a/Libraries/LibRollout/Participant.h
+++ b/Libraries/LibRollout/Participant.h
@@ -38,7 +38,7 @@
   /// Applies a permit, unless it is late, older than the current one, or for
   /// another order.
   void applyPermit(const Permit &Received, core::TimePoint Now);
-  void sent(std::uint32_t Route, bool IsNew, core::TimePoint Now);
+  void recordSent(std::uint32_t Route, bool IsNew, core::TimePoint Now);
   void recordResponse(const ResponseCountsKey &Key, ResponseQuality Quality,
                       core::Duration Time, core::TimePoint Now);
   /// Returns the next report. \param RunningOld see Report::m_RunningOld.
--- a/Tests/LibRollout/ParticipantTest.cpp
+++ b/Tests/LibRollout/ParticipantTest.cpp
@@ -49,7 +49,7 @@
     Participant Tested(order(), core::Duration::zero(), m_Now);
     for (int I = 0; I < 100; ++I) {
       CPPUNIT_ASSERT(!Tested.isSampleDue(1, m_Now));
-      Tested.sent(1, false, m_Now);
+      Tested.recordSent(1, false, m_Now);
     }
     CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
   }
@@ -94,7 +94,7 @@
         give(Tested, Traffic::Sample, 0.06);
       bool IsNew = Tested.isSampleDue(static_cast<std::uint32_t>(I % 3), m_Now);
       New += IsNew ? 1 : 0;
-      Tested.sent(static_cast<std::uint32_t>(I % 3), IsNew, m_Now);
+      Tested.recordSent(static_cast<std::uint32_t>(I % 3), IsNew, m_Now);
       CPPUNIT_ASSERT(New <= 0.06 * (I + 1));
       m_Now += milliseconds(7);
     }
@@ -110,7 +110,7 @@
       std::uint32_t Route = I % 25 == 0 ? 2 : 1;
       bool IsNew = Tested.isSampleDue(Route, m_Now);
       Samples[Route] += IsNew ? 1 : 0;
-      Tested.sent(Route, IsNew, m_Now);
+      Tested.recordSent(Route, IsNew, m_Now);
       m_Now += milliseconds(7);
     }
     // One in 25 requests is on route 2: 16 samples by its share of requests.
