--- a/Libraries/LibDecision/PoolQueue.cpp
+++ b/Libraries/LibDecision/PoolQueue.cpp
@@ -14,7 +14,7 @@
   TierQueue &Tier = m_Tiers[Item.m_Tier];
   AccountQueue &Account = Tier.m_Accounts[Item.m_Account];
   if (Account.m_Waiting.empty()) {
-    // An account that was away gets no credit for the time it did not use.
+    // An account that was idle gets no credit for the time it did not use.
     Account.m_StartTag = std::max(Account.m_StartTag, Tier.m_VirtualTime);
     Tier.m_Order.emplace(Account.m_StartTag, Item.m_Account);
   }
@@ -69,7 +69,7 @@
   auto Owner = Tier.m_Accounts.find(At.m_Account);
   AccountQueue &Account = Owner->second;
   const Entry &Item = At.m_Entry->second;
-  double Share = Item.m_Cost / Item.m_Weight;
+  double Charge = Item.m_Cost / Item.m_Weight;
   Tier.m_Order.erase({Account.m_StartTag, At.m_Account});
   if (At.m_Arrival)
     Tier.m_Sheddable.erase(*At.m_Arrival);
@@ -77,12 +77,12 @@
   --Tier.m_Size;
   if (IsServed) {
     Tier.m_VirtualTime = std::max(Tier.m_VirtualTime, Account.m_StartTag);
-    Account.m_StartTag += Share;
+    Account.m_StartTag += Charge;
   }
   if (!Account.m_Waiting.empty())
     Tier.m_Order.emplace(Account.m_StartTag, At.m_Account);
   else if (Tier.m_Order.empty())
-    // Nobody waits: the accounts' past turns no longer matter.
+    // With no request waiting, past service no longer matters.
     Tier.m_Accounts.clear();
   return true;
 }
--- a/Libraries/LibDecision/ThresholdLeader.cpp
+++ b/Libraries/LibDecision/ThresholdLeader.cpp
@@ -6,9 +6,9 @@
 
 ThresholdLeader::ThresholdLeader(core::PoolName Pool, InstanceRef Self,
                                  ThresholdRecord Record, std::int64_t Revision,
-                                 ThresholdTimings Times, core::TimePoint Now)
+                                 ThresholdTimings Timings, core::TimePoint Now)
     : m_Pool(std::move(Pool)), m_Self(std::move(Self)),
-      m_Record(std::move(Record)), m_Revision(Revision), m_Timings(Times),
+      m_Record(std::move(Record)), m_Revision(Revision), m_Timings(Timings),
       m_LastPermitAt(Now), m_LastPressureAt(Now) {}
 
 void ThresholdLeader::setTiers(core::TierNumber Highest,
@@ -29,7 +29,7 @@
     return true;
   }
   auto &Last = m_Reports[From];
-  // Datagrams may come out of order.
+  // Datagrams may arrive out of order.
   if (Last.m_Report.m_SentAt > Report.m_SentAt)
     return true;
   Last = {Report, Now};
@@ -115,18 +115,18 @@
 }
 
 core::TierNumber ThresholdLeader::updateGoal(core::TimePoint Now) {
-  core::TierNumber Wanted = m_Lowest;
+  core::TierNumber HighestToShed = m_Lowest;
   for (const auto &[Incarnation, Last] : m_Reports) {
     core::TierNumber Tier = Last.m_Report.m_TierToShed;
     bool IsFresh = Now - Last.m_At <= m_Timings.m_MaxReportAge;
-    if (IsFresh && Tier.value() != 0 && Tier < Wanted)
-      Wanted = std::max(Tier, m_Highest);
+    if (IsFresh && Tier.value() != 0 && Tier < HighestToShed)
+      HighestToShed = std::max(Tier, m_Highest);
   }
-  // Pressure that comes and goes must not move the floor each time.
+  // Hysteresis: short breaks in the pressure must not lower the threshold.
   bool IsFirst = m_LastGoal.value() == 0;
-  if (IsFirst || !(m_LastGoal < Wanted) ||
+  if (IsFirst || !(m_LastGoal < HighestToShed) ||
       Now - m_LastPressureAt > m_Timings.m_LoweringDelay) {
-    m_LastGoal = Wanted;
+    m_LastGoal = HighestToShed;
     m_LastPressureAt = Now;
   }
   return m_LastGoal;
@@ -142,8 +142,8 @@
   core::TierNumber Goal = updateGoal(Now);
   switch (m_Phase) {
   case ThresholdPhase::Adopt:
-    // All have dropped the permissions of earlier leaders, so any floor is
-    // safe now; this one evicts nothing.
+    // All members have dropped the permits of earlier leaders, so any threshold
+    // is safe. The lowest one in use evicts nothing.
     if (allConfirmed())
       enter(ThresholdPhase::Hold, lowestMemberThreshold());
     return;
@@ -166,12 +166,13 @@
       return enter(ThresholdPhase::Hold, Goal);
   }
   if (m_Threshold < Goal) {
-    // A permission at this floor may have been given before a raise.
+    // A permit for this threshold, sent before an earlier raise, may still be
+    // in force.
     m_IsRevoking = true;
     return enter(ThresholdPhase::Hold, m_Threshold);
   }
-  // The lowest tier may always be shed; a higher one only when nothing below
-  // it runs anywhere.
+  // The lowest tier may always be shed, a higher one only when nothing below it
+  // runs at any member.
   bool MayShedThresholdTier = !(m_Threshold < m_Lowest) || AreConfirmed;
   if (Goal < m_Threshold && MayShedThresholdTier)
     return enter(ThresholdPhase::Hold, nextHigherTier(m_Threshold));
@@ -192,23 +193,23 @@
 ThresholdLeader::step(core::TimePoint Now) {
   advance(Now);
   m_HasPressure = false;
-  std::vector<std::pair<InstanceRef, ThresholdCommand>> Orders;
+  std::vector<std::pair<InstanceRef, ThresholdCommand>> Commands;
   for (const InstanceRef &Member : m_Record.m_Members) {
-    ThresholdCommand Order;
-    Order.m_Pool = m_Pool;
-    Order.m_To = Member.m_Incarnation;
-    Order.m_Leader = m_Self;
-    Order.m_Stamp = {epoch(), m_Sequence};
-    Order.m_Phase = m_Phase;
-    Order.m_Threshold = m_Threshold;
+    ThresholdCommand Command;
+    Command.m_Pool = m_Pool;
+    Command.m_To = Member.m_Incarnation;
+    Command.m_Leader = m_Self;
+    Command.m_Stamp = {epoch(), m_Sequence};
+    Command.m_Phase = m_Phase;
+    Command.m_Threshold = m_Threshold;
     auto Found = m_Reports.find(Member.m_Incarnation);
     if (Found != m_Reports.end())
-      Order.m_ReportSentAt = Found->second.m_Report.m_SentAt;
+      Command.m_ReportSentAt = Found->second.m_Report.m_SentAt;
     if (m_Phase == ThresholdPhase::Shed)
       m_LastPermitAt = Now;
-    Orders.emplace_back(Member, Order);
+    Commands.emplace_back(Member, Command);
   }
-  return Orders;
+  return Commands;
 }
 
 } // namespace yardrill::decision
--- a/Libraries/LibQuarantine/Gossip.cpp
+++ b/Libraries/LibQuarantine/Gossip.cpp
@@ -7,23 +7,24 @@
 
 namespace yardrill::quarantine {
 
-/// When everybody is told again, after the time before: a lost datagram, and a
-/// second of losses, cost no more than a little delay.
+/// Delays between the repeats of a broadcast. They span more than a second, so
+/// that a lost datagram or a second of losses only delays an update.
 static constexpr std::array<std::chrono::milliseconds, 3> RebroadcastDelays{
     std::chrono::milliseconds(100), std::chrono::milliseconds(300),
     std::chrono::milliseconds(1200)};
-/// How often a few others are told of what the store does not hold.
+/// Period of sending unstored observations to a few other instances.
 static constexpr std::chrono::seconds GossipPeriod{1};
-/// The store should hold suspects: one run alone is what most requests have
-/// that were under way when a target ended.
+/// Incriminating incarnations from which a content is stored. Lower would store
+/// nearly every request that was running when a target exited.
 static constexpr std::size_t MinIncarnationsToStore =
     QuarantineTable::RunsToSuspect;
-/// Contents in the store's entry; with three runs each it has 15 KB.
+/// Limit on the contents in the store's entry, which keeps it at about 15 KB
+/// with three incarnations each.
 static constexpr std::size_t MaxStoredContents = 256;
 
-void Gossip::noteTargetExit(const ContentDigest &Content, IncarnationHash Run,
-                            core::TimePoint Now) {
-  m_Table.noteTargetExit(Content, Run, Now);
+void Gossip::noteTargetExit(const ContentDigest &Content,
+                            IncarnationHash Incarnation, core::TimePoint Now) {
+  m_Table.noteTargetExit(Content, Incarnation, Now);
   broadcastUpdates(Now);
 }
 
@@ -32,23 +33,24 @@
   broadcastUpdates(Now);
 }
 
-void Gossip::merge(const std::vector<Observation> &Seen, core::TimePoint Now) {
-  for (const Observation &Each : Seen)
+void Gossip::merge(const std::vector<Observation> &Observed,
+                   core::TimePoint Now) {
+  for (const Observation &Each : Observed)
     m_Table.merge(Each, Now);
   broadcastUpdates(Now);
 }
 
 //===----------------------------------------------------------------------===//
-// Between instances
+// Exchange with other instances
 //===----------------------------------------------------------------------===//
 
 void Gossip::broadcastUpdates(core::TimePoint Now) {
-  std::vector<Observation> News = m_Table.takeUpdates();
-  if (News.empty())
+  std::vector<Observation> Updates = m_Table.takeUpdates();
+  if (Updates.empty())
     return;
-  m_Hooks.m_Broadcast(News);
+  m_Hooks.m_Broadcast(Updates);
   m_PendingBroadcasts.push_back(
-      {std::move(News), 0, Now + RebroadcastDelays.front()});
+      {std::move(Updates), 0, Now + RebroadcastDelays.front()});
 }
 
 void Gossip::rebroadcast(core::TimePoint Now) {
@@ -56,7 +58,7 @@
     PendingBroadcast Each = std::move(m_PendingBroadcasts.front());
     m_PendingBroadcasts.pop_front();
     if (Each.m_NextAt <= Now) {
-      m_Hooks.m_Broadcast(Each.m_Seen);
+      m_Hooks.m_Broadcast(Each.m_Observations);
       if (++Each.m_RepeatCount == RebroadcastDelays.size())
         continue;
       Each.m_NextAt = Now + RebroadcastDelays[Each.m_RepeatCount];
@@ -69,14 +71,14 @@
   if (Now - m_LastGossipAt < GossipPeriod)
     return;
   m_LastGossipAt = Now;
-  std::vector<Observation> Unrecorded;
+  std::vector<Observation> Unstored;
   for (const ContentDigest &Each :
        m_Table.suspectedContents(MinIncarnationsToStore))
-    for (const Observation &Seen : m_Table.observations(Each))
-      if (m_Stored.count(Seen) == 0)
-        Unrecorded.push_back(Seen);
-  if (!Unrecorded.empty())
-    m_Hooks.m_SendToSample(Unrecorded);
+    for (const Observation &Observed : m_Table.observations(Each))
+      if (m_Stored.count(Observed) == 0)
+        Unstored.push_back(Observed);
+  if (!Unstored.empty())
+    m_Hooks.m_SendToSample(Unstored);
 }
 
 void Gossip::upkeep(core::TimePoint Now) {
@@ -86,16 +88,16 @@
 }
 
 //===----------------------------------------------------------------------===//
-// In the store
+// Exchange with the store
 //===----------------------------------------------------------------------===//
 
 bool Gossip::mergeStored(const std::string &Text, core::TimePoint Now) {
-  auto Seen = parseObservations(Text);
+  auto Observed = parseObservations(Text);
   m_Stored.clear();
-  if (!Seen)
+  if (!Observed)
     return false;
-  m_Stored.insert(Seen->begin(), Seen->end());
-  merge(*Seen, Now);
+  m_Stored.insert(Observed->begin(), Observed->end());
+  merge(*Observed, Now);
   return true;
 }
 
@@ -106,18 +108,20 @@
     Suspects.resize(MaxStoredContents);
   std::vector<Observation> Out;
   for (const ContentDigest &Each : Suspects)
-    for (const Observation &Seen : m_Table.observations(Each))
-      Out.push_back(Seen);
-  // What was excused stays: whoever missed that must hear of it. Not what came
-  // since, or each end of a target would be written for popular contents.
+    for (const Observation &Observed : m_Table.observations(Each))
+      Out.push_back(Observed);
+  // Stored observations stay after they are cleared, for the instances that
+  // missed the clearing. Later exits under such a content are not added, or
+  // each exit under a popular content would cause a write.
   for (const Observation &Each : m_Stored)
     if (m_Table.incriminatingIncarnations(Each.m_Content) <
         MinIncarnationsToStore)
       Out.push_back({Each.m_Content, Each.m_Incarnation,
                      m_Table.isCleared(Each.m_Content, Each.m_Incarnation)});
-  std::size_t Most = MaxStoredContents * QuarantineTable::MaxIncarnations;
-  if (Out.size() > Most)
-    Out.resize(Most);
+  std::size_t MaxObservations =
+      MaxStoredContents * QuarantineTable::MaxIncarnations;
+  if (Out.size() > MaxObservations)
+    Out.resize(MaxObservations);
   std::sort(Out.begin(), Out.end());
   return formatObservations(Out);
 }
--- a/Libraries/LibRollout/Judge.cpp
+++ b/Libraries/LibRollout/Judge.cpp
@@ -4,8 +4,8 @@
 
 namespace yardrill::rollout {
 
-/// Spans that are looked at beside the whole time: a version that turns bad
-/// late shows in the shorter ones first.
+/// Recent spans that are evaluated beside the entire time. A version that turns
+/// bad late shows in them first.
 static constexpr std::chrono::milliseconds Spans[] = {
     std::chrono::milliseconds(1500), std::chrono::milliseconds(4000)};
 
@@ -13,21 +13,22 @@
                                       const ResponseCountsByKey &Before) {
   ResponseCountsByKey Out;
   for (const auto &[Key, Counts] : Now) {
-    ResponseCounts Grown = Counts;
+    ResponseCounts Increase = Counts;
     auto Old = Before.find(Key);
     if (Old != Before.end()) {
-      Grown.m_Failures -= Old->second.m_Failures;
+      Increase.m_Failures -= Old->second.m_Failures;
       for (std::size_t I = 0; I < TimeBinCount; ++I)
-        Grown.m_Times[I] -= Old->second.m_Times[I];
+        Increase.m_Times[I] -= Old->second.m_Times[I];
     }
-    if (Grown.total() > 0)
-      Out.emplace(Key, Grown);
+    if (Increase.total() > 0)
+      Out.emplace(Key, Increase);
   }
   return Out;
 }
 
-/// With fewer answers of the old version in a span, all of its answers are
-/// taken for what is usual: once all goes to the new one there are none.
+/// Number of responses of the old version in a span below which all of its
+/// responses are the baseline. Once all traffic goes to the new version, spans
+/// have none of the old one.
 static constexpr std::uint32_t MinOldResponses = 100;
 
 static ResponseCountsByKey withOldSide(ResponseCountsByKey Span,
@@ -44,10 +45,10 @@
 }
 
 Judgement Judge::evaluate(const ResponseCountsByKey &Sum, core::TimePoint Now) {
-  Comparison Whole(Sum);
-  Judgement Out = Whole.judge();
+  Comparison AllTime(Sum);
+  Judgement Out = AllTime.judge();
   for (auto Span : Spans) {
-    // The newest snapshot that is at least so old.
+    // Finds the newest snapshot that is at least as old as the span.
     const Snapshot *From = nullptr;
     for (const Snapshot &Each : m_Past)
       if (Now - Each.m_At >= Span)
--- a/Libraries/LibRollout/Participant.cpp
+++ b/Libraries/LibRollout/Participant.cpp
@@ -4,12 +4,13 @@
 
 namespace yardrill::rollout {
 
-/// Cells of a report, where fewer changed: they fit one datagram.
+/// Number of counters up to which a report is filled with unchanged ones. They
+/// fit in one datagram.
 static constexpr std::size_t MaxRepeatedCounts = 9;
-/// Weight of the newest answer of the old version.
+/// Weight of the newest response in the old version's share of failures.
 static constexpr double FailureShareWeight = 0.05;
-/// By how much the new version's share of failures must exceed the old one's
-/// for an instance to stop by itself.
+/// Excess of the new version's share of failures over the old one's at which an
+/// instance stops on its own.
 static constexpr double MinLocalExcess = 0.35;
 
 Participant::Participant(Order What, core::Duration Age, core::TimePoint Now)
@@ -29,41 +30,42 @@
          m_SampleBudget.isSampleAllowed(Route);
 }
 
-void Participant::applyPermit(const Permit &Given, core::TimePoint Now) {
-  if (Given.m_Order != m_Order.m_Id)
+void Participant::applyPermit(const Permit &Received, core::TimePoint Now) {
+  if (Received.m_Order != m_Order.m_Id)
     return;
-  auto Which =
-      std::find_if(m_SentReports.begin(), m_SentReports.end(),
-                   [&](const auto &E) { return E.m_Number == Given.m_Report; });
-  // One that comes late may be older than one that is in force.
-  if (Which == m_SentReports.end() || Given.m_Report < m_Permit.m_Report)
+  auto Which = std::find_if(
+      m_SentReports.begin(), m_SentReports.end(),
+      [&](const auto &E) { return E.m_Number == Received.m_Report; });
+  // A late permit may be older than the one in force.
+  if (Which == m_SentReports.end() || Received.m_Report < m_Permit.m_Report)
     return;
-  if (traffic(Now) != Given.m_Traffic)
+  if (traffic(Now) != Received.m_Traffic)
     m_SampleBudget.reset();
-  m_Permit = Given;
+  m_Permit = Received;
   m_PermitUntil = Which->m_At + Permit::Lifetime;
 }
 
-void Participant::sent(std::uint32_t Route, bool IsNew, core::TimePoint Now) {
+void Participant::recordSent(std::uint32_t Route, bool IsNew,
+                             core::TimePoint Now) {
   ++m_Sent;
   m_SentNew += IsNew ? 1 : 0;
   bool IsSampling = traffic(Now) == Traffic::Sample;
   m_SampleBudget.sent(Route, IsNew, IsSampling ? m_Permit.m_Share : 0);
 }
 
-void Participant::recordResponse(const ResponseCountsKey &Where,
-                                 ResponseQuality How, core::Duration Time,
+void Participant::recordResponse(const ResponseCountsKey &Key,
+                                 ResponseQuality Quality, core::Duration Time,
                                  core::TimePoint Now) {
-  m_Evidence.addResponse(Where, How, Time);
-  m_Changed.insert(Where);
-  checkLocalResponses(Where, How, Now);
+  m_Evidence.addResponse(Key, Quality, Time);
+  m_Changed.insert(Key);
+  checkLocalResponses(Key, Quality, Now);
 }
 
-void Participant::checkLocalResponses(const ResponseCountsKey &Where,
-                                      ResponseQuality How,
+void Participant::checkLocalResponses(const ResponseCountsKey &Key,
+                                      ResponseQuality Quality,
                                       core::TimePoint Now) {
-  bool IsFailure = How == ResponseQuality::Failed;
-  if (Where.m_Side == Side::Old) {
+  bool IsFailure = Quality == ResponseQuality::Failed;
+  if (Key.m_Side == Side::Old) {
     m_OldFailureShare +=
         FailureShareWeight * ((IsFailure ? 1 : 0) - m_OldFailureShare);
     return;
@@ -73,14 +75,15 @@
     m_RecentFailures.pop_front();
   auto Failed = static_cast<double>(
       std::count(m_RecentFailures.begin(), m_RecentFailures.end(), true));
-  bool IsPlain = m_RecentFailures.size() == OwnSampleSize &&
-                 Failed / OwnSampleSize > m_OldFailureShare + MinLocalExcess;
-  if (IsPlain && traffic(Now) == Traffic::New)
+  bool IsClearlyWorse =
+      m_RecentFailures.size() == OwnSampleSize &&
+      Failed / OwnSampleSize > m_OldFailureShare + MinLocalExcess;
+  if (IsClearlyWorse && traffic(Now) == Traffic::New)
     m_StoppedUntil = Now + Permit::Lifetime;
 }
 
 ResponseCountsByKey Participant::countsToReport() {
-  const ResponseCountsByKey &All = m_Evidence.cells();
+  const ResponseCountsByKey &All = m_Evidence.counts();
   ResponseCountsByKey Out;
   for (const ResponseCountsKey &Each : m_Changed)
     Out.emplace(Each, All.at(Each));
