--- a/Libraries/LibGateway/BackpressureService.cpp
+++ b/Libraries/LibGateway/BackpressureService.cpp
@@ -49,7 +49,7 @@
     const routing::TargetBackpressure &Backpressure, core::TimePoint Now) {
   if (Backpressure.isEmpty() && m_Targets.throttles().isEmpty())
     return;
-  routing::TargetIncarnation Incarnation = Which.run();
+  routing::TargetIncarnation Incarnation = Which.incarnation();
   bool IsChanged = m_Targets.throttles().update(Incarnation, Backpressure, Now);
   if (IsChanged || Backpressure.m_Backoff || Backpressure.m_IsLimitUnreadable)
     logChange(Incarnation, Backpressure);
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -272,7 +272,7 @@
   bool IsDiscoveryDone =
       m_Settings.m_IsFirstStart || m_Peers->isDiscoveryDone();
   if (Owners.empty() && IsDiscoveryDone)
-    Owners = m_Peers->heard();
+    Owners = m_Peers->liveInstances();
   if (!m_Quotas.setOwners(Owners))
     return;
   core::LogLine("quota-owners")
@@ -283,7 +283,7 @@
 void Gateway::updateMembershipRecord(core::TimePoint Now) {
   if (!m_Follower.isConnected() || !m_Peers->isRecordWriter())
     return;
-  if (auto List = m_Membership.proposeUpdate(m_Peers->heard(), Now))
+  if (auto List = m_Membership.proposeUpdate(m_Peers->liveInstances(), Now))
     m_MembershipRecord.write(*List, Now);
 }
 
--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -132,10 +132,10 @@
     return true;
   m_Acquisition.m_Account = routing::hashOf(m_Account->m_Name);
   m_Acquisition.m_Tokens = Tokens;
-  bool IsGranted = m_Owner.m_Quotas.draw(m_Acquisition, Yield);
+  bool IsGranted = m_Owner.m_Quotas.acquire(m_Acquisition, Yield);
   if (!IsGranted)
     logQuota("quota-refused");
-  else if (m_Acquisition.m_Source == routing::QuotaSource::Alone)
+  else if (m_Acquisition.m_Source == routing::QuotaSource::Isolated)
     logQuota("quota-alone");
   return IsGranted;
 }
@@ -224,7 +224,8 @@
     }
     // Other instances may have reported target exits while it waited.
     if (isQuarantined()) {
-      m_Owner.m_Targets.recordEnd(m_Target->run(), m_PendingPromptTokens);
+      m_Owner.m_Targets.recordEnd(m_Target->incarnation(),
+                                  m_PendingPromptTokens);
       m_Owner.handleFreedSlot();
       break;
     }
--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -30,7 +30,7 @@
 static const char EventStreamType[] = "text/event-stream";
 
 AttemptOutcome GatewayRequest::runAttempt(asio::yield_context Yield) {
-  logDispatch(m_Owner.m_Targets.findByIncarnation(m_Target->run()),
+  logDispatch(m_Owner.m_Targets.findByIncarnation(m_Target->incarnation()),
               m_Owner.m_Mirror.revision());
   if (timeLeft() <= core::Duration::zero()) {
     m_Reason = "time-over";
@@ -43,7 +43,7 @@
   } catch (const Error &Failure) {
     m_Reason = "connect-failed";
     if (Failure.kind() == core::ErrorKind::Refused)
-      m_Owner.m_ExitDetector.noteTargetExit(m_Target->run());
+      m_Owner.m_ExitDetector.noteTargetExit(m_Target->incarnation());
     core::LogLine("connect-failed", core::LogLevel::Warning)
         .add("request", m_Description.m_Id)
         .add("target", m_Target->m_Name)
@@ -87,7 +87,7 @@
 
 void GatewayRequest::noteBrokenResponse(asio::yield_context Yield) {
   // A leaving target exits anyway, whatever requests it runs.
-  if (!m_Owner.m_Targets.isLeaving(m_Target->run()))
+  if (!m_Owner.m_Targets.isLeaving(m_Target->incarnation()))
     m_Owner.m_ExitDetector.noteBrokenResponse(*m_Target, m_Content, Yield);
 }
 
@@ -140,8 +140,8 @@
     m_Reason = Info.m_IsMisdirected ? "target-replaced" : "target-refused";
     logTargetRefusal(Head.m_Status);
     if (Info.m_IsMisdirected) {
-      m_Owner.m_Targets.recordReplacement(m_Target->run());
-      m_Owner.m_ExitDetector.noteTargetExit(m_Target->run());
+      m_Owner.m_Targets.recordReplacement(m_Target->incarnation());
+      m_Owner.m_ExitDetector.noteTargetExit(m_Target->incarnation());
     }
     while (!Connection.readBodyData(timeLeft() + ResponseGracePeriod, Yield)
                 .empty()) {
@@ -187,7 +187,8 @@
   bool IsFirst = !m_Timing.hasFirstEvent();
   std::optional<core::Duration> Pause = m_Timing.noteEvents(Count, Now);
   if (m_PendingPromptTokens > 0) {
-    m_Owner.m_Targets.recordFirstEvent(m_Target->run(), m_PendingPromptTokens);
+    m_Owner.m_Targets.recordFirstEvent(m_Target->incarnation(),
+                                       m_PendingPromptTokens);
     m_PendingPromptTokens = 0;
   }
   if (IsFirst) {
@@ -199,7 +200,7 @@
   if (Pause) {
     m_Owner.m_Metrics.observe(metrics::RequestTime::BetweenTokens, Labels,
                               *Pause);
-    m_Owner.m_Targets.recordServiceTime(m_Target->run(), *Pause);
+    m_Owner.m_Targets.recordServiceTime(m_Target->incarnation(), *Pause);
   }
 }
 
@@ -209,7 +210,7 @@
 
 void GatewayRequest::noteAttempt(AttemptOutcome Outcome) {
   core::TimePoint Now = core::steadyNow();
-  routing::TargetIncarnation Incarnation = m_Target->run();
+  routing::TargetIncarnation Incarnation = m_Target->incarnation();
   reportRolloutOutcome(Outcome, Now);
   m_Owner.m_Targets.recordEnd(Incarnation, m_PendingPromptTokens);
   m_TriedTargets.insert(Incarnation);
--- a/Libraries/LibGateway/GatewayStoreUpdates.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -16,7 +16,7 @@
   }
   if (m_Quarantine.isRecordKey(Change.m_Key))
     return m_Quarantine.applyEntry(Change);
-  if (m_Rollouts.takeRecord(Change))
+  if (m_Rollouts.applyRecord(Change))
     return scheduleRolloutUpkeep();
   core::TimePoint Begin = core::steadyNow();
   StoreUpdate Decoded;
@@ -47,7 +47,7 @@
         .add("target", Removal->m_Target)
         .add("revision", Change.m_ModRevision);
     if (routing::KnownTarget *Known = m_Targets.find(Removal->m_Target))
-      m_ExitDetector.noteTargetExit(Known->m_Target.run());
+      m_ExitDetector.noteTargetExit(Known->m_Target.incarnation());
     m_Targets.withdraw(Removal->m_Target, core::steadyNow());
     return;
   }
@@ -74,7 +74,7 @@
       .add("address", Update.m_Address.toString())
       .add("is_leaving", Update.m_IsLeaving)
       .add("revision", At);
-  if (Effect == routing::AnnouncementEffect::NewRun)
+  if (Effect == routing::AnnouncementEffect::NewIncarnation)
     m_Connections.closeIdle(Update.m_Address.toTcp());
 }
 
--- a/Libraries/LibGateway/MissingPeers.h
+++ b/Libraries/LibGateway/MissingPeers.h
@@ -22,11 +22,11 @@
   using Map = std::map<config::Endpoint, core::TimePoint>;
 
   /// Adds \p Peer, unless it is missing already.
-  void lost(const config::Endpoint &Peer, core::TimePoint Now) {
+  void add(const config::Endpoint &Peer, core::TimePoint Now) {
     m_LostAt.emplace(Peer, Now);
   }
   /// Removes \p Peer, which is live again.
-  void heard(const config::Endpoint &Peer) { m_LostAt.erase(Peer); }
+  void remove(const config::Endpoint &Peer) { m_LostAt.erase(Peer); }
   /// Removes peers that have been missing for too long. Must be called only
   /// while the store is reachable, directly or through a peer.
   void forgetOld(core::TimePoint Now);
--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -113,7 +113,7 @@
   addHintedPeers(*Report);
   if (Result.m_IsNew) {
     m_HintedPeers.erase(Message.m_From.m_Peer);
-    m_Missing.heard(Message.m_From.m_Peer);
+    m_Missing.remove(Message.m_From.m_Peer);
     greetPeer(Message.m_From.m_Peer, *Report);
   } else if (canSupplyState(*Report)) {
     sendReport({Message.m_From.m_Peer}, true);
@@ -205,7 +205,7 @@
     return;
   m_IsMembershipChanged = false;
   // Live instances may not be recorded yet.
-  routing::FleetSubset::Fleet Fleet = heard();
+  routing::FleetSubset::Fleet Fleet = liveInstances();
   Fleet.insert(m_Recorded.begin(), m_Recorded.end());
   bool IsSameFleet = Fleet == m_Fleet;
   m_Fleet = std::move(Fleet);
@@ -259,7 +259,7 @@
 }
 
 bool PeerService::isStoreReachable() const {
-  return m_LastReport.m_IsStoreConnected || m_Peers.followers() > 0;
+  return m_LastReport.m_IsStoreConnected || m_Peers.followerCount() > 0;
 }
 
 bool PeerService::isListConfirmed() const {
@@ -272,7 +272,7 @@
   return Now - m_StartedAt > DiscoveryTime;
 }
 
-FleetMembers PeerService::heard() const {
+FleetMembers PeerService::liveInstances() const {
   FleetMembers Out{{m_Settings.m_PeerAddress, m_Settings.m_DataHall}};
   for (const auto &[Incarnation, Each] : m_Peers.all())
     Out[Each.m_Instance.m_Peer] = Each.m_Report.m_DataHall;
@@ -280,7 +280,7 @@
 }
 
 std::vector<config::Endpoint> PeerService::otherInstances() const {
-  FleetMembers All = heard();
+  FleetMembers All = liveInstances();
   All.insert(m_Recorded.begin(), m_Recorded.end());
   All.erase(m_Settings.m_PeerAddress);
   std::vector<config::Endpoint> Out;
@@ -342,7 +342,7 @@
     return;
   bool HasStopped = LostPeer.m_Report.m_IsStopping;
   if (!HasStopped)
-    m_Missing.lost(LostPeer.m_Instance.m_Peer, Now);
+    m_Missing.add(LostPeer.m_Instance.m_Peer, Now);
   core::LogLine("peer-lost", core::LogLevel::Warning)
       .add("peer", LostPeer.m_Report.m_Name)
       .add("address", LostPeer.m_Instance.m_Peer.toString())
--- a/Libraries/LibGateway/PeerService.h
+++ b/Libraries/LibGateway/PeerService.h
@@ -88,7 +88,7 @@
   /// group peers.
   bool isListConfirmed() const;
   /// Returns the live instances, this one included.
-  FleetMembers heard() const;
+  FleetMembers liveInstances() const;
   /// Returns the peer addresses of all other instances that are live or
   /// recorded.
   std::vector<config::Endpoint> otherInstances() const;
--- a/Libraries/LibGateway/PeerTable.cpp
+++ b/Libraries/LibGateway/PeerTable.cpp
@@ -63,7 +63,7 @@
     m_IsFleetChanged = true;
     rebuildGroupPeers();
   }
-  Known->second.m_HeardAt = Now;
+  Known->second.m_LastSeenAt = Now;
   Known->second.m_IsSilent = false;
   applyReport(Known->second, Report);
   return {std::nullopt, IsNew};
@@ -112,14 +112,15 @@
   std::vector<LivePeer> SilentPeers;
   for (core::IncarnationId PeerId : m_GroupPeers) {
     LivePeer &Each = m_Peers.at(PeerId);
-    if (Each.m_IsSilent || Now - Each.m_HeardAt <= GroupPeerTimeout)
+    if (Each.m_IsSilent || Now - Each.m_LastSeenAt <= GroupPeerTimeout)
       continue;
     SilentPeers.push_back(Each);
     Each.m_IsSilent = true;
     m_Followers.erase({Each.m_AddressHash, PeerId});
   }
   for (auto Each = m_Followers.begin(); Each != m_Followers.end();) {
-    bool IsHeard = Now - m_Peers.at(Each->second).m_HeardAt <= FollowerTimeout;
+    bool IsHeard =
+        Now - m_Peers.at(Each->second).m_LastSeenAt <= FollowerTimeout;
     Each = IsHeard ? std::next(Each) : m_Followers.erase(Each);
   }
   if (Now - m_LastScanAt <= ScanPeriod)
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -25,7 +25,7 @@
 struct LivePeer {
   decision::InstanceRef m_Instance;
   peer::LoadReport m_Report; ///< Latest, in full
-  core::TimePoint m_HeardAt{};
+  core::TimePoint m_LastSeenAt{};
   std::uint64_t m_AddressHash = 0; ///< followerOrder() of its address
   bool m_IsGroupPeer = false;      ///< Whether in this instance's group
   /// Whether it is a group peer whose recent reports are missing. Its last
@@ -81,7 +81,7 @@
   bool consumeFleetChange();
 
   /// Returns the number of live peers that follow the store.
-  std::size_t followers() const { return m_Followers.size(); }
+  std::size_t followerCount() const { return m_Followers.size(); }
   /// Returns the number of those that precede this instance in the order of
   /// followerOrder().
   std::size_t followersBefore() const;
--- a/Libraries/LibGateway/PoolRollout.h
+++ b/Libraries/LibGateway/PoolRollout.h
@@ -60,7 +60,7 @@
   std::size_t canaryTurn(core::TimePoint Now) const override;
   double canaryShare() const override;
   /// Whether any version is treated differently from the others.
-  bool isOpen() const { return isActive() || !excluded().empty(); }
+  bool hasRestrictions() const { return isActive() || !excluded().empty(); }
 
 private:
   /// Returns the versions that must not serve requests.
--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -44,7 +44,8 @@
 
 void QuarantineService::noteTargetExit(const routing::Target &Which,
                                        const ContentDigest &Content) {
-  m_Gossip.noteTargetExit(Content, Which.run().hash(), core::steadyNow());
+  m_Gossip.noteTargetExit(Content, Which.incarnation().hash(),
+                          core::steadyNow());
   core::LogLine("target-ended", core::LogLevel::Warning)
       .add("target", Which.m_Name)
       .add("birth", Which.m_StartTime)
--- a/Libraries/LibGateway/QuotaProtocol.cpp
+++ b/Libraries/LibGateway/QuotaProtocol.cpp
@@ -33,8 +33,9 @@
   }
 }
 
-void QuotaProtocol::ask(const routing::QuotaAcquisition &Acquisition,
-                        ResponseHandler OnResponse, core::TimePoint Now) {
+void QuotaProtocol::sendRequest(const routing::QuotaAcquisition &Acquisition,
+                                ResponseHandler OnResponse,
+                                core::TimePoint Now) {
   const config::Endpoint &Owner = Acquisition.m_RemainingOwners.back();
   std::uint64_t RequestId =
       addPending(Owner, Acquisition.m_Account, std::move(OnResponse), Now);
--- a/Libraries/LibGateway/QuotaProtocol.h
+++ b/Libraries/LibGateway/QuotaProtocol.h
@@ -28,8 +28,8 @@
 
   /// Sends a request to the next owner of \p Acquisition. If its response is no
   /// longer awaited, its tokens are cached for other requests.
-  void ask(const routing::QuotaAcquisition &Acquisition,
-           ResponseHandler OnResponse, core::TimePoint Now);
+  void sendRequest(const routing::QuotaAcquisition &Acquisition,
+                   ResponseHandler OnResponse, core::TimePoint Now);
   /// Responds to a request, or applies the response to an earlier one.
   void handle(const config::Endpoint &From, const peer::QuotaRequest &Request,
               core::TimePoint Now);
--- a/Libraries/LibGateway/QuotaService.cpp
+++ b/Libraries/LibGateway/QuotaService.cpp
@@ -56,11 +56,11 @@
   m_Protocol.upkeep(Now);
 }
 
-bool QuotaService::draw(routing::QuotaAcquisition &Acquisition,
-                        asio::yield_context Yield) {
+bool QuotaService::acquire(routing::QuotaAcquisition &Acquisition,
+                           asio::yield_context Yield) {
   QuotaStep Step = m_Quota.begin(Acquisition, core::steadyNow());
   while (Step == QuotaStep::Ask)
-    Step = ask(Acquisition, Yield);
+    Step = requestTokens(Acquisition, Yield);
   m_Protocol.sendCharges(core::steadyNow());
   return Step == QuotaStep::Granted;
 }
@@ -80,10 +80,10 @@
 
 } // namespace
 
-QuotaStep QuotaService::ask(routing::QuotaAcquisition &Acquisition,
-                            asio::yield_context Yield) {
+QuotaStep QuotaService::requestTokens(routing::QuotaAcquisition &Acquisition,
+                                      asio::yield_context Yield) {
   auto Pending = std::make_shared<PendingResponse>(m_Context);
-  m_Protocol.ask(
+  m_Protocol.sendRequest(
       Acquisition,
       [Pending](const routing::QuotaResponse &Response) {
         if (Pending->m_IsAbandoned)
--- a/Libraries/LibGateway/QuotaService.h
+++ b/Libraries/LibGateway/QuotaService.h
@@ -33,16 +33,16 @@
 
   /// Acquires the tokens of a request; waits for responses of owners if needed.
   /// \returns whether they are granted.
-  bool draw(routing::QuotaAcquisition &Acquisition,
-            boost::asio::yield_context Yield);
+  bool acquire(routing::QuotaAcquisition &Acquisition,
+               boost::asio::yield_context Yield);
   /// Returns the tokens of a request that did not run.
   void giveBack(const routing::QuotaAcquisition &Acquisition);
 
 private:
   /// Requests tokens from the next owner. \returns the step that follows from
   /// its response, or from the lack of one.
-  routing::QuotaStep ask(routing::QuotaAcquisition &Acquisition,
-                         boost::asio::yield_context Yield);
+  routing::QuotaStep requestTokens(routing::QuotaAcquisition &Acquisition,
+                                   boost::asio::yield_context Yield);
 
   boost::asio::io_context &m_Context;
   routing::DistributedQuota m_Quota;
--- a/Libraries/LibGateway/RolloutService.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -72,7 +72,7 @@
   return RecordPrefix + Pool.value();
 }
 
-bool RolloutService::takeRecord(const platform::Entry &Change) {
+bool RolloutService::applyRecord(const platform::Entry &Change) {
   if (Change.m_Key.compare(0, RecordPrefix.size(), RecordPrefix) != 0)
     return false;
   std::optional<rollout::Record> Record;
@@ -97,8 +97,9 @@
   if (m_Pools.empty())
     return nullptr;
   auto Found = m_Pools.find(Name);
-  bool IsOpen = Found != m_Pools.end() && Found->second.m_State.isOpen();
-  return IsOpen ? &Found->second.m_State : nullptr;
+  bool HasRestrictions =
+      Found != m_Pools.end() && Found->second.m_State.hasRestrictions();
+  return HasRestrictions ? &Found->second.m_State : nullptr;
 }
 
 RolloutService::Pool *RolloutService::findActive(const core::PoolName &Name) {
@@ -127,7 +128,7 @@
   PoolRollout &State = Rollout->m_State;
   rollout::ResponseCountsKey Key;
   Key.m_Side = State.isCanary(Where) ? rollout::Side::New : rollout::Side::Old;
-  Key.m_Target = Where.run().hash();
+  Key.m_Target = Where.incarnation().hash();
   Key.m_Route = Route;
   State.participant().recordResponse(Key, How, Time, core::steadyNow());
 }
@@ -287,7 +288,7 @@
   rollout::PoolCapacity Out;
   for (const routing::KnownTarget *Known :
        m_Targets.allTargetsOf(Rollout.m_State.pool())) {
-    if (!Known->isOpen() || Known->m_ExpiredAt)
+    if (!Known->acceptsRequests() || Known->m_ExpiredAt)
       continue;
     const routing::Target &Each = Known->m_Target;
     if (Rollout.m_State.isCanary(Each))
--- a/Libraries/LibGateway/RolloutService.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -50,7 +50,7 @@
   void setStatus(const core::PoolName &Pool,
                  std::optional<rollout::Status> Status, platform::Revision At);
   /// Applies \p Change if it is a record of a roll-out. \returns whether it is.
-  bool takeRecord(const platform::Entry &Change);
+  bool applyRecord(const platform::Entry &Change);
   /// Returns the key of a pool's record.
   static std::string recordKey(const core::PoolName &Pool);
 
--- a/Libraries/LibGateway/TargetExitDetector.cpp
+++ b/Libraries/LibGateway/TargetExitDetector.cpp
@@ -11,7 +11,7 @@
 void TargetExitDetector::noteBrokenResponse(
     const routing::Target &Which, const quarantine::ContentDigest &Content,
     asio::yield_context Yield) {
-  auto [It, IsNew] = m_BrokenResponses.try_emplace(Which.run());
+  auto [It, IsNew] = m_BrokenResponses.try_emplace(Which.incarnation());
   if (IsNew)
     It->second = std::make_shared<BrokenResponses>(m_Context, Which);
   // Kept alive while this coroutine waits, since upkeep() may erase the entry.
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerDuty.cpp
@@ -244,7 +244,7 @@
   std::vector<PeerStatus> Next;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     Next.push_back({Peer.m_LastHeartbeat.m_Name, Peer.m_Instance,
-                    Peer.m_LastHeartbeat.m_Version, Now - Peer.m_HeardAt,
+                    Peer.m_LastHeartbeat.m_Version, Now - Peer.m_LastSeenAt,
                     Peer.m_LastHeartbeat.m_IsStopping});
   m_Metrics.setGauge("yardrill_peers", static_cast<double>(Next.size()));
   std::lock_guard<std::mutex> Lock(m_StatusMutex);
--- a/Libraries/LibPeer/PeerDirectory.cpp
+++ b/Libraries/LibPeer/PeerDirectory.cpp
@@ -25,7 +25,7 @@
   }
   KnownPeer &Peer = Found->second;
   Peer.m_Instance = Message.m_From;
-  Peer.m_HeardAt = Now;
+  Peer.m_LastSeenAt = Now;
   Peer.m_Sequence = Message.m_Sequence;
   if (const auto *Beat = std::get_if<Heartbeat>(&Message.m_Body))
     Peer.m_LastHeartbeat = *Beat;
@@ -35,7 +35,7 @@
 std::vector<KnownPeer> PeerDirectory::expire(core::TimePoint Now) {
   std::vector<KnownPeer> Expired;
   for (auto Peer = m_Peers.begin(); Peer != m_Peers.end();) {
-    if (Now - Peer->second.m_HeardAt <= m_SilenceTimeout) {
+    if (Now - Peer->second.m_LastSeenAt <= m_SilenceTimeout) {
       ++Peer;
       continue;
     }
--- a/Libraries/LibPeer/PeerDirectory.h
+++ b/Libraries/LibPeer/PeerDirectory.h
@@ -16,7 +16,7 @@
 /// Last message received from one incarnation of a peer.
 struct KnownPeer {
   decision::InstanceRef m_Instance;
-  core::TimePoint m_HeardAt{};
+  core::TimePoint m_LastSeenAt{};
   std::uint64_t m_Sequence = 0;
   Heartbeat m_LastHeartbeat; ///< Default until the first heartbeat.
 };
--- a/Libraries/LibPeer/RolloutMessages.cpp
+++ b/Libraries/LibPeer/RolloutMessages.cpp
@@ -4,11 +4,11 @@
 namespace yardrill::peer {
 
 /// Keeps a part within one datagram: a cell takes up to 140 bytes.
-static constexpr std::size_t MaxCellsInPart = 9;
+static constexpr std::size_t MaxCountsInPart = 9;
 
-static RolloutCell toCell(const rollout::ResponseCountsKey &Key,
-                          const rollout::ResponseCounts &Counts) {
-  RolloutCell Out;
+static RolloutCounts toCounts(const rollout::ResponseCountsKey &Key,
+                              const rollout::ResponseCounts &Counts) {
+  RolloutCounts Out;
   Out.m_IsNew = Key.m_Side == rollout::Side::New;
   Out.m_Target = Key.m_Target;
   Out.m_Route = Key.m_Route;
@@ -33,9 +33,9 @@
   std::vector<RolloutReport> Out{Header};
   Header.m_WantsPermit = false;
   for (const auto &[Key, Counts] : From.m_Counts) {
-    if (Out.back().m_Counts.size() == MaxCellsInPart)
+    if (Out.back().m_Counts.size() == MaxCountsInPart)
       Out.push_back(Header);
-    Out.back().m_Counts.push_back(toCell(Key, Counts));
+    Out.back().m_Counts.push_back(toCounts(Key, Counts));
   }
   return Out;
 }
@@ -55,14 +55,14 @@
   Out.m_RunningOld = From.m_RunningOld;
   Out.m_Sent = From.m_Sent;
   Out.m_SentNew = From.m_SentNew;
-  for (const RolloutCell &Each : From.m_Counts) {
+  for (const RolloutCounts &Each : From.m_Counts) {
     rollout::ResponseCountsKey Key;
     Key.m_Side = Each.m_IsNew ? rollout::Side::New : rollout::Side::Old;
     Key.m_Target = Each.m_Target;
     Key.m_Route = Each.m_Route;
     rollout::ResponseCounts &Into = Out.m_Counts[Key];
     Into.m_Failures = Each.m_Failures;
-    for (const RolloutTimes &Times : Each.m_Times)
+    for (const RolloutTimeBin &Times : Each.m_Times)
       if (Times.m_Bin < rollout::TimeBinCount)
         Into.m_Times[Times.m_Bin] = Times.m_Count;
   }
--- a/Libraries/LibPeer/RolloutMessages.h
+++ b/Libraries/LibPeer/RolloutMessages.h
@@ -11,7 +11,7 @@
 namespace yardrill::peer {
 
 /// Number of responses in one bin of response times.
-struct RolloutTimes {
+struct RolloutTimeBin {
   std::uint8_t m_Bin = 0;
   std::uint32_t m_Count = 0;
 
@@ -19,12 +19,12 @@
 };
 
 /// Wire form of rollout::ResponseCounts with their key.
-struct RolloutCell {
+struct RolloutCounts {
   bool m_IsNew = false;       ///< Of the new version
   std::uint32_t m_Target = 0; ///< routing::TargetIncarnation::hash()
   std::uint32_t m_Route = 0;
   std::uint32_t m_Failures = 0;
-  std::vector<RolloutTimes> m_Times; ///< Non-empty bins
+  std::vector<RolloutTimeBin> m_Times; ///< Non-empty bins
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_IsNew, m_Target, m_Route, m_Failures, m_Times);
@@ -42,7 +42,7 @@
   std::uint32_t m_Sent = 0;
   std::uint32_t m_SentNew = 0;
   bool m_WantsPermit = true; ///< Set in one part of each report
-  std::vector<RolloutCell> m_Counts;
+  std::vector<RolloutCounts> m_Counts;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(m_Pool, m_Order, m_Number, m_AgeUs, m_Traffic, m_RunningOld, m_Sent,
--- a/Libraries/LibQuarantine/Gossip.cpp
+++ b/Libraries/LibQuarantine/Gossip.cpp
@@ -17,7 +17,7 @@
 /// Incriminating incarnations from which a content is stored. Lower would store
 /// nearly every request that was running when a target exited.
 static constexpr std::size_t MinIncarnationsToStore =
-    QuarantineTable::RunsToSuspect;
+    QuarantineTable::IncarnationsToSuspect;
 /// Limit on the contents in the store's entry, which keeps it at about 15 KB
 /// with three incarnations each.
 static constexpr std::size_t MaxStoredContents = 256;
--- a/Libraries/LibQuarantine/QuarantineTable.cpp
+++ b/Libraries/LibQuarantine/QuarantineTable.cpp
@@ -113,7 +113,8 @@
   // A cleared incarnation stays cleared.
   if (IsKnown && (Found->second || !Observed.m_IsCleared))
     return false;
-  bool WasQuarantined = Suspect.incriminatingIncarnations() >= RunsToQuarantine;
+  bool WasQuarantined =
+      Suspect.incriminatingIncarnations() >= IncarnationsToQuarantine;
   if (IsKnown) {
     Found->second = true;
   } else {
@@ -124,7 +125,8 @@
                                    Observed.m_IsCleared);
   }
   Suspect.m_ChangedAt = Now;
-  bool IsQuarantined = Suspect.incriminatingIncarnations() >= RunsToQuarantine;
+  bool IsQuarantined =
+      Suspect.incriminatingIncarnations() >= IncarnationsToQuarantine;
   if (IsQuarantined == WasQuarantined)
     return true;
   m_Quarantined += IsQuarantined ? 1 : -1;
@@ -154,7 +156,7 @@
                               B.second.m_ChangedAt);
       });
   bool WasQuarantined =
-      Least->second.incriminatingIncarnations() >= RunsToQuarantine;
+      Least->second.incriminatingIncarnations() >= IncarnationsToQuarantine;
   ContentDigest Content = Least->first;
   m_Entries.erase(Least);
   if (!WasQuarantined)
--- a/Libraries/LibQuarantine/QuarantineTable.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -51,10 +51,11 @@
 class QuarantineTable {
 public:
   /// Incriminating incarnations from which a content is quarantined.
-  static constexpr std::size_t RunsToQuarantine = 3;
+  static constexpr std::size_t IncarnationsToQuarantine = 3;
   /// Incriminating incarnations from which a content is suspect: an attempt
   /// that ran at an exiting target is not retried at once.
-  static constexpr std::size_t RunsToSuspect = RunsToQuarantine - 1;
+  static constexpr std::size_t IncarnationsToSuspect =
+      IncarnationsToQuarantine - 1;
   /// Limit on the contents in the table; the least incriminated are evicted.
   static constexpr std::size_t MaxContents = 1024;
   /// Limit on the incarnations of one content; cleared ones are evicted.
@@ -80,10 +81,10 @@
   bool isCleared(const ContentDigest &Content,
                  IncarnationHash Incarnation) const;
   bool isSuspect(const ContentDigest &Content) const {
-    return incriminatingIncarnations(Content) >= RunsToSuspect;
+    return incriminatingIncarnations(Content) >= IncarnationsToSuspect;
   }
   bool isQuarantined(const ContentDigest &Content) const {
-    return incriminatingIncarnations(Content) >= RunsToQuarantine;
+    return incriminatingIncarnations(Content) >= IncarnationsToQuarantine;
   }
   std::size_t quarantined() const { return m_Quarantined; }
   std::size_t size() const { return m_Entries.size(); }
--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -139,7 +139,7 @@
   double All = 0;
   double Free = 0;
   for (const KnownTarget *Each : m_Targets.subsetOf(What.m_Pool)) {
-    if (!m_Targets.isOpen(*Each, Now) ||
+    if (!m_Targets.acceptsRequests(*Each, Now) ||
         (Gate && !Gate->mayServe(Each->m_Target, Now)))
       continue;
     double Slots = static_cast<double>(slotsFor(*Each, What));
@@ -162,7 +162,7 @@
     return {};
   std::vector<KnownTarget *> All;
   for (KnownTarget *Each : m_Targets.subsetOf(What.m_Pool))
-    if (m_Targets.isOpen(*Each, Now) && Gate.isCanary(Each->m_Target))
+    if (m_Targets.acceptsRequests(*Each, Now) && Gate.isCanary(Each->m_Target))
       All.push_back(Each);
   if (All.empty())
     return {};
@@ -190,8 +190,8 @@
   std::vector<KnownTarget *> Out;
   auto AddCandidates = [&](const std::vector<KnownTarget *> &From) {
     for (KnownTarget *Each : From)
-      if (m_Targets.isOpen(*Each, Now) &&
-          What.m_TriedTargets.count(Each->m_Target.run()) == 0 &&
+      if (m_Targets.acceptsRequests(*Each, Now) &&
+          What.m_TriedTargets.count(Each->m_Target.incarnation()) == 0 &&
           (!Gate || Gate->mayServe(Each->m_Target, Now)))
         Out.push_back(Each);
   };
@@ -275,7 +275,8 @@
   if (!Best)
     return false;
   Target Chosen = Best->m_Target;
-  if (!m_Targets.tryStartRequest(Chosen.run(), What.m_PromptTokens, Now))
+  if (!m_Targets.tryStartRequest(Chosen.incarnation(), What.m_PromptTokens,
+                                 Now))
     return false;
   m_Hooks.m_Send(What.m_Request, Chosen);
   return true;
--- a/Libraries/LibRouting/DistributedQuota.cpp
+++ b/Libraries/LibRouting/DistributedQuota.cpp
@@ -29,7 +29,7 @@
     return "advance";
   case QuotaSource::Owner:
     return "owner";
-  case QuotaSource::Alone:
+  case QuotaSource::Isolated:
     return "alone";
   }
   return "?";
@@ -186,7 +186,7 @@
 QuotaStep DistributedQuota::acquireIsolated(AccountState &State,
                                             QuotaAcquisition &Acquisition,
                                             core::TimePoint Now) {
-  Acquisition.m_Source = QuotaSource::Alone;
+  Acquisition.m_Source = QuotaSource::Isolated;
   // Admits as many tokens on average as the bucket holds, for any request size.
   double Level = State.m_IsolatedBucket.level(Now);
   double Tokens = Acquisition.m_Tokens;
--- a/Libraries/LibRouting/DistributedQuota.h
+++ b/Libraries/LibRouting/DistributedQuota.h
@@ -27,10 +27,10 @@
 
 /// Source of the tokens that a request was granted.
 enum class QuotaSource {
-  None,    ///< The account has no limit, or the request was refused.
-  Advance, ///< A cached grant.
-  Owner,   ///< A grant for this request.
-  Alone,   ///< This instance's share of the tolerance; no owner was reached.
+  None,     ///< The account has no limit, or the request was refused.
+  Advance,  ///< A cached grant.
+  Owner,    ///< A grant for this request.
+  Isolated, ///< This instance's share of the tolerance; no owner was reached.
 };
 
 std::string toString(QuotaSource Source);
--- a/Libraries/LibRouting/KnownTarget.h
+++ b/Libraries/LibRouting/KnownTarget.h
@@ -45,7 +45,9 @@
     return m_LocalLoad.m_Running + m_RemoteLoad.m_Running;
   }
   /// Whether it may receive requests now or later, by its announcement.
-  bool isOpen() const { return !m_Target.m_IsLeaving && !m_IsReplaced; }
+  bool acceptsRequests() const {
+    return !m_Target.m_IsLeaving && !m_IsReplaced;
+  }
   /// Whether it receives only one request at a time until one succeeds.
   bool isOnProbation() const;
 
--- a/Libraries/LibRouting/Target.h
+++ b/Libraries/LibRouting/Target.h
@@ -47,9 +47,9 @@
   std::size_t m_Slots = 1;  ///< Number of requests it runs concurrently.
   bool m_IsLeaving = false; ///< Exits soon; must get no new requests.
 
-  TargetIncarnation run() const { return {m_Name, m_StartTime}; }
+  TargetIncarnation incarnation() const { return {m_Name, m_StartTime}; }
   bool operator==(const Target &Other) const {
-    return run() == Other.run() && m_Pool == Other.m_Pool &&
+    return incarnation() == Other.incarnation() && m_Pool == Other.m_Pool &&
            m_Version == Other.m_Version && m_Address == Other.m_Address &&
            m_DataHall == Other.m_DataHall && m_Slots == Other.m_Slots &&
            m_IsLeaving == Other.m_IsLeaving;
--- a/Libraries/LibRouting/TargetDirectory.cpp
+++ b/Libraries/LibRouting/TargetDirectory.cpp
@@ -77,11 +77,12 @@
     Known = KnownTarget();
   Known.m_RemoteLoad = TargetLoad(); // The next reports set it.
   Known.m_Target = What;
-  Known.m_Hash = What.run().hash();
+  Known.m_Hash = What.incarnation().hash();
   attach(Known);
   if (Known.m_LocalLoad.m_Running > 0)
     m_Busy.insert(&Known);
-  return IsReset ? AnnouncementEffect::NewRun : AnnouncementEffect::Changed;
+  return IsReset ? AnnouncementEffect::NewIncarnation
+                 : AnnouncementEffect::Changed;
 }
 
 void TargetDirectory::withdraw(const core::TargetName &Name,
@@ -122,7 +123,7 @@
                                       std::uint32_t PromptTokens,
                                       core::TimePoint Now) {
   KnownTarget *Known = findByIncarnation(Incarnation);
-  if (!Known || !isOpen(*Known, Now))
+  if (!Known || !acceptsRequests(*Known, Now))
     return false;
   ++Known->m_LocalLoad.m_Running;
   m_Busy.insert(Known);
@@ -317,10 +318,11 @@
                                                                       : 0;
 }
 
-bool TargetDirectory::isOpen(const KnownTarget &Which, core::TimePoint Now) {
-  if (!Which.isOpen() || m_Throttles.isEmpty())
-    return Which.isOpen();
-  return m_Throttles.isOpen(Which.m_Target.run(), Now);
+bool TargetDirectory::acceptsRequests(const KnownTarget &Which,
+                                      core::TimePoint Now) {
+  if (!Which.acceptsRequests() || m_Throttles.isEmpty())
+    return Which.acceptsRequests();
+  return m_Throttles.acceptsRequests(Which.m_Target.incarnation(), Now);
 }
 
 std::optional<core::TimePoint>
@@ -336,8 +338,8 @@
   std::optional<core::TimePoint> FirstLimited;
   double PerSecond = 0;
   for (const KnownTarget *Each : subsetOf(Pool)) {
-    TargetIncarnation Incarnation = Each->m_Target.run();
-    if (!Each->isOpen() || Except.count(Incarnation) != 0)
+    TargetIncarnation Incarnation = Each->m_Target.incarnation();
+    if (!Each->acceptsRequests() || Except.count(Incarnation) != 0)
       continue;
     auto Next = m_Throttles.availability(Incarnation, Now);
     if (Next && Next->m_At <= Now)
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -31,9 +31,9 @@
 
 /// How an announcement changed the directory.
 enum class AnnouncementEffect {
-  Nothing, ///< It repeats the known state.
-  Changed, ///< It updates a known incarnation.
-  NewRun,  ///< It adds an unknown incarnation.
+  Nothing,        ///< It repeats the known state.
+  Changed,        ///< It updates a known incarnation.
+  NewIncarnation, ///< It adds an unknown incarnation.
 };
 
 /// Tracks announced targets with their load, speed, failures and throttles.
@@ -92,7 +92,7 @@
   const TargetThrottleTable &throttles() const { return m_Throttles; }
   /// Whether a request may be sent now according to the target's announcement
   /// and backpressure. Cooldown and free slots are not considered.
-  bool isOpen(const KnownTarget &Which, core::TimePoint Now);
+  bool acceptsRequests(const KnownTarget &Which, core::TimePoint Now);
   /// Returns when the first throttled target of the subset accepts a request;
   /// none if a target accepts one now or no target will.
   /// \param Ahead number of requests to be served first by limited targets.
--- a/Libraries/LibRouting/TargetThrottle.h
+++ b/Libraries/LibRouting/TargetThrottle.h
@@ -38,7 +38,7 @@
   /// Returns when the next request may be sent; none if this instance may not
   /// send any.
   std::optional<Availability> availability() const;
-  bool isOpen(core::TimePoint Now) const {
+  bool acceptsRequests(core::TimePoint Now) const {
     auto Next = availability();
     return Next && Next->m_At <= Now;
   }
--- a/Libraries/LibRouting/TargetThrottleTable.cpp
+++ b/Libraries/LibRouting/TargetThrottleTable.cpp
@@ -75,10 +75,10 @@
   Limit.setSenders(m_CountSenders(Incarnation), Now);
 }
 
-bool TargetThrottleTable::isOpen(const TargetIncarnation &Incarnation,
-                                 core::TimePoint Now) {
+bool TargetThrottleTable::acceptsRequests(const TargetIncarnation &Incarnation,
+                                          core::TimePoint Now) {
   Entry *Known = find(Incarnation, Now);
-  return !Known || Known->m_Throttle.isOpen(Now);
+  return !Known || Known->m_Throttle.acceptsRequests(Now);
 }
 
 std::optional<Availability>
--- a/Libraries/LibRouting/TargetThrottleTable.h
+++ b/Libraries/LibRouting/TargetThrottleTable.h
@@ -48,7 +48,8 @@
   void invalidateSenders() { ++m_Generation; }
 
   /// Whether a request may be sent to the incarnation now.
-  bool isOpen(const TargetIncarnation &Incarnation, core::TimePoint Now);
+  bool acceptsRequests(const TargetIncarnation &Incarnation,
+                       core::TimePoint Now);
   /// Returns when the next request may be sent; none if this instance may not
   /// send any.
   std::optional<Availability> availability(const TargetIncarnation &Incarnation,
--- a/Programs/yardrill/QuarantineVerbs.cpp
+++ b/Programs/yardrill/QuarantineVerbs.cpp
@@ -76,9 +76,9 @@
   std::cout << "content                           ended  excused  state\n";
   for (const auto &[Content, Count] : Runs) {
     const char *State = "released";
-    if (Count.first >= QuarantineTable::RunsToQuarantine)
+    if (Count.first >= QuarantineTable::IncarnationsToQuarantine)
       State = "quarantined";
-    else if (Count.first >= QuarantineTable::RunsToSuspect)
+    else if (Count.first >= QuarantineTable::IncarnationsToSuspect)
       State = "suspect";
     std::printf("%s  %5zu  %7zu  %s\n", Content.toString().c_str(), Count.first,
                 Count.second, State);
--- a/Tests/LibGateway/MissingPeersTest.cpp
+++ b/Tests/LibGateway/MissingPeersTest.cpp
@@ -20,7 +20,7 @@
 
 public:
   void testIsKeptForAWhile() {
-    m_Missing.lost(m_Peer, m_Now);
+    m_Missing.add(m_Peer, m_Now);
     m_Missing.forgetOld(m_Now + seconds(9));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Missing.all().size());
     m_Missing.forgetOld(m_Now + seconds(11));
@@ -28,14 +28,14 @@
   }
 
   void testFirstSilenceCounts() {
-    m_Missing.lost(m_Peer, m_Now);
-    m_Missing.lost(m_Peer, m_Now + seconds(5));
+    m_Missing.add(m_Peer, m_Now);
+    m_Missing.add(m_Peer, m_Now + seconds(5));
     CPPUNIT_ASSERT(m_Missing.all().at(m_Peer) == m_Now);
   }
 
   void testHeardAgain() {
-    m_Missing.lost(m_Peer, m_Now);
-    m_Missing.heard(m_Peer);
+    m_Missing.add(m_Peer, m_Now);
+    m_Missing.remove(m_Peer);
     CPPUNIT_ASSERT(m_Missing.all().empty());
   }
 };
--- a/Tests/LibGateway/PeerTableTest.cpp
+++ b/Tests/LibGateway/PeerTableTest.cpp
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT(m_Table.expire(m_Now).empty());
     // Its report does not count any more, but it still belongs to the fleet.
     CPPUNIT_ASSERT(m_Table.groupPeers().empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followerCount());
     CPPUNIT_ASSERT(m_Table.isLive(address(0)));
     CPPUNIT_ASSERT(!handle(1, 0, false).m_IsNew);
     CPPUNIT_ASSERT(m_Table.groupPeers().empty());
@@ -110,12 +110,12 @@
     // About half of the followers precede this instance in the hash order.
     for (std::size_t I = 0; I < 40; ++I)
       handle(I + 1, I, true, true);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(40), m_Table.followers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(40), m_Table.followerCount());
     std::size_t Before = m_Table.followersBefore();
     CPPUNIT_ASSERT(Before > 5 && Before < 35);
     for (std::size_t I = 0; I < 40; ++I)
       handle(I + 1, I, false, false);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followerCount());
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followersBefore());
   }
 
@@ -124,14 +124,14 @@
     CPPUNIT_ASSERT(*m_Table.firstFollower() == address(0));
     m_Now += seconds(2);
     m_Table.expire(m_Now);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.followers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.followerCount());
     m_Now += seconds(1);
     m_Table.expire(m_Now);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followerCount());
     CPPUNIT_ASSERT(!m_Table.firstFollower());
     // It is still known, and counts again after its next report.
     handle(1, 0, true, true);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.followers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.followerCount());
   }
 
   void testFleetChangeIsReportedOnce() {
--- a/Tests/LibGateway/TargetExitDetectorTest.cpp
+++ b/Tests/LibGateway/TargetExitDetectorTest.cpp
@@ -77,7 +77,7 @@
     breakResponse(1);
     run();
     // A later exit has another cause.
-    m_Detector.noteTargetExit(target().run());
+    m_Detector.noteTargetExit(target().incarnation());
     CPPUNIT_ASSERT(m_Reported.empty());
   }
 
@@ -89,9 +89,9 @@
     m_Detector.noteTargetExit(
         routing::TargetIncarnation(core::TargetName("i-2")));
     CPPUNIT_ASSERT(m_Reported.empty());
-    m_Detector.noteTargetExit(target().run());
+    m_Detector.noteTargetExit(target().incarnation());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Reported.size());
-    m_Detector.noteTargetExit(target().run());
+    m_Detector.noteTargetExit(target().incarnation());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Reported.size());
   }
 
@@ -109,7 +109,7 @@
     breakResponse(1);
     run();
     m_Detector.upkeep(core::steadyNow() + std::chrono::seconds(7));
-    m_Detector.noteTargetExit(target().run());
+    m_Detector.noteTargetExit(target().incarnation());
     CPPUNIT_ASSERT(m_Reported.empty());
   }
 };
--- a/Tests/LibRouting/DispatcherTest.cpp
+++ b/Tests/LibRouting/DispatcherTest.cpp
@@ -425,7 +425,7 @@
     Again.m_StartTime = core::TargetStartTime(1);
     m_Targets.announce(Again);
     PlacementRequest Wanted = request(1);
-    Wanted.m_TriedTargets.insert(Again.run());
+    Wanted.m_TriedTargets.insert(Again.incarnation());
     Again.m_StartTime = core::TargetStartTime(2);
     m_Targets.announce(Again);
     m_Dispatcher.place(Wanted, m_Now);
--- a/Tests/LibRouting/InterleavedTargetsTest.cpp
+++ b/Tests/LibRouting/InterleavedTargetsTest.cpp
@@ -53,7 +53,7 @@
         if (Inserted.empty() || Random() % 3 != 0) {
           KnownTarget &Added = Storage.emplace_back();
           Added.m_Target = target(Step, Halls);
-          Added.m_Hash = Added.m_Target.run().hash();
+          Added.m_Hash = Added.m_Target.incarnation().hash();
           Order.insert(Added);
           Inserted.push_back(&Added);
         } else {
@@ -138,7 +138,9 @@
     TargetDirectory Targets;
     for (std::size_t I = 0; I < 3; ++I)
       Targets.announce(target(I, 1));
-    auto HashOf = [](std::size_t I) { return target(I, 1).run().hash(); };
+    auto HashOf = [](std::size_t I) {
+      return target(I, 1).incarnation().hash();
+    };
     auto Running = [&](std::size_t I) {
       return Targets.find(target(I, 1).m_Name)->running();
     };
--- a/Tests/LibRouting/RetryRestartTest.cpp
+++ b/Tests/LibRouting/RetryRestartTest.cpp
@@ -15,11 +15,11 @@
 
 class RetryRestartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryRestartTest);
-  CPPUNIT_TEST(testRestartsInSeriesKeepTheAllowance);
+  CPPUNIT_TEST(testRepeatedRestartsKeepTheAllowance);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testRestartsInSeriesKeepTheAllowance() {
+  void testRepeatedRestartsKeepTheAllowance() {
     // As set by the gateway: half of 196 retries in 10 s for 78 instances.
     constexpr double Allowance = 196;
     constexpr std::size_t Instances = 78;
--- a/Tests/LibRouting/SharedRateLimitTest.cpp
+++ b/Tests/LibRouting/SharedRateLimitTest.cpp
@@ -48,7 +48,7 @@
     int Out = 0;
     core::TimePoint End = m_Now + Time;
     for (; m_Now < End; m_Now += milliseconds(10))
-      if (m_Throttles.isOpen(m_Incarnation, m_Now)) {
+      if (m_Throttles.acceptsRequests(m_Incarnation, m_Now)) {
         m_Throttles.recordSent(m_Incarnation, m_Now);
         ++Out;
       }
@@ -84,7 +84,7 @@
     m_Now += seconds(10);
     m_Senders = 0;
     m_Throttles.invalidateSenders();
-    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now));
+    CPPUNIT_ASSERT(!m_Throttles.acceptsRequests(m_Incarnation, m_Now));
     m_Senders = 1;
     m_Throttles.invalidateSenders();
     CPPUNIT_ASSERT_EQUAL(0, sentIn(milliseconds(990)));
@@ -137,7 +137,7 @@
     TargetBackpressure Unreadable;
     Unreadable.m_IsLimitUnreadable = true;
     CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, Unreadable, m_Now));
-    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.acceptsRequests(m_Incarnation, m_Now));
     m_Throttles.update(m_Incarnation, limited(1), m_Now);
     CPPUNIT_ASSERT(
         !m_Throttles.update(m_Incarnation, Unreadable, m_Now + seconds(5)));
@@ -152,7 +152,7 @@
   void testNoStateWithoutBackpressure() {
     for (int I = 0; I < 1000; ++I) {
       CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, {}, m_Now));
-      CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now));
+      CPPUNIT_ASSERT(m_Throttles.acceptsRequests(m_Incarnation, m_Now));
       m_Throttles.recordSent(m_Incarnation, m_Now);
     }
     CPPUNIT_ASSERT(m_Throttles.isEmpty());
@@ -162,8 +162,8 @@
   void testIncarnationsHaveSeparateThrottles() {
     m_Senders = 0;
     m_Throttles.update(m_Incarnation, limited(1), m_Now);
-    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now));
-    CPPUNIT_ASSERT(m_Throttles.isOpen(
+    CPPUNIT_ASSERT(!m_Throttles.acceptsRequests(m_Incarnation, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.acceptsRequests(
         {m_Incarnation.m_Name, core::TargetStartTime(8)}, m_Now));
   }
 
@@ -174,7 +174,7 @@
     // An instance that is not a sender does not report the limit.
     m_Senders = 0;
     m_Throttles.invalidateSenders();
-    m_Throttles.isOpen(m_Incarnation, m_Now);
+    m_Throttles.acceptsRequests(m_Incarnation, m_Now);
     CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).empty());
     m_Senders = 1;
     m_Throttles.invalidateSenders();
@@ -187,9 +187,9 @@
     m_Senders = 0;
     m_Throttles.update({m_Incarnation, {1.0, m_Now}}, m_Now);
     m_Throttles.removeStale(m_Now + seconds(29));
-    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now));
+    CPPUNIT_ASSERT(!m_Throttles.acceptsRequests(m_Incarnation, m_Now));
     m_Throttles.removeStale(m_Now + seconds(30));
-    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now));
+    CPPUNIT_ASSERT(m_Throttles.acceptsRequests(m_Incarnation, m_Now));
     // A sender keeps the limit until a response clears it.
     m_Senders = 1;
     m_Throttles.update({m_Incarnation, {1.0, m_Now}}, m_Now);
@@ -223,14 +223,15 @@
     BackingOff.m_Backoff = seconds(3);
     CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, BackingOff, m_Now));
     CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).empty());
+    CPPUNIT_ASSERT(!m_Throttles.acceptsRequests(m_Incarnation,
+                                                m_Now + milliseconds(2999)));
     CPPUNIT_ASSERT(
-        !m_Throttles.isOpen(m_Incarnation, m_Now + milliseconds(2999)));
-    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now + seconds(3)));
+        m_Throttles.acceptsRequests(m_Incarnation, m_Now + seconds(3)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Throttles.backedOff(m_Now));
     CPPUNIT_ASSERT(m_Throttles.availability(m_Incarnation, m_Now)->m_At ==
                    m_Now + seconds(3));
     // A new incarnation has no back-off.
-    CPPUNIT_ASSERT(m_Throttles.isOpen(
+    CPPUNIT_ASSERT(m_Throttles.acceptsRequests(
         {m_Incarnation.m_Name, core::TargetStartTime(8)}, m_Now));
   }
 
@@ -242,8 +243,10 @@
     m_Throttles.update(m_Incarnation, BackingOff, m_Now);
     m_Throttles.update(m_Incarnation, {}, m_Now + seconds(1));
     m_Throttles.removeStale(m_Now + seconds(3599));
-    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now + seconds(3599)));
-    CPPUNIT_ASSERT(m_Throttles.isOpen(m_Incarnation, m_Now + seconds(3600)));
+    CPPUNIT_ASSERT(
+        !m_Throttles.acceptsRequests(m_Incarnation, m_Now + seconds(3599)));
+    CPPUNIT_ASSERT(
+        m_Throttles.acceptsRequests(m_Incarnation, m_Now + seconds(3600)));
   }
 
   void testLeavingIsPermanent() {
@@ -254,13 +257,14 @@
     CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, Leaving, m_Now));
     CPPUNIT_ASSERT(!m_Throttles.update(m_Incarnation, {}, m_Now + seconds(2)));
     m_Throttles.removeStale(m_Now + seconds(100));
-    CPPUNIT_ASSERT(!m_Throttles.isOpen(m_Incarnation, m_Now + seconds(100)));
+    CPPUNIT_ASSERT(
+        !m_Throttles.acceptsRequests(m_Incarnation, m_Now + seconds(100)));
     CPPUNIT_ASSERT(!m_Throttles.availability(m_Incarnation, m_Now));
     CPPUNIT_ASSERT(m_Throttles.isLeaving(m_Incarnation));
     // Changes that another instance reported are not passed on.
     TargetIncarnation Other{core::TargetName("b")};
     CPPUNIT_ASSERT(m_Throttles.update({Other, {}, true}, m_Now));
-    CPPUNIT_ASSERT(!m_Throttles.isOpen(Other, m_Now));
+    CPPUNIT_ASSERT(!m_Throttles.acceptsRequests(Other, m_Now));
     CPPUNIT_ASSERT(m_Throttles.dueReports(m_Now).size() == 1);
   }
 
--- a/Tests/LibRouting/TargetDirectoryTest.cpp
+++ b/Tests/LibRouting/TargetDirectoryTest.cpp
@@ -11,7 +11,7 @@
   CPPUNIT_TEST_SUITE(TargetDirectoryTest);
   CPPUNIT_TEST(testExpiredTargetsOfSmallPoolAreRemovedSoon);
   CPPUNIT_TEST(testRestartedTargetStartsFresh);
-  CPPUNIT_TEST(testRequestsOfEndedRunAreIgnored);
+  CPPUNIT_TEST(testRequestsOfEndedIncarnationAreIgnored);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -23,7 +23,7 @@
     What.m_Name = core::TargetName(Name);
     What.m_StartTime = core::TargetStartTime(StartTime);
     What.m_Pool = core::PoolName(Pool);
-    return m_Targets.announce(What) == AnnouncementEffect::NewRun;
+    return m_Targets.announce(What) == AnnouncementEffect::NewIncarnation;
   }
   static TargetIncarnation incarnation(const char *Name,
                                        std::int64_t StartTime) {
@@ -83,7 +83,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0),
                          Now.m_LocalLoad.m_PendingPromptTokens);
-    CPPUNIT_ASSERT(Now.isOpen() && !Now.isOnProbation() && !Now.m_ExpiredAt);
+    CPPUNIT_ASSERT(Now.acceptsRequests() && !Now.isOnProbation() &&
+                   !Now.m_ExpiredAt);
     CPPUNIT_ASSERT(Now.m_CooldownUntil <= m_Now && Now.m_FailureRate == 0);
     CPPUNIT_ASSERT(Now.m_Slowness == 1 && Now.m_ServiceTimeMs == 0);
     // Remote load of the earlier incarnation does not count.
@@ -95,7 +96,7 @@
                          m_Targets.subsetOf(core::PoolName("pool")).size());
   }
 
-  void testRequestsOfEndedRunAreIgnored() {
+  void testRequestsOfEndedIncarnationAreIgnored() {
     announce("a", "pool", 1);
     m_Targets.tryStartRequest(incarnation("a", 1), 1000, m_Now);
     m_Targets.tryStartRequest(incarnation("a", 1), 1000, m_Now);
@@ -111,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Now.running());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(700),
                          Now.m_LocalLoad.m_PendingPromptTokens);
-    CPPUNIT_ASSERT(Now.isOpen() && Now.m_CooldownUntil <= m_Now);
+    CPPUNIT_ASSERT(Now.acceptsRequests() && Now.m_CooldownUntil <= m_Now);
   }
 };
 
--- a/Tests/Support/LimitFleet.cpp
+++ b/Tests/Support/LimitFleet.cpp
@@ -204,7 +204,7 @@
   for (std::size_t Target = 0; Target < m_Limited; ++Target)
     if (Own.m_Share.isInSubset(Target * m_Day.m_Targets / m_Limited,
                                m_Day.m_Targets) &&
-        Own.m_Book->isOpen(runOf(Target), m_Now))
+        Own.m_Book->acceptsRequests(runOf(Target), m_Now))
       Open.push_back(Target);
   if (Open.empty())
     return;
--- a/Tests/Support/QuarantineFleet.h
+++ b/Tests/Support/QuarantineFleet.h
@@ -49,7 +49,8 @@
   double m_Loss = 0.01; ///< Of datagrams.
   std::vector<QuarantineFault> m_Faults;
   // Ways that are compared.
-  std::size_t m_RefusedFrom = quarantine::QuarantineTable::RunsToQuarantine;
+  std::size_t m_RefusedFrom =
+      quarantine::QuarantineTable::IncarnationsToQuarantine;
   /// Whether an attempt is sent on at once after its target ended, although
   /// another target ended under the content before.
   bool m_IsSuspectSentOn = false;
--- a/Tests/Support/QuotaFleet.cpp
+++ b/Tests/Support/QuotaFleet.cpp
@@ -180,7 +180,7 @@
     if (Step == QuotaStep::Granted)
       m_Allowed[Open.m_Account].push_back(
           {m_Now, Open.m_Draw.m_Tokens, IsCutOff,
-           Open.m_Draw.m_Source == routing::QuotaSource::Alone});
+           Open.m_Draw.m_Source == routing::QuotaSource::Isolated});
     else
       ++m_Refused[Open.m_Account][IsCutOff ? 1 : 0];
     m_Open.erase(Id);
