--- a/Libraries/LibInstance/ConfigurationKeeper.cpp
+++ b/Libraries/LibInstance/ActiveConfiguration.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/ConfigurationKeeper.h"
+#include "LibInstance/ActiveConfiguration.h"
 
 #include "LibCore/Error.h"
 #include "LibCore/Log.h"
@@ -10,7 +10,7 @@
 
 namespace json = boost::json;
 
-static const std::size_t RememberedChanges = 32;
+static const std::size_t MaxRememberedChanges = 32;
 
 ConfigurationEnvelope ConfigurationEnvelope::parse(const std::string &Json) {
   try {
@@ -20,7 +20,7 @@
     Out.m_Version = core::ConfigurationVersion(
         Object.at("version").to_number<std::uint64_t>());
     for (const json::value &Change : Object.at("changes").as_array())
-      Out.m_Changes.emplace_back(Change.as_string());
+      Out.m_ChangeIds.emplace_back(Change.as_string());
     Out.m_Text = std::string(Object.at("text").as_string());
     return Out;
   } catch (const std::exception &Failure) {
@@ -31,24 +31,24 @@
 std::string ConfigurationEnvelope::toJson() const {
   json::array Changes;
   std::size_t First =
-      m_Changes.size() - std::min(m_Changes.size(), RememberedChanges);
-  for (std::size_t I = First; I < m_Changes.size(); ++I)
-    Changes.emplace_back(m_Changes[I]);
+      m_ChangeIds.size() - std::min(m_ChangeIds.size(), MaxRememberedChanges);
+  for (std::size_t I = First; I < m_ChangeIds.size(); ++I)
+    Changes.emplace_back(m_ChangeIds[I]);
   return json::serialize(json::object{
       {"version", m_Version.value()}, {"changes", Changes}, {"text", m_Text}});
 }
 
 bool ConfigurationEnvelope::hasChange(const std::string &Change) const {
-  return std::find(m_Changes.begin(), m_Changes.end(), Change) !=
-         m_Changes.end();
+  return std::find(m_ChangeIds.begin(), m_ChangeIds.end(), Change) !=
+         m_ChangeIds.end();
 }
 
-void ConfigurationKeeper::subscribe(Subscriber Notify) {
+void ActiveConfiguration::subscribe(Subscriber Notify) {
   std::lock_guard<std::mutex> Lock(m_OfferMutex);
   m_Subscribers.push_back(std::move(Notify));
 }
 
-bool ConfigurationKeeper::offer(const ConfigurationEnvelope &Envelope) {
+bool ActiveConfiguration::offer(const ConfigurationEnvelope &Envelope) {
   std::lock_guard<std::mutex> OfferLock(m_OfferMutex);
   config::ConfigurationHandle Standing = current();
   if (Standing && !(Standing->version() < Envelope.m_Version))
@@ -76,17 +76,17 @@
   return true;
 }
 
-config::ConfigurationHandle ConfigurationKeeper::current() const {
+config::ConfigurationHandle ActiveConfiguration::current() const {
   std::lock_guard<std::mutex> Lock(m_Mutex);
   return m_Current;
 }
 
-ConfigurationEnvelope ConfigurationKeeper::envelope() const {
+ConfigurationEnvelope ActiveConfiguration::envelope() const {
   std::lock_guard<std::mutex> Lock(m_Mutex);
   return m_Envelope;
 }
 
-core::ConfigurationVersion ConfigurationKeeper::version() const {
+core::ConfigurationVersion ActiveConfiguration::version() const {
   std::lock_guard<std::mutex> Lock(m_Mutex);
   return m_Current ? m_Current->version() : core::ConfigurationVersion();
 }
--- a/Libraries/LibInstance/ConfigurationKeeper.h
+++ b/Libraries/LibInstance/ActiveConfiguration.h
@@ -1,6 +1,6 @@
-//===-- ConfigurationKeeper.h - The configuration in force here -----------===//
-#ifndef YARDRILL_LIBINSTANCE_CONFIGURATIONKEEPER_H
-#define YARDRILL_LIBINSTANCE_CONFIGURATIONKEEPER_H
+//===-- ActiveConfiguration.h - The configuration in force here -----------===//
+#ifndef YARDRILL_LIBINSTANCE_ACTIVECONFIGURATION_H
+#define YARDRILL_LIBINSTANCE_ACTIVECONFIGURATION_H
 
 #include "LibConfig/FleetConfiguration.h"
 
@@ -17,7 +17,7 @@
   core::ConfigurationVersion m_Version;
   /// Ids of the latest changes, newest last, so that a publisher who lost an
   /// answer can tell whether its change was made.
-  std::vector<std::string> m_Changes;
+  std::vector<std::string> m_ChangeIds;
   std::string m_Text;
 
   /// \throws core::Error of kind Configuration.
@@ -29,7 +29,7 @@
 /// Holds the newest accepted configuration. It only ever goes to a higher
 /// version, whoever offers what, in whatever order (brief: "never reverts").
 /// Thread-safe.
-class ConfigurationKeeper {
+class ActiveConfiguration {
 public:
   /// Called with each new configuration, one at a time, in order.
   using Subscriber = std::function<void(const config::ConfigurationHandle &)>;
--- a/Libraries/LibInstance/ClaimKeeper.cpp
+++ b/Libraries/LibInstance/ClaimService.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/ClaimKeeper.h"
+#include "LibInstance/ClaimService.h"
 
 #include "LibCore/Digest.h"
 #include "LibCore/Error.h"
@@ -17,10 +17,10 @@
 
 static const char ClaimPrefix[] = "/yardrill/claims/";
 /// Claims made within this time share a lease.
-static const std::chrono::seconds LeasePeriod(60);
+static const std::chrono::seconds LeaseSharingPeriod(60);
 static const std::chrono::milliseconds GrantPollPeriod(5);
-static const int ReadBackTries = 3;
-static const std::chrono::milliseconds ReadBackPause(100);
+static const int MaxReadBackAttempts = 3;
+static const std::chrono::milliseconds ReadBackRetryDelay(100);
 
 static std::string toValue(const decision::InstanceRef &Self,
                            core::RequestId Id) {
@@ -29,9 +29,9 @@
   return json::serialize(Out);
 }
 
-ClaimCompleted ClaimKeeper::judge(const decision::Claim &What,
-                                  const std::string &Standing,
-                                  const std::string &Value) const {
+ClaimCompleted ClaimService::resultFor(const decision::Claim &What,
+                                       const std::string &Standing,
+                                       const std::string &Value) const {
   ClaimCompleted Out;
   Out.m_Request = What.m_Request;
   if (Standing == Value) {
@@ -43,66 +43,67 @@
   return Out;
 }
 
-platform::LeaseId ClaimKeeper::lease(boost::asio::yield_context Yield) {
+platform::LeaseId ClaimService::currentLease(boost::asio::yield_context Yield) {
   // One grant for all claims that come while it is under way.
   core::Timer Pause(Yield.get_executor());
-  while (m_IsGranting) {
+  while (m_IsGrantPending) {
     boost::system::error_code Ignored;
     Pause.expires_after(GrantPollPeriod);
     Pause.async_wait(Yield[Ignored]);
   }
   core::TimePoint Now = core::steadyNow();
-  if (m_Lease && Now < m_LeaseUntil)
+  if (m_Lease && Now < m_LeaseUsableUntil)
     return *m_Lease;
-  m_IsGranting = true;
+  m_IsGrantPending = true;
   try {
-    grant(Now, Yield);
+    renewLease(Now, Yield);
   } catch (const Error &) {
-    m_IsGranting = false;
+    m_IsGrantPending = false;
     throw;
   }
-  m_IsGranting = false;
+  m_IsGrantPending = false;
   return *m_Lease;
 }
 
-void ClaimKeeper::grant(core::TimePoint Now, boost::asio::yield_context Yield) {
+void ClaimService::renewLease(core::TimePoint Now,
+                              boost::asio::yield_context Yield) {
   auto Life = std::chrono::duration_cast<std::chrono::seconds>(m_Retention) +
-              2 * LeasePeriod;
+              2 * LeaseSharingPeriod;
   m_Lease = m_Service.grantLease(Life, platform::CallClass::Claim, Yield);
-  m_LeaseUntil = Now + LeasePeriod;
+  m_LeaseUsableUntil = Now + LeaseSharingPeriod;
 }
 
-ClaimCompleted ClaimKeeper::swap(const decision::Claim &What,
-                                 const std::string &Key,
-                                 const std::string &Value,
-                                 boost::asio::yield_context Yield) {
+ClaimCompleted ClaimService::writeClaim(const decision::Claim &What,
+                                        const std::string &Key,
+                                        const std::string &Value,
+                                        boost::asio::yield_context Yield) {
   platform::CompareAndSwap Swap;
   Swap.m_Key = Key;
-  Swap.m_Puts.push_back({Key, Value, lease(Yield)});
+  Swap.m_Puts.push_back({Key, Value, currentLease(Yield)});
   platform::SwapResult Result =
       m_Service.compareAndSwap(Swap, platform::CallClass::Claim, Yield);
   if (Result.m_IsSwapped)
-    return judge(What, Value, Value);
+    return resultFor(What, Value, Value);
   if (!Result.m_Current)
     throw Error(ErrorKind::Protocol, "a held claim without a value");
-  return judge(What, Result.m_Current->m_Value, Value);
+  return resultFor(What, Result.m_Current->m_Value, Value);
 }
 
-ClaimCompleted ClaimKeeper::readBack(const decision::Claim &What,
-                                     const std::string &Key,
-                                     const std::string &Value,
-                                     boost::asio::yield_context Yield) {
+ClaimCompleted ClaimService::readBack(const decision::Claim &What,
+                                      const std::string &Key,
+                                      const std::string &Value,
+                                      boost::asio::yield_context Yield) {
   core::Timer Pause(Yield.get_executor());
-  for (int Try = 0; Try < ReadBackTries; ++Try) {
+  for (int Try = 0; Try < MaxReadBackAttempts; ++Try) {
     try {
       auto Standing = m_Service.read(Key, platform::CallClass::Control, Yield);
       if (Standing)
-        return judge(What, Standing->m_Value, Value);
+        return resultFor(What, Standing->m_Value, Value);
     } catch (const Error &) {
       // Asked again below.
     }
     boost::system::error_code Ignored;
-    Pause.expires_after(ReadBackPause);
+    Pause.expires_after(ReadBackRetryDelay);
     Pause.async_wait(Yield[Ignored]);
   }
   // Absent is no proof: the write may be on its way still.
@@ -112,14 +113,14 @@
   return Out;
 }
 
-ClaimCompleted ClaimKeeper::claim(const decision::Claim &What,
-                                  boost::asio::yield_context Yield) {
+ClaimCompleted ClaimService::claim(const decision::Claim &What,
+                                   boost::asio::yield_context Yield) {
   std::string Key = ClaimPrefix + core::sha256Hex(What.m_Identity);
   std::string Value = toValue(m_Self, What.m_Request);
   ClaimCompleted Unavailable;
   Unavailable.m_Request = What.m_Request;
   try {
-    return swap(What, Key, Value, Yield);
+    return writeClaim(What, Key, Value, Yield);
   } catch (const Error &Failure) {
     if (Failure.kind() == ErrorKind::OutcomeUnknown)
       return readBack(What, Key, Value, Yield);
--- a/Libraries/LibInstance/ClaimKeeper.h
+++ b/Libraries/LibInstance/ClaimService.h
@@ -1,6 +1,7 @@
-//===-- ClaimKeeper.h - Claims of Idempotency-Keys at the platform --------===//
-#ifndef YARDRILL_LIBINSTANCE_CLAIMKEEPER_H
-#define YARDRILL_LIBINSTANCE_CLAIMKEEPER_H
+//===-- ClaimService.h - Claims of Idempotency-Keys at the platform
+//--------===//
+#ifndef YARDRILL_LIBINSTANCE_CLAIMSERVICE_H
+#define YARDRILL_LIBINSTANCE_CLAIMSERVICE_H
 
 #include "LibCore/Time.h"
 #include "LibDecision/Action.h"
@@ -14,11 +15,11 @@
 
 /// Makes this instance the home of a key, if nobody is. Runs on the platform
 /// thread; one coroutine a claim.
-class ClaimKeeper {
+class ClaimService {
 public:
   /// \param Retention how long a claim stands at the least.
-  ClaimKeeper(platform::KeyValueService &Service, decision::InstanceRef Self,
-              core::Duration Retention)
+  ClaimService(platform::KeyValueService &Service, decision::InstanceRef Self,
+               core::Duration Retention)
       : m_Service(Service), m_Self(std::move(Self)), m_Retention(Retention) {}
 
   /// Never throws core::Error: a failure is an outcome.
@@ -26,28 +27,28 @@
                                  boost::asio::yield_context Yield);
 
 private:
-  decision::ClaimCompleted swap(const decision::Claim &What,
-                                const std::string &Key,
-                                const std::string &Value,
-                                boost::asio::yield_context Yield);
+  decision::ClaimCompleted writeClaim(const decision::Claim &What,
+                                      const std::string &Key,
+                                      const std::string &Value,
+                                      boost::asio::yield_context Yield);
   /// After a lost answer: did the write take effect?
   decision::ClaimCompleted readBack(const decision::Claim &What,
                                     const std::string &Key,
                                     const std::string &Value,
                                     boost::asio::yield_context Yield);
-  decision::ClaimCompleted judge(const decision::Claim &What,
-                                 const std::string &Standing,
-                                 const std::string &Value) const;
-  platform::LeaseId lease(boost::asio::yield_context Yield);
-  void grant(core::TimePoint Now, boost::asio::yield_context Yield);
+  decision::ClaimCompleted resultFor(const decision::Claim &What,
+                                     const std::string &Standing,
+                                     const std::string &Value) const;
+  platform::LeaseId currentLease(boost::asio::yield_context Yield);
+  void renewLease(core::TimePoint Now, boost::asio::yield_context Yield);
 
   platform::KeyValueService &m_Service;
   decision::InstanceRef m_Self;
   core::Duration m_Retention;
   /// One lease for all claims of some seconds: it ends them all together.
   std::optional<platform::LeaseId> m_Lease;
-  core::TimePoint m_LeaseUntil{};
-  bool m_IsGranting = false;
+  core::TimePoint m_LeaseUsableUntil{};
+  bool m_IsGrantPending = false;
 };
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/DecisionDuty.cpp
+++ b/Libraries/LibInstance/DecisionThread.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/DecisionDuty.h"
+#include "LibInstance/DecisionThread.h"
 
 #include "LibCore/Error.h"
 
@@ -9,9 +9,9 @@
 static const std::chrono::milliseconds TickPeriod(50);
 static const std::chrono::milliseconds StatusPeriod(200);
 
-DecisionDuty::DecisionDuty(std::size_t RingCapacity,
-                           const std::string &TraceFile)
-    : m_Thread("decision"), m_Events(RingCapacity, m_Thread.makeWaker([this] {
+DecisionThread::DecisionThread(std::size_t QueueCapacity,
+                               const std::string &TraceFile)
+    : m_Thread("decision"), m_Events(QueueCapacity, m_Thread.makeWaker([this] {
         m_Events.drain([this](const decision::Event &What) {
           handle(What, core::steadyNow());
         });
@@ -26,9 +26,9 @@
   m_Trace.emplace(m_TraceStream);
 }
 
-DecisionDuty::~DecisionDuty() { stop(); }
+DecisionThread::~DecisionThread() { stop(); }
 
-void DecisionDuty::start(const decision::InstanceStarted &First) {
+void DecisionThread::start(const decision::InstanceStarted &First) {
   push(First);
   m_Timers.subscribe(TickPeriod, [this](core::TimePoint Now) {
     handle(decision::TimePassed{}, Now);
@@ -38,9 +38,9 @@
   m_Thread.start();
 }
 
-void DecisionDuty::push(const decision::Event &What) { m_Events.push(What); }
+void DecisionThread::push(const decision::Event &What) { m_Events.push(What); }
 
-void DecisionDuty::handle(const decision::Event &What, core::TimePoint Now) {
+void DecisionThread::handle(const decision::Event &What, core::TimePoint Now) {
   std::vector<decision::Action> Actions = m_Core.handle(What, Now);
   // Anything thrown here is a fault of ours: EventLoopThread logs it as
   // duty-failure, and the tests look for that line.
@@ -68,7 +68,7 @@
   return Out;
 }
 
-void DecisionDuty::publishStatus(core::TimePoint Now) {
+void DecisionThread::publishStatus(core::TimePoint Now) {
   DecisionStatus Next;
   Next.m_OpenRequests = m_Core.openRequests();
   Next.m_Identities = m_Core.identities();
@@ -79,7 +79,7 @@
   m_Status = std::move(Next);
 }
 
-DecisionStatus DecisionDuty::status() const {
+DecisionStatus DecisionThread::status() const {
   std::lock_guard<std::mutex> Lock(m_StatusMutex);
   return m_Status;
 }
--- a/Libraries/LibInstance/DecisionDuty.h
+++ b/Libraries/LibInstance/DecisionThread.h
@@ -1,6 +1,7 @@
-//===-- DecisionDuty.h - The thread that decides --------------------------===//
-#ifndef YARDRILL_LIBINSTANCE_DECISIONDUTY_H
-#define YARDRILL_LIBINSTANCE_DECISIONDUTY_H
+//===-- DecisionThread.h - The thread that decides
+//--------------------------===//
+#ifndef YARDRILL_LIBINSTANCE_DECISIONTHREAD_H
+#define YARDRILL_LIBINSTANCE_DECISIONTHREAD_H
 
 #include "LibCore/EventLoopThread.h"
 #include "LibCore/MPSCQueue.h"
@@ -45,13 +46,13 @@
 };
 
 /// Runs the decision core: events in by a ring, actions out by a hook.
-class DecisionDuty {
+class DecisionThread {
 public:
   /// Called on the decision thread for each action, in order.
   using ActionSink = std::function<void(decision::Action)>;
 
-  DecisionDuty(std::size_t RingCapacity, const std::string &TraceFile);
-  ~DecisionDuty();
+  DecisionThread(std::size_t QueueCapacity, const std::string &TraceFile);
+  ~DecisionThread();
 
   void setSink(ActionSink Sink) { m_Sink = std::move(Sink); }
   void start(const decision::InstanceStarted &First);
--- a/Libraries/LibInstance/Instance.cpp
+++ b/Libraries/LibInstance/Instance.cpp
@@ -15,9 +15,9 @@
 
 static const std::chrono::milliseconds DrainPollPeriod(20);
 /// Time for the platform to hear of a resignation, and peers of our leaving.
-static const std::chrono::milliseconds FarewellTime(1000);
+static const std::chrono::milliseconds LeaveNoticeTime(1000);
 /// Events and actions that one open request can have under way at once.
-static const std::size_t RingEntriesPerRequest = 4;
+static const std::size_t QueueEntriesPerRequest = 4;
 
 InstanceBuilder &InstanceBuilder::settings(config::InstanceSettings Settings) {
   m_Settings = std::move(Settings);
@@ -26,13 +26,13 @@
 
 std::unique_ptr<Instance> InstanceBuilder::build() {
   std::size_t Needed =
-      m_Settings.m_Callers.m_OpenConnections * RingEntriesPerRequest;
+      m_Settings.m_Callers.m_OpenConnections * QueueEntriesPerRequest;
   if (m_Settings.m_RingCapacity < Needed)
     throw core::Error(core::ErrorKind::Settings,
                       "instance.ring_capacity must be at least 4 times "
                       "callers.open_connections");
   std::unique_ptr<Instance> Out(new Instance(std::move(m_Settings)));
-  Out->wire();
+  Out->createComponents();
   return Out;
 }
 
@@ -49,45 +49,46 @@
       Duty->stop();
   };
   // Whoever calls another duty stops first.
-  Stop(m_Operators);
+  Stop(m_OperatorServer);
   Stop(m_Traffic);
   Stop(m_Platform);
   Stop(m_Peers);
   Stop(m_Decision);
 }
 
-void Instance::wire() {
-  m_Decision = std::make_unique<DecisionDuty>(m_Settings.m_RingCapacity,
-                                              m_Settings.m_TraceFile);
+void Instance::createComponents() {
+  m_Decision = std::make_unique<DecisionThread>(m_Settings.m_RingCapacity,
+                                                m_Settings.m_TraceFile);
   auto Push = [this](const decision::Event &What) { m_Decision->push(What); };
   TrafficHooks Traffic;
   Traffic.m_TryPush = [this](decision::Event What) {
     return m_Decision->tryPush(std::move(What));
   };
   Traffic.m_Push = Push;
-  m_Traffic = std::make_unique<TrafficDuty>(m_Settings, m_Self, m_Configuration,
-                                            m_Metrics, Traffic);
-  m_Peers = std::make_unique<PeerDuty>(m_Settings, m_Self, m_Configuration,
-                                       m_Metrics, Push);
+  m_Traffic = std::make_unique<TrafficThread>(
+      m_Settings, m_Self, m_Configuration, m_Metrics, Traffic);
+  m_Peers = std::make_unique<PeerThread>(m_Settings, m_Self, m_Configuration,
+                                         m_Metrics, Push);
   PlatformHooks Platform;
   Platform.m_Push = Push;
-  Platform.m_SchedulersListed = [this](std::vector<config::Endpoint> Listed) {
-    m_Peers->setListed(std::move(Listed));
+  Platform.m_OnSchedulersListed = [this](std::vector<config::Endpoint> Listed) {
+    m_Peers->setListedPeers(std::move(Listed));
   };
-  m_Platform = std::make_unique<PlatformDuty>(
+  m_Platform = std::make_unique<PlatformThread>(
       m_Settings, m_Self, m_Configuration, m_Metrics, Platform);
-  m_Operators = std::make_unique<OperatorDuty>(
+  m_OperatorServer = std::make_unique<OperatorServer>(
       m_Settings.m_OperatorAddress, m_Settings.m_OperatorToken,
       [this](const OperatorRequest &Request) {
         return handleOperator(Request);
       });
-  m_Decision->setSink([this](const decision::Action &What) { route(What); });
+  m_Decision->setSink(
+      [this](const decision::Action &What) { routeAction(What); });
   m_Configuration.subscribe([this](const config::ConfigurationHandle &Next) {
     m_Decision->push(decision::ConfigurationAccepted{Next});
   });
 }
 
-void Instance::route(const decision::Action &What) {
+void Instance::routeAction(const decision::Action &What) {
   bool IsForPlatform =
       std::holds_alternative<decision::Claim>(What) ||
       std::holds_alternative<decision::ReadThresholdRecord>(What) ||
@@ -114,7 +115,7 @@
   m_Traffic->start();
   m_Peers->start();
   m_Platform->start();
-  m_Operators->start();
+  m_OperatorServer->start();
   core::LogLine("instance-started")
       .add("instance", m_Settings.m_Name)
       .add("data_hall", m_Settings.m_DataHall)
@@ -124,21 +125,21 @@
       .add("peer_address", m_Settings.m_PeerAddress.toString());
 }
 
-void Instance::drain(const std::atomic<bool> &MustHurry) {
+void Instance::drain(const std::atomic<bool> &IsStopForced) {
   m_IsStopping = true;
   core::LogLine("instance-stopping")
       .add("instance", m_Settings.m_Name)
       .add("open_requests", m_Traffic->load().m_Requests);
   auto NoticeEnds = core::steadyNow() + m_Settings.m_DrainNotice;
-  while (core::steadyNow() < NoticeEnds && !MustHurry)
+  while (core::steadyNow() < NoticeEnds && !IsStopForced)
     std::this_thread::sleep_for(DrainPollPeriod);
   m_Traffic->stopAccepting();
   m_Decision->push(decision::StopRequested{});
   m_Peers->setStopping();
-  while (m_Traffic->load().m_Requests > 0 && !MustHurry)
+  while (m_Traffic->load().m_Requests > 0 && !IsStopForced)
     std::this_thread::sleep_for(DrainPollPeriod);
-  if (!MustHurry)
-    std::this_thread::sleep_for(FarewellTime);
+  if (!IsStopForced)
+    std::this_thread::sleep_for(LeaveNoticeTime);
   core::LogLine("instance-stopped")
       .add("instance", m_Settings.m_Name)
       .add("open_requests", m_Traffic->load().m_Requests);
@@ -181,7 +182,7 @@
 }
 
 void Instance::updateGauges() {
-  TrafficDuty::Load Load = m_Traffic->load();
+  TrafficThread::Load Load = m_Traffic->load();
   DecisionStatus Decision = m_Decision->status();
   auto Set = [this](const char *Name, std::size_t Value) {
     m_Metrics.setGauge(Name, static_cast<double>(Value));
@@ -216,15 +217,15 @@
 OperatorResponse Instance::publish(const OperatorRequest &Request) {
   PublishRequest Wanted;
   std::uint64_t Base = 0;
-  const std::string &Text = Request.m_Base;
+  const std::string &Text = Request.m_BaseVersion;
   auto [Last, Code] =
       std::from_chars(Text.data(), Text.data() + Text.size(), Base);
   if (Code != std::errc() || Last != Text.data() + Text.size() ||
-      Request.m_Change.empty())
+      Request.m_ChangeId.empty())
     return problemResponse(400, "Bad Request", "usage",
                            "base (a version) and change (an id) are required");
-  Wanted.m_Base = core::ConfigurationVersion(Base);
-  Wanted.m_Change = Request.m_Change;
+  Wanted.m_BaseVersion = core::ConfigurationVersion(Base);
+  Wanted.m_ChangeId = Request.m_ChangeId;
   Wanted.m_Text = Request.m_Body;
   try {
     core::ConfigurationVersion Version = m_Platform->publish(Wanted);
--- a/Libraries/LibInstance/Instance.h
+++ b/Libraries/LibInstance/Instance.h
@@ -3,12 +3,12 @@
 #define YARDRILL_LIBINSTANCE_INSTANCE_H
 
 #include "LibConfig/InstanceSettings.h"
-#include "LibInstance/ConfigurationKeeper.h"
-#include "LibInstance/DecisionDuty.h"
-#include "LibInstance/OperatorDuty.h"
-#include "LibInstance/PeerDuty.h"
-#include "LibInstance/PlatformDuty.h"
-#include "LibInstance/TrafficDuty.h"
+#include "LibInstance/ActiveConfiguration.h"
+#include "LibInstance/DecisionThread.h"
+#include "LibInstance/OperatorServer.h"
+#include "LibInstance/PeerThread.h"
+#include "LibInstance/PlatformThread.h"
+#include "LibInstance/TrafficThread.h"
 #include "LibMetrics/MetricsRegistry.h"
 
 #include <atomic>
@@ -25,15 +25,15 @@
   void start();
   /// Accepts nothing new, finishes everything in progress, however long that
   /// takes, and hands leadership over (brief: "A planned stop cuts no request
-  /// in progress"). Returns when done or when \p MustHurry becomes true.
-  void drain(const std::atomic<bool> &MustHurry);
+  /// in progress"). Returns when done or when \p IsStopForced becomes true.
+  void drain(const std::atomic<bool> &IsStopForced);
 
 private:
   friend class InstanceBuilder;
   explicit Instance(config::InstanceSettings Settings);
 
-  void wire();
-  void route(const decision::Action &What);
+  void createComponents();
+  void routeAction(const decision::Action &What);
   OperatorResponse handleOperator(const OperatorRequest &Request);
   /// What is only worth counting when somebody looks.
   void updateGauges();
@@ -44,12 +44,12 @@
   config::InstanceSettings m_Settings;
   decision::InstanceRef m_Self;
   metrics::MetricsRegistry m_Metrics;
-  ConfigurationKeeper m_Configuration;
-  std::unique_ptr<DecisionDuty> m_Decision;
-  std::unique_ptr<TrafficDuty> m_Traffic;
-  std::unique_ptr<PlatformDuty> m_Platform;
-  std::unique_ptr<PeerDuty> m_Peers;
-  std::unique_ptr<OperatorDuty> m_Operators;
+  ActiveConfiguration m_Configuration;
+  std::unique_ptr<DecisionThread> m_Decision;
+  std::unique_ptr<TrafficThread> m_Traffic;
+  std::unique_ptr<PlatformThread> m_Platform;
+  std::unique_ptr<PeerThread> m_Peers;
+  std::unique_ptr<OperatorServer> m_OperatorServer;
   std::atomic<bool> m_IsStopping{false};
 };
 
--- a/Libraries/LibInstance/InstanceList.cpp
+++ b/Libraries/LibInstance/InstanceList.cpp
@@ -44,7 +44,7 @@
   }
 }
 
-std::vector<config::Endpoint> InstanceList::schedulers() const {
+std::vector<config::Endpoint> InstanceList::schedulerAddresses() const {
   std::vector<config::Endpoint> Out;
   for (const auto &[Key, Listed] : m_Instances)
     if (Listed.m_Kind == ListedKind::Scheduler && !Listed.m_IsLeaving)
--- a/Libraries/LibInstance/InstanceList.h
+++ b/Libraries/LibInstance/InstanceList.h
@@ -40,7 +40,7 @@
   const std::map<std::string, ListedInstance> &all() const {
     return m_Instances;
   }
-  std::vector<config::Endpoint> schedulers() const;
+  std::vector<config::Endpoint> schedulerAddresses() const;
 
 private:
   void put(const platform::Entry &Item);
--- a/Libraries/LibInstance/OpenRequest.cpp
+++ b/Libraries/LibInstance/OpenRequest.cpp
@@ -12,23 +12,24 @@
 using decision::RefusalKind;
 using decision::ResponseOutcome;
 
-OpenRequest::OpenRequest(TrafficDuty &Duty, http::Exchange &Caller,
-                         ReadRequest Request)
-    : m_Duty(Duty), m_Caller(Caller), m_Request(std::move(Request)),
-      m_Id(m_Request.m_Arrival.m_Request), m_PrintableId(Duty.printable(m_Id)),
+OpenRequest::OpenRequest(TrafficThread &Duty, http::Exchange &Caller,
+                         ParsedRequest Request)
+    : m_Traffic(Duty), m_Caller(Caller), m_Request(std::move(Request)),
+      m_Id(m_Request.m_Arrival.m_Request),
+      m_PrintableId(Duty.printableId(m_Id)),
       m_Labels{m_Request.m_Arrival.m_Account, m_Request.m_Arrival.m_Tier,
                m_Request.m_Arrival.m_Pool},
-      m_Wake(Duty.m_Thread.context()), m_ArrivedAt(core::steadyNow()) {
-  m_Duty.m_Open.emplace(m_Id, this);
-  m_Request.m_ForTarget.m_Headers.set("Yardrill-Request-Id", m_PrintableId);
+      m_WakeTimer(Duty.m_Thread.context()), m_ArrivedAt(core::steadyNow()) {
+  m_Traffic.m_OpenRequests.emplace(m_Id, this);
+  m_Request.m_TargetRequest.m_Headers.set("Yardrill-Request-Id", m_PrintableId);
 }
 
 OpenRequest::~OpenRequest() {
-  m_Duty.m_Open.erase(m_Id);
+  m_Traffic.m_OpenRequests.erase(m_Id);
   m_Caller.setDisconnectCallback(nullptr);
 }
 
-void OpenRequest::take(decision::Action What) {
+void OpenRequest::handleAction(decision::Action What) {
   if (std::holds_alternative<decision::Cancel>(What)) {
     m_IsEvicted = true;
     logLine("request-evicted");
@@ -37,12 +38,12 @@
     return;
   }
   m_Actions.push_back(std::move(What));
-  m_Wake.cancel();
+  m_WakeTimer.cancel();
 }
 
 void OpenRequest::run(asio::yield_context Yield) {
-  m_Caller.setDisconnectCallback([this] { callerHungUp(); });
-  if (!m_Duty.m_Hooks.m_TryPush(m_Request.m_Arrival)) {
+  m_Caller.setDisconnectCallback([this] { handleCallerDisconnect(); });
+  if (!m_Traffic.m_Hooks.m_TryPush(m_Request.m_Arrival)) {
     sendProblem(toProblem(RefusalKind::QueueFull, 1), Yield);
     return finish("refused");
   }
@@ -50,8 +51,8 @@
   while (!IsDone) {
     while (m_Actions.empty()) {
       boost::system::error_code Ignored;
-      m_Wake.expires_at(core::Timer::time_point::max());
-      m_Wake.async_wait(Yield[Ignored]);
+      m_WakeTimer.expires_at(core::Timer::time_point::max());
+      m_WakeTimer.async_wait(Yield[Ignored]);
     }
     decision::Action Next = std::move(m_Actions.front());
     m_Actions.pop_front();
@@ -68,19 +69,19 @@
   if (const auto *Away = std::get_if<decision::Forward>(&What))
     forward(*Away, Yield);
   if (const auto *Old = std::get_if<decision::SendStoredResponse>(&What))
-    sendKept(Old->m_Original, Yield);
+    sendStoredResponse(Old->m_Original, Yield);
   if (std::holds_alternative<decision::Drop>(What))
     finish("caller-left");
   return true;
 }
 
-void OpenRequest::callerHungUp() {
-  m_IsCallerGone = true;
+void OpenRequest::handleCallerDisconnect() {
+  m_IsCallerDisconnected = true;
   // A request with an identity runs to its end: its caller may ask again.
-  if (m_Target && !m_IsKeeping)
+  if (m_Target && !m_IsStoringResponse)
     m_Target->close();
   if (!m_Target && !m_IsForwarded)
-    m_Duty.m_Hooks.m_Push(decision::CallerDisconnected{m_Id});
+    m_Traffic.m_Hooks.m_Push(decision::CallerDisconnected{m_Id});
 }
 
 //===----------------------------------------------------------------------===//
@@ -89,59 +90,59 @@
 
 bool OpenRequest::dispatch(const decision::Dispatch &What,
                            asio::yield_context Yield) {
-  m_IsKeeping = What.m_StoreResponse;
+  m_IsStoringResponse = What.m_StoreResponse;
   m_TargetName = What.m_Target;
-  m_Duty.m_Metrics.observe(metrics::RequestTime::QueueWait, m_Labels,
-                           core::steadyNow() - m_ArrivedAt);
+  m_Traffic.m_Metrics.observe(metrics::RequestTime::QueueWait, m_Labels,
+                              core::steadyNow() - m_ArrivedAt);
   logLine("request-dispatched");
   ResponseOutcome Outcome = ResponseOutcome::CallerDisconnected;
   if (m_IsEvicted) {
     // Cancelled before a byte was sent; told as unknown, which is never wrong.
     Outcome = ResponseOutcome::Evicted;
-  } else if (!m_IsCallerGone || m_IsKeeping) {
+  } else if (!m_IsCallerDisconnected || m_IsStoringResponse) {
     std::unique_ptr<http::ClientConnection> Target;
     try {
-      Target =
-          m_Duty.m_Targets.acquire(What.m_Address.toTcp(), m_IsKeeping, Yield);
+      Target = m_Traffic.m_Targets.acquire(What.m_Address.toTcp(),
+                                           m_IsStoringResponse, Yield);
     } catch (const Error &Failure) {
       core::LogLine("connect-failed", core::LogLevel::Warning)
           .add("request", m_PrintableId)
           .add("target", What.m_Target)
           .add("reason", Failure.detail());
       logLine("target-finished");
-      m_Duty.m_Hooks.m_Push(decision::ConnectFailed{m_Id});
-      if (m_IsCallerGone)
-        m_Duty.m_Hooks.m_Push(decision::CallerDisconnected{m_Id});
+      m_Traffic.m_Hooks.m_Push(decision::ConnectFailed{m_Id});
+      if (m_IsCallerDisconnected)
+        m_Traffic.m_Hooks.m_Push(decision::CallerDisconnected{m_Id});
       return false;
     }
     m_Target = Target.get();
     // Either may have happened while the connection was being made.
     if (m_IsEvicted)
       Outcome = ResponseOutcome::Evicted;
-    else if (!m_IsCallerGone || m_IsKeeping)
+    else if (!m_IsCallerDisconnected || m_IsStoringResponse)
       Outcome = runAtTarget(*Target, Yield);
     m_Target = nullptr;
     if (Outcome == ResponseOutcome::Complete)
-      m_Duty.m_Targets.release(What.m_Address.toTcp(), std::move(Target));
+      m_Traffic.m_Targets.release(What.m_Address.toTcp(), std::move(Target));
   }
   bool IsKept = false;
-  if (Outcome == ResponseOutcome::Complete && m_IsKeeping &&
-      !m_IsTooLargeToKeep)
-    IsKept = m_Duty.m_Responses.keep(m_Id, std::move(m_Kept));
+  if (Outcome == ResponseOutcome::Complete && m_IsStoringResponse &&
+      !m_IsTooLargeToStore)
+    IsKept = m_Traffic.m_Responses.store(m_Id, std::move(m_ResponseToStore));
   // Before the decision thread hears of it, so that logs of several instances
   // can be compared: a shed that this end allows is always logged later.
   logLine("target-finished");
-  m_Duty.m_Hooks.m_Push(
+  m_Traffic.m_Hooks.m_Push(
       decision::ResponseEnded{m_Id, Outcome, IsKept, m_OutputTokens});
   switch (Outcome) {
   case ResponseOutcome::Complete:
-    finish(m_IsCallerGone ? "caller-left" : "complete");
+    finish(m_IsCallerDisconnected ? "caller-left" : "complete");
     break;
   case ResponseOutcome::Broken:
-    breakOff(RefusalKind::TargetDisconnected, Yield);
+    failRequest(RefusalKind::TargetDisconnected, Yield);
     break;
   case ResponseOutcome::Evicted:
-    breakOff(RefusalKind::Evicted, Yield);
+    failRequest(RefusalKind::Evicted, Yield);
     break;
   case ResponseOutcome::CallerDisconnected:
     finish("caller-left");
@@ -153,14 +154,14 @@
 ResponseOutcome OpenRequest::runAtTarget(http::ClientConnection &Target,
                                          asio::yield_context Yield) {
   try {
-    Target.sendRequest(m_Request.m_ForTarget,
-                       m_Duty.m_Settings.m_Targets.m_SilenceTimeout, Yield);
+    Target.sendRequest(m_Request.m_TargetRequest,
+                       m_Traffic.m_Settings.m_Targets.m_SilenceTimeout, Yield);
     relay(Target, Yield);
     return ResponseOutcome::Complete;
   } catch (const Error &Failure) {
     if (m_IsEvicted)
       return ResponseOutcome::Evicted;
-    if (m_IsCallerGone && !m_IsKeeping)
+    if (m_IsCallerDisconnected && !m_IsStoringResponse)
       return ResponseOutcome::CallerDisconnected;
     core::LogLine("target-broke", core::LogLevel::Warning)
         .add("request", m_PrintableId)
@@ -170,41 +171,41 @@
   }
 }
 
-void OpenRequest::passOn(const std::function<void()> &Send) {
-  if (m_IsCallerGone)
+void OpenRequest::sendToCaller(const std::function<void()> &Send) {
+  if (m_IsCallerDisconnected)
     return;
   try {
     Send();
   } catch (const Error &) {
-    m_IsCallerGone = true;
+    m_IsCallerDisconnected = true;
   }
-  if (m_IsCallerGone && !m_IsKeeping)
+  if (m_IsCallerDisconnected && !m_IsStoringResponse)
     throw Error(core::ErrorKind::OutcomeUnknown, "caller is gone");
 }
 
 void OpenRequest::relay(http::ClientConnection &From,
                         asio::yield_context Yield) {
-  core::Duration Silence = m_Duty.m_Settings.m_Targets.m_SilenceTimeout;
+  core::Duration Silence = m_Traffic.m_Settings.m_Targets.m_SilenceTimeout;
   http::ResponseHead Head = From.readHead(Silence, Yield);
   m_Status = Head.m_Status;
   Head.m_Headers.removeHopByHop();
   Head.m_Headers.set("Yardrill-Request-Id", m_PrintableId);
-  m_Kept.m_Head = Head;
-  m_Kept.m_Head.m_ContentLength.reset();
-  passOn([&] { m_Caller.startStream(Head, Yield); });
+  m_ResponseToStore.m_Head = Head;
+  m_ResponseToStore.m_Head.m_ContentLength.reset();
+  sendToCaller([&] { m_Caller.startStream(Head, Yield); });
   while (true) {
     std::string Piece = From.readBodyData(Silence, Yield);
     if (Piece.empty())
       break;
-    notePiece(Piece);
-    passOn([&] { m_Caller.sendBodyData(Piece, Yield); });
+    recordBodyData(Piece);
+    sendToCaller([&] { m_Caller.sendBodyData(Piece, Yield); });
   }
-  passOn([&] { m_Caller.finishStream(Yield); });
+  sendToCaller([&] { m_Caller.finishStream(Yield); });
 }
 
 /// Server-sent events end with an empty line (WHATWG HTML, section 9.2.5);
 /// engines send one event for each token.
-static std::uint32_t countEvents(const std::string &Piece) {
+static std::uint32_t countServerSentEvents(const std::string &Piece) {
   std::uint32_t Count = 0;
   for (std::size_t At = Piece.find("\n\n"); At != std::string::npos;
        At = Piece.find("\n\n", At + 2))
@@ -212,24 +213,25 @@
   return Count;
 }
 
-void OpenRequest::notePiece(const std::string &Piece) {
+void OpenRequest::recordBodyData(const std::string &Piece) {
   core::TimePoint Now = core::steadyNow();
-  bool IsFirst = m_LastPieceAt == core::TimePoint();
-  m_Duty.m_Metrics.observe(IsFirst ? metrics::RequestTime::FirstToken
-                                   : metrics::RequestTime::BetweenTokens,
-                           m_Labels,
-                           Now - (IsFirst ? m_ArrivedAt : m_LastPieceAt));
+  bool IsFirst = m_LastBodyDataAt == core::TimePoint();
+  m_Traffic.m_Metrics.observe(IsFirst ? metrics::RequestTime::FirstToken
+                                      : metrics::RequestTime::BetweenTokens,
+                              m_Labels,
+                              Now - (IsFirst ? m_ArrivedAt : m_LastBodyDataAt));
   // A forwarded request is its home's; the core here has forgotten it.
   if (IsFirst && !m_IsForwarded)
-    m_Duty.m_Hooks.m_Push(decision::ResponseStarted{m_Id});
-  m_LastPieceAt = Now;
-  m_OutputTokens += countEvents(Piece);
-  if (!m_IsKeeping || m_IsTooLargeToKeep)
+    m_Traffic.m_Hooks.m_Push(decision::ResponseStarted{m_Id});
+  m_LastBodyDataAt = Now;
+  m_OutputTokens += countServerSentEvents(Piece);
+  if (!m_IsStoringResponse || m_IsTooLargeToStore)
     return;
-  m_Kept.m_Body += Piece;
-  if (m_Kept.m_Body.size() > m_Duty.m_Responses.mostBytesOfOne()) {
-    m_IsTooLargeToKeep = true;
-    m_Kept.m_Body.clear();
+  m_ResponseToStore.m_Body += Piece;
+  if (m_ResponseToStore.m_Body.size() >
+      m_Traffic.m_Responses.maxResponseBytes()) {
+    m_IsTooLargeToStore = true;
+    m_ResponseToStore.m_Body.clear();
   }
 }
 
@@ -237,7 +239,7 @@
 // Other answers
 //===----------------------------------------------------------------------===//
 
-void OpenRequest::breakOff(RefusalKind Kind, asio::yield_context Yield) {
+void OpenRequest::failRequest(RefusalKind Kind, asio::yield_context Yield) {
   if (m_Caller.isStreamStarted())
     // Never let half an answer look whole.
     m_Caller.abort();
@@ -255,7 +257,7 @@
   bool IsLimited = What.m_ValidUntil != 0;
   bool IsSent = !IsLimited || Now < What.m_ValidUntil;
   if (IsLimited)
-    m_Duty.m_Hooks.m_Push(decision::RefusalSettled{m_Id, IsSent});
+    m_Traffic.m_Hooks.m_Push(decision::RefusalSettled{m_Id, IsSent});
   if (!IsSent)
     return false;
   logLine("request-refused", decision::describe(What.m_Kind).m_Type);
@@ -264,16 +266,16 @@
   return true;
 }
 
-void OpenRequest::sendKept(core::RequestId Original,
-                           asio::yield_context Yield) {
-  StoredResponse Stored = m_Duty.m_Responses.find(Original);
+void OpenRequest::sendStoredResponse(core::RequestId Original,
+                                     asio::yield_context Yield) {
+  StoredResponse Stored = m_Traffic.m_Responses.find(Original);
   if (!Stored) {
     sendProblem(toProblem(RefusalKind::ResponseNotStored, 0), Yield);
     return finish("answer-not-kept");
   }
   http::ResponseMessage Response = *Stored;
   m_Status = Response.m_Head.m_Status;
-  passOn([&] { m_Caller.sendResponse(std::move(Response), Yield); });
+  sendToCaller([&] { m_Caller.sendResponse(std::move(Response), Yield); });
   finish("complete-again");
 }
 
@@ -284,12 +286,12 @@
   Request.m_Headers.removeHopByHop();
   Request.m_Headers.remove("Authorization");
   Request.m_Headers.set(AccountHeader, m_Request.m_Arrival.m_Account.value());
-  m_Duty.m_Signature.sign(Request, core::wallSeconds().count());
+  m_Traffic.m_Signature.sign(Request, core::wallSeconds().count());
   try {
     auto Home =
-        m_Duty.m_Targets.acquire(What.m_Owner.m_Peer.toTcp(), true, Yield);
+        m_Traffic.m_Targets.acquire(What.m_Owner.m_Peer.toTcp(), true, Yield);
     m_Target = Home.get();
-    Home->sendRequest(Request, m_Duty.m_Settings.m_Targets.m_SilenceTimeout,
+    Home->sendRequest(Request, m_Traffic.m_Settings.m_Targets.m_SilenceTimeout,
                       Yield);
     relay(*Home, Yield);
     m_Target = nullptr;
@@ -300,7 +302,7 @@
         .add("request", m_PrintableId)
         .add("home", What.m_Owner.m_Peer.toString())
         .add("reason", Failure.detail());
-    breakOff(RefusalKind::OwnerLost, Yield);
+    failRequest(RefusalKind::OwnerLost, Yield);
   }
 }
 
@@ -317,19 +319,19 @@
 
 void OpenRequest::sendProblem(const Problem &What, asio::yield_context Yield) {
   m_Status = What.m_Status;
-  if (m_IsCallerGone)
+  if (m_IsCallerDisconnected)
     return;
   try {
     m_Caller.sendResponse(toResponse(What, m_PrintableId), Yield);
   } catch (const Error &) {
-    m_IsCallerGone = true;
+    m_IsCallerDisconnected = true;
   }
 }
 
 void OpenRequest::finish(const std::string &Outcome) {
   core::Duration Total = core::steadyNow() - m_ArrivedAt;
-  m_Duty.m_Metrics.observe(metrics::RequestTime::Total, m_Labels, Total);
-  m_Duty.m_Metrics.countOutcome(m_Labels, Outcome);
+  m_Traffic.m_Metrics.observe(metrics::RequestTime::Total, m_Labels, Total);
+  m_Traffic.m_Metrics.countOutcome(m_Labels, Outcome);
   core::LogLine Line("request-finished");
   Line.add("request", m_PrintableId)
       .add("client_account", m_Labels.m_Account)
--- a/Libraries/LibInstance/OperatorDuty.cpp
+++ b/Libraries/LibInstance/OperatorServer.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/OperatorDuty.h"
+#include "LibInstance/OperatorServer.h"
 
 #include "LibCore/Digest.h"
 #include "LibCore/Error.h"
@@ -15,8 +15,8 @@
 
 namespace yardrill::instance {
 
-static const unsigned FewestThreads = 1;
-static const unsigned MostThreads = 4;
+static const unsigned MinThreads = 1;
+static const unsigned MaxThreads = 4;
 static const std::string BearerPrefix = "Bearer ";
 
 namespace {
@@ -24,23 +24,23 @@
 class OperatorResponder final : public cxxtools::http::Responder {
 public:
   OperatorResponder(cxxtools::http::Service &Service, const std::string &Token,
-                    const OperatorDuty::Handler &Handle)
+                    const OperatorServer::Handler &Handle)
       : Responder(Service), m_Token(Token), m_Handle(Handle) {}
 
   void reply(std::ostream &Out, cxxtools::http::Request &Request,
              cxxtools::http::Reply &Reply) override;
 
 private:
-  OperatorResponse answer(cxxtools::http::Request &Request) const;
+  OperatorResponse respond(cxxtools::http::Request &Request) const;
   bool isAllowed(const cxxtools::http::Request &Request) const;
 
   const std::string &m_Token;
-  const OperatorDuty::Handler &m_Handle;
+  const OperatorServer::Handler &m_Handle;
 };
 
 class OperatorService final : public cxxtools::http::Service {
 public:
-  OperatorService(std::string Token, OperatorDuty::Handler Handle)
+  OperatorService(std::string Token, OperatorServer::Handler Handle)
       : m_Token(std::move(Token)), m_Handle(std::move(Handle)) {}
 
 protected:
@@ -52,7 +52,7 @@
 
 private:
   std::string m_Token;
-  OperatorDuty::Handler m_Handle;
+  OperatorServer::Handler m_Handle;
 };
 
 } // namespace
@@ -68,7 +68,7 @@
 }
 
 OperatorResponse
-OperatorResponder::answer(cxxtools::http::Request &Request) const {
+OperatorResponder::respond(cxxtools::http::Request &Request) const {
   if (!isAllowed(Request))
     return {401, "Unauthorized", "application/json",
             "{\"type\":\"urn:yardrill:problem:no-credentials\"}\n"};
@@ -77,8 +77,8 @@
   What.m_Path = Request.url();
   What.m_Body = Request.bodyStr();
   cxxtools::QueryParams Query(Request.qparams());
-  What.m_Base = Query["base"];
-  What.m_Change = Query["change"];
+  What.m_BaseVersion = Query["base"];
+  What.m_ChangeId = Query["change"];
   try {
     return m_Handle(What);
   } catch (const std::exception &Failure) {
@@ -93,20 +93,20 @@
 void OperatorResponder::reply(std::ostream &Out,
                               cxxtools::http::Request &Request,
                               cxxtools::http::Reply &Reply) {
-  OperatorResponse Response = answer(Request);
+  OperatorResponse Response = respond(Request);
   Reply.httpReturn(Response.m_Status, Response.m_Reason);
   Reply.setHeader("Content-Type", Response.m_ContentType.c_str());
   Out << Response.m_Body;
 }
 
-class OperatorDuty::Implementation {
+class OperatorServer::Implementation {
 public:
   Implementation(const config::Endpoint &Address, std::string Token,
                  Handler Handle)
       : m_Service(std::move(Token), std::move(Handle)),
         m_Server(m_Loop, Address.m_Address, Address.m_Port) {
-    m_Server.minThreads(FewestThreads);
-    m_Server.maxThreads(MostThreads);
+    m_Server.minThreads(MinThreads);
+    m_Server.maxThreads(MaxThreads);
     m_Server.addService(cxxtools::Regex("^/"), m_Service);
   }
 
@@ -115,8 +115,8 @@
   cxxtools::http::Server m_Server;
 };
 
-OperatorDuty::OperatorDuty(const config::Endpoint &Address, std::string Token,
-                           Handler Handle) {
+OperatorServer::OperatorServer(const config::Endpoint &Address,
+                               std::string Token, Handler Handle) {
   try {
     m_Impl = std::make_unique<Implementation>(Address, std::move(Token),
                                               std::move(Handle));
@@ -126,13 +126,13 @@
   }
 }
 
-OperatorDuty::~OperatorDuty() { stop(); }
+OperatorServer::~OperatorServer() { stop(); }
 
-void OperatorDuty::start() {
+void OperatorServer::start() {
   m_Thread = std::thread([this] { m_Impl->m_Loop.run(); });
 }
 
-void OperatorDuty::stop() {
+void OperatorServer::stop() {
   if (!m_Thread.joinable())
     return;
   m_Impl->m_Loop.exit();
--- a/Libraries/LibInstance/OperatorDuty.h
+++ b/Libraries/LibInstance/OperatorServer.h
@@ -1,10 +1,11 @@
-//===-- OperatorDuty.h - The operators' HTTP endpoint ---------------------===//
+//===-- OperatorServer.h - The operators' HTTP endpoint
+//---------------------===//
 //
 // cxxtools HTTP (house style): small whole answers, its own few threads.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBINSTANCE_OPERATORDUTY_H
-#define YARDRILL_LIBINSTANCE_OPERATORDUTY_H
+#ifndef YARDRILL_LIBINSTANCE_OPERATORSERVER_H
+#define YARDRILL_LIBINSTANCE_OPERATORSERVER_H
 
 #include "LibConfig/Endpoint.h"
 
@@ -20,8 +21,8 @@
   std::string m_Path;
   std::string m_Body;
   /// Query parameters of a publication.
-  std::string m_Base;
-  std::string m_Change;
+  std::string m_BaseVersion;
+  std::string m_ChangeId;
 };
 
 struct OperatorResponse {
@@ -32,15 +33,15 @@
 };
 
 /// Serves one handler; called on several threads.
-class OperatorDuty {
+class OperatorServer {
 public:
   using Handler = std::function<OperatorResponse(const OperatorRequest &)>;
 
   /// \param Token bearer token for everything but /healthz and /readyz.
   /// \throws core::Error of kind AddressInUse.
-  OperatorDuty(const config::Endpoint &Address, std::string Token,
-               Handler Handle);
-  ~OperatorDuty();
+  OperatorServer(const config::Endpoint &Address, std::string Token,
+                 Handler Handle);
+  ~OperatorServer();
 
   void start();
   void stop();
--- a/Libraries/LibInstance/PeerSignature.cpp
+++ b/Libraries/LibInstance/PeerSignature.cpp
@@ -7,14 +7,14 @@
 
 namespace yardrill::instance {
 
-static const std::int64_t MostClockDifferenceSeconds = 30;
-static const std::string Purpose = "yardrill-peer-request";
+static const std::int64_t MaxClockDifferenceSeconds = 30;
+static const std::string SignatureDomain = "yardrill-peer-request";
 
 std::string PeerSignature::mac(const http::RequestMessage &Request) const {
-  std::string Text = Purpose + "\n" + Request.m_Method + "\n" +
+  std::string Text = SignatureDomain + "\n" + Request.m_Method + "\n" +
                      Request.m_Target + "\n" + core::sha256Hex(Request.m_Body);
-  for (const char *Name :
-       {TimeHeader, AccountHeader, TierHeader, TicketHeader, KeyHeader}) {
+  for (const char *Name : {TimeHeader, AccountHeader, TierHeader, TicketHeader,
+                           IdempotencyKeyHeader}) {
     const std::string *Value = Request.m_Headers.find(Name);
     // Length first, so that no two requests have the same text.
     std::string Part = Value ? *Value : "";
@@ -38,7 +38,7 @@
     return false;
   std::int64_t Sent = 0;
   std::from_chars(Time->data(), Time->data() + Time->size(), Sent);
-  return std::abs(WallSeconds - Sent) <= MostClockDifferenceSeconds;
+  return std::abs(WallSeconds - Sent) <= MaxClockDifferenceSeconds;
 }
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/PeerSignature.h
+++ b/Libraries/LibInstance/PeerSignature.h
@@ -15,7 +15,7 @@
 inline constexpr const char *TimeHeader = "Yardrill-Peer-Time";
 inline constexpr const char *SignatureHeader = "Yardrill-Peer-Signature";
 inline constexpr const char *TicketHeader = "Yardrill-Ticket";
-inline constexpr const char *KeyHeader = "Idempotency-Key";
+inline constexpr const char *IdempotencyKeyHeader = "Idempotency-Key";
 inline constexpr const char *TierHeader = "Yardrill-Tier";
 
 /// Signs method, target, time, account, tier, identity and body with the
--- a/Libraries/LibInstance/PeerDuty.cpp
+++ b/Libraries/LibInstance/PeerThread.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/PeerDuty.h"
+#include "LibInstance/PeerThread.h"
 
 #include "LibCore/Digest.h"
 #include "LibCore/Error.h"
@@ -16,18 +16,18 @@
 /// A small fleet hears from everyone each period; in a larger one each
 /// instance writes to a few drawn at random, so that its own traffic stays
 /// the same however many there are (docs/CAPACITY.md).
-static const std::size_t SmallFleet = 8;
-static const std::size_t FewPeers = 3;
-static const std::size_t OthersInHeartbeat = 2;
+static const std::size_t MaxPeersWithoutSampling = 8;
+static const std::size_t HeartbeatSampleSize = 3;
+static const std::size_t RecentPeersPerHeartbeat = 2;
 static const std::size_t MaxHintedPeers = 64;
 static const std::chrono::seconds FetchTimeout(2);
-static const std::size_t MostEnvelopeBytes = 4UL * 1024 * 1024;
+static const std::size_t MaxEnvelopeBytes = 4UL * 1024 * 1024;
 
-PeerDuty::PeerDuty(const config::InstanceSettings &Settings,
-                   decision::InstanceRef Self,
-                   ConfigurationKeeper &Configuration,
-                   metrics::MetricsRegistry &Metrics,
-                   std::function<void(decision::Event)> Push)
+PeerThread::PeerThread(const config::InstanceSettings &Settings,
+                       decision::InstanceRef Self,
+                       ActiveConfiguration &Configuration,
+                       metrics::MetricsRegistry &Metrics,
+                       std::function<void(decision::Event)> Push)
     : m_Thread("peers"), m_Timers(m_Thread.context()), m_Settings(Settings),
       m_Self(std::move(Self)), m_Configuration(Configuration),
       m_Metrics(Metrics), m_Push(std::move(Push)),
@@ -36,35 +36,37 @@
                   Settings.m_Peers.m_SilenceTimeout),
       m_Signature(Settings.m_Peers.m_Key),
       m_Actions(Settings.m_RingCapacity, m_Thread.makeWaker([this] {
-        m_Actions.drain([this](const decision::Action &What) { act(What); });
+        m_Actions.drain(
+            [this](const decision::Action &What) { handleAction(What); });
       })),
       m_Socket(m_Thread.context(), Settings.m_PeerAddress, m_Codec),
       m_Random(core::randomBits()) {}
 
-PeerDuty::~PeerDuty() { stop(); }
+PeerThread::~PeerThread() { stop(); }
 
-void PeerDuty::start() {
-  m_Socket.start({[this](const peer::PeerMessage &Message) { take(Message); },
-                  [this](peer::DropReason Reason) { drop(Reason); }});
+void PeerThread::start() {
+  m_Socket.start(
+      {[this](const peer::PeerMessage &Message) { handleMessage(Message); },
+       [this](peer::DropReason Reason) { countDropped(Reason); }});
   m_Timers.subscribe(m_Settings.m_Peers.m_HeartbeatPeriod,
-                     [this](core::TimePoint Now) { beat(Now); });
+                     [this](core::TimePoint Now) { sendHeartbeats(Now); });
   m_Thread.start();
 }
 
-void PeerDuty::push(const decision::Action &What) { m_Actions.push(What); }
+void PeerThread::push(const decision::Action &What) { m_Actions.push(What); }
 
-void PeerDuty::setListed(std::vector<config::Endpoint> Addresses) {
+void PeerThread::setListedPeers(std::vector<config::Endpoint> Addresses) {
   asio::post(m_Thread.context(), [this, Addresses = std::move(Addresses)] {
-    m_Listed = Addresses;
-    countInstances();
+    m_ListedPeers = Addresses;
+    updateInstanceCount();
   });
 }
 
-void PeerDuty::setStopping() {
+void PeerThread::setStopping() {
   asio::post(m_Thread.context(), [this] { m_IsStopping = true; });
 }
 
-std::vector<PeerStatus> PeerDuty::status() const {
+std::vector<PeerStatus> PeerThread::status() const {
   std::lock_guard<std::mutex> Lock(m_StatusMutex);
   return m_Status;
 }
@@ -73,21 +75,21 @@
 // Receiving
 //===----------------------------------------------------------------------===//
 
-void PeerDuty::drop(peer::DropReason Reason) {
+void PeerThread::countDropped(peer::DropReason Reason) {
   m_Metrics.count(peer::droppedCounterName(Reason));
 }
 
-void PeerDuty::take(const peer::PeerMessage &Message) {
+void PeerThread::handleMessage(const peer::PeerMessage &Message) {
   if (Message.m_From == m_Self)
     return;
   core::TimePoint Now = core::steadyNow();
   auto Reason = m_Directory.accept(Message, Now, core::wallSeconds().count());
   if (Reason)
-    return drop(*Reason);
+    return countDropped(*Reason);
   m_HintedPeers.erase(Message.m_From.m_Peer);
-  countInstances();
+  updateInstanceCount();
   if (const auto *Beat = std::get_if<peer::Heartbeat>(&Message.m_Body))
-    return takeHeartbeat(Message, *Beat);
+    return handleHeartbeat(Message, *Beat);
   if (const auto *Order =
           std::get_if<decision::ThresholdCommand>(&Message.m_Body))
     return m_Push(*Order);
@@ -96,8 +98,8 @@
     m_Push(*Report);
 }
 
-void PeerDuty::takeHeartbeat(const peer::PeerMessage &Message,
-                             const peer::Heartbeat &Beat) {
+void PeerThread::handleHeartbeat(const peer::PeerMessage &Message,
+                                 const peer::Heartbeat &Beat) {
   for (const decision::InstanceRef &Other : Beat.m_RecentPeers)
     if (!(Other == m_Self) && m_HintedPeers.size() < MaxHintedPeers &&
         m_Directory.all().count(Other.m_Incarnation) == 0)
@@ -113,8 +115,8 @@
       asio::detached);
 }
 
-void PeerDuty::fetchConfiguration(const config::Endpoint &From,
-                                  asio::yield_context Yield) {
+void PeerThread::fetchConfiguration(const config::Endpoint &From,
+                                    asio::yield_context Yield) {
   try {
     auto Connection = http::ClientConnection::connect(
         m_Thread.context(), From.toTcp(), FetchTimeout, Yield);
@@ -125,7 +127,7 @@
     m_Signature.sign(Request, core::wallSeconds().count());
     Connection->sendRequest(Request, FetchTimeout, Yield);
     auto Response =
-        Connection->readResponse(FetchTimeout, MostEnvelopeBytes, Yield);
+        Connection->readResponse(FetchTimeout, MaxEnvelopeBytes, Yield);
     if (Response.m_Head.m_Status == 200)
       m_Configuration.offer(ConfigurationEnvelope::parse(Response.m_Body));
   } catch (const std::exception &Failure) {
@@ -140,7 +142,7 @@
 // Sending
 //===----------------------------------------------------------------------===//
 
-void PeerDuty::act(const decision::Action &What) {
+void PeerThread::handleAction(const decision::Action &What) {
   core::TimePoint Now = core::steadyNow();
   if (const auto *Order = std::get_if<decision::SendThresholdCommand>(&What)) {
     send(Order->m_To.m_Peer, Order->m_Command);
@@ -150,7 +152,7 @@
     send(Report->m_To.m_Peer, Report->m_Report);
 }
 
-void PeerDuty::send(const config::Endpoint &To, peer::PeerBody Body) {
+void PeerThread::send(const config::Endpoint &To, peer::PeerBody Body) {
   peer::PeerMessage Message;
   Message.m_From = m_Self;
   Message.m_Sequence = m_NextSequence++;
@@ -161,7 +163,7 @@
   m_Metrics.count("yardrill_peer_bytes_sent_total", Datagram.size());
 }
 
-peer::Heartbeat PeerDuty::makeHeartbeat() {
+peer::Heartbeat PeerThread::makeHeartbeat() {
   peer::Heartbeat Out;
   Out.m_Name = m_Settings.m_Name;
   if (auto Current = m_Configuration.current()) {
@@ -173,26 +175,27 @@
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     Known.push_back(Peer.m_Instance);
   std::sample(Known.begin(), Known.end(), std::back_inserter(Out.m_RecentPeers),
-              OthersInHeartbeat, m_Random);
+              RecentPeersPerHeartbeat, m_Random);
   return Out;
 }
 
-std::vector<config::Endpoint> PeerDuty::heartbeatTargets() {
-  std::set<config::Endpoint> All(m_Listed.begin(), m_Listed.end());
+std::vector<config::Endpoint> PeerThread::heartbeatTargets() {
+  std::set<config::Endpoint> All(m_ListedPeers.begin(), m_ListedPeers.end());
   All.insert(m_Settings.m_Peers.m_Seeds.begin(),
              m_Settings.m_Peers.m_Seeds.end());
   All.insert(m_HintedPeers.begin(), m_HintedPeers.end());
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     All.insert(Peer.m_Instance.m_Peer);
   All.erase(m_Self.m_Peer);
-  std::size_t Count = All.size() <= SmallFleet ? All.size() : FewPeers;
+  std::size_t Count =
+      All.size() <= MaxPeersWithoutSampling ? All.size() : HeartbeatSampleSize;
   std::vector<config::Endpoint> Chosen;
   std::sample(All.begin(), All.end(), std::back_inserter(Chosen), Count,
               m_Random);
   return Chosen;
 }
 
-void PeerDuty::beat(core::TimePoint Now) {
+void PeerThread::sendHeartbeats(core::TimePoint Now) {
   peer::Heartbeat Beat = makeHeartbeat();
   for (const config::Endpoint &To : heartbeatTargets())
     send(To, Beat);
@@ -200,38 +203,39 @@
     core::LogLine("peer-silent", core::LogLevel::Warning)
         .add("instance", Gone.m_LastHeartbeat.m_Name)
         .add("peer", Gone.m_Instance.m_Peer.toString());
-  countInstances();
+  updateInstanceCount();
   publishStatus(Now);
 }
 
-void PeerDuty::countInstances() {
-  std::size_t Count = std::max(m_Directory.all().size() + 1, m_Listed.size());
-  if (Count == m_LastCount)
+void PeerThread::updateInstanceCount() {
+  std::size_t Count =
+      std::max(m_Directory.all().size() + 1, m_ListedPeers.size());
+  if (Count == m_LastInstanceCount)
     return;
-  m_LastCount = Count;
+  m_LastInstanceCount = Count;
   m_Push(decision::InstanceCountChanged{static_cast<std::uint32_t>(Count)});
 }
 
-void PeerDuty::reportIfGone(const decision::InstanceRef &Member,
-                            core::TimePoint Now) {
+void PeerThread::reportIfGone(const decision::InstanceRef &Member,
+                              core::TimePoint Now) {
   // Gone only on two words: it has been silent, and the list no longer has its
   // address or another process answers there.
   if (m_Directory.all().count(Member.m_Incarnation) != 0) {
-    m_FirstOrderAt.erase(Member.m_Incarnation);
+    m_FirstCommandAt.erase(Member.m_Incarnation);
     return;
   }
   core::TimePoint FirstAt =
-      m_FirstOrderAt.emplace(Member.m_Incarnation, Now).first->second;
+      m_FirstCommandAt.emplace(Member.m_Incarnation, Now).first->second;
   if (Now - FirstAt < m_Settings.m_Peers.m_SilenceTimeout)
     return;
-  bool IsListed = std::find(m_Listed.begin(), m_Listed.end(), Member.m_Peer) !=
-                  m_Listed.end();
+  bool IsListed = std::find(m_ListedPeers.begin(), m_ListedPeers.end(),
+                            Member.m_Peer) != m_ListedPeers.end();
   bool IsReplaced = Member.m_Peer == m_Self.m_Peer;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     IsReplaced = IsReplaced || Peer.m_Instance.m_Peer == Member.m_Peer;
   if (IsListed && !IsReplaced)
     return;
-  m_FirstOrderAt.erase(Member.m_Incarnation);
+  m_FirstCommandAt.erase(Member.m_Incarnation);
   core::LogLine("member-gone", core::LogLevel::Warning)
       .add("incarnation", Member.m_Incarnation)
       .add("peer", Member.m_Peer.toString())
@@ -240,7 +244,7 @@
   m_Push(decision::MemberGone{Member.m_Incarnation});
 }
 
-void PeerDuty::publishStatus(core::TimePoint Now) {
+void PeerThread::publishStatus(core::TimePoint Now) {
   std::vector<PeerStatus> Next;
   for (const auto &[Incarnation, Peer] : m_Directory.all())
     Next.push_back({Peer.m_LastHeartbeat.m_Name, Peer.m_Instance,
--- a/Libraries/LibInstance/PeerDuty.h
+++ b/Libraries/LibInstance/PeerThread.h
@@ -1,6 +1,7 @@
-//===-- PeerDuty.h - The thread that talks to other instances -------------===//
-#ifndef YARDRILL_LIBINSTANCE_PEERDUTY_H
-#define YARDRILL_LIBINSTANCE_PEERDUTY_H
+//===-- PeerThread.h - The thread that talks to other instances
+//-------------===//
+#ifndef YARDRILL_LIBINSTANCE_PEERTHREAD_H
+#define YARDRILL_LIBINSTANCE_PEERTHREAD_H
 
 #include "LibConfig/InstanceSettings.h"
 #include "LibCore/EventLoopThread.h"
@@ -8,7 +9,7 @@
 #include "LibCore/TimerService.h"
 #include "LibDecision/Action.h"
 #include "LibDecision/Event.h"
-#include "LibInstance/ConfigurationKeeper.h"
+#include "LibInstance/ActiveConfiguration.h"
 #include "LibInstance/PeerSignature.h"
 #include "LibMetrics/MetricsRegistry.h"
 #include "LibPeer/PeerCodec.h"
@@ -34,46 +35,46 @@
 };
 
 /// Heartbeats, floor messages and the spread of configurations, by UDP.
-class PeerDuty {
+class PeerThread {
 public:
   /// \throws core::Error of kind AddressInUse.
-  PeerDuty(const config::InstanceSettings &Settings, decision::InstanceRef Self,
-           ConfigurationKeeper &Configuration,
-           metrics::MetricsRegistry &Metrics,
-           std::function<void(decision::Event)> Push);
-  ~PeerDuty();
+  PeerThread(const config::InstanceSettings &Settings,
+             decision::InstanceRef Self, ActiveConfiguration &Configuration,
+             metrics::MetricsRegistry &Metrics,
+             std::function<void(decision::Event)> Push);
+  ~PeerThread();
 
   void start();
   void stop() { m_Thread.stop(); }
   /// Takes SendThresholdCommand and SendThresholdReport. Thread-safe.
   void push(const decision::Action &What);
   /// The peer addresses that the instance list names. Thread-safe.
-  void setListed(std::vector<config::Endpoint> Addresses);
+  void setListedPeers(std::vector<config::Endpoint> Addresses);
   void setStopping();
 
   std::vector<PeerStatus> status() const;
 
 private:
-  void take(const peer::PeerMessage &Message);
-  void takeHeartbeat(const peer::PeerMessage &Message,
-                     const peer::Heartbeat &Beat);
-  void act(const decision::Action &What);
+  void handleMessage(const peer::PeerMessage &Message);
+  void handleHeartbeat(const peer::PeerMessage &Message,
+                       const peer::Heartbeat &Beat);
+  void handleAction(const decision::Action &What);
   void send(const config::Endpoint &To, peer::PeerBody Body);
-  void beat(core::TimePoint Now);
+  void sendHeartbeats(core::TimePoint Now);
   peer::Heartbeat makeHeartbeat();
   std::vector<config::Endpoint> heartbeatTargets();
-  void countInstances();
+  void updateInstanceCount();
   void reportIfGone(const decision::InstanceRef &Member, core::TimePoint Now);
   void fetchConfiguration(const config::Endpoint &From,
                           boost::asio::yield_context Yield);
-  void drop(peer::DropReason Reason);
+  void countDropped(peer::DropReason Reason);
   void publishStatus(core::TimePoint Now);
 
   core::EventLoopThread m_Thread;
   core::SteadyTimerService m_Timers;
   const config::InstanceSettings &m_Settings;
   decision::InstanceRef m_Self;
-  ConfigurationKeeper &m_Configuration;
+  ActiveConfiguration &m_Configuration;
   metrics::MetricsRegistry &m_Metrics;
   std::function<void(decision::Event)> m_Push;
   peer::PeerCodec m_Codec;
@@ -82,11 +83,11 @@
   core::MPSCQueue<decision::Action> m_Actions;
   peer::PeerSocket m_Socket;
   std::mt19937_64 m_Random;
-  std::vector<config::Endpoint> m_Listed;
+  std::vector<config::Endpoint> m_ListedPeers;
   std::set<config::Endpoint> m_HintedPeers; ///< Heard of, not heard from.
-  std::map<core::IncarnationId, core::TimePoint> m_FirstOrderAt;
+  std::map<core::IncarnationId, core::TimePoint> m_FirstCommandAt;
   std::uint64_t m_NextSequence = 1;
-  std::size_t m_LastCount = 0;
+  std::size_t m_LastInstanceCount = 0;
   bool m_IsFetching = false;
   bool m_IsStopping = false;
   mutable std::mutex m_StatusMutex;
--- a/Libraries/LibInstance/PlatformDuty.cpp
+++ b/Libraries/LibInstance/PlatformThread.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/PlatformDuty.h"
+#include "LibInstance/PlatformThread.h"
 
 #include "LibCore/Digest.h"
 #include "LibCore/Error.h"
@@ -19,7 +19,7 @@
 static const std::chrono::milliseconds InitialBackoff(100);
 static const std::chrono::seconds MaxBackoff(5);
 static const std::chrono::seconds MetricsPeriod(1);
-static const int ResolveTries = 5;
+static const int MaxResolveAttempts = 5;
 static const std::chrono::seconds PublishTimeout(20);
 
 static platform::StoreSettings
@@ -34,11 +34,11 @@
   return Out;
 }
 
-PlatformDuty::PlatformDuty(const config::InstanceSettings &Settings,
-                           decision::InstanceRef Self,
-                           ConfigurationKeeper &Configuration,
-                           metrics::MetricsRegistry &Metrics,
-                           PlatformHooks Hooks)
+PlatformThread::PlatformThread(const config::InstanceSettings &Settings,
+                               decision::InstanceRef Self,
+                               ActiveConfiguration &Configuration,
+                               metrics::MetricsRegistry &Metrics,
+                               PlatformHooks Hooks)
     : m_Thread("platform"), m_Timers(m_Thread.context()),
       m_Configuration(Configuration), m_Metrics(Metrics),
       m_Hooks(std::move(Hooks)),
@@ -46,14 +46,15 @@
       m_Claims(m_Service, std::move(Self), Settings.m_Identities.m_Retention),
       m_ThresholdRecords(m_Service),
       m_Actions(Settings.m_RingCapacity, m_Thread.makeWaker([this] {
-        m_Actions.drain([this](const decision::Action &What) { take(What); });
+        m_Actions.drain(
+            [this](const decision::Action &What) { handleAction(What); });
       })) {}
 
-PlatformDuty::~PlatformDuty() { stop(); }
+PlatformThread::~PlatformThread() { stop(); }
 
-void PlatformDuty::start() {
-  spawn([this](asio::yield_context Yield) { followConfiguration(Yield); });
-  spawn([this](asio::yield_context Yield) { followInstances(Yield); });
+void PlatformThread::start() {
+  spawn([this](asio::yield_context Yield) { watchConfiguration(Yield); });
+  spawn([this](asio::yield_context Yield) { watchInstances(Yield); });
   m_Timers.subscribe(ThresholdRecordService::KeepAlivePeriod, [this](auto) {
     spawn([this](asio::yield_context Yield) {
       m_ThresholdRecords.keepAlive(Yield);
@@ -63,13 +64,15 @@
   m_Thread.start();
 }
 
-void PlatformDuty::spawn(std::function<void(asio::yield_context)> Run) {
+void PlatformThread::spawn(std::function<void(asio::yield_context)> Run) {
   asio::spawn(m_Thread.context(), std::move(Run), asio::detached);
 }
 
-void PlatformDuty::push(const decision::Action &What) { m_Actions.push(What); }
+void PlatformThread::push(const decision::Action &What) {
+  m_Actions.push(What);
+}
 
-void PlatformDuty::take(const decision::Action &What) {
+void PlatformThread::handleAction(const decision::Action &What) {
   if (const auto *Wanted = std::get_if<decision::Claim>(&What))
     return spawn([this, Wanted = *Wanted](asio::yield_context Yield) {
       m_Hooks.m_Push(m_Claims.claim(Wanted, Yield));
@@ -89,13 +92,14 @@
     });
 }
 
-void PlatformDuty::pause(core::Duration Length, asio::yield_context Yield) {
+void PlatformThread::sleepFor(core::Duration Length,
+                              asio::yield_context Yield) {
   core::Timer Timer(m_Thread.context(), Length);
   boost::system::error_code Ignored;
   Timer.async_wait(Yield[Ignored]);
 }
 
-void PlatformDuty::updateMetrics() {
+void PlatformThread::updateMetrics() {
   const auto &Counters = m_Service.counters();
   m_Metrics.setGauge("yardrill_platform_calls",
                      static_cast<double>(Counters.m_Calls));
@@ -109,13 +113,13 @@
 // Following the platform
 //===----------------------------------------------------------------------===//
 
-static void logLost(const char *What, const std::exception &Failure) {
+static void logWatchLost(const char *What, const std::exception &Failure) {
   core::LogLine("platform-watch-lost", core::LogLevel::Warning)
       .add("watch", What)
       .add("reason", Failure.what());
 }
 
-void PlatformDuty::followConfiguration(asio::yield_context Yield) {
+void PlatformThread::watchConfiguration(asio::yield_context Yield) {
   platform::Backoff Pauses(InitialBackoff, MaxBackoff, core::randomBits());
   auto Take = [this](const platform::Entry &Item) {
     try {
@@ -142,36 +146,36 @@
           },
           Yield);
     } catch (const std::exception &Failure) {
-      logLost("configuration", Failure);
+      logWatchLost("configuration", Failure);
     }
-    pause(Pauses.next(), Yield);
+    sleepFor(Pauses.next(), Yield);
   }
 }
 
-void PlatformDuty::followInstances(asio::yield_context Yield) {
+void PlatformThread::watchInstances(asio::yield_context Yield) {
   platform::Backoff Pauses(InitialBackoff, MaxBackoff, core::randomBits());
   while (true) {
     try {
       m_List.reset(
           m_Service.readPrefix(InstanceListPrefix, CallClass::Control, Yield));
-      instancesChanged();
+      reportInstanceChanges();
       Pauses.reset();
       m_Service.watch(
           InstanceListPrefix, m_Service.lastRevision(),
           [&](const std::vector<platform::Entry> &Changes) {
             m_List.apply(Changes);
-            instancesChanged();
+            reportInstanceChanges();
             return true;
           },
           Yield);
     } catch (const std::exception &Failure) {
-      logLost("instances", Failure);
+      logWatchLost("instances", Failure);
     }
-    pause(Pauses.next(), Yield);
+    sleepFor(Pauses.next(), Yield);
   }
 }
 
-void PlatformDuty::instancesChanged() {
+void PlatformThread::reportInstanceChanges() {
   for (const auto &[Key, Listed] : m_List.all()) {
     if (Listed.m_Kind != ListedKind::Target)
       continue;
@@ -182,7 +186,7 @@
     WasLeaving = Listed.m_IsLeaving;
     m_Hooks.m_Push(decision::TargetStateChanged{Name, Listed.m_IsLeaving});
   }
-  m_Hooks.m_SchedulersListed(m_List.schedulers());
+  m_Hooks.m_OnSchedulersListed(m_List.schedulerAddresses());
 }
 
 //===----------------------------------------------------------------------===//
@@ -190,10 +194,10 @@
 //===----------------------------------------------------------------------===//
 
 core::ConfigurationVersion
-PlatformDuty::publish(const PublishRequest &Request) {
+PlatformThread::publish(const PublishRequest &Request) {
   // Refused before anything is written: what is accepted can be in force.
   auto Parsed = config::FleetConfiguration::parse(
-      Request.m_Text, "configuration", Request.m_Base);
+      Request.m_Text, "configuration", Request.m_BaseVersion);
   if (!Parsed->policy().empty())
     policy::PolicyProgram::check(Parsed->policy());
   // Shared, because this thread may stop waiting before the answer comes.
@@ -202,7 +206,7 @@
   asio::post(m_Thread.context(), [this, Promise, Request] {
     spawn([this, Promise, Request](asio::yield_context Yield) {
       try {
-        Promise->set_value(publishNow(Request, Yield));
+        Promise->set_value(publishToStore(Request, Yield));
       } catch (const std::exception &) {
         Promise->set_exception(std::current_exception());
       }
@@ -210,7 +214,7 @@
   });
   if (Result.wait_for(PublishTimeout) != std::future_status::ready)
     throw Error(ErrorKind::OutcomeUnknown,
-                "publish again with the change id " + Request.m_Change);
+                "publish again with the change id " + Request.m_ChangeId);
   return Result.get();
 }
 
@@ -221,8 +225,8 @@
 }
 
 core::ConfigurationVersion
-PlatformDuty::publishNow(const PublishRequest &Request,
-                         asio::yield_context Yield) {
+PlatformThread::publishToStore(const PublishRequest &Request,
+                               asio::yield_context Yield) {
   ConfigurationEnvelope Standing;
   platform::CompareAndSwap Swap;
   Swap.m_Key = ConfigurationKey;
@@ -231,57 +235,58 @@
     Standing = ConfigurationEnvelope::parse(Current->m_Value);
     Swap.m_Expected = Current->m_ModRevision;
   }
-  if (Standing.hasChange(Request.m_Change))
+  if (Standing.hasChange(Request.m_ChangeId))
     return Standing.m_Version;
   // A store that was put back to an earlier state must not take us with it.
   if (Standing.m_Version < m_Configuration.version())
     throw conflict(m_Configuration.envelope());
-  if (Standing.m_Version != Request.m_Base)
+  if (Standing.m_Version != Request.m_BaseVersion)
     throw conflict(Standing);
   ConfigurationEnvelope Next;
   Next.m_Version = core::ConfigurationVersion(Standing.m_Version.value() + 1);
-  Next.m_Changes = Standing.m_Changes;
-  Next.m_Changes.push_back(Request.m_Change);
+  Next.m_ChangeIds = Standing.m_ChangeIds;
+  Next.m_ChangeIds.push_back(Request.m_ChangeId);
   Next.m_Text = Request.m_Text;
   Swap.m_Puts.push_back({ConfigurationKey, Next.toJson(), std::nullopt});
   try {
     auto Result = m_Service.compareAndSwap(Swap, CallClass::Control, Yield);
     if (!Result.m_IsSwapped)
-      return resolve(Request, Yield);
+      return resolvePublication(Request, Yield);
   } catch (const Error &Failure) {
     if (Failure.kind() != ErrorKind::OutcomeUnknown)
       throw;
     // The answer was lost: the write may have taken effect, or may yet.
-    return resolve(Request, Yield);
+    return resolvePublication(Request, Yield);
   }
   m_Configuration.offer(Next);
   return Next.m_Version;
 }
 
-core::ConfigurationVersion PlatformDuty::resolve(const PublishRequest &Request,
-                                                 asio::yield_context Yield) {
-  for (int Try = 0; Try < ResolveTries; ++Try) {
+core::ConfigurationVersion
+PlatformThread::resolvePublication(const PublishRequest &Request,
+                                   asio::yield_context Yield) {
+  for (int Try = 0; Try < MaxResolveAttempts; ++Try) {
     try {
       auto Current =
           m_Service.read(ConfigurationKey, CallClass::Control, Yield);
       ConfigurationEnvelope Standing;
       if (Current)
         Standing = ConfigurationEnvelope::parse(Current->m_Value);
-      if (Standing.hasChange(Request.m_Change)) {
+      if (Standing.hasChange(Request.m_ChangeId)) {
         m_Configuration.offer(Standing);
         return Standing.m_Version;
       }
       // Another change stands where ours would be: ours can't come any more.
-      if (Standing.m_Version != Request.m_Base)
+      if (Standing.m_Version != Request.m_BaseVersion)
         throw conflict(Standing);
     } catch (const Error &Failure) {
       if (Failure.kind() == ErrorKind::Conflict)
         throw;
     }
-    pause(InitialBackoff, Yield);
+    sleepFor(InitialBackoff, Yield);
   }
   throw Error(ErrorKind::OutcomeUnknown,
-              "publish again with the change id " + Request.m_Change);
+              "publish again with the change id " + Request.m_ChangeId);
 }
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/PlatformDuty.h
+++ b/Libraries/LibInstance/PlatformThread.h
@@ -1,6 +1,7 @@
-//===-- PlatformDuty.h - The thread that talks to the platform ------------===//
-#ifndef YARDRILL_LIBINSTANCE_PLATFORMDUTY_H
-#define YARDRILL_LIBINSTANCE_PLATFORMDUTY_H
+//===-- PlatformThread.h - The thread that talks to the platform
+//------------===//
+#ifndef YARDRILL_LIBINSTANCE_PLATFORMTHREAD_H
+#define YARDRILL_LIBINSTANCE_PLATFORMTHREAD_H
 
 #include "LibConfig/InstanceSettings.h"
 #include "LibCore/EventLoopThread.h"
@@ -8,8 +9,8 @@
 #include "LibCore/TimerService.h"
 #include "LibDecision/Action.h"
 #include "LibDecision/Event.h"
-#include "LibInstance/ClaimKeeper.h"
-#include "LibInstance/ConfigurationKeeper.h"
+#include "LibInstance/ActiveConfiguration.h"
+#include "LibInstance/ClaimService.h"
 #include "LibInstance/InstanceList.h"
 #include "LibInstance/ThresholdRecordService.h"
 #include "LibMetrics/MetricsRegistry.h"
@@ -25,21 +26,21 @@
 struct PlatformHooks {
   std::function<void(decision::Event)> m_Push;
   /// The peer addresses of all listed instances that are not leaving.
-  std::function<void(std::vector<config::Endpoint>)> m_SchedulersListed;
+  std::function<void(std::vector<config::Endpoint>)> m_OnSchedulersListed;
 };
 
 struct PublishRequest {
   std::string m_Text;
-  core::ConfigurationVersion m_Base; ///< The version it was made from.
-  std::string m_Change;              ///< The publisher's id for this change.
+  core::ConfigurationVersion m_BaseVersion; ///< The version it was made from.
+  std::string m_ChangeId; ///< The publisher's id for this change.
 };
 
-class PlatformDuty {
+class PlatformThread {
 public:
-  PlatformDuty(const config::InstanceSettings &Settings,
-               decision::InstanceRef Self, ConfigurationKeeper &Configuration,
-               metrics::MetricsRegistry &Metrics, PlatformHooks Hooks);
-  ~PlatformDuty();
+  PlatformThread(const config::InstanceSettings &Settings,
+                 decision::InstanceRef Self, ActiveConfiguration &Configuration,
+                 metrics::MetricsRegistry &Metrics, PlatformHooks Hooks);
+  ~PlatformThread();
 
   void start();
   void stop() { m_Thread.stop(); }
@@ -55,25 +56,26 @@
   core::ConfigurationVersion publish(const PublishRequest &Request);
 
 private:
-  void take(const decision::Action &What);
+  void handleAction(const decision::Action &What);
   void spawn(std::function<void(boost::asio::yield_context)> Run);
-  void followConfiguration(boost::asio::yield_context Yield);
-  void followInstances(boost::asio::yield_context Yield);
-  void instancesChanged();
-  core::ConfigurationVersion publishNow(const PublishRequest &Request,
-                                        boost::asio::yield_context Yield);
-  core::ConfigurationVersion resolve(const PublishRequest &Request,
-                                     boost::asio::yield_context Yield);
-  void pause(core::Duration Length, boost::asio::yield_context Yield);
+  void watchConfiguration(boost::asio::yield_context Yield);
+  void watchInstances(boost::asio::yield_context Yield);
+  void reportInstanceChanges();
+  core::ConfigurationVersion publishToStore(const PublishRequest &Request,
+                                            boost::asio::yield_context Yield);
+  core::ConfigurationVersion
+  resolvePublication(const PublishRequest &Request,
+                     boost::asio::yield_context Yield);
+  void sleepFor(core::Duration Length, boost::asio::yield_context Yield);
   void updateMetrics();
 
   core::EventLoopThread m_Thread;
   core::SteadyTimerService m_Timers;
-  ConfigurationKeeper &m_Configuration;
+  ActiveConfiguration &m_Configuration;
   metrics::MetricsRegistry &m_Metrics;
   PlatformHooks m_Hooks;
   platform::StoreClient m_Service;
-  ClaimKeeper m_Claims;
+  ClaimService m_Claims;
   ThresholdRecordService m_ThresholdRecords;
   InstanceList m_List;
   std::map<core::TargetName, bool> m_LeavingTargets;
--- a/Libraries/LibInstance/RequestReader.cpp
+++ b/Libraries/LibInstance/RequestReader.cpp
@@ -15,11 +15,11 @@
 static const std::string ApplicationsPrefix = "/apps/";
 static const std::string BearerPrefix = "Bearer ";
 static const std::size_t BytesPerToken = 4; ///< Of English text, roughly.
-static const std::uint32_t UsualOutputTokens = 256;
-static const std::uint32_t MostOutputTokens = 1'000'000;
+static const std::uint32_t DefaultOutputTokens = 256;
+static const std::uint32_t MaxOutputTokens = 1'000'000;
 /// A prompt shares its cached prefix with others that begin with these bytes.
-static const std::size_t PrefixBytes = 1024;
-static const std::size_t MostKeyBytes = 255;
+static const std::size_t CachedPrefixBytes = 1024;
+static const std::size_t MaxKeyBytes = 255;
 
 static Problem problem(unsigned Status, const char *Type, const char *Title,
                        std::string Detail = "") {
@@ -70,7 +70,7 @@
   return Account;
 }
 
-std::variant<ReadRequest, Problem>
+std::variant<ParsedRequest, Problem>
 RequestReader::read(const http::RequestMessage &Request,
                     const config::ClientAccount &Account) const {
   auto Path = canonicalPath(Request.m_Target);
@@ -84,7 +84,7 @@
     return problem(404, "unknown-path", "No such path");
   if (IsModelCall && Request.m_Method != "POST")
     return problem(405, "bad-method", "Only POST is served here");
-  ReadRequest Out;
+  ParsedRequest Out;
   Out.m_Arrival.m_Account = Account.m_Name;
   auto Wrong = readTier(Request, Account, Out);
   if (!Wrong)
@@ -100,7 +100,7 @@
 std::optional<Problem>
 RequestReader::readTier(const http::RequestMessage &Request,
                         const config::ClientAccount &Account,
-                        ReadRequest &Out) const {
+                        ParsedRequest &Out) const {
   std::string Name = Account.m_DefaultTier;
   if (const std::string *Asked = Request.m_Headers.find(TierHeader))
     Name = *Asked;
@@ -123,9 +123,9 @@
 std::optional<Problem>
 RequestReader::readIdentity(const http::RequestMessage &Request,
                             const config::ClientAccount &Account,
-                            ReadRequest &Out) const {
+                            ParsedRequest &Out) const {
   const std::string *Ticket = Request.m_Headers.find(TicketHeader);
-  const std::string *Key = Request.m_Headers.find(KeyHeader);
+  const std::string *Key = Request.m_Headers.find(IdempotencyKeyHeader);
   if (Ticket && Key)
     return problem(400, "two-identities",
                    "Send a Yardrill-Ticket or an Idempotency-Key, not both");
@@ -135,7 +135,7 @@
       return problem(400, "bad-ticket", "This ticket is not valid");
   }
   if (Key) {
-    if (Key->empty() || Key->size() > MostKeyBytes)
+    if (Key->empty() || Key->size() > MaxKeyBytes)
       return problem(400, "bad-idempotency-key",
                      "An Idempotency-Key has 1 to 255 bytes");
     decision::Identity Id;
@@ -175,9 +175,9 @@
     const json::value *Limit = Body.if_contains(Name);
     if (Limit && Limit->is_int64() && Limit->get_int64() > 0)
       return static_cast<std::uint32_t>(
-          std::min<std::int64_t>(Limit->get_int64(), MostOutputTokens));
+          std::min<std::int64_t>(Limit->get_int64(), MaxOutputTokens));
   }
-  return UsualOutputTokens;
+  return DefaultOutputTokens;
 }
 
 static std::uint64_t prefixHashOf(const json::object &Body,
@@ -185,14 +185,15 @@
   const json::value *Named = Body.if_contains("prompt_cache_key");
   if (Named && Named->is_string())
     return core::stableHash(std::string(Named->get_string()));
-  if (Prompt.size() < PrefixBytes)
+  if (Prompt.size() < CachedPrefixBytes)
     return 0;
-  return core::stableHash(Prompt.substr(0, PrefixBytes));
+  return core::stableHash(Prompt.substr(0, CachedPrefixBytes));
 }
 
 std::optional<Problem>
 RequestReader::readModelCall(const http::RequestMessage &Request,
-                             const std::string &Path, ReadRequest &Out) const {
+                             const std::string &Path,
+                             ParsedRequest &Out) const {
   json::error_code Failure;
   json::value Parsed = json::parse(Request.m_Body, Failure);
   if (Failure || !Parsed.is_object())
@@ -220,18 +221,18 @@
       static_cast<std::uint32_t>(Prompt.size() / BytesPerToken + 1);
   Out.m_Arrival.m_OutputTokens = outputTokensOf(Body);
   Out.m_Arrival.m_PrefixHash = prefixHashOf(Body, Prompt);
-  Out.m_ForTarget.m_Method = "POST";
-  Out.m_ForTarget.m_Target = Path;
-  Out.m_ForTarget.m_Headers = headersForTarget(Request);
+  Out.m_TargetRequest.m_Method = "POST";
+  Out.m_TargetRequest.m_Target = Path;
+  Out.m_TargetRequest.m_Headers = headersForTarget(Request);
   // The caller's own word on urgency is not taken. Engines serve a smaller
   // number first, as tiers are numbered.
   Body["priority"] = Out.m_Arrival.m_Tier.value();
-  Out.m_ForTarget.m_Body = json::serialize(Parsed);
+  Out.m_TargetRequest.m_Body = json::serialize(Parsed);
   return std::nullopt;
 }
 
 /// What stands behind `/apps/<pool>`, spelled as the caller did.
-static std::string targetInPool(const std::string &Target) {
+static std::string pathWithinPool(const std::string &Target) {
   std::size_t PathEnd = std::min(Target.find_first_of("?#"), Target.size());
   std::string Path = Target.substr(0, PathEnd);
   std::string Query = Target.substr(PathEnd);
@@ -243,7 +244,7 @@
 std::optional<Problem>
 RequestReader::readApplicationCall(const http::RequestMessage &Request,
                                    const std::string &Path,
-                                   ReadRequest &Out) const {
+                                   ParsedRequest &Out) const {
   std::size_t End = Path.find('/', ApplicationsPrefix.size());
   std::string Name =
       Path.substr(ApplicationsPrefix.size(), End - ApplicationsPrefix.size());
@@ -260,10 +261,10 @@
   // Half a call to an application may have had its whole effect.
   Out.m_Arrival.m_IsEvictable = false;
   Out.m_Arrival.m_OutputTokens = 1;
-  Out.m_ForTarget.m_Method = Request.m_Method;
-  Out.m_ForTarget.m_Target = targetInPool(Request.m_Target);
-  Out.m_ForTarget.m_Headers = headersForTarget(Request);
-  Out.m_ForTarget.m_Body = Request.m_Body;
+  Out.m_TargetRequest.m_Method = Request.m_Method;
+  Out.m_TargetRequest.m_Target = pathWithinPool(Request.m_Target);
+  Out.m_TargetRequest.m_Headers = headersForTarget(Request);
+  Out.m_TargetRequest.m_Body = Request.m_Body;
   return std::nullopt;
 }
 
--- a/Libraries/LibInstance/RequestReader.h
+++ b/Libraries/LibInstance/RequestReader.h
@@ -14,9 +14,9 @@
 namespace yardrill::instance {
 
 /// A request that may be decided on, and what goes to its target.
-struct ReadRequest {
+struct ParsedRequest {
   decision::RequestArrived m_Arrival;
-  http::RequestMessage m_ForTarget;
+  http::RequestMessage m_TargetRequest;
   bool m_IsStream = false;
 };
 
@@ -33,23 +33,23 @@
   authenticate(const http::RequestMessage &Request) const;
 
   /// Reads a request of \p Account for a model or an application pool.
-  std::variant<ReadRequest, Problem>
+  std::variant<ParsedRequest, Problem>
   read(const http::RequestMessage &Request,
        const config::ClientAccount &Account) const;
 
 private:
   std::optional<Problem> readModelCall(const http::RequestMessage &Request,
                                        const std::string &Path,
-                                       ReadRequest &Out) const;
+                                       ParsedRequest &Out) const;
   std::optional<Problem>
   readApplicationCall(const http::RequestMessage &Request,
-                      const std::string &Path, ReadRequest &Out) const;
+                      const std::string &Path, ParsedRequest &Out) const;
   std::optional<Problem> readTier(const http::RequestMessage &Request,
                                   const config::ClientAccount &Account,
-                                  ReadRequest &Out) const;
+                                  ParsedRequest &Out) const;
   std::optional<Problem> readIdentity(const http::RequestMessage &Request,
                                       const config::ClientAccount &Account,
-                                      ReadRequest &Out) const;
+                                      ParsedRequest &Out) const;
 
   const config::FleetConfiguration &m_Configuration;
   const TicketSigner &m_Tickets;
--- a/Libraries/LibInstance/ResponseStore.cpp
+++ b/Libraries/LibInstance/ResponseStore.cpp
@@ -2,14 +2,14 @@
 
 namespace yardrill::instance {
 
-bool ResponseStore::keep(core::RequestId Runner,
-                         http::ResponseMessage Response) {
+bool ResponseStore::store(core::RequestId Runner,
+                          http::ResponseMessage Response) {
   std::size_t Size = Response.m_Body.size();
   if (Size > m_MaxResponseBytes || Size > m_MaxBytes)
     return false;
   while (m_Bytes + Size > m_MaxBytes)
-    forget(m_ByAge.front());
-  auto Age = m_ByAge.insert(m_ByAge.end(), Runner);
+    discard(m_InsertionOrder.front());
+  auto Age = m_InsertionOrder.insert(m_InsertionOrder.end(), Runner);
   m_Bytes += Size;
   m_Responses[Runner] = {
       std::make_shared<const http::ResponseMessage>(std::move(Response)), Age};
@@ -21,12 +21,12 @@
   return Found == m_Responses.end() ? nullptr : Found->second.m_Response;
 }
 
-void ResponseStore::forget(core::RequestId Runner) {
+void ResponseStore::discard(core::RequestId Runner) {
   auto Found = m_Responses.find(Runner);
   if (Found == m_Responses.end())
     return;
   m_Bytes -= Found->second.m_Response->m_Body.size();
-  m_ByAge.erase(Found->second.m_Age);
+  m_InsertionOrder.erase(Found->second.m_InsertionPosition);
   m_Responses.erase(Found);
 }
 
--- a/Libraries/LibInstance/ResponseStore.h
+++ b/Libraries/LibInstance/ResponseStore.h
@@ -23,23 +23,23 @@
       : m_MaxBytes(MaxBytes), m_MaxResponseBytes(MaxResponseBytes) {}
 
   /// \returns false when the answer is too large to keep.
-  bool keep(core::RequestId Runner, http::ResponseMessage Response);
+  bool store(core::RequestId Runner, http::ResponseMessage Response);
   StoredResponse find(core::RequestId Runner) const;
-  void forget(core::RequestId Runner);
+  void discard(core::RequestId Runner);
 
-  std::size_t mostBytesOfOne() const { return m_MaxResponseBytes; }
+  std::size_t maxResponseBytes() const { return m_MaxResponseBytes; }
 
 private:
-  struct Kept {
+  struct StoredEntry {
     StoredResponse m_Response;
-    std::list<core::RequestId>::iterator m_Age;
+    std::list<core::RequestId>::iterator m_InsertionPosition;
   };
 
   std::size_t m_MaxBytes;
   std::size_t m_MaxResponseBytes;
   std::size_t m_Bytes = 0;
-  std::list<core::RequestId> m_ByAge;
-  std::unordered_map<core::RequestId, Kept> m_Responses;
+  std::list<core::RequestId> m_InsertionOrder;
+  std::unordered_map<core::RequestId, StoredEntry> m_Responses;
 };
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/ThresholdRecordService.cpp
+++ b/Libraries/LibInstance/ThresholdRecordService.cpp
@@ -68,7 +68,7 @@
   Out.m_Pool = What.m_Pool;
   try {
     if (!m_Lease)
-      m_Lease = m_Service.grantLease(LeaseTime, CallClass::Control, Yield);
+      m_Lease = m_Service.grantLease(LeaseDuration, CallClass::Control, Yield);
     std::string Prefix = prefixOf(What.m_Pool);
     platform::CompareAndSwap Swap;
     Swap.m_Key = Prefix + "record";
--- a/Libraries/LibInstance/ThresholdRecordService.h
+++ b/Libraries/LibInstance/ThresholdRecordService.h
@@ -31,7 +31,7 @@
   /// To be called every KeepAlivePeriod.
   void keepAlive(boost::asio::yield_context Yield);
 
-  static constexpr std::chrono::seconds LeaseTime{9};
+  static constexpr std::chrono::seconds LeaseDuration{9};
   static constexpr std::chrono::seconds KeepAlivePeriod{3};
 
 private:
--- a/Libraries/LibInstance/TicketSigner.cpp
+++ b/Libraries/LibInstance/TicketSigner.cpp
@@ -12,7 +12,7 @@
 /// numbers are decimal, the expiry counts on the home's steady clock.
 static const std::size_t PartCount = 7;
 static const std::string FormatVersion = "1";
-static const std::string Purpose = "yardrill-ticket";
+static const std::string SignatureDomain = "yardrill-ticket";
 
 TicketSigner::TicketSigner(std::string Key, decision::InstanceRef Self,
                            core::Duration Lifetime)
@@ -20,8 +20,8 @@
 
 static std::string mac(const std::string &Key, const std::string &Text,
                        const core::AccountName &Account) {
-  return core::toHex(
-      core::hmacSha256(Key, Purpose + "\n" + Account.value() + "\n" + Text));
+  return core::toHex(core::hmacSha256(Key, SignatureDomain + "\n" +
+                                               Account.value() + "\n" + Text));
 }
 
 std::string TicketSigner::issue(const core::AccountName &Account,
--- a/Libraries/LibInstance/TrafficDuty.cpp
+++ b/Libraries/LibInstance/TrafficThread.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/TrafficDuty.h"
+#include "LibInstance/TrafficThread.h"
 
 #include "LibCore/Error.h"
 #include "LibCore/Log.h"
@@ -16,9 +16,9 @@
 
 static const char TicketsPath[] = "/v1/tickets";
 static const char PeerConfigurationPath[] = "/peer/configuration";
-static const std::int64_t MostTicketsAtOnce = 1000;
+static const std::int64_t MaxTicketsPerRequest = 1000;
 
-static Problem unreadable(unsigned Status) {
+static Problem parseErrorProblem(unsigned Status) {
   Problem Out;
   Out.m_Status = Status;
   switch (Status) {
@@ -50,21 +50,22 @@
   return Out;
 }
 
-static http::ServerLimits toLimits(const config::CallerLimits &Limits) {
+static http::ServerLimits toServerLimits(const config::CallerLimits &Limits) {
   return {Limits.m_HeaderBytes, Limits.m_BodyBytes,    Limits.m_OpenConnections,
           Limits.m_ReadTimeout, Limits.m_WriteTimeout, Limits.m_IdleTimeout};
 }
 
-TrafficDuty::TrafficDuty(const config::InstanceSettings &Settings,
-                         const decision::InstanceRef &Self,
-                         ConfigurationKeeper &Configuration,
-                         metrics::MetricsRegistry &Metrics, TrafficHooks Hooks)
+TrafficThread::TrafficThread(const config::InstanceSettings &Settings,
+                             const decision::InstanceRef &Self,
+                             ActiveConfiguration &Configuration,
+                             metrics::MetricsRegistry &Metrics,
+                             TrafficHooks Hooks)
     : m_Thread("traffic"), m_Settings(Settings), m_Self(Self),
       m_Configuration(Configuration), m_Metrics(Metrics),
       m_Hooks(std::move(Hooks)),
       m_Actions(Settings.m_RingCapacity, m_Thread.makeWaker([this] {
         m_Actions.drain(
-            [this](decision::Action What) { take(std::move(What)); });
+            [this](decision::Action What) { handleAction(std::move(What)); });
       })),
       m_Tickets(Settings.m_Peers.m_Key, Self,
                 Settings.m_Identities.m_Retention),
@@ -75,32 +76,32 @@
                                      Settings.m_Targets.m_IdleConnections}) {
   auto Reject = [this](unsigned Status) {
     m_Metrics.count("yardrill_unreadable_requests_total");
-    return toResponse(unreadable(Status), "");
+    return toResponse(parseErrorProblem(Status), "");
   };
-  http::ServerLimits Limits = toLimits(Settings.m_Callers);
+  http::ServerLimits Limits = toServerLimits(Settings.m_Callers);
   m_CallerServer = http::Server::create(
       m_Thread.context(), Settings.m_CallerAddress.toTcp(), Limits,
       [this](http::Exchange &Caller, asio::yield_context Yield) {
-        handleCaller(Caller, Yield);
+        handleCallerRequest(Caller, Yield);
       },
       Reject);
   m_PeerServer = http::Server::create(
       m_Thread.context(), Settings.m_PeerAddress.toTcp(), Limits,
       [this](http::Exchange &Peer, asio::yield_context Yield) {
-        handlePeer(Peer, Yield);
+        handlePeerRequest(Peer, Yield);
       },
       Reject);
 }
 
-TrafficDuty::~TrafficDuty() { stop(); }
+TrafficThread::~TrafficThread() { stop(); }
 
-void TrafficDuty::push(const decision::Action &What) { m_Actions.push(What); }
+void TrafficThread::push(const decision::Action &What) { m_Actions.push(What); }
 
-void TrafficDuty::stopAccepting() {
+void TrafficThread::stopAccepting() {
   asio::post(m_Thread.context(), [this] { m_CallerServer->stopAccepting(); });
 }
 
-TrafficDuty::Load TrafficDuty::load() {
+TrafficThread::Load TrafficThread::load() {
   auto Promise = std::make_shared<std::promise<Load>>();
   auto Result = Promise->get_future();
   asio::post(m_Thread.context(), [this, Promise] {
@@ -113,7 +114,7 @@
   return Result.get();
 }
 
-std::string TrafficDuty::printable(core::RequestId Id) const {
+std::string TrafficThread::printableId(core::RequestId Id) const {
   char Text[48];
   std::snprintf(Text, sizeof Text, "%016llx-%llu",
                 static_cast<unsigned long long>(m_Self.m_Incarnation.value()),
@@ -124,7 +125,7 @@
 namespace {
 
 /// The request that an action is about; none for actions of other duties.
-struct RequestOf {
+struct RequestIdOf {
   core::RequestId operator()(const decision::Dispatch &What) const {
     return What.m_Request;
   }
@@ -150,17 +151,17 @@
 
 } // namespace
 
-void TrafficDuty::take(decision::Action What) {
+void TrafficThread::handleAction(decision::Action What) {
   if (const auto *Old = std::get_if<decision::DiscardStoredResponse>(&What))
-    return m_Responses.forget(Old->m_Original);
-  core::RequestId Id = std::visit(RequestOf(), What);
-  auto Found = m_Open.find(Id);
-  if (Found != m_Open.end())
-    Found->second->take(std::move(What));
+    return m_Responses.discard(Old->m_Original);
+  core::RequestId Id = std::visit(RequestIdOf(), What);
+  auto Found = m_OpenRequests.find(Id);
+  if (Found != m_OpenRequests.end())
+    Found->second->handleAction(std::move(What));
 }
 
-void TrafficDuty::handleCaller(http::Exchange &Caller,
-                               asio::yield_context Yield) {
+void TrafficThread::handleCallerRequest(http::Exchange &Caller,
+                                        asio::yield_context Yield) {
   for (const char *Name : {AccountHeader, TimeHeader, SignatureHeader})
     Caller.request().m_Headers.remove(Name);
   config::ConfigurationHandle Current = m_Configuration.current();
@@ -175,28 +176,28 @@
   const auto *Owner = std::get<const config::ClientAccount *>(Account);
   if (Caller.request().m_Target == TicketsPath)
     return issueTickets(Caller, *Owner, Yield);
-  serve(Caller, *Owner, Current, false, Yield);
+  serveRequest(Caller, *Owner, Current, false, Yield);
 }
 
-void TrafficDuty::serve(http::Exchange &Caller,
-                        const config::ClientAccount &Account,
-                        const config::ConfigurationHandle &Configuration,
-                        bool IsForwarded, asio::yield_context Yield) {
+void TrafficThread::serveRequest(
+    http::Exchange &Caller, const config::ClientAccount &Account,
+    const config::ConfigurationHandle &Configuration, bool IsForwarded,
+    asio::yield_context Yield) {
   RequestReader Reader(*Configuration, m_Tickets);
   auto Read = Reader.read(Caller.request(), Account);
   core::RequestId Id(m_NextRequest++);
   if (const auto *Wrong = std::get_if<Problem>(&Read))
-    return Caller.sendResponse(toResponse(*Wrong, printable(Id)), Yield);
-  auto &Request = std::get<ReadRequest>(Read);
+    return Caller.sendResponse(toResponse(*Wrong, printableId(Id)), Yield);
+  auto &Request = std::get<ParsedRequest>(Read);
   Request.m_Arrival.m_Request = Id;
   Request.m_Arrival.m_IsForwarded = IsForwarded;
   OpenRequest Open(*this, Caller, std::move(Request));
   Open.run(Yield);
 }
 
-void TrafficDuty::issueTickets(http::Exchange &Caller,
-                               const config::ClientAccount &Account,
-                               asio::yield_context Yield) {
+void TrafficThread::issueTickets(http::Exchange &Caller,
+                                 const config::ClientAccount &Account,
+                                 asio::yield_context Yield) {
   std::int64_t Count = 1;
   boost::json::error_code Failure;
   const std::string &Body = Caller.request().m_Body;
@@ -207,7 +208,7 @@
     Count = Wanted && Wanted->is_int64() ? Wanted->get_int64() : 0;
   }
   if (Caller.request().m_Method != "POST" || Count < 1 ||
-      Count > MostTicketsAtOnce) {
+      Count > MaxTicketsPerRequest) {
     Problem Wrong;
     Wrong.m_Status = 400;
     Wrong.m_Type = "bad-ticket-request";
@@ -234,7 +235,8 @@
 // From other instances
 //===----------------------------------------------------------------------===//
 
-void TrafficDuty::handlePeer(http::Exchange &Peer, asio::yield_context Yield) {
+void TrafficThread::handlePeerRequest(http::Exchange &Peer,
+                                      asio::yield_context Yield) {
   if (!m_Signature.isValid(Peer.request(), core::wallSeconds().count())) {
     m_Metrics.count("yardrill_peer_requests_rejected_total");
     Problem Wrong;
@@ -254,11 +256,11 @@
     Problem NotReady = toProblem(decision::RefusalKind::NotReady, 1);
     return Peer.sendResponse(toResponse(NotReady, ""), Yield);
   }
-  serve(Peer, *Account, Current, true, Yield);
+  serveRequest(Peer, *Account, Current, true, Yield);
 }
 
-void TrafficDuty::sendConfiguration(http::Exchange &Peer,
-                                    asio::yield_context Yield) {
+void TrafficThread::sendConfiguration(http::Exchange &Peer,
+                                      asio::yield_context Yield) {
   http::ResponseMessage Response;
   Response.m_Head.m_Status = 200;
   Response.m_Head.m_Headers.set("Content-Type", "application/json");
--- a/Libraries/LibInstance/TrafficDuty.h
+++ b/Libraries/LibInstance/TrafficThread.h
@@ -1,12 +1,13 @@
-//===-- TrafficDuty.h - The thread that carries requests and answers ------===//
+//===-- TrafficThread.h - The thread that carries requests and answers
+//------===//
 //
 // One thread for callers and targets: the bytes of an answer never cross a
 // thread, and a slow reader holds back its own target and nobody else
 // (docs/design/0001-whole-path.md).
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_LIBINSTANCE_TRAFFICDUTY_H
-#define YARDRILL_LIBINSTANCE_TRAFFICDUTY_H
+#ifndef YARDRILL_LIBINSTANCE_TRAFFICTHREAD_H
+#define YARDRILL_LIBINSTANCE_TRAFFICTHREAD_H
 
 #include "LibConfig/InstanceSettings.h"
 #include "LibCore/EventLoopThread.h"
@@ -15,7 +16,7 @@
 #include "LibDecision/Event.h"
 #include "LibHTTP/ConnectionPool.h"
 #include "LibHTTP/Server.h"
-#include "LibInstance/ConfigurationKeeper.h"
+#include "LibInstance/ActiveConfiguration.h"
 #include "LibInstance/PeerSignature.h"
 #include "LibInstance/RequestReader.h"
 #include "LibInstance/ResponseStore.h"
@@ -37,15 +38,15 @@
   std::function<void(decision::Event)> m_Push;
 };
 
-class TrafficDuty {
+class TrafficThread {
 public:
   /// Binds the caller and peer addresses.
   /// \throws core::Error of kind AddressInUse.
-  TrafficDuty(const config::InstanceSettings &Settings,
-              const decision::InstanceRef &Self,
-              ConfigurationKeeper &Configuration,
-              metrics::MetricsRegistry &Metrics, TrafficHooks Hooks);
-  ~TrafficDuty();
+  TrafficThread(const config::InstanceSettings &Settings,
+                const decision::InstanceRef &Self,
+                ActiveConfiguration &Configuration,
+                metrics::MetricsRegistry &Metrics, TrafficHooks Hooks);
+  ~TrafficThread();
 
   void start() { m_Thread.start(); }
   void stop() { m_Thread.stop(); }
@@ -63,23 +64,26 @@
 private:
   friend class OpenRequest;
 
-  void handleCaller(http::Exchange &Caller, boost::asio::yield_context Yield);
-  void handlePeer(http::Exchange &Peer, boost::asio::yield_context Yield);
-  void serve(http::Exchange &Caller, const config::ClientAccount &Account,
-             const config::ConfigurationHandle &Configuration, bool IsForwarded,
-             boost::asio::yield_context Yield);
+  void handleCallerRequest(http::Exchange &Caller,
+                           boost::asio::yield_context Yield);
+  void handlePeerRequest(http::Exchange &Peer,
+                         boost::asio::yield_context Yield);
+  void serveRequest(http::Exchange &Caller,
+                    const config::ClientAccount &Account,
+                    const config::ConfigurationHandle &Configuration,
+                    bool IsForwarded, boost::asio::yield_context Yield);
   void issueTickets(http::Exchange &Caller,
                     const config::ClientAccount &Account,
                     boost::asio::yield_context Yield);
   void sendConfiguration(http::Exchange &Peer,
                          boost::asio::yield_context Yield);
-  void take(decision::Action What);
-  std::string printable(core::RequestId Id) const;
+  void handleAction(decision::Action What);
+  std::string printableId(core::RequestId Id) const;
 
   core::EventLoopThread m_Thread;
   const config::InstanceSettings &m_Settings;
   decision::InstanceRef m_Self;
-  ConfigurationKeeper &m_Configuration;
+  ActiveConfiguration &m_Configuration;
   metrics::MetricsRegistry &m_Metrics;
   TrafficHooks m_Hooks;
   core::MPSCQueue<decision::Action> m_Actions;
@@ -87,7 +91,7 @@
   PeerSignature m_Signature;
   ResponseStore m_Responses;
   http::ConnectionPool m_Targets;
-  std::unordered_map<core::RequestId, OpenRequest *> m_Open;
+  std::unordered_map<core::RequestId, OpenRequest *> m_OpenRequests;
   std::uint64_t m_NextRequest = 1;
   std::unique_ptr<http::Server> m_CallerServer;
   std::unique_ptr<http::Server> m_PeerServer;
--- a/Programs/yardrill/ServeVerb.cpp
+++ b/Programs/yardrill/ServeVerb.cpp
@@ -48,14 +48,14 @@
       instance::InstanceBuilder().settings(std::move(Settings)).build();
   Instance->start();
   waitFor(Signals);
-  std::atomic<bool> MustHurry{false};
+  std::atomic<bool> IsStopForced{false};
   // A second signal is the operator's choice to cut what is left.
   std::thread Second([&] {
     waitFor(Signals);
-    MustHurry = true;
+    IsStopForced = true;
   });
-  Instance->drain(MustHurry);
-  bool WasCut = MustHurry;
+  Instance->drain(IsStopForced);
+  bool WasCut = IsStopForced;
   // All threads block these signals; only the second waiter takes it.
   if (!WasCut)
     kill(getpid(), SIGINT);
--- a/Tests/LibInstance/ConfigurationKeeperTest.cpp
+++ b/Tests/LibInstance/ActiveConfigurationTest.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/ConfigurationKeeper.h"
+#include "LibInstance/ActiveConfiguration.h"
 
 #include "LibCore/Error.h"
 
@@ -7,15 +7,15 @@
 using namespace yardrill;
 using namespace yardrill::instance;
 
-class ConfigurationKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ConfigurationKeeperTest);
-  CPPUNIT_TEST(testOnlyGoesUp);
+class ActiveConfigurationTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ActiveConfigurationTest);
+  CPPUNIT_TEST(testRejectsVersionsThatAreNotNewer);
   CPPUNIT_TEST(testReadersDoNotWaitForAnOffer);
-  CPPUNIT_TEST(testUnreadableKeepsWhatStands);
-  CPPUNIT_TEST(testEnvelopeRemembersTheLatestChanges);
+  CPPUNIT_TEST(testUnreadableConfigurationIsRejected);
+  CPPUNIT_TEST(testEnvelopeKeepsLatestChangeIds);
   CPPUNIT_TEST_SUITE_END();
 
-  ConfigurationKeeper m_Keeper;
+  ActiveConfiguration m_Keeper;
 
   static ConfigurationEnvelope envelope(std::uint64_t Version) {
     ConfigurationEnvelope Out;
@@ -25,7 +25,7 @@
   }
 
 public:
-  void testOnlyGoesUp() {
+  void testRejectsVersionsThatAreNotNewer() {
     CPPUNIT_ASSERT(m_Keeper.offer(envelope(3)));
     for (std::uint64_t Old : {1, 2, 3})
       CPPUNIT_ASSERT(!m_Keeper.offer(envelope(Old)));
@@ -44,7 +44,7 @@
     CPPUNIT_ASSERT(Seen == core::ConfigurationVersion(5));
   }
 
-  void testUnreadableKeepsWhatStands() {
+  void testUnreadableConfigurationIsRejected() {
     m_Keeper.offer(envelope(1));
     ConfigurationEnvelope Bad = envelope(2);
     Bad.m_Text = "tears: []";
@@ -52,10 +52,10 @@
     CPPUNIT_ASSERT(m_Keeper.version() == core::ConfigurationVersion(1));
   }
 
-  void testEnvelopeRemembersTheLatestChanges() {
+  void testEnvelopeKeepsLatestChangeIds() {
     ConfigurationEnvelope Out = envelope(9);
     for (int I = 0; I < 100; ++I)
-      Out.m_Changes.push_back("change \"" + std::to_string(I) + "\"");
+      Out.m_ChangeIds.push_back("change \"" + std::to_string(I) + "\"");
     auto Read = ConfigurationEnvelope::parse(Out.toJson());
     CPPUNIT_ASSERT(Read.m_Version == Out.m_Version);
     CPPUNIT_ASSERT_EQUAL(Out.m_Text, Read.m_Text);
@@ -67,4 +67,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ConfigurationKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ActiveConfigurationTest);
--- a/Tests/LibInstance/ClaimKeeperTest.cpp
+++ b/Tests/LibInstance/ClaimServiceTest.cpp
@@ -1,5 +1,6 @@
-//===-- ClaimKeeperTest.cpp - Claims against a mock of the service --------===//
-#include "LibInstance/ClaimKeeper.h"
+//===-- ClaimServiceTest.cpp - Claims against a mock of the service
+//--------===//
+#include "LibInstance/ClaimService.h"
 
 #include "EmptyStore.h"
 #include "LibCore/Error.h"
@@ -13,11 +14,11 @@
 using namespace yardrill::decision;
 using core::Error;
 using core::ErrorKind;
-using instance::ClaimKeeper;
+using instance::ClaimService;
 
 namespace {
 
-enum class Mishap {
+enum class WriteFailure {
   None,
   Refused,        ///< The call is not made.
   LostAfterWrite, ///< The write takes effect, its answer is lost.
@@ -28,14 +29,14 @@
 class MockService final : public tests::EmptyStore {
 public:
   std::map<std::string, std::string> m_Entries;
-  Mishap m_NextWrite = Mishap::None;
-  bool m_AreReadsDown = false;
+  WriteFailure m_NextWrite = WriteFailure::None;
+  bool m_AreReadsFailing = false;
   int m_Grants = 0;
 
   std::optional<platform::Entry> read(const std::string &Key,
                                       platform::CallClass,
                                       boost::asio::yield_context) override {
-    if (m_AreReadsDown)
+    if (m_AreReadsFailing)
       throw Error(ErrorKind::Unavailable, "down");
     auto Found = m_Entries.find(Key);
     if (Found == m_Entries.end())
@@ -45,11 +46,11 @@
   platform::SwapResult compareAndSwap(const platform::CompareAndSwap &Swap,
                                       platform::CallClass,
                                       boost::asio::yield_context) override {
-    Mishap Now = m_NextWrite;
-    m_NextWrite = Mishap::None;
-    if (Now == Mishap::Refused)
+    WriteFailure Now = m_NextWrite;
+    m_NextWrite = WriteFailure::None;
+    if (Now == WriteFailure::Refused)
       throw Error(ErrorKind::Unavailable, "refused");
-    if (Now == Mishap::LostBeforeWrite)
+    if (Now == WriteFailure::LostBeforeWrite)
       throw Error(ErrorKind::OutcomeUnknown, "lost");
     platform::SwapResult Out;
     auto [Place, IsNew] =
@@ -58,7 +59,7 @@
     if (!IsNew)
       Out.m_Current =
           platform::Entry{Swap.m_Key, Place->second, platform::Revision(1)};
-    if (Now == Mishap::LostAfterWrite)
+    if (Now == WriteFailure::LostAfterWrite)
       throw Error(ErrorKind::OutcomeUnknown, "lost");
     return Out;
   }
@@ -70,27 +71,27 @@
 
 } // namespace
 
-class ClaimKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ClaimKeeperTest);
+class ClaimServiceTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ClaimServiceTest);
   CPPUNIT_TEST(testWonAndHeld);
   CPPUNIT_TEST(testLostAfterWriteIsWon);
-  CPPUNIT_TEST(testLostBeforeWriteMayStand);
-  CPPUNIT_TEST(testReadsDownMayStand);
-  CPPUNIT_TEST(testRefusedDoesNotStand);
-  CPPUNIT_TEST(testUnreadableClaimIsNobodys);
+  CPPUNIT_TEST(testLostBeforeWriteMayTakeEffect);
+  CPPUNIT_TEST(testUnconfirmedWriteMayTakeEffect);
+  CPPUNIT_TEST(testRejectedWriteDoesNotTakeEffect);
+  CPPUNIT_TEST(testUnreadableClaimIsUnavailable);
   CPPUNIT_TEST(testLeaseIsShared);
   CPPUNIT_TEST_SUITE_END();
 
   MockService m_Service;
 
-  static InstanceRef home(std::uint64_t Incarnation) {
+  static InstanceRef owner(std::uint64_t Incarnation) {
     return {core::IncarnationId(Incarnation), {"127.0.0.1", 8082}};
   }
 
   ClaimCompleted claim(std::uint64_t By, std::uint64_t Request,
                        const std::string &Identity = "key") {
     boost::asio::io_context Context;
-    ClaimKeeper Keeper(m_Service, home(By), std::chrono::minutes(10));
+    ClaimService Keeper(m_Service, owner(By), std::chrono::minutes(10));
     ClaimCompleted Out;
     boost::asio::spawn(
         Context,
@@ -107,40 +108,40 @@
     CPPUNIT_ASSERT(claim(1, 5).m_Outcome == ClaimOutcome::Won);
     ClaimCompleted Second = claim(2, 5);
     CPPUNIT_ASSERT(Second.m_Outcome == ClaimOutcome::Held);
-    CPPUNIT_ASSERT(Second.m_Owner == home(1));
+    CPPUNIT_ASSERT(Second.m_Owner == owner(1));
     CPPUNIT_ASSERT_EQUAL(std::uint16_t(8082), Second.m_Owner.m_Peer.m_Port);
     // Another request of the same process did not win it either.
     CPPUNIT_ASSERT(claim(1, 6).m_Outcome == ClaimOutcome::Held);
   }
 
   void testLostAfterWriteIsWon() {
-    m_Service.m_NextWrite = Mishap::LostAfterWrite;
+    m_Service.m_NextWrite = WriteFailure::LostAfterWrite;
     CPPUNIT_ASSERT(claim(1, 5).m_Outcome == ClaimOutcome::Won);
   }
 
-  void testLostBeforeWriteMayStand() {
-    m_Service.m_NextWrite = Mishap::LostBeforeWrite;
+  void testLostBeforeWriteMayTakeEffect() {
+    m_Service.m_NextWrite = WriteFailure::LostBeforeWrite;
     ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
 
-  void testReadsDownMayStand() {
-    m_Service.m_NextWrite = Mishap::LostAfterWrite;
-    m_Service.m_AreReadsDown = true;
+  void testUnconfirmedWriteMayTakeEffect() {
+    m_Service.m_NextWrite = WriteFailure::LostAfterWrite;
+    m_Service.m_AreReadsFailing = true;
     ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
 
-  void testRefusedDoesNotStand() {
-    m_Service.m_NextWrite = Mishap::Refused;
+  void testRejectedWriteDoesNotTakeEffect() {
+    m_Service.m_NextWrite = WriteFailure::Refused;
     ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(!Out.m_MayTakeEffect);
   }
 
-  void testUnreadableClaimIsNobodys() {
+  void testUnreadableClaimIsUnavailable() {
     claim(1, 5);
     m_Service.m_Entries.begin()->second = "not JSON";
     CPPUNIT_ASSERT(claim(2, 5).m_Outcome == ClaimOutcome::Unavailable);
@@ -148,7 +149,7 @@
 
   void testLeaseIsShared() {
     boost::asio::io_context Context;
-    ClaimKeeper Keeper(m_Service, home(1), std::chrono::minutes(10));
+    ClaimService Keeper(m_Service, owner(1), std::chrono::minutes(10));
     int Won = 0;
     for (std::uint64_t I = 1; I <= 20; ++I)
       boost::asio::spawn(
@@ -164,4 +165,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ClaimKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ClaimServiceTest);
--- a/Tests/LibInstance/RequestReaderTest.cpp
+++ b/Tests/LibInstance/RequestReaderTest.cpp
@@ -12,8 +12,8 @@
   CPPUNIT_TEST_SUITE(RequestReaderTest);
   CPPUNIT_TEST(testPaths);
   CPPUNIT_TEST(testTickets);
-  CPPUNIT_TEST(testTargetsSeeNoSecrets);
-  CPPUNIT_TEST(testPriorityIsTheTier);
+  CPPUNIT_TEST(testCredentialsAreNotForwarded);
+  CPPUNIT_TEST(testTierSetsPriority);
   CPPUNIT_TEST(testPeerSignature);
   CPPUNIT_TEST_SUITE_END();
 
@@ -24,11 +24,11 @@
       config::FleetConfiguration::parse(config::FleetConfiguration::example(),
                                         "f", core::ConfigurationVersion(1));
 
-  ReadRequest read(const http::RequestMessage &Request) {
+  ParsedRequest read(const http::RequestMessage &Request) {
     RequestReader Reader(*m_Configuration, m_Tickets);
     auto Out = Reader.read(Request, m_Configuration->accounts().front());
-    CPPUNIT_ASSERT(std::holds_alternative<ReadRequest>(Out));
-    return std::get<ReadRequest>(Out);
+    CPPUNIT_ASSERT(std::holds_alternative<ParsedRequest>(Out));
+    return std::get<ParsedRequest>(Out);
   }
 
 public:
@@ -64,7 +64,7 @@
     }
   }
 
-  void testTargetsSeeNoSecrets() {
+  void testCredentialsAreNotForwarded() {
     http::RequestMessage Request;
     Request.m_Method = "PUT";
     Request.m_Target = "/apps/seats/holds/1?row=b#part";
@@ -74,25 +74,25 @@
                          {"X-Kept", "2"},
                          {"Yardrill-Ticket", m_Tickets.issue(m_Account, {})},
                          {"Yardrill-Peer-Account", "forged"}};
-    ReadRequest Out = read(Request);
+    ParsedRequest Out = read(Request);
     CPPUNIT_ASSERT_EQUAL(std::string("/holds/1?row=b"),
-                         Out.m_ForTarget.m_Target);
+                         Out.m_TargetRequest.m_Target);
     for (const char *Name : {"Authorization", "Connection", "X-Once",
                              "Yardrill-Ticket", "Yardrill-Peer-Account"})
-      CPPUNIT_ASSERT_MESSAGE(Name, !Out.m_ForTarget.m_Headers.find(Name));
-    CPPUNIT_ASSERT(Out.m_ForTarget.m_Headers.find("X-Kept"));
+      CPPUNIT_ASSERT_MESSAGE(Name, !Out.m_TargetRequest.m_Headers.find(Name));
+    CPPUNIT_ASSERT(Out.m_TargetRequest.m_Headers.find("X-Kept"));
     CPPUNIT_ASSERT(Out.m_Arrival.m_Identity);
     CPPUNIT_ASSERT(!Out.m_Arrival.m_IsEvictable);
   }
 
-  void testPriorityIsTheTier() {
+  void testTierSetsPriority() {
     http::RequestMessage Request;
     Request.m_Method = "POST";
     Request.m_Target = "/v1/completions";
     Request.m_Headers = {{"Yardrill-Tier", "batch"}};
     Request.m_Body = R"({"model":"assistant-1","prompt":"x","priority":-9})";
-    ReadRequest Out = read(Request);
-    CPPUNIT_ASSERT(Out.m_ForTarget.m_Body.find("\"priority\":3") !=
+    ParsedRequest Out = read(Request);
+    CPPUNIT_ASSERT(Out.m_TargetRequest.m_Body.find("\"priority\":3") !=
                    std::string::npos);
     CPPUNIT_ASSERT(Out.m_Arrival.m_Tier == core::TierNumber(3));
   }
@@ -102,7 +102,8 @@
     http::RequestMessage Request;
     Request.m_Method = "POST";
     Request.m_Target = "/apps/seats/x";
-    Request.m_Headers = {{AccountHeader, "box-office"}, {KeyHeader, "k"}};
+    Request.m_Headers = {{AccountHeader, "box-office"},
+                         {IdempotencyKeyHeader, "k"}};
     Request.m_Body = "body";
     Signature.sign(Request, 1000);
     CPPUNIT_ASSERT(Signature.isValid(Request, 1030));
@@ -119,7 +120,7 @@
       if (What == 3)
         Changed.m_Headers.set(AccountHeader, "other");
       if (What == 4)
-        Changed.m_Headers.remove(KeyHeader);
+        Changed.m_Headers.remove(IdempotencyKeyHeader);
       CPPUNIT_ASSERT(!Signature.isValid(Changed, 1000));
     }
   }
