--- a/Bench/LimitSearchProgram.cpp
+++ b/Bench/LimitSearchProgram.cpp
@@ -20,24 +20,24 @@
   double m_Limit;
 };
 
-static void play(const Size &Of, LimitWay Way, std::uint64_t Days) {
+static void play(const Size &Of, RateLimitStrategy Way, std::uint64_t Days) {
   double Worst = 0;
   double Served = 0;
   double Datagrams = 0;
   double EndKnown = 0;
   std::uint64_t Broken = 0;
   for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
-    LimitDay Day{Of.m_Instances, Of.m_Targets, Of.m_RequestsPerSecond,
-                 Of.m_Limit};
+    RateLimitScenario Day{Of.m_Instances, Of.m_Targets, Of.m_RequestsPerSecond,
+                          Of.m_Limit};
     Day.m_Seed = Seed;
-    LimitResult Faulty = playLimitDay(Day, Way);
-    Worst = std::max(Worst, Faulty.m_WorstShare);
-    Broken += Faulty.m_WorstShare > 1 ? 1 : 0;
+    RateLimitResult Faulty = simulateRateLimit(Day, Way);
+    Worst = std::max(Worst, Faulty.m_MaxWindowRatio);
+    Broken += Faulty.m_MaxWindowRatio > 1 ? 1 : 0;
     Datagrams = std::max(Datagrams, Faulty.m_DatagramsPerSecond);
     Day.m_HasFaults = false;
-    LimitResult Calm = playLimitDay(Day, Way);
+    RateLimitResult Calm = simulateRateLimit(Day, Way);
     Served += Calm.m_ServedShare / static_cast<double>(Days);
-    EndKnown = std::max(EndKnown, Calm.m_EndKnownSeconds);
+    EndKnown = std::max(EndKnown, Calm.m_LimitEndDelaySeconds);
   }
   std::printf("instances=%zu targets=%zu limit=%.2f way=%s days=%llu "
               "broken=%llu worst=%.2f served_calm=%.2f datagrams=%.1f "
@@ -56,8 +56,9 @@
                         {295, 168, 900, 3},   {295, 3, 100, 2},
                         {440, 900, 1000, 0.5}};
   for (const Size &Each : Sizes)
-    for (LimitWay Way : {LimitWay::Senders, LimitWay::OneSender,
-                         LimitWay::EqualParts, LimitWay::Alone})
+    for (RateLimitStrategy Way :
+         {RateLimitStrategy::Senders, RateLimitStrategy::OneSender,
+          RateLimitStrategy::EqualParts, RateLimitStrategy::Alone})
       play(Each, Way, Days);
   return 0;
 }
--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -19,24 +19,25 @@
                          : Default;
   };
   std::size_t Days = Number(1, 100);
-  QuarantineOutcome Sum;
+  QuarantineResult Sum;
   std::size_t Worst = 0;
   std::size_t Broken = 0;
   std::size_t Bad = 0;
   for (std::size_t Seed = 1; Seed <= Days; ++Seed) {
-    QuarantineDay Day = drawQuarantineDay(Seed, Number(2, 7), Number(3, 9));
-    Day.m_RefusedFrom = Number(4, Day.m_RefusedFrom);
-    Day.m_IsSuspectSentOn = Number(5, 0) != 0;
-    QuarantineOutcome Got = play(Day);
+    QuarantineScenario Day =
+        randomQuarantineScenario(Seed, Number(2, 7), Number(3, 9));
+    Day.m_QuarantineThreshold = Number(4, Day.m_QuarantineThreshold);
+    Day.m_RetriesSuspects = Number(5, 0) != 0;
+    QuarantineResult Got = simulate(Day);
     Bad += Day.m_BadContents;
     Broken += Got.m_LateSends > 3;
     if (Got.m_LateSends > Worst)
       std::printf("seed %zu: %zu late sends\n", Seed, Got.m_LateSends);
     Worst = std::max(Worst, Got.m_LateSends);
-    Sum.m_EndsUnderBad += Got.m_EndsUnderBad;
-    Sum.m_Innocents += Got.m_Innocents;
-    Sum.m_InnocentsBroken += Got.m_InnocentsBroken;
-    Sum.m_InnocentsLost += Got.m_InnocentsLost;
+    Sum.m_ExitsUnderBad += Got.m_ExitsUnderBad;
+    Sum.m_HarmlessAttempts += Got.m_HarmlessAttempts;
+    Sum.m_HarmlessInterrupted += Got.m_HarmlessInterrupted;
+    Sum.m_HarmlessLost += Got.m_HarmlessLost;
     Sum.m_WronglyRefused += Got.m_WronglyRefused;
     Sum.m_PopularRefused += Got.m_PopularRefused;
     Sum.m_StoreWrites += Got.m_StoreWrites;
@@ -48,11 +49,12 @@
   std::printf("%zu days: %zu with more than 3 late sends, at most %zu\n", Days,
               Broken, Worst);
   std::printf("%.2f targets ended for each bad content\n",
-              Of(Sum.m_EndsUnderBad, Bad));
+              Of(Sum.m_ExitsUnderBad, Bad));
   std::printf("of %zu innocent attempts %.3f %% broken, %zu lost, of them %zu "
               "wrongly refused (%zu popular)\n",
-              Sum.m_Innocents, 100 * Of(Sum.m_InnocentsBroken, Sum.m_Innocents),
-              Sum.m_InnocentsLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
+              Sum.m_HarmlessAttempts,
+              100 * Of(Sum.m_HarmlessInterrupted, Sum.m_HarmlessAttempts),
+              Sum.m_HarmlessLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
   std::printf("a day %.1f writes to the store, %.0f datagrams\n",
               Of(Sum.m_StoreWrites, Days), Of(Sum.m_Datagrams, Days));
   return Broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
--- a/Bench/QuotaSearchProgram.cpp
+++ b/Bench/QuotaSearchProgram.cpp
@@ -7,7 +7,7 @@
 // quota is broken above 1.
 //
 //===----------------------------------------------------------------------===//
-#include "QuotaDay.h"
+#include "QuotaScenario.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -21,12 +21,12 @@
 constexpr int LargestEvery = 4;
 
 struct Played {
-  QuotaDay m_Day;
-  QuotaDayResult m_Result;
+  QuotaScenario m_Day;
+  QuotaScenarioResult m_Result;
 };
 
-Played tryOne(QuotaDay Day) {
-  QuotaDayResult Result = play(Day);
+Played tryOne(QuotaScenario Day) {
+  QuotaScenarioResult Result = simulate(Day);
   return {std::move(Day), Result};
 }
 
@@ -36,11 +36,11 @@
   int Broken = 0;
   double Sum = 0;
   for (int I = 0; I < Days; ++I) {
-    QuotaDay Day = QuotaDay::draw(
+    QuotaScenario Day = QuotaScenario::random(
         Deployment, Seed * 1000003 + static_cast<std::uint64_t>(I));
-    Day.m_AreLargest = I % LargestEvery == 0;
+    Day.m_HasOnlyLargestRequests = I % LargestEvery == 0;
     Played One = tryOne(std::move(Day));
-    Broken += One.m_Result.isKept() ? 0 : 1;
+    Broken += One.m_Result.isWithinTolerance() ? 0 : 1;
     Sum += One.m_Result.usedTolerance();
     if (I == 0 ||
         One.m_Result.usedTolerance() > Fullest.m_Result.usedTolerance())
@@ -49,7 +49,7 @@
   double Random = Fullest.m_Result.usedTolerance();
   std::mt19937_64 Luck(Seed);
   for (int I = 0; I < Generations; ++I) {
-    Played One = tryOne(Fullest.m_Day.bred(Luck));
+    Played One = tryOne(Fullest.m_Day.mutated(Luck));
     if (One.m_Result.usedTolerance() > Fullest.m_Result.usedTolerance())
       Fullest = std::move(One);
   }
--- a/Bench/StoreSpreadProgram.cpp
+++ b/Bench/StoreSpreadProgram.cpp
@@ -7,7 +7,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "LibCore/Log.h"
-#include "SpreadFleet.h"
+#include "MirrorFleet.h"
 
 #include <algorithm>
 #include <ctime>
@@ -44,25 +44,25 @@
 /// Plays one change from \p Before to \p After.
 static void play(std::size_t Instances, const char *What,
                  const std::string &Before, const std::string &After) {
-  SpreadFleet Fleet;
+  MirrorFleet Fleet;
   for (std::size_t I = 0; I < Instances; ++I) {
     auto &Each = Fleet.add(Revision(1), {Entry{Key, Before, Revision(1)}});
-    Each.link().limitAnswers(SmallLinkRate);
+    Each.link().limitResponseRate(SmallLinkRate);
   }
   Fleet.start();
   Fleet.runFor(std::chrono::milliseconds(100));
   double Begin = processorMs();
   for (std::size_t I = 0; I < Followers; ++I)
-    Fleet.member(I).mirror().apply(Revision(2),
-                                   {Entry{Key, After, Revision(2)}});
-  auto Took = Fleet.runUntil([&] { return Fleet.doAllHold(Key, Revision(2)); },
-                             Patience);
+    Fleet.instance(I).mirror().apply(Revision(2),
+                                     {Entry{Key, After, Revision(2)}});
+  auto Took = Fleet.runUntil(
+      [&] { return Fleet.haveAllDelivered(Key, Revision(2)); }, Patience);
   double Spent = processorMs() - Begin;
   std::size_t Most = 0;
   std::size_t All = 0;
   for (std::size_t I = 0; I < Instances; ++I) {
-    Most = std::max(Most, Fleet.member(I).bytesSent());
-    All += Fleet.member(I).bytesSent();
+    Most = std::max(Most, Fleet.instance(I).bytesSent());
+    All += Fleet.instance(I).bytesSent();
   }
   std::cout << Instances << ',' << What << ',' << After.size() << ','
             << Took.count() << ',' << All / Instances << ',' << Most << ','
--- a/Tests/Failures/AtMostOnceTest.cpp
+++ b/Tests/Failures/AtMostOnceTest.cpp
@@ -19,14 +19,14 @@
 
 static http::RequestMessage withTicket(const std::string &Ticket,
                                        const std::string &Identity) {
-  auto Out = applicationCall("/transfers/1", Identity);
+  auto Out = applicationRequest("/transfers/1", Identity);
   Out.m_Headers.set("Yardrill-Ticket", Ticket);
   return Out;
 }
 
 static http::RequestMessage withKey(const std::string &Identity,
                                     const std::string &Body = "x") {
-  auto Out = applicationCall("/transfers/1", Identity, Body);
+  auto Out = applicationRequest("/transfers/1", Identity, Body);
   Out.m_Headers.set("Idempotency-Key", Identity);
   return Out;
 }
@@ -52,8 +52,8 @@
     return executionsOf(All.applicationPort(), Id);
   }
 
-  static Fleet::Shape shape(int Instances) {
-    Fleet::Shape Out;
+  static Fleet::Options shape(int Instances) {
+    Fleet::Options Out;
     Out.m_Instances = Instances;
     return Out;
   }
@@ -61,7 +61,7 @@
 public:
   void testRetriesAtOtherInstances() {
     Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     std::string Ticket = issueTicket(All.at(0).m_CallerPort);
     for (int I = 2; I >= 0; --I) {
       Reply One = call(All.at(I).m_CallerPort, withTicket(Ticket, "by-ticket"));
@@ -82,13 +82,13 @@
 
   void testSameIdentityTogether() {
     Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.applicationPort(), {{"delay_ms", 200}});
     for (int Round = 0; Round < 5; ++Round) {
       std::string Key = "together-" + std::to_string(Round);
       std::vector<std::future<Reply>> Replies;
       for (int I = 0; I < 6; ++I)
-        Replies.push_back(callLater(All.at(I % 3).m_CallerPort, withKey(Key)));
+        Replies.push_back(callAsync(All.at(I % 3).m_CallerPort, withKey(Key)));
       for (auto &Each : Replies) {
         Reply Answer = Each.get();
         CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
@@ -100,7 +100,7 @@
 
   void testClaimAnswerLost() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.platformPort(), {{"lose_answers", 1}});
     Reply Answer = call(All.at(0).m_CallerPort, withKey("lost"));
     CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
@@ -111,7 +111,7 @@
 
   void testClaimTakesEffectLate() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.platformPort(),
                    {{"lose_answers", 1}, {"late_ms", 1500}});
     Reply Answer = call(All.at(0).m_CallerPort, withKey("late"));
@@ -138,7 +138,7 @@
   /// another instance may have won it.
   void testClaimWonByAnother() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.platformPort(),
                    {{"lose_answers", 1}, {"late_ms", 60000}});
     Reply First = call(All.at(0).m_CallerPort, withKey("other"));
@@ -152,7 +152,7 @@
 
   void testPlatformDown() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     std::string Ticket = issueTicket(All.at(0).m_CallerPort);
     controlStandIn(All.platformPort(), {{"down", true}});
     Reply Keyed = call(All.at(0).m_CallerPort, withKey("down"));
@@ -171,21 +171,21 @@
 
   void testKilledDuringAndAfter() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     std::string Ticket = issueTicket(All.at(0).m_CallerPort);
     Reply After = call(All.at(0).m_CallerPort, withKey("after"));
     CPPUNIT_ASSERT_EQUAL(200U, After.m_Status);
     controlStandIn(All.applicationPort(), {{"delay_ms", 3000}});
     auto Ticketed =
-        callLater(All.at(0).m_CallerPort, withTicket(Ticket, "during"));
-    auto Keyed = callLater(All.at(0).m_CallerPort, withKey("during-key"));
+        callAsync(All.at(0).m_CallerPort, withTicket(Ticket, "during"));
+    auto Keyed = callAsync(All.at(0).m_CallerPort, withKey("during-key"));
     CPPUNIT_ASSERT(eventually([&] {
       return executions(All, "during") == 1 &&
              executions(All, "during-key") == 1;
     }));
     All.at(0).m_Process.kill();
-    CPPUNIT_ASSERT(!Ticketed.get().isWhole());
-    CPPUNIT_ASSERT(!Keyed.get().isWhole());
+    CPPUNIT_ASSERT(!Ticketed.get().isComplete());
+    CPPUNIT_ASSERT(!Keyed.get().isComplete());
     controlStandIn(All.applicationPort(), {{"delay_ms", 0}});
     for (const auto &Request : {withTicket(Ticket, "during"),
                                 withKey("during-key"), withKey("after")}) {
@@ -197,7 +197,7 @@
     // Nor does its successor at the same address run them.
     All.start(0);
     CPPUNIT_ASSERT(eventually(
-        [&] { return All.askOperator(0, "/readyz").m_Status == 200; }));
+        [&] { return All.callOperatorApi(0, "/readyz").m_Status == 200; }));
     for (const auto &Request :
          {withTicket(Ticket, "during"), withKey("during-key")}) {
       Reply Again = call(All.at(0).m_CallerPort, Request);
@@ -211,12 +211,12 @@
 
   void testKilledBeforeDispatch() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.platformPort(), {{"slow_ms", 700}});
-    auto First = callLater(All.at(0).m_CallerPort, withKey("before"));
+    auto First = callAsync(All.at(0).m_CallerPort, withKey("before"));
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     All.at(0).m_Process.kill();
-    CPPUNIT_ASSERT(!First.get().isWhole());
+    CPPUNIT_ASSERT(!First.get().isComplete());
     controlStandIn(All.platformPort(), {{"slow_ms", 0}});
     Reply Again = call(All.at(1).m_CallerPort, withKey("before"));
     // Either the claim never stood, and it runs now; or it stands for the
@@ -233,20 +233,20 @@
     auto Wanted = shape(2);
     Wanted.m_Slots = 2; // One for each instance.
     Fleet All(Wanted);
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     std::string Ticket = issueTicket(All.at(0).m_CallerPort);
     controlStandIn(All.applicationPort(), {{"delay_ms", 500}});
-    auto Running = callLater(All.at(0).m_CallerPort, withKey("running"));
+    auto Running = callAsync(All.at(0).m_CallerPort, withKey("running"));
     CPPUNIT_ASSERT(eventually([&] { return executions(All, "running") == 1; }));
     // These wait at instance 0 for its only place, and it is frozen.
-    auto Waiting = callLater(All.at(0).m_CallerPort, withKey("waiting"));
+    auto Waiting = callAsync(All.at(0).m_CallerPort, withKey("waiting"));
     auto Ticketed =
-        callLater(All.at(0).m_CallerPort, withTicket(Ticket, "frozen"));
+        callAsync(All.at(0).m_CallerPort, withTicket(Ticket, "frozen"));
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     All.at(0).m_Process.signal(SIGSTOP);
-    auto AgainKeyed = callLater(All.at(1).m_CallerPort, withKey("waiting"));
+    auto AgainKeyed = callAsync(All.at(1).m_CallerPort, withKey("waiting"));
     auto AgainTicketed =
-        callLater(All.at(1).m_CallerPort, withTicket(Ticket, "frozen"));
+        callAsync(All.at(1).m_CallerPort, withTicket(Ticket, "frozen"));
     // Longer than a peer's silence; the others count it as gone.
     std::this_thread::sleep_for(std::chrono::seconds(4));
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), executions(All, "waiting"));
@@ -260,7 +260,7 @@
 
   void testConnectionToTargetLost() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     struct Case {
       const char *m_Break;
       std::int64_t m_Executions;
@@ -271,14 +271,14 @@
           Case{"within-answer", 1}}) {
       controlStandIn(All.applicationPort(), {{"break", Each.m_Break}});
       std::string Key = Each.m_Break;
-      auto Plain = applicationCall("/holds/1", "plain-" + Key, "xxxx");
+      auto Plain = applicationRequest("/holds/1", "plain-" + Key, "xxxx");
       for (const auto &Request : {withKey(Key, "xxxx"), Plain}) {
         Reply First = call(All.at(0).m_CallerPort, Request);
         ++Calls;
         bool IsTold = First.m_Status == 502 &&
                       First.problem("outcome") == "outcome-unknown";
         // Half an answer never looks whole.
-        CPPUNIT_ASSERT(IsTold || !First.isWhole());
+        CPPUNIT_ASSERT(IsTold || !First.isComplete());
       }
       controlStandIn(All.applicationPort(), {{"break", ""}});
       Reply Again = call(All.at(1).m_CallerPort, withKey(Key, "xxxx"));
@@ -299,7 +299,7 @@
     // lowest, so the request goes as batch.
     Wanted.m_DeadlineMilliseconds[2] = 1000;
     Fleet All(Wanted);
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     All.application().kill();
     auto Request = withKey("unreachable");
     Request.m_Headers.set("Yardrill-Tier", "batch");
@@ -319,21 +319,21 @@
 
   void testIdentityIsRequired() {
     Fleet All(shape(1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     for (const char *Path : {"/transfers/1", "/%74ransfers/1"}) {
       Reply Answer =
-          call(All.at(0).m_CallerPort, applicationCall(Path, "none"));
+          call(All.at(0).m_CallerPort, applicationRequest(Path, "none"));
       CPPUNIT_ASSERT_EQUAL(428U, Answer.m_Status);
     }
     // Spellings that a target may read otherwise are refused.
     for (const char *Path : {"//transfers/1", "/x/../transfers/1",
                              "/x%2f..%2ftransfers/1", "/./transfers/1"}) {
       Reply Answer =
-          call(All.at(0).m_CallerPort, applicationCall(Path, "none"));
+          call(All.at(0).m_CallerPort, applicationRequest(Path, "none"));
       CPPUNIT_ASSERT_EQUAL(400U, Answer.m_Status);
     }
     Reply Query =
-        call(All.at(0).m_CallerPort, applicationCall("?x=/transfers", "q"));
+        call(All.at(0).m_CallerPort, applicationRequest("?x=/transfers", "q"));
     CPPUNIT_ASSERT_EQUAL(std::string("/?x=/transfers"),
                          Query.header("Seen-Target"));
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), executions(All, "none"));
@@ -345,7 +345,7 @@
     static const int Identities = 120;
     static const int Tries = 4;
     Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.applicationPort(), {{"delay_ms", 30}});
     std::vector<http::RequestMessage> Requests;
     for (int I = 0; I < Identities; ++I) {
@@ -396,7 +396,7 @@
       bool AllNotRun = true;
       for (const Reply &Each : Replies[I]) {
         WasRunForSure =
-            WasRunForSure || (Each.m_Status == 200 && Each.isWhole());
+            WasRunForSure || (Each.m_Status == 200 && Each.isComplete());
         AllNotRun = AllNotRun && Each.problem("outcome") == "not-run";
       }
       if (WasRunForSure)
--- a/Tests/Failures/BadInputTest.cpp
+++ b/Tests/Failures/BadInputTest.cpp
@@ -28,9 +28,9 @@
   int port() { return m_All->at(0).m_CallerPort; }
 
   void expectServing() {
-    Reply Answer = call(port(), completion("x", 2, true));
+    Reply Answer = call(port(), completionRequest("x", 2, true));
     CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-    CPPUNIT_ASSERT(Answer.isWhole());
+    CPPUNIT_ASSERT(Answer.isComplete());
   }
 
   static bool startsWith(const std::string &Text, const std::string &Start) {
@@ -39,12 +39,12 @@
 
 public:
   void setUp() override {
-    Fleet::Shape Wanted;
+    Fleet::Options Wanted;
     Wanted.m_ExtraSettings = "callers:\n  header_bytes: 8192\n  body_bytes: "
                              "100000\n  read_timeout_ms: 700\n"
                              "  open_connections: 64\n";
     m_All = std::make_unique<Fleet>(Wanted);
-    CPPUNIT_ASSERT(m_All->isServing());
+    CPPUNIT_ASSERT(m_All->waitUntilServing());
   }
   void tearDown() override { m_All.reset(); }
 
@@ -75,7 +75,7 @@
 
   void testGarbage() {
     std::mt19937 Random(3);
-    auto Good = completion("x", 1, false);
+    auto Good = completionRequest("x", 1, false);
     std::string Request =
         "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
         "Connection: close\r\nAuthorization: " +
@@ -137,7 +137,7 @@
       Socket.send_to(asio::buffer(Noise), To);
     }
     CPPUNIT_ASSERT(eventually([&] {
-      std::string Metrics = m_All->askOperator(0, "/metrics").m_Body;
+      std::string Metrics = m_All->callOperatorApi(0, "/metrics").m_Body;
       return Metrics.find("dropped_wrong_key_total") != std::string::npos &&
              Metrics.find("dropped_other_version_total") != std::string::npos &&
              Metrics.find("dropped_too_large_total") != std::string::npos &&
@@ -146,7 +146,7 @@
     }));
     CPPUNIT_ASSERT(m_All->status(0).at("peers").as_array().empty());
     // Nor does the peer port serve requests that are not signed.
-    auto Forged = applicationCall("/holds", "forged");
+    auto Forged = applicationRequest("/holds", "forged");
     Forged.m_Headers.set("Yardrill-Peer-Account", "box-office");
     Forged.m_Headers.set("Yardrill-Peer-Time", "1");
     Forged.m_Headers.set("Yardrill-Peer-Signature", std::string(64, '0'));
--- a/Tests/Failures/ConfigurationTest.cpp
+++ b/Tests/Failures/ConfigurationTest.cpp
@@ -22,8 +22,8 @@
   CPPUNIT_TEST(testFaultyIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
-  static Fleet::Shape shape(int Instances) {
-    Fleet::Shape Out;
+  static Fleet::Options shape(int Instances) {
+    Fleet::Options Out;
     Out.m_Instances = Instances;
     return Out;
   }
@@ -44,7 +44,7 @@
 public:
   void testRacingOperators() {
     Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     for (int Base = 1; Base <= 5; ++Base) {
       std::vector<std::future<Reply>> Replies;
       for (int I = 0; I < 6; ++I)
@@ -70,7 +70,7 @@
 
   void testLostAnswer() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.platformPort(), {{"lose_answers", 1}});
     std::string Text = All.configuration() + "# second\n";
     Reply First = All.publish(0, 1, "change-2", Text);
@@ -84,7 +84,7 @@
 
   void testOutage() {
     Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.platformPort(), {{"down", true}});
     Reply Refused = All.publish(0, 1, "in-outage", All.configuration());
     CPPUNIT_ASSERT_EQUAL(503U, Refused.m_Status);
@@ -92,20 +92,21 @@
     All.at(2).m_Process.kill();
     All.start(2);
     CPPUNIT_ASSERT(eventually(
-        [&] { return All.askOperator(2, "/readyz").m_Status == 200; }));
+        [&] { return All.callOperatorApi(2, "/readyz").m_Status == 200; }));
     CPPUNIT_ASSERT_EQUAL(1, versionAt(All, 2));
     // The highest tier is served there all the same.
     Reply Served =
-        call(All.at(2).m_CallerPort, completion("x", 2, true, "hold"));
+        call(All.at(2).m_CallerPort, completionRequest("x", 2, true, "hold"));
     CPPUNIT_ASSERT_EQUAL(200U, Served.m_Status);
     // One that can reach neither the store nor a peer serves nothing.
     for (int I = 0; I < 3; ++I)
       All.at(I).m_Process.kill();
     All.start(2);
     CPPUNIT_ASSERT(eventually(
-        [&] { return All.askOperator(2, "/healthz").m_Status == 200; }));
-    CPPUNIT_ASSERT_EQUAL(503U, All.askOperator(2, "/readyz").m_Status);
-    Reply NotReady = call(All.at(2).m_CallerPort, completion("x", 1, false));
+        [&] { return All.callOperatorApi(2, "/healthz").m_Status == 200; }));
+    CPPUNIT_ASSERT_EQUAL(503U, All.callOperatorApi(2, "/readyz").m_Status);
+    Reply NotReady =
+        call(All.at(2).m_CallerPort, completionRequest("x", 1, false));
     CPPUNIT_ASSERT_EQUAL(std::string("not-run"), NotReady.problem("outcome"));
     // After the outage everything goes on by itself.
     controlStandIn(All.platformPort(), {{"down", false}});
@@ -121,7 +122,7 @@
 
   void testFrozenInstanceCatchesUp() {
     Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     All.at(1).m_Process.signal(SIGSTOP);
     // Its watch is cut, so that nothing waits for it in a socket's buffer.
     controlStandIn(All.platformPort(), {{"down", true}});
@@ -138,7 +139,7 @@
 
   void testOldValueIsNotTaken() {
     Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     auto Counters = countersOf(All.platformPort());
     std::string Old(
         Counters.at("keys").at("/yardrill/configuration").as_string());
@@ -163,7 +164,7 @@
 
   void testFaultyIsRefused() {
     Fleet All(shape(1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     Reply Refused =
         All.publish(0, 1, "faulty", All.configuration() + "tears: []\n");
     CPPUNIT_ASSERT_EQUAL(422U, Refused.m_Status);
--- a/Tests/Failures/NotRunTest.cpp
+++ b/Tests/Failures/NotRunTest.cpp
@@ -21,29 +21,29 @@
   CPPUNIT_TEST_SUITE_END();
 
   static http::RequestMessage batchCall(const std::string &Identity) {
-    auto Out = applicationCall("/holds", Identity);
+    auto Out = applicationRequest("/holds", Identity);
     Out.m_Headers.set("Yardrill-Tier", "batch");
     return Out;
   }
 
 public:
   void testOverload() {
-    Fleet::Shape Wanted;
+    Fleet::Options Wanted;
     Wanted.m_Instances = 2;
     Wanted.m_Slots = 4;
     Wanted.m_QueueLimit = 5;
     Wanted.m_DeadlineMilliseconds[2] = 400;
     Fleet All(Wanted);
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.applicationPort(), {{"delay_ms", 100}});
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 80; ++I)
-      Replies.push_back(callLater(All.at(I % 2).m_CallerPort,
+      Replies.push_back(callAsync(All.at(I % 2).m_CallerPort,
                                   batchCall("load-" + std::to_string(I))));
     std::set<std::string> Kinds;
     for (int I = 0; I < 80; ++I) {
       Reply Answer = Replies[static_cast<std::size_t>(I)].get();
-      CPPUNIT_ASSERT(Answer.isWhole());
+      CPPUNIT_ASSERT(Answer.isComplete());
       std::int64_t Count =
           executionsOf(All.applicationPort(), "load-" + std::to_string(I));
       if (Answer.m_Status == 200) {
@@ -70,15 +70,15 @@
   }
 
   void testRetryAfterIsSpread() {
-    Fleet::Shape Wanted;
+    Fleet::Options Wanted;
     Wanted.m_Slots = 1;
     Wanted.m_QueueLimit = 20;
     Fleet All(Wanted);
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.applicationPort(), {{"delay_ms", 300}});
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 50; ++I)
-      Replies.push_back(callLater(All.at(0).m_CallerPort, batchCall("s")));
+      Replies.push_back(callAsync(All.at(0).m_CallerPort, batchCall("s")));
     std::set<int> Seconds;
     for (auto &Each : Replies) {
       Reply Answer = Each.get();
@@ -90,24 +90,24 @@
   }
 
   void testRefusalsOfReading() {
-    Fleet All(Fleet::Shape{});
-    CPPUNIT_ASSERT(All.isServing());
+    Fleet All(Fleet::Options{});
+    CPPUNIT_ASSERT(All.waitUntilServing());
     int Port = All.at(0).m_CallerPort;
-    auto NoKey = completion("x", 1, false);
+    auto NoKey = completionRequest("x", 1, false);
     NoKey.m_Headers.remove("Authorization");
     CPPUNIT_ASSERT_EQUAL(401U, call(Port, NoKey).m_Status);
-    auto WrongKey = completion("x", 1, false);
+    auto WrongKey = completionRequest("x", 1, false);
     WrongKey.m_Headers.set("Authorization", "Bearer wrong");
     CPPUNIT_ASSERT_EQUAL(403U, call(Port, WrongKey).m_Status);
-    auto NoTier = completion("x", 1, false, "gold");
+    auto NoTier = completionRequest("x", 1, false, "gold");
     CPPUNIT_ASSERT_EQUAL(400U, call(Port, NoTier).m_Status);
-    auto NoModel = completion("x", 1, false);
+    auto NoModel = completionRequest("x", 1, false);
     NoModel.m_Body = R"({"model":"other","prompt":"x"})";
     CPPUNIT_ASSERT_EQUAL(404U, call(Port, NoModel).m_Status);
     for (const char *Body :
          {"", "{", "[]", "{}", R"({"model":1})", R"({"model":"assistant-1"})",
           R"({"model":"assistant-1","prompt":"x","stream":1})"}) {
-      auto Bad = completion("x", 1, false);
+      auto Bad = completionRequest("x", 1, false);
       Bad.m_Body = Body;
       Reply Answer = call(Port, Bad);
       CPPUNIT_ASSERT_EQUAL(400U, Answer.m_Status);
--- a/Tests/Failures/StopAndLeaveTest.cpp
+++ b/Tests/Failures/StopAndLeaveTest.cpp
@@ -23,8 +23,8 @@
   CPPUNIT_TEST(testTargetLeavesByConfiguration);
   CPPUNIT_TEST_SUITE_END();
 
-  static Fleet::Shape shape(int Instances, int Engines) {
-    Fleet::Shape Out;
+  static Fleet::Options shape(int Instances, int Engines) {
+    Fleet::Options Out;
     Out.m_Instances = Instances;
     Out.m_Engines = Engines;
     return Out;
@@ -38,16 +38,16 @@
   void testStopCutsNothing() {
     for (bool IsPlatformDown : {false, true}) {
       Fleet All(shape(3, 2));
-      CPPUNIT_ASSERT(All.isServing());
+      CPPUNIT_ASSERT(All.waitUntilServing());
       controlStandIn(All.applicationPort(), {{"delay_ms", 3000}});
       std::vector<std::future<Reply>> Streams;
       std::vector<std::future<Reply>> Calls;
       for (int I = 0; I < 12; ++I) {
-        Streams.push_back(callLater(All.at(I % 3).m_CallerPort,
-                                    completion("long", 800, true)));
-        auto Keyed = applicationCall("/transfers", "k" + std::to_string(I));
+        Streams.push_back(callAsync(All.at(I % 3).m_CallerPort,
+                                    completionRequest("long", 800, true)));
+        auto Keyed = applicationRequest("/transfers", "k" + std::to_string(I));
         Keyed.m_Headers.set("Idempotency-Key", std::to_string(I));
-        Calls.push_back(callLater(All.at(I % 3).m_CallerPort, Keyed));
+        Calls.push_back(callAsync(All.at(I % 3).m_CallerPort, Keyed));
       }
       CPPUNIT_ASSERT(eventually([&] {
         auto Counters = countersOf(All.applicationPort());
@@ -64,7 +64,7 @@
       for (auto &Each : Streams) {
         Reply Answer = Each.get();
         CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-        CPPUNIT_ASSERT(Answer.isWhole());
+        CPPUNIT_ASSERT(Answer.isComplete());
         CPPUNIT_ASSERT(Answer.m_Body.find("[DONE]") != std::string::npos);
       }
       for (auto &Each : Calls)
@@ -73,7 +73,8 @@
         CPPUNIT_ASSERT_EQUAL(0, All.at(I).m_Process.wait());
       // Stopped means that nothing new is accepted.
       CPPUNIT_ASSERT(
-          !call(All.at(0).m_CallerPort, completion("x", 1, false)).isWhole());
+          !call(All.at(0).m_CallerPort, completionRequest("x", 1, false))
+               .isComplete());
     }
   }
 
@@ -81,8 +82,8 @@
   void testUploadInProgressIsAnswered() {
     namespace asio = boost::asio;
     Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.isServing());
-    auto Request = applicationCall("/holds", "upload", "0123456789");
+    CPPUNIT_ASSERT(All.waitUntilServing());
+    auto Request = applicationRequest("/holds", "upload", "0123456789");
     std::string Text = "POST " + Request.m_Target + " HTTP/1.1\r\n";
     for (const http::Header &H : Request.m_Headers)
       Text += H.m_Name + ": " + H.m_Value + "\r\n";
@@ -111,7 +112,7 @@
 
   void testLeadershipIsHandedOver() {
     Fleet All(shape(2, 1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     auto LeadsAny = [&](int Index) {
       auto Status = All.status(Index);
       for (const auto &Pool : Status.at("pools").as_array())
@@ -144,7 +145,7 @@
       return true;
     }));
     Reply Served = call(All.at(1 - Leader).m_CallerPort,
-                        completion("x", 2, false, "batch"));
+                        completionRequest("x", 2, false, "batch"));
     CPPUNIT_ASSERT_EQUAL(200U, Served.m_Status);
   }
 
@@ -154,7 +155,7 @@
       int Before = startedAt(All, 0);
       for (int I = 0; I < 40; ++I)
         CPPUNIT_ASSERT_EQUAL(200U, call(All.at(I % 2).m_CallerPort,
-                                        completion("after", 1, false))
+                                        completionRequest("after", 1, false))
                                        .m_Status);
       return startedAt(All, 0) == Before;
     };
@@ -165,11 +166,11 @@
 
   void testTargetLeavesByList() {
     Fleet All(shape(2, 2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     std::vector<std::future<Reply>> Streams;
     for (int I = 0; I < 8; ++I)
-      Streams.push_back(
-          callLater(All.at(I % 2).m_CallerPort, completion("long", 300, true)));
+      Streams.push_back(callAsync(All.at(I % 2).m_CallerPort,
+                                  completionRequest("long", 300, true)));
     CPPUNIT_ASSERT(eventually([&] { return startedAt(All, 0) > 0; }));
     boost::json::object Entry{
         {"kind", "target"},
@@ -184,7 +185,7 @@
     expectNoNewWork(All);
     // What was in progress there is not cut.
     for (auto &Each : Streams)
-      CPPUNIT_ASSERT(Each.get().isWhole());
+      CPPUNIT_ASSERT(Each.get().isComplete());
     // With the platform down, what was heard stays in force.
     controlStandIn(All.platformPort(), {{"down", true}});
     expectNoNewWork(All);
@@ -192,7 +193,7 @@
 
   void testTargetLeavesByConfiguration() {
     Fleet All(shape(2, 2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     CPPUNIT_ASSERT_EQUAL(
         200U,
         All.publish(0, 1, "leave", All.configuration("engine-1")).m_Status);
--- a/Tests/Failures/TierOrderTest.cpp
+++ b/Tests/Failures/TierOrderTest.cpp
@@ -104,7 +104,7 @@
   std::set<std::string> m_Killed;
 
   void start() {
-    Fleet::Shape Wanted;
+    Fleet::Options Wanted;
     Wanted.m_Instances = InstanceCount;
     Wanted.m_Slots = 6;
     Wanted.m_QueueLimit = 6;
@@ -113,7 +113,7 @@
     Wanted.m_EngineFlags = "--decode_rate=100";
     m_Killed.clear();
     m_All = std::make_unique<Fleet>(Wanted);
-    CPPUNIT_ASSERT(m_All->isServing());
+    CPPUNIT_ASSERT(m_All->waitUntilServing());
   }
 
   std::string incarnation(int Index) {
@@ -151,8 +151,8 @@
           Reply Answer =
               call(m_All->at(static_cast<int>(Random() % InstanceCount))
                        .m_CallerPort,
-                   completion("x", 20 + static_cast<int>(Random() % 60), true,
-                              Tier));
+                   completionRequest("x", 20 + static_cast<int>(Random() % 60),
+                                     true, Tier));
           // A refused caller comes back, sooner than it was asked to.
           if (Answer.m_Status != 200)
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
--- a/Tests/Failures/WholeAnswerTest.cpp
+++ b/Tests/Failures/WholeAnswerTest.cpp
@@ -35,8 +35,8 @@
   CPPUNIT_TEST(testMethodsAndEmptyAnswers);
   CPPUNIT_TEST_SUITE_END();
 
-  static Fleet::Shape shape(int Instances, int Engines) {
-    Fleet::Shape Out;
+  static Fleet::Options shape(int Instances, int Engines) {
+    Fleet::Options Out;
     Out.m_Instances = Instances;
     Out.m_Engines = Engines;
     Out.m_Slots = 32;
@@ -46,7 +46,7 @@
 public:
   void testRandomBodies() {
     Fleet All(shape(2, 1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     std::vector<std::thread> Workers;
     std::atomic<int> Right{0};
     for (unsigned Seed = 0; Seed < 8; ++Seed)
@@ -57,7 +57,7 @@
           for (char &C : Body)
             C = static_cast<char>(Random());
           Reply Answer = call(All.at(I % 2).m_CallerPort,
-                              applicationCall("/echo", "body", Body));
+                              applicationRequest("/echo", "body", Body));
           Right += Answer.m_Status == 200 && Answer.m_Body == Body &&
                    Answer.header("Body-Sha256") == core::sha256Hex(Body);
         }
@@ -69,18 +69,19 @@
 
   void testOwnAnswersOutOfOrder() {
     Fleet All(shape(2, 2));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     // One engine is slow, so that answers overtake each other.
     controlStandIn(All.enginePort(0), {{"slowness", 4}});
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 48; ++I)
-      Replies.push_back(callLater(
-          All.at(I % 2).m_CallerPort,
-          completion("prompt " + std::to_string(I), 1 + I % 20, I % 3 != 0)));
+      Replies.push_back(
+          callAsync(All.at(I % 2).m_CallerPort,
+                    completionRequest("prompt " + std::to_string(I), 1 + I % 20,
+                                      I % 3 != 0)));
     for (int I = 0; I < 48; ++I) {
       Reply Answer = Replies[static_cast<std::size_t>(I)].get();
       CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-      CPPUNIT_ASSERT(Answer.isWhole());
+      CPPUNIT_ASSERT(Answer.isComplete());
       CPPUNIT_ASSERT_EQUAL(
           expectedText("prompt " + std::to_string(I), 1 + I % 20),
           completionText(Answer));
@@ -89,38 +90,40 @@
 
   void testTruncatedNeverLooksWhole() {
     Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     controlStandIn(All.enginePort(0), {{"break_after_tokens", 3}});
     for (bool IsStream : {true, false}) {
       Reply Answer =
-          call(All.at(0).m_CallerPort, completion("cut", 10, IsStream));
+          call(All.at(0).m_CallerPort, completionRequest("cut", 10, IsStream));
       bool IsTold = Answer.problem("outcome") == "outcome-unknown";
-      CPPUNIT_ASSERT(!Answer.isWhole() || IsTold);
+      CPPUNIT_ASSERT(!Answer.isComplete() || IsTold);
       CPPUNIT_ASSERT(Answer.m_Body.find("[DONE]") == std::string::npos);
     }
     // The same with the engine's process killed in the middle.
     controlStandIn(All.enginePort(0), {{"break_after_tokens", -1}});
     bool IsKilled = false;
-    Reply Answer = call(All.at(0).m_CallerPort, completion("kill", 500, true),
-                        [&](const std::string &) {
-                          if (!IsKilled)
-                            All.engine(0).kill();
-                          return IsKilled = true;
-                        });
-    CPPUNIT_ASSERT(!Answer.isWhole());
+    Reply Answer =
+        call(All.at(0).m_CallerPort, completionRequest("kill", 500, true),
+             [&](const std::string &) {
+               if (!IsKilled)
+                 All.engine(0).kill();
+               return IsKilled = true;
+             });
+    CPPUNIT_ASSERT(!Answer.isComplete());
   }
 
   void testHangUpCancelsAndLeavesNothingBehind() {
     Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     for (int I = 0; I < 20; ++I) {
-      Reply Cut = call(All.at(0).m_CallerPort,
-                       completion("left " + std::to_string(I), 2000, true),
-                       [](const std::string &) { return false; });
-      CPPUNIT_ASSERT(!Cut.isWhole());
+      Reply Cut =
+          call(All.at(0).m_CallerPort,
+               completionRequest("left " + std::to_string(I), 2000, true),
+               [](const std::string &) { return false; });
+      CPPUNIT_ASSERT(!Cut.isComplete());
       std::string Prompt = "next " + std::to_string(I);
-      Reply Next =
-          call(All.at(0).m_CallerPort, completion(Prompt, 5, I % 2 == 0));
+      Reply Next = call(All.at(0).m_CallerPort,
+                        completionRequest(Prompt, 5, I % 2 == 0));
       CPPUNIT_ASSERT_EQUAL(expectedText(Prompt, 5), completionText(Next));
     }
     CPPUNIT_ASSERT(eventually([&] {
@@ -137,10 +140,10 @@
   void testSlowReaderHoldsNobodyBack() {
     namespace asio = boost::asio;
     Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     // Larger than all socket buffers on the way, and never read.
     std::string Body(7UL * 1024 * 1024, 'x');
-    http::RequestMessage Request = applicationCall("/echo", "slow", Body);
+    http::RequestMessage Request = applicationRequest("/echo", "slow", Body);
     std::string Text = "POST " + Request.m_Target + " HTTP/1.1\r\n";
     for (const http::Header &H : Request.m_Headers)
       Text += H.m_Name + ": " + H.m_Value + "\r\n";
@@ -153,9 +156,9 @@
     CPPUNIT_ASSERT(eventually(
         [&] { return executionsOf(All.applicationPort(), "slow") == 1; }));
     for (int I = 0; I < 20; ++I)
-      CPPUNIT_ASSERT_EQUAL(
-          200U, call(All.at(0).m_CallerPort, applicationCall("/echo", "fast"))
-                    .m_Status);
+      CPPUNIT_ASSERT_EQUAL(200U, call(All.at(0).m_CallerPort,
+                                      applicationRequest("/echo", "fast"))
+                                     .m_Status);
     std::string Answer;
     std::vector<char> Buffer(65536);
     while (Answer.size() < Body.size()) {
@@ -168,13 +171,14 @@
 
   void testMethodsAndEmptyAnswers() {
     Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.isServing());
+    CPPUNIT_ASSERT(All.waitUntilServing());
     for (const char *Method : {"GET", "HEAD", "PUT", "DELETE", "OPTIONS"}) {
-      http::RequestMessage Request = applicationCall("/any?a=b%20c", "m", "");
+      http::RequestMessage Request =
+          applicationRequest("/any?a=b%20c", "m", "");
       Request.m_Method = Method;
       Reply Answer = call(All.at(0).m_CallerPort, Request);
       CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-      CPPUNIT_ASSERT(Answer.isWhole());
+      CPPUNIT_ASSERT(Answer.isComplete());
       CPPUNIT_ASSERT_EQUAL(std::string("/any?a=b%20c"),
                            Answer.header("Seen-Target"));
     }
--- a/Tests/LibGateway/GatewayTest.cpp
+++ b/Tests/LibGateway/GatewayTest.cpp
@@ -35,7 +35,8 @@
 
 public:
   void testForwardsRequestAndResponse() {
-    addTarget([](const Request &Read) { return whole(Read, "answer"); });
+    addTarget(
+        [](const Request &Read) { return completeResponse(Read, "answer"); });
     start();
     http::RequestMessage Sent = request("/once/x?y=%2f");
     Reply Got = send(Sent);
@@ -65,7 +66,8 @@
   }
 
   void testEarlyRequestWaitsForConfiguration() {
-    addTarget([](const Request &Read) { return whole(Read, "answer"); });
+    addTarget(
+        [](const Request &Read) { return completeResponse(Read, "answer"); });
     m_Store.m_ReadDelay = std::chrono::milliseconds(100);
     start(true, false);
     CPPUNIT_ASSERT_EQUAL(503U, readiness());
@@ -73,7 +75,7 @@
   }
 
   void testRejectsInvalidRequests() {
-    addTarget([](const Request &Read) { return whole(Read, ""); });
+    addTarget([](const Request &Read) { return completeResponse(Read, ""); });
     start();
     CPPUNIT_ASSERT_EQUAL(404U, send(request("/none/x")).m_Status);
     CPPUNIT_ASSERT_EQUAL(401U, send(request("/once/x", "wrong")).m_Status);
@@ -81,7 +83,7 @@
     http::RequestMessage Nameless = request("/once/x");
     Nameless.m_Headers.remove("Attempt-Id");
     CPPUNIT_ASSERT_EQUAL(400U, send(Nameless).m_Status);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), allRequests());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), requestCount());
     // The bucket has just begun to fill; 50 tokens leave it in debt.
     eventually(
         [&] { return send(request("/once/x", "poor")).m_Status == 200; });
@@ -96,29 +98,30 @@
     start();
     for (int I = 0; I < 4; ++I)
       CPPUNIT_ASSERT_EQUAL(502U, send(request("/once/x")).m_Status);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(4), allRequests());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(4), requestCount());
   }
 
   void testRetriesAfterTargetRefusal() {
     // The first target that receives a request refuses it.
     std::set<std::string> Seen;
     auto Script = [&Seen](const Request &Read) {
-      bool IsFirst = Seen.insert(idOf(Read)).second;
-      return IsFirst ? notExecuted(Read) : whole(Read, "answer");
+      bool IsFirst = Seen.insert(attemptIdOf(Read)).second;
+      return IsFirst ? notExecuted(Read) : completeResponse(Read, "answer");
     };
     addTarget(Script);
     addTarget(Script);
     start();
     for (int I = 0; I < 6; ++I)
       CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(12), allRequests());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(12), requestCount());
   }
 
   void testReplacedTargetIsNotUsed() {
     addTarget([](const Request &Read) {
-      return whole(Read, "", "421 Misdirected Request", "");
+      return completeResponse(Read, "", "421 Misdirected Request", "");
     });
-    addTarget([](const Request &Read) { return whole(Read, "answer"); });
+    addTarget(
+        [](const Request &Read) { return completeResponse(Read, "answer"); });
     start();
     for (int I = 0; I < 6; ++I) {
       CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
@@ -131,7 +134,8 @@
   /// Guards against non-idempotent requests that are lost on a connection to
   /// the target's earlier incarnation.
   void testRestartedTargetGetsNewConnections() {
-    addTarget([](const Request &Read) { return whole(Read, "answer"); });
+    addTarget(
+        [](const Request &Read) { return completeResponse(Read, "answer"); });
     start();
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/once/x")).m_Status);
@@ -150,8 +154,10 @@
   /// Guards against malformed entries that keep a replaced announcement in
   /// force or stop the use of other targets.
   void testUnreadableAnnouncementRemovesTarget() {
-    addTarget([](const Request &Read) { return whole(Read, "one"); });
-    addTarget([](const Request &Read) { return whole(Read, "two"); });
+    addTarget(
+        [](const Request &Read) { return completeResponse(Read, "one"); });
+    addTarget(
+        [](const Request &Read) { return completeResponse(Read, "two"); });
     start();
     m_Store.change(keyOf(1), R"({"service":"app"})");
     m_Store.change("servers/other", "\xff\xfe");
@@ -166,13 +172,13 @@
 
   void testIdempotentRequestIsRetried() {
     addTarget([](const Request &Read) {
-      return whole(Read, "broken", "500 Internal Server Error");
+      return completeResponse(Read, "broken", "500 Internal Server Error");
     });
     addTarget([](const Request &) { return ""; });
     start();
     Reply Got = send(request("/again/x"));
     CPPUNIT_ASSERT(Got.m_Status == 500 || Got.m_Status == 502);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), allRequests());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), requestCount());
     if (Got.m_Status == 500)
       CPPUNIT_ASSERT_EQUAL(std::string("broken"), Got.m_Body);
   }
@@ -181,7 +187,7 @@
     addTarget([](const Request &Read) {
       return "HTTP/1.1 200 OK\r\nAttempt-Id: old\r\nReplica-Seal: s\r\n"
              "Content-Length: 3\r\n\r\nold" +
-             whole(Read, "own");
+             completeResponse(Read, "own");
     });
     start();
     Reply Got = send(request("/once/x"));
@@ -190,8 +196,9 @@
   }
 
   void testUnsignedSuccessIsRejected() {
-    addTarget(
-        [](const Request &Read) { return whole(Read, "x", "200 OK", ""); });
+    addTarget([](const Request &Read) {
+      return completeResponse(Read, "x", "200 OK", "");
+    });
     start();
     CPPUNIT_ASSERT_EQUAL(502U, send(request("/once/x")).m_Status);
   }
@@ -208,11 +215,11 @@
     addTarget(Script);
     start();
     Reply Got = send(request("/stream/x"));
-    CPPUNIT_ASSERT(Got.isWhole());
+    CPPUNIT_ASSERT(Got.isComplete());
     CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
                                      "id: 3\ndata: c\n\n"),
                          Got.m_Body);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), allRequests());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), requestCount());
   }
 
   void testBrokenStreamIsAborted() {
@@ -221,18 +228,18 @@
     });
     start();
     Reply Got = send(request("/fragile/x"));
-    CPPUNIT_ASSERT(!Got.isWhole());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), allRequests());
+    CPPUNIT_ASSERT(!Got.isComplete());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), requestCount());
   }
 
   void testResponseDelimitedByConnectionClose() {
     addTarget([](const Request &Read) {
-      return "HTTP/1.1 200 OK\r\nAttempt-Id: " + idOf(Read) +
+      return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attemptIdOf(Read) +
              "\r\nReplica-Seal: s\r\n\r\nuntil the end!";
     });
     start();
     Reply Got = send(request("/once/x"));
-    CPPUNIT_ASSERT(Got.isWhole());
+    CPPUNIT_ASSERT(Got.isComplete());
     CPPUNIT_ASSERT_EQUAL(std::string("until the end"), Got.m_Body);
   }
 
@@ -246,7 +253,7 @@
       std::string Text = "GET /again/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: z\r\n"
                          "Api-Key: key\r\nDeadline-Ms: 2000\r\n\r\n";
       asio::write(Caller, asio::buffer(Text));
-      CPPUNIT_ASSERT(eventually([this] { return allRequests() == 1; }));
+      CPPUNIT_ASSERT(eventually([this] { return requestCount() == 1; }));
     }
     auto LeftAt = core::steadyNow();
     CPPUNIT_ASSERT(
@@ -257,7 +264,7 @@
   void testStopDrainsOpenRequests() {
     std::atomic<bool> MayAnswer{false};
     addTarget([&](const Request &Read) {
-      return MayAnswer ? whole(Read, "late") : notExecuted(Read);
+      return MayAnswer ? completeResponse(Read, "late") : notExecuted(Read);
     });
     start();
     std::atomic<bool> IsFinished{false};
@@ -284,7 +291,7 @@
                          "\r\nApi-Key: key\r\nDeadline-Ms: 2000\r\n\r\n";
       asio::write(Callers.back(), asio::buffer(Text));
     }
-    CPPUNIT_ASSERT(eventually([this] { return allRequests() == 4; }));
+    CPPUNIT_ASSERT(eventually([this] { return requestCount() == 4; }));
     // The other requests wait for a slot.
     tearDown();
   }
--- a/Tests/LibGateway/QuarantineTest.cpp
+++ b/Tests/LibGateway/QuarantineTest.cpp
@@ -49,14 +49,15 @@
   void testRepeatedRequestStopsFewTargets() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
-    sendRepeatedly(Fleet, "/again/x", EndingBody, 20);
-    CPPUNIT_ASSERT(Fleet.ends() >= 3);
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
+    sendRepeatedly(Fleet, "/again/x", ExitRequestBody, 20);
+    CPPUNIT_ASSERT(Fleet.exits() >= 3);
     CPPUNIT_ASSERT(
-        Fleet.arrivalsAfterThirdEnd(EndingBody, core::Duration::zero()) <=
+        Fleet.arrivalsAfterThirdExit(ExitRequestBody, core::Duration::zero()) <=
         MaxArrivalsAfterThirdExit);
     // 503 states that the request was not sent to a target.
-    CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", EndingBody).m_Status);
+    CPPUNIT_ASSERT_EQUAL(503U,
+                         Fleet.send(0, "/again/x", ExitRequestBody).m_Status);
     // A request with another body is not quarantined.
     CPPUNIT_ASSERT_EQUAL(200U, Fleet.send(0, "/again/x", "other").m_Status);
   }
@@ -64,7 +65,7 @@
   void testPopularRequestIsServedThroughout() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     std::atomic<bool> IsCalling{true};
     std::atomic<int> Served{0};
     std::atomic<int> Refused{0};
@@ -79,7 +80,8 @@
     // Targets exit while they run it, for unrelated reasons.
     for (std::size_t I = 0; I < 12; ++I) {
       std::this_thread::sleep_for(milliseconds(150));
-      Fleet.withTargets([&] { Fleet.target(I % Targets).end(); });
+      Fleet.runOnTargetThread(
+          [&] { Fleet.target(I % Targets).simulateExit(); });
     }
     std::this_thread::sleep_for(milliseconds(1000));
     Refused = 0;
@@ -95,39 +97,39 @@
   void testQuarantineSurvivesRestartOfAll() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     std::this_thread::sleep_for(DiscoveryTime);
-    sendRepeatedly(Fleet, "/again/x", EndingBody, 4);
+    sendRepeatedly(Fleet, "/again/x", ExitRequestBody, 4);
     std::this_thread::sleep_for(milliseconds(1500));
     Fleet.killAll();
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     // If the quarantine were lost, three more targets would exit.
-    std::size_t Before = Fleet.arrivalsOf(EndingBody);
-    sendRepeatedly(Fleet, "/again/x", EndingBody, 6);
-    CPPUNIT_ASSERT_EQUAL(Before, Fleet.arrivalsOf(EndingBody));
+    std::size_t Before = Fleet.arrivalsOf(ExitRequestBody);
+    sendRepeatedly(Fleet, "/again/x", ExitRequestBody, 6);
+    CPPUNIT_ASSERT_EQUAL(Before, Fleet.arrivalsOf(ExitRequestBody));
     CPPUNIT_ASSERT(
-        Fleet.arrivalsAfterThirdEnd(EndingBody, core::Duration::zero()) <=
+        Fleet.arrivalsAfterThirdExit(ExitRequestBody, core::Duration::zero()) <=
         MaxArrivalsAfterThirdExit);
   }
 
   void testStreamThatEndsItsTargetIsQuarantined() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
-    sendRepeatedly(Fleet, "/stream/x", EndingMidwayBody, 12);
-    CPPUNIT_ASSERT(Fleet.ends() >= 3);
-    CPPUNIT_ASSERT(
-        Fleet.arrivalsAfterThirdEnd(EndingMidwayBody, core::Duration::zero()) <=
-        MaxArrivalsAfterThirdExit);
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
+    sendRepeatedly(Fleet, "/stream/x", MidStreamExitRequestBody, 12);
+    CPPUNIT_ASSERT(Fleet.exits() >= 3);
+    CPPUNIT_ASSERT(Fleet.arrivalsAfterThirdExit(MidStreamExitRequestBody,
+                                                core::Duration::zero()) <=
+                   MaxArrivalsAfterThirdExit);
   }
 
   void testLiftedContentIsServedByAll() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     std::this_thread::sleep_for(DiscoveryTime);
-    sendRepeatedly(Fleet, "/again/x", EndingBody, 6);
+    sendRepeatedly(Fleet, "/again/x", ExitRequestBody, 6);
     std::string Record;
     CPPUNIT_ASSERT(eventually([&] {
       Record = Fleet.store().valueOf(m_RecordKey);
@@ -144,22 +146,22 @@
       CPPUNIT_ASSERT(eventually([&] {
         return Fleet.metric(I, "yardrill_quarantined_contents") == 0;
       }));
-    std::size_t Before = Fleet.arrivalsOf(EndingBody);
-    Fleet.send(1, "/again/x", EndingBody);
-    CPPUNIT_ASSERT(Fleet.arrivalsOf(EndingBody) > Before);
+    std::size_t Before = Fleet.arrivalsOf(ExitRequestBody);
+    Fleet.send(1, "/again/x", ExitRequestBody);
+    CPPUNIT_ASSERT(Fleet.arrivalsOf(ExitRequestBody) > Before);
   }
 
   /// A target that still listens has not exited.
   void testResetConnectionsDoNotCountAsExits() {
     GatewayFleet Fleet(1, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     for (int I = 0; I < 6; ++I) {
       auto Later = std::async(std::launch::async, [&] {
         return Fleet.send(0, "/once/x", "long").m_Status;
       });
       std::this_thread::sleep_for(milliseconds(15));
-      Fleet.withTargets([&] {
+      Fleet.runOnTargetThread([&] {
         for (std::size_t Each = 0; Each < Targets; ++Each)
           Fleet.target(Each).resetConnections();
       });
@@ -172,16 +174,17 @@
   void testRestartedInstanceLearnsFromPeers() {
     GatewayFleet Fleet(Gateways, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     Fleet.store().setDown(true);
-    sendRepeatedly(Fleet, "/again/x", EndingBody, 4);
+    sendRepeatedly(Fleet, "/again/x", ExitRequestBody, 4);
     Fleet.kill(0);
     Fleet.start(0);
     CPPUNIT_ASSERT(eventually(
         [&] { return Fleet.metric(0, "yardrill_quarantined_contents") == 1; }));
-    CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", EndingBody).m_Status);
+    CPPUNIT_ASSERT_EQUAL(503U,
+                         Fleet.send(0, "/again/x", ExitRequestBody).m_Status);
     CPPUNIT_ASSERT(
-        Fleet.arrivalsAfterThirdEnd(EndingBody, core::Duration::zero()) <=
+        Fleet.arrivalsAfterThirdExit(ExitRequestBody, core::Duration::zero()) <=
         MaxArrivalsAfterThirdExit);
     CPPUNIT_ASSERT(Fleet.store().valueOf(m_RecordKey).empty());
   }
--- a/Tests/LibGateway/RolloutTest.cpp
+++ b/Tests/LibGateway/RolloutTest.cpp
@@ -31,8 +31,8 @@
     bool IsNew = Version != "v1";
     addTarget([this, IsNew](const Request &Read) {
       if (IsNew && m_IsFailing && ++m_Answers % 2 == 0)
-        return whole(Read, "broken", "500 Internal Server Error");
-      return whole(Read, "answer");
+        return completeResponse(Read, "broken", "500 Internal Server Error");
+      return completeResponse(Read, "answer");
     });
     if (!IsAnnounced)
       m_Store.m_Content.pop_back();
--- a/Tests/LibGateway/StoreSpreadTest.cpp
+++ b/Tests/LibGateway/StoreSpreadTest.cpp
@@ -6,7 +6,7 @@
 // until the transfer had ended.
 //
 //===----------------------------------------------------------------------===//
-#include "SpreadFleet.h"
+#include "MirrorFleet.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <random>
@@ -51,7 +51,7 @@
   CPPUNIT_TEST(testNewInstanceLoadsFromPeers);
   CPPUNIT_TEST_SUITE_END();
 
-  SpreadFleet m_Fleet;
+  MirrorFleet m_Fleet;
 
   /// Starts \p Count instances with the same content, at revision 10.
   void start(std::size_t Count, const std::string &Configuration) {
@@ -62,12 +62,12 @@
   }
   void change(std::size_t Member, Entry What) {
     Revision At = What.m_ModRevision;
-    m_Fleet.member(Member).mirror().apply(At, {std::move(What)});
+    m_Fleet.instance(Member).mirror().apply(At, {std::move(What)});
   }
   std::chrono::milliseconds timeUntilAllHold(const char *Key, std::int64_t At,
                                              std::chrono::milliseconds Most) {
     return m_Fleet.runUntil(
-        [&] { return m_Fleet.doAllHold(Key, Revision(At)); }, Most);
+        [&] { return m_Fleet.haveAllDelivered(Key, Revision(At)); }, Most);
   }
   static void assertShorter(std::chrono::milliseconds Took,
                             std::chrono::milliseconds Bound) {
@@ -87,7 +87,7 @@
   void testLargeValueReachesAllInTime() {
     start(24, "");
     for (std::size_t I = 0; I < m_Fleet.size(); ++I)
-      m_Fleet.member(I).link().limitAnswers(SmallLinkRate);
+      m_Fleet.instance(I).link().limitResponseRate(SmallLinkRate);
     change(0, put(ConfigurationKey, randomText(LargeBytes, 1), 11));
     assertShorter(timeUntilAllHold(ConfigurationKey, 11, 12s), 5000ms);
   }
@@ -95,12 +95,12 @@
   /// The transfer of the large value alone takes five seconds.
   void testSmallChangeOvertakesLargeValue() {
     start(2, "");
-    m_Fleet.member(0).link().limitAnswers(LargeBytes / 5.0);
+    m_Fleet.instance(0).link().limitResponseRate(LargeBytes / 5.0);
     change(0, put(ConfigurationKey, randomText(LargeBytes, 2), 11));
     m_Fleet.runFor(300ms);
     change(0, put(TargetKey, "leaving", 12));
     assertShorter(timeUntilAllHold(TargetKey, 12, 8s), 1000ms);
-    CPPUNIT_ASSERT(!m_Fleet.doAllHold(ConfigurationKey, Revision(11)));
+    CPPUNIT_ASSERT(!m_Fleet.haveAllDelivered(ConfigurationKey, Revision(11)));
     assertShorter(timeUntilAllHold(ConfigurationKey, 11, 12s), 10000ms);
   }
 
@@ -111,7 +111,7 @@
     Text.insert(LargeBytes / 3, "one more");
     change(0, put(ConfigurationKey, Text, 11));
     assertShorter(timeUntilAllHold(ConfigurationKey, 11, 5s), 2000ms);
-    assertFewer(m_Fleet.member(0).bytesSent(), 4096);
+    assertFewer(m_Fleet.instance(0).bytesSent(), 4096);
   }
 
   void testSupersededValuesAreNotSent() {
@@ -120,7 +120,7 @@
       change(0, put(ConfigurationKey, randomText(LargeBytes, 4), 11 + I));
     m_Fleet.add(Revision(10), {put(ConfigurationKey, "", 9)});
     assertShorter(timeUntilAllHold(ConfigurationKey, 30, 5s), 4000ms);
-    assertFewer(m_Fleet.member(0).bytesSent(), LargeBytes * 3 / 2);
+    assertFewer(m_Fleet.instance(0).bytesSent(), LargeBytes * 3 / 2);
   }
 
   /// Each value takes longer to transfer than until the next change. Values
@@ -129,12 +129,13 @@
   void testChangesInQuickSuccessionReachAll() {
     start(3, "");
     for (std::size_t I = 0; I < m_Fleet.size(); ++I)
-      m_Fleet.member(I).link().limitAnswers(SmallLinkRate);
+      m_Fleet.instance(I).link().limitResponseRate(SmallLinkRate);
     for (unsigned I = 0; I < 12; ++I) {
       change(0, put(ConfigurationKey, randomText(LargeBytes, I), 11 + I));
       m_Fleet.runFor(200ms);
       if (I >= 8) // Enough time for two consecutive transfers.
-        CPPUNIT_ASSERT(m_Fleet.doAllHold(ConfigurationKey, Revision(12)));
+        CPPUNIT_ASSERT(
+            m_Fleet.haveAllDelivered(ConfigurationKey, Revision(12)));
     }
     assertShorter(timeUntilAllHold(ConfigurationKey, 22, 8s), 3000ms);
   }
@@ -143,7 +144,7 @@
     start(2, randomText(LargeBytes, 5));
     m_Fleet.add(Revision(), {});
     assertShorter(timeUntilAllHold(ConfigurationKey, 9, 5s), 2000ms);
-    CPPUNIT_ASSERT(m_Fleet.doAllHold(TargetKey, Revision(10)));
+    CPPUNIT_ASSERT(m_Fleet.haveAllDelivered(TargetKey, Revision(10)));
   }
 };
 
--- a/Tests/LibGateway/TargetBackoffTest.cpp
+++ b/Tests/LibGateway/TargetBackoffTest.cpp
@@ -27,8 +27,8 @@
   static constexpr std::size_t MaxInBackoff = 2;
 
   static void refuseRequests(GatewayFleet &Fleet, std::size_t Target) {
-    Fleet.withTargets([&] {
-      Fleet.target(Target).state({"Retry-After: 2\r\n", true});
+    Fleet.runOnTargetThread([&] {
+      Fleet.target(Target).setBackpressure({"Retry-After: 2\r\n", true});
     });
   }
   struct TimedReply {
@@ -95,7 +95,7 @@
   void testBackoffHoldsWhileAllTargetsBackOff() {
     GatewayFleet Fleet(1, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     for (std::size_t I = 0; I < Targets; ++I)
       refuseRequests(Fleet, I);
     std::vector<TimedReply> Got = sendFor(Fleet, milliseconds(4500));
@@ -119,15 +119,15 @@
   void testBackoffSurvivesReannouncement() {
     GatewayFleet Fleet(1, Targets);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     for (std::size_t I = 0; I < Targets; ++I)
       refuseRequests(Fleet, I);
     for (std::size_t I = 0; I < Targets; ++I)
       Fleet.send(0, "/again/x", "");
     // Long enough for the target to be removed.
-    Fleet.withTargets([&] { Fleet.target(0).withdrawAnnouncement(); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).withdrawAnnouncement(); });
     std::this_thread::sleep_for(milliseconds(1500));
-    Fleet.withTargets([&] { Fleet.target(0).announceAgain(); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).reannounce(); });
     std::this_thread::sleep_for(milliseconds(100));
     // 1.6 s of the 2 s of back-off have passed.
     sendFor(Fleet, milliseconds(200));
@@ -137,10 +137,10 @@
   void testTargetIsUsedAfterBackoff() {
     GatewayFleet Fleet(1, 1);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     refuseRequests(Fleet, 0);
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", "").m_Status);
-    Fleet.withTargets([&] { Fleet.target(0).state({}); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).setBackpressure({}); });
     CPPUNIT_ASSERT_EQUAL(503U, Fleet.send(0, "/again/x", "").m_Status);
     std::this_thread::sleep_for(Backoff);
     CPPUNIT_ASSERT_EQUAL(200U, Fleet.send(0, "/again/x", "").m_Status);
@@ -150,16 +150,16 @@
   void testLeavingTargetGetsNoRequests() {
     GatewayFleet Fleet(2, 2);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
-    Fleet.withTargets(
-        [&] { Fleet.target(0).state({"Server-Leaving: 1\r\n"}); });
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
+    Fleet.runOnTargetThread(
+        [&] { Fleet.target(0).setBackpressure({"Server-Leaving: 1\r\n"}); });
     sendConcurrently(Fleet, 0);
     CPPUNIT_ASSERT(!Fleet.arrivalsAt(0).empty());
     sendFor(Fleet, milliseconds(1000));
     core::TimePoint Since = core::steadyNow();
-    Fleet.withTargets([&] { Fleet.target(0).withdrawAnnouncement(); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).withdrawAnnouncement(); });
     std::this_thread::sleep_for(milliseconds(1500));
-    Fleet.withTargets([&] { Fleet.target(0).announceAgain(); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).reannounce(); });
     std::this_thread::sleep_for(milliseconds(100));
     sendFor(Fleet, milliseconds(500));
     // The other instance has received the update.
--- a/Tests/LibGateway/TargetLimitTest.cpp
+++ b/Tests/LibGateway/TargetLimitTest.cpp
@@ -86,13 +86,13 @@
   static std::unique_ptr<GatewayFleet> settledFleet() {
     auto Out = std::make_unique<GatewayFleet>(Gateways, Targets);
     Out->startAll();
-    CPPUNIT_ASSERT(Out->areAllReady());
+    CPPUNIT_ASSERT(Out->waitUntilReady());
     std::this_thread::sleep_for(SettleTime);
     return Out;
   }
   static void stateLimit(GatewayFleet &Fleet, std::size_t Target) {
-    Fleet.withTargets([&] {
-      Fleet.target(Target).state(
+    Fleet.runOnTargetThread([&] {
+      Fleet.target(Target).setBackpressure(
           {"Server-Limit: " + std::to_string(Limit) + "\r\n"});
     });
   }
@@ -156,7 +156,7 @@
     SteadyCallers Callers(Fleet, Pause);
     stateLimit(Fleet, 0);
     std::this_thread::sleep_for(Window);
-    Fleet.withTargets([&] { Fleet.target(0).state({}); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).setBackpressure({}); });
     // One response shows the end of the limit, at 1.2 a second; then all
     // instances are notified.
     std::this_thread::sleep_for(milliseconds(5000));
@@ -171,9 +171,9 @@
     SteadyCallers Callers(Fleet, Pause);
     stateLimit(Fleet, 0);
     std::this_thread::sleep_for(Window);
-    Fleet.withTargets([&] {
-      Fleet.target(0).state({});
-      Fleet.target(0).end();
+    Fleet.runOnTargetThread([&] {
+      Fleet.target(0).setBackpressure({});
+      Fleet.target(0).simulateExit();
     });
     std::this_thread::sleep_for(milliseconds(2000));
     core::TimePoint Since = core::steadyNow();
@@ -189,9 +189,9 @@
     stateLimit(Fleet, 0);
     std::this_thread::sleep_for(PropagationTime);
     core::TimePoint Since = core::steadyNow();
-    Fleet.withTargets([&] { Fleet.target(0).withdrawAnnouncement(); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).withdrawAnnouncement(); });
     std::this_thread::sleep_for(milliseconds(2000));
-    Fleet.withTargets([&] { Fleet.target(0).announceAgain(); });
+    Fleet.runOnTargetThread([&] { Fleet.target(0).reannounce(); });
     std::this_thread::sleep_for(Window);
     CPPUNIT_ASSERT(worstWindow(Fleet.arrivalsAt(0), Since) <= maxAllowed());
   }
--- a/Tests/LibQuarantine/QuarantineModelTest.cpp
+++ b/Tests/LibQuarantine/QuarantineModelTest.cpp
@@ -26,10 +26,11 @@
   static void checkDays(std::size_t Days, std::size_t Instances,
                         std::size_t Targets) {
     for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
-      QuarantineOutcome Got = play(drawQuarantineDay(Seed, Instances, Targets));
+      QuarantineResult Got =
+          simulate(randomQuarantineScenario(Seed, Instances, Targets));
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(Seed),
                              Got.m_LateSends <= MostLateSends);
-      CPPUNIT_ASSERT(Got.m_EndsUnderBad > 0);
+      CPPUNIT_ASSERT(Got.m_ExitsUnderBad > 0);
     }
   }
 
@@ -46,25 +47,25 @@
 
   /// No instance is left that knows of the third target's exit.
   void testAllRestartedWithoutAStore() {
-    QuarantineDay Day;
+    QuarantineScenario Day;
     Day.m_Faults = {{0ms, 20000ms, QuarantineFaultKind::StoreDown},
                     {9000ms, 0ms, QuarantineFaultKind::Kill},
                     {22000ms, 0ms, QuarantineFaultKind::Kill}};
     for (Day.m_Seed = 1; Day.m_Seed <= 50; ++Day.m_Seed)
-      CPPUNIT_ASSERT(play(Day).m_LateSends <= MostLateSends);
+      CPPUNIT_ASSERT(simulate(Day).m_LateSends <= MostLateSends);
   }
 
   void testMassTargetExitsQuarantineNoHarmlessContent() {
-    QuarantineDay Day;
+    QuarantineScenario Day;
     Day.m_BadContents = 0;
     Day.m_DownTime = 1500ms;
     for (int I = 0; I < 25; ++I)
       Day.m_Faults.push_back(
-          {2000ms * (I + 1), 0ms, QuarantineFaultKind::EndTargets, 0.4});
+          {2000ms * (I + 1), 0ms, QuarantineFaultKind::ExitTargets, 0.4});
     std::size_t Broken = 0;
     for (Day.m_Seed = 1; Day.m_Seed <= 20; ++Day.m_Seed) {
-      QuarantineOutcome Got = play(Day);
-      Broken += Got.m_InnocentsBroken;
+      QuarantineResult Got = simulate(Day);
+      Broken += Got.m_HarmlessInterrupted;
       CPPUNIT_ASSERT_EQUAL(std::size_t(0), Got.m_WronglyRefused);
     }
     CPPUNIT_ASSERT(Broken > 1000);
--- a/Tests/LibRollout/RolloutModelTest.cpp
+++ b/Tests/LibRollout/RolloutModelTest.cpp
@@ -30,20 +30,21 @@
     double m_LastEnd = 0;
   };
 
-  static Tally play(const RolloutCase &What, int Seeds, const char *Name) {
+  static Tally play(const RolloutScenario &What, int Seeds, const char *Name) {
     Tally Out;
     for (int Seed = 1; Seed <= Seeds; ++Seed) {
-      RolloutResult Got = playRollout(What, static_cast<std::uint64_t>(Seed));
+      RolloutResult Got =
+          simulateRollout(What, static_cast<std::uint64_t>(Seed));
       ++Out.m_Played;
-      bool IsInTime =
-          Got.m_End && Got.m_EndedAfter <= core::toSeconds(What.m_BakeTime);
+      bool IsInTime = Got.m_Decision &&
+                      Got.m_EndedAfter <= core::toSeconds(What.m_BakeTime);
       Out.m_InTime += IsInTime ? 1 : 0;
       Out.m_Completed +=
-          Got.m_End && Got.m_End->m_State == State::Completed ? 1 : 0;
+          Got.m_Decision && Got.m_Decision->m_State == State::Completed ? 1 : 0;
       Out.m_LastEnd = std::max(Out.m_LastEnd, Got.m_EndedAfter);
-      bool IsBad = What.m_Shape != VersionShape::Good;
+      bool IsBad = What.m_Behavior != VersionBehavior::Good;
       if (IsBad)
-        Out.m_MaxExcess = std::max(Out.m_MaxExcess, Got.m_ExposedBeyond);
+        Out.m_MaxExcess = std::max(Out.m_MaxExcess, Got.m_ExcessRequests);
       Out.m_Longest = std::max(Out.m_Longest, Got.m_LastAfterFiftieth);
     }
     std::cout << "\nrollouts case=" << Name << " played=" << Out.m_Played
@@ -67,65 +68,65 @@
 
 public:
   void testGoodVersionsAreCompletedInTime() {
-    checkGood(play(RolloutCase(), 60, "good"));
+    checkGood(play(RolloutScenario(), 60, "good"));
   }
 
   void testBadVersionsAreRolledBackInTime() {
-    RolloutCase Case;
+    RolloutScenario Case;
     for (auto [Shape, Name] :
-         {std::pair(VersionShape::Fails, "fails"),
-          std::pair(VersionShape::FailsLate, "fails-late"),
-          std::pair(VersionShape::FailsUnderLoad, "fails-under-load"),
-          std::pair(VersionShape::FailsOnOneRoute, "fails-on-one-route"),
-          std::pair(VersionShape::Slow, "slow"),
-          std::pair(VersionShape::SlowOnOneRoute, "slow-on-one-route")}) {
-      Case.m_Shape = Shape;
+         {std::pair(VersionBehavior::Fails, "fails"),
+          std::pair(VersionBehavior::FailsLate, "fails-late"),
+          std::pair(VersionBehavior::FailsUnderLoad, "fails-under-load"),
+          std::pair(VersionBehavior::FailsOnOneRoute, "fails-on-one-route"),
+          std::pair(VersionBehavior::Slow, "slow"),
+          std::pair(VersionBehavior::SlowOnOneRoute, "slow-on-one-route")}) {
+      Case.m_Behavior = Shape;
       checkBad(play(Case, 25, Name));
     }
   }
 
   void testMixedHardwareIsNotJudgedWorse() {
-    RolloutCase Case;
-    Case.m_SlowHardware = 4.4;
+    RolloutScenario Case;
+    Case.m_SlowHardwareFactor = 4.4;
     checkGood(play(Case, 40, "good-unlike-hardware"));
-    Case.m_Shape = VersionShape::Slow;
+    Case.m_Behavior = VersionBehavior::Slow;
     checkBad(play(Case, 25, "slow-unlike-hardware"));
     // All responses are slow, not only a part of them.
-    Case.m_BadPart = 1;
-    Case.m_BadTimes = 5;
+    Case.m_BadShare = 1;
+    Case.m_SlowdownFactor = 5;
     checkBad(play(Case, 25, "all-slow-unlike-hardware"));
   }
 
   void testUnderKillsAndCuts() {
-    RolloutCase Case;
-    Case.m_HasKills = Case.m_HasCuts = Case.m_HasGrey = true;
+    RolloutScenario Case;
+    Case.m_HasKills = Case.m_HasCuts = Case.m_HasGrayFailures = true;
     Tally Good = play(Case, 40, "good-with-faults");
     CPPUNIT_ASSERT(Good.m_Completed >= Good.m_Played - 2);
-    Case.m_Shape = VersionShape::Fails;
+    Case.m_Behavior = VersionBehavior::Fails;
     checkBad(play(Case, 25, "fails-with-faults"));
   }
 
   void testFewRequests() {
-    RolloutCase Case;
+    RolloutScenario Case;
     Case.m_Instances = 6;
     Case.m_RequestsPerSecond = 40;
     Case.m_Targets = 3;
-    Case.m_Routes = {0.7, 0.3};
-    Case.m_UsualFailures = {0.004, 0.14};
+    Case.m_RouteShares = {0.7, 0.3};
+    Case.m_BaselineFailureRates = {0.004, 0.14};
     checkGood(play(Case, 40, "good-few-requests"));
-    Case.m_Shape = VersionShape::Fails;
+    Case.m_Behavior = VersionBehavior::Fails;
     checkBad(play(Case, 25, "fails-few-requests"));
   }
 
   void testFromSixToFourHundredInstances() {
     for (std::size_t Size : {6, 89, 295, 440}) {
-      RolloutCase Case;
+      RolloutScenario Case;
       Case.m_Instances = Size;
       Case.m_RequestsPerSecond = 11.0 * static_cast<double>(Size);
       Case.m_Targets = Size;
       std::string Name = std::to_string(Size);
       checkGood(play(Case, 6, ("good-" + Name).c_str()));
-      Case.m_Shape = VersionShape::Fails;
+      Case.m_Behavior = VersionBehavior::Fails;
       checkBad(play(Case, 6, ("fails-" + Name).c_str()));
     }
   }
--- a/Tests/LibRouting/LimitModelTest.cpp
+++ b/Tests/LibRouting/LimitModelTest.cpp
@@ -25,15 +25,17 @@
   /// Minimum share of the limit that is used if there is enough demand.
   static constexpr double MinServed = 0.8;
 
-  static void assertHolds(LimitDay Day, std::uint64_t Days) {
+  static void assertHolds(RateLimitScenario Day, std::uint64_t Days) {
     for (Day.m_Seed = 1; Day.m_Seed <= Days; ++Day.m_Seed) {
       Day.m_HasFaults = true;
-      double Worst = playLimitDay(Day, LimitWay::Senders).m_WorstShare;
+      double Worst =
+          simulateRateLimit(Day, RateLimitStrategy::Senders).m_MaxWindowRatio;
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(Day.m_Seed) + ": " +
                                  std::to_string(Worst),
                              Worst <= 1);
       Day.m_HasFaults = false;
-      double Served = playLimitDay(Day, LimitWay::Senders).m_ServedShare;
+      double Served =
+          simulateRateLimit(Day, RateLimitStrategy::Senders).m_ServedShare;
       CPPUNIT_ASSERT_MESSAGE("served " + std::to_string(Served),
                              Served >= MinServed);
     }
@@ -49,14 +51,14 @@
   void testLargeFleet() { assertHolds({74, 90, 570, 3}, 2); }
   void testManyInstancesWithFewTargets() { assertHolds({295, 3, 400, 2}, 1); }
   void testWholePoolIsLimited() {
-    LimitDay Day{7, 9, 38, 1.4};
+    RateLimitScenario Day{7, 9, 38, 1.4};
     Day.m_LimitedShare = 1;
     assertHolds(Day, 20);
   }
   /// Shows that the model detects instances that apply the limit independently.
   void testIndependentInstancesExceedTheLimit() {
-    CPPUNIT_ASSERT(playLimitDay({7, 9, 38, 1.4}, LimitWay::Alone).m_WorstShare >
-                   1);
+    CPPUNIT_ASSERT(simulateRateLimit({7, 9, 38, 1.4}, RateLimitStrategy::Alone)
+                       .m_MaxWindowRatio > 1);
   }
 };
 
--- a/Tests/LibRouting/QuotaDeploymentsTest.cpp
+++ b/Tests/LibRouting/QuotaDeploymentsTest.cpp
@@ -5,7 +5,7 @@
 // that are in debt.
 //
 //===----------------------------------------------------------------------===//
-#include "QuotaDay.h"
+#include "QuotaScenario.h"
 
 #include <algorithm>
 #include <cppunit/extensions/HelperMacros.h>
@@ -32,31 +32,32 @@
     throw std::logic_error("unknown deployment: " + Name);
   }
 
-  static QuotaDay day(const std::string &Name, double Limit, double Load,
-                      std::uint64_t Seed, std::vector<QuotaEvent> Events) {
+  static QuotaScenario day(const std::string &Name, double Limit, double Load,
+                           std::uint64_t Seed,
+                           std::vector<QuotaFaultEvent> Events) {
     return {&deployment(Name), Limit, Load, false, std::move(Events), Seed};
   }
-  static QuotaEvent cut(int At, double Share, int Time) {
-    return {milliseconds(At), QuotaFault::Cut, Share, milliseconds(Time)};
+  static QuotaFaultEvent cut(int At, double Share, int Time) {
+    return {milliseconds(At), QuotaFaultKind::Cut, Share, milliseconds(Time)};
   }
-  static QuotaEvent split(int At, double Share, int Time) {
-    return {milliseconds(At), QuotaFault::Split, Share, milliseconds(Time)};
+  static QuotaFaultEvent split(int At, double Share, int Time) {
+    return {milliseconds(At), QuotaFaultKind::Split, Share, milliseconds(Time)};
   }
-  static QuotaEvent add(int At, double Share) {
-    return {milliseconds(At), QuotaFault::Add, Share, {}};
+  static QuotaFaultEvent add(int At, double Share) {
+    return {milliseconds(At), QuotaFaultKind::Add, Share, {}};
   }
-  static QuotaEvent kill(int At, double Share, int Time) {
-    return {milliseconds(At), QuotaFault::Kill, Share, milliseconds(Time)};
+  static QuotaFaultEvent kill(int At, double Share, int Time) {
+    return {milliseconds(At), QuotaFaultKind::Kill, Share, milliseconds(Time)};
   }
 
   /// Simulates a scenario and checks its bound. \returns the share of the
   /// tolerance that was used.
-  static double check(const QuotaDay &Day) {
-    QuotaDayResult Result = play(Day);
-    if (!Result.isKept())
+  static double check(const QuotaScenario &Day) {
+    QuotaScenarioResult Result = simulate(Day);
+    if (!Result.isWithinTolerance())
       std::cerr << "\nof_tolerance=" << Result.usedTolerance() << " "
                 << Day.describe();
-    CPPUNIT_ASSERT_MESSAGE(Day.describe(), Result.isKept());
+    CPPUNIT_ASSERT_MESSAGE(Day.describe(), Result.isWithinTolerance());
     return Result.usedTolerance();
   }
 
@@ -64,7 +65,7 @@
   void testCutOffWhileOthersGrantAll() {
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       for (std::uint64_t Seed = 1; Seed <= 3; ++Seed)
-        check(day(Each.m_Name, Each.m_LargestLimit, 5, Seed,
+        check(day(Each.m_Name, Each.m_MaxLimit, 5, Seed,
                   {cut(9000, 0.35, 8000)}));
   }
 
@@ -85,7 +86,7 @@
                split(14429, 0.092412, 3606),
                split(7071, 0.0834915, 5834),
                split(7238, 0.287662, 7726),
-               {milliseconds(7829), QuotaFault::Freeze, 0.144767,
+               {milliseconds(7829), QuotaFaultKind::Freeze, 0.144767,
                 milliseconds(3884)}}));
   }
 
@@ -96,13 +97,13 @@
               {cut(11956, 0.146528, 3679), cut(16273, 0.208981, 5390),
                cut(11737, 0.277992, 7914), add(12306, 0.40965),
                add(13961, 0.439236), kill(10435, 1, 1325)}));
-    check(day(
-        "tickets", 107844, 4.33328, 4261951405298700608,
-        {add(12065, 0.444747),
-         add(15926, 0.39114),
-         {milliseconds(8107), QuotaFault::Freeze, 0.148862, milliseconds(2428)},
-         cut(10680, 0.325583, 6791),
-         split(10830, 0.152118, 4696)}));
+    check(day("tickets", 107844, 4.33328, 4261951405298700608,
+              {add(12065, 0.444747),
+               add(15926, 0.39114),
+               {milliseconds(8107), QuotaFaultKind::Freeze, 0.148862,
+                milliseconds(2428)},
+               cut(10680, 0.325583, 6791),
+               split(10830, 0.152118, 4696)}));
     for (std::uint64_t Seed = 1; Seed <= 10; ++Seed)
       check(
           day("games", 300000, 6, Seed, {cut(9000, 0.4, 9000), add(9500, 1)}));
@@ -111,20 +112,21 @@
   /// Guards against debts that each owner keeps for itself and loses when it is
   /// killed. Each of these requests is a third of the tolerance.
   void testOnlyTheLargestRequests() {
-    QuotaDay Regression = day("simulations", 26381, 4.40108, 3000088,
-                              {kill(7599, 0.727954, 1854),
-                               {milliseconds(17558), QuotaFault::Freeze,
-                                0.0684945, milliseconds(3645)},
-                               kill(16227, 0.633581, 1082),
-                               add(14209, 0.376227),
-                               add(12301, 0.447633)});
-    Regression.m_AreLargest = true;
+    QuotaScenario Regression =
+        day("simulations", 26381, 4.40108, 3000088,
+            {kill(7599, 0.727954, 1854),
+             {milliseconds(17558), QuotaFaultKind::Freeze, 0.0684945,
+              milliseconds(3645)},
+             kill(16227, 0.633581, 1082),
+             add(14209, 0.376227),
+             add(12301, 0.447633)});
+    Regression.m_HasOnlyLargestRequests = true;
     check(Regression);
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       for (std::uint64_t Seed = 1; Seed <= 3; ++Seed) {
-        QuotaDay Day = day(Each.m_Name, Each.m_SmallestLimit, 5, Seed,
-                           {kill(9000, 0.7, 900), kill(12500, 0.7, 900)});
-        Day.m_AreLargest = true;
+        QuotaScenario Day = day(Each.m_Name, Each.m_MinLimit, 5, Seed,
+                                {kill(9000, 0.7, 900), kill(12500, 0.7, 900)});
+        Day.m_HasOnlyLargestRequests = true;
         check(Day);
       }
   }
@@ -136,7 +138,7 @@
     for (const QuotaDeployment &Each : QuotaDeployment::all()) {
       double Most = 0;
       for (std::uint64_t Seed = 1; Seed <= Days; ++Seed)
-        Most = std::max(Most, check(QuotaDay::draw(Each, Seed)));
+        Most = std::max(Most, check(QuotaScenario::random(Each, Seed)));
       std::cerr << "\n" << Each.m_Name << " most_of_tolerance=" << Most;
     }
   }
@@ -145,10 +147,10 @@
   void testSmallestLimitsUnderKillsInSeries() {
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       for (std::uint64_t Seed = 1; Seed <= 4; ++Seed) {
-        std::vector<QuotaEvent> Kills;
+        std::vector<QuotaFaultEvent> Kills;
         for (int At = 8000; At <= 15000; At += 1800)
           Kills.push_back(kill(At, Seed % 2 == 0 ? 1 : 0.55, 600));
-        check(day(Each.m_Name, Each.m_SmallestLimit, 5, Seed, Kills));
+        check(day(Each.m_Name, Each.m_MinLimit, 5, Seed, Kills));
       }
   }
 };
--- a/Tests/LibRouting/QuotaModelTest.cpp
+++ b/Tests/LibRouting/QuotaModelTest.cpp
@@ -6,7 +6,7 @@
 //===----------------------------------------------------------------------===//
 #include "LibRouting/ConsistentHashRing.h"
 #include "LibRouting/TokenBucket.h"
-#include "QuotaFleet.h"
+#include "QuotaSimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -51,7 +51,7 @@
     core::TimePoint End = m_Fleet.now() + Length;
     core::TimePoint NextFault = m_Fleet.now() + seconds(9);
     while (m_Fleet.now() < End) {
-      m_Fleet.advance(tests::QuotaFleet::StepTime);
+      m_Fleet.advance(tests::QuotaSimulation::StepTime);
       demand(Hot, HotLoad);
       demand(Modest, ModestLoad);
       for (std::size_t Other = Modest + 1; Other < Hot; ++Other)
@@ -63,17 +63,17 @@
   }
 
   /// Returns the tokens granted in the fullest window.
-  double mostInWindow(std::size_t Account) const {
-    return tests::mostInWindow(m_Fleet.allowed(Account), Window);
+  double maxInWindow(std::size_t Account) const {
+    return tests::maxInWindow(m_Fleet.grants(Account), Window);
   }
   /// Returns the share of the account's requests that were refused at instances
   /// that were cut off, or at all others.
   double refusedShare(std::size_t Account, bool IsCutOff) const {
     auto Refused = static_cast<double>(m_Fleet.refused(Account, IsCutOff));
-    const auto &Allowed = m_Fleet.allowed(Account);
+    const auto &Allowed = m_Fleet.grants(Account);
     auto All = Refused + static_cast<double>(std::count_if(
                              Allowed.begin(), Allowed.end(),
-                             [IsCutOff](const tests::AllowedDraw &Each) {
+                             [IsCutOff](const tests::TokenGrant &Each) {
                                return Each.m_IsCutOff == IsCutOff;
                              }));
     return All > 0 ? Refused / All : 0;
@@ -82,8 +82,8 @@
   /// Returns the tokens that isolated instances granted to the account.
   double isolatedTokens(std::size_t Account) const {
     double Out = 0;
-    for (const tests::AllowedDraw &Each : m_Fleet.allowed(Account))
-      Out += Each.m_IsAlone ? Each.m_Tokens : 0;
+    for (const tests::TokenGrant &Each : m_Fleet.grants(Account))
+      Out += Each.m_IsIsolated ? Each.m_Tokens : 0;
     return Out;
   }
   double cutOffCount() const { return m_CutOffCount; }
@@ -113,7 +113,7 @@
     std::lognormal_distribution<double> Tokens(
         std::log(Mean) - Spread * Spread / 2, Spread);
     std::poisson_distribution<int> Count(
-        Rate * Load / Mean * core::toSeconds(tests::QuotaFleet::StepTime));
+        Rate * Load / Mean * core::toSeconds(tests::QuotaSimulation::StepTime));
     std::uniform_int_distribution<std::size_t> Where(0, m_Size - 1);
     for (int Left = Count(m_Random); Left > 0; --Left) {
       double Size = std::min(LargestRequest, Tokens(m_Random));
@@ -162,7 +162,7 @@
   std::mt19937_64 m_Random;
   std::size_t m_Size;
   std::size_t m_Next = 0;
-  tests::QuotaFleet m_Fleet;
+  tests::QuotaSimulation m_Fleet;
   routing::TokenBucket m_ReferenceBucket{{Rate, Burst}, Burst, m_Fleet.now()};
   double m_CutOffCount = 0; ///< Number of times an instance was cut off.
   double m_ReferenceRequests = 0;
@@ -196,7 +196,7 @@
         FaultSimulation Simulation(Size, What,
                                    Size + static_cast<std::size_t>(Seed));
         Simulation.run();
-        Most = std::max(Most, Simulation.mostInWindow(Hot));
+        Most = std::max(Most, Simulation.maxInWindow(Hot));
         Refused += Simulation.refusedShare(Modest, false) / Seeds;
         RefusedCutOff += Simulation.refusedShare(Modest, true) / Seeds;
         ReferenceRefused += Simulation.referenceRefusedShare() / Seeds;
--- a/Tests/Sessions/SessionTest.cpp
+++ b/Tests/Sessions/SessionTest.cpp
@@ -30,15 +30,15 @@
       : m_Steps(Session["steps"]), m_Fleet(shapeOf(Session["fleet"])) {}
 
   std::string play() {
-    CPPUNIT_ASSERT(m_Fleet.isServing());
+    CPPUNIT_ASSERT(m_Fleet.waitUntilServing());
     for (const auto &Step : m_Steps)
       playStep(Step);
     return m_Transcript;
   }
 
 private:
-  static Fleet::Shape shapeOf(const YAML::Node &Node) {
-    Fleet::Shape Out;
+  static Fleet::Options shapeOf(const YAML::Node &Node) {
+    Fleet::Options Out;
     Out.m_Instances = Node["instances"].as<int>();
     Out.m_Slots = Node["places"].as<int>(8);
     return Out;
@@ -67,7 +67,7 @@
 
   void send(const YAML::Node &Step) {
     http::RequestMessage Request =
-        applicationCall("", "session", Step["body"].as<std::string>(""));
+        applicationRequest("", "session", Step["body"].as<std::string>(""));
     Request.m_Method = Step["method"].as<std::string>("POST");
     Request.m_Target = Step["path"].as<std::string>();
     for (const auto &Header : Step["headers"]) {
@@ -84,7 +84,7 @@
         "\n" + std::regex_replace(Answer.m_Body, m_RequestId, "<request-id>");
     if (!Answer.m_Body.empty() && Answer.m_Body.back() != '\n')
       m_Transcript += "\n";
-    if (!Answer.isWhole())
+    if (!Answer.isComplete())
       m_Transcript += "(broken off)\n";
   }
 
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -320,7 +320,7 @@
     return;
   std::string Old = Which.key();
   Which.setDisturbed(true);
-  Which.proxy().setPassage(tests::Passage::Closed);
+  Which.proxy().setMode(tests::ProxyMode::Closed);
   Which.proxy().resetAll();
   tests::sleepFor(m_Context, DownFor, Yield);
   if (Which.isRetired())
@@ -328,7 +328,7 @@
   bool KeepsName = m_NextTarget % 2 == 0;
   std::string Next = nextTargetName();
   Which.restart(KeepsName ? Which.name() : Next);
-  Which.proxy().setPassage(tests::Passage::Whole);
+  Which.proxy().setMode(tests::ProxyMode::PassThrough);
   Which.setDisturbed(false);
   put(Which.key(), Which.announcement(), Yield);
   if (!KeepsName)
--- a/Tests/Soak/FaultPlan.cpp
+++ b/Tests/Soak/FaultPlan.cpp
@@ -101,14 +101,14 @@
     m_On.signalGateway(m_Gateway, SIGCONT);
     m_Book.processTrouble(m_Gateway, false);
   }
-  void disturbStoreLink(tests::Passage How, bool MustReset) {
+  void disturbStoreLink(tests::ProxyMode How, bool MustReset) {
     m_Book.pathTrouble(m_Gateway, true);
     tests::LoopbackProxy &Link = m_On.storeProxy(m_Gateway);
-    Link.setPassage(How);
+    Link.setMode(How);
     if (MustReset)
       Link.resetAll();
     pause();
-    Link.setPassage(tests::Passage::Whole);
+    Link.setMode(tests::ProxyMode::PassThrough);
     m_Book.pathTrouble(m_Gateway, false);
   }
   void disturbStore(const boost::json::object &Begin,
@@ -126,14 +126,14 @@
     m_On.freezeStore(false);
     m_Book.storeTrouble(false);
   }
-  void disturbTargetLink(tests::Passage How, bool MustReset) {
+  void disturbTargetLink(tests::ProxyMode How, bool MustReset) {
     SoakTarget &Which = m_On.target(m_Index);
     Which.setDisturbed(true);
-    Which.proxy().setPassage(How);
+    Which.proxy().setMode(How);
     if (MustReset)
       Which.proxy().resetAll();
     pause();
-    Which.proxy().setPassage(tests::Passage::Whole);
+    Which.proxy().setMode(tests::ProxyMode::PassThrough);
     Which.setDisturbed(false);
   }
   void dropIdleConnections() {
@@ -183,13 +183,13 @@
   case FaultKind::ReloadGateway:
     return m_On.signalGateway(m_Gateway, SIGHUP);
   case FaultKind::StoreLinkDelayed:
-    return disturbStoreLink(tests::Passage::Delayed, false);
+    return disturbStoreLink(tests::ProxyMode::Delayed, false);
   case FaultKind::StoreLinkReset:
-    return disturbStoreLink(tests::Passage::Down, true);
+    return disturbStoreLink(tests::ProxyMode::Reset, true);
   case FaultKind::StoreLinkSilent:
-    return disturbStoreLink(tests::Passage::CutBoth, false);
+    return disturbStoreLink(tests::ProxyMode::CutBoth, false);
   case FaultKind::StoreLinkOneWay:
-    return disturbStoreLink(tests::Passage::CutBackward, false);
+    return disturbStoreLink(tests::ProxyMode::CutBackward, false);
   case FaultKind::StoreFrozen:
     return freezeStore();
   case FaultKind::StoreDown:
@@ -203,13 +203,13 @@
   case FaultKind::StoreLosesAnswers:
     return disturbStore({{"lose_answers", 3}}, {{"lose_answers", 0}});
   case FaultKind::TargetLinkDelayed:
-    return disturbTargetLink(tests::Passage::Delayed, false);
+    return disturbTargetLink(tests::ProxyMode::Delayed, false);
   case FaultKind::TargetLinkReset:
-    return disturbTargetLink(tests::Passage::Whole, true);
+    return disturbTargetLink(tests::ProxyMode::PassThrough, true);
   case FaultKind::TargetLinkSilent:
-    return disturbTargetLink(tests::Passage::CutBoth, false);
+    return disturbTargetLink(tests::ProxyMode::CutBoth, false);
   case FaultKind::TargetLinkOneWay:
-    return disturbTargetLink(tests::Passage::CutBackward, false);
+    return disturbTargetLink(tests::ProxyMode::CutBackward, false);
   case FaultKind::TargetIdleReset:
     return dropIdleConnections();
   case FaultKind::TargetCrashes:
--- a/Tests/Soak/SoakTarget.cpp
+++ b/Tests/Soak/SoakTarget.cpp
@@ -113,7 +113,7 @@
 void SoakTarget::retire() {
   m_IsRetired = true;
   setDisturbed(true);
-  m_Proxy->setPassage(tests::Passage::Down);
+  m_Proxy->setMode(tests::ProxyMode::Reset);
   m_Proxy->resetAll();
 }
 
--- a/Tests/StandIns/ModelEngineTest.cpp
+++ b/Tests/StandIns/ModelEngineTest.cpp
@@ -29,7 +29,7 @@
   }
 
   static http::RequestMessage named(const std::string &Id, int Tokens) {
-    auto Out = completion("resumable", Tokens, true);
+    auto Out = completionRequest("resumable", Tokens, true);
     Out.m_Headers.set("Yardrill-Request-Id", Id);
     return Out;
   }
@@ -50,28 +50,28 @@
     Reply First = call(m_Port, named("r1", 40), [](const std::string &Piece) {
       return Piece.find("id: 5\n") == std::string::npos;
     });
-    CPPUNIT_ASSERT(!First.isWhole());
+    CPPUNIT_ASSERT(!First.isComplete());
     auto Again = ask("GET", "/v1/completions/r1");
     Again.m_Headers.set("Last-Event-ID", "5");
     Reply Rest = call(m_Port, Again);
-    CPPUNIT_ASSERT(Rest.isWhole());
+    CPPUNIT_ASSERT(Rest.isComplete());
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Rest.m_Body.find("id: 6\n"));
     CPPUNIT_ASSERT(Rest.m_Body.find("[DONE]") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(1, countersOf(m_Port).at("started").to_number<int>());
   }
 
   void testCancel() {
-    auto Running = callLater(m_Port, named("c1", 100000));
+    auto Running = callAsync(m_Port, named("c1", 100000));
     CPPUNIT_ASSERT(eventually([&] {
       return call(m_Port, ask("DELETE", "/v1/completions/c1")).m_Status == 200;
     }));
-    CPPUNIT_ASSERT(!Running.get().isWhole());
+    CPPUNIT_ASSERT(!Running.get().isComplete());
     CPPUNIT_ASSERT(eventually(
         [&] { return countersOf(m_Port).at("busy").to_number<int>() == 0; }));
   }
 
   void testPriority() {
-    auto Busy = callLater(m_Port, named("p1", 60));
+    auto Busy = callAsync(m_Port, named("p1", 60));
     CPPUNIT_ASSERT(eventually(
         [&] { return countersOf(m_Port).at("busy").to_number<int>() == 1; }));
     auto Waits = [&](int Count) {
@@ -83,15 +83,15 @@
     Low.m_Body.insert(1, "\"priority\":3,");
     auto High = named("p3", 1);
     High.m_Body.insert(1, "\"priority\":1,");
-    auto LowReply = callLater(m_Port, Low);
+    auto LowReply = callAsync(m_Port, Low);
     CPPUNIT_ASSERT(Waits(1));
-    auto HighReply = callLater(m_Port, High);
+    auto HighReply = callAsync(m_Port, High);
     CPPUNIT_ASSERT(Waits(2));
     // The later one of the higher tier ends while the other still runs.
-    CPPUNIT_ASSERT(HighReply.get().isWhole());
+    CPPUNIT_ASSERT(HighReply.get().isComplete());
     CPPUNIT_ASSERT_EQUAL(2, countersOf(m_Port).at("finished").to_number<int>());
-    CPPUNIT_ASSERT(LowReply.get().isWhole());
-    CPPUNIT_ASSERT(Busy.get().isWhole());
+    CPPUNIT_ASSERT(LowReply.get().isComplete());
+    CPPUNIT_ASSERT(Busy.get().isComplete());
   }
 
   void testLateLoadAndCacheEvents() {
@@ -101,7 +101,8 @@
     };
     for (int I = 0; I < 3; ++I)
       CPPUNIT_ASSERT(
-          call(m_Port, completion(std::to_string(I), 1, false)).isWhole());
+          call(m_Port, completionRequest(std::to_string(I), 1, false))
+              .isComplete());
     // Three stored, one evicted from a cache of two.
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), EventCount());
     controlStandIn(m_Port, {{"gap_every", 2}});
--- a/Tests/Support/EndingTarget.h
+++ b/Tests/Support/ExitingTarget.h
@@ -1,10 +1,11 @@
-//===-- EndingTarget.h - A target that a request can end ------------------===//
+//===-- ExitingTarget.h - A target that a request can end
+//------------------===//
 //
 // It may also state terms: a limit, a rest, that it leaves.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_TESTS_SUPPORT_ENDINGTARGET_H
-#define YARDRILL_TESTS_SUPPORT_ENDINGTARGET_H
+#ifndef YARDRILL_TESTS_SUPPORT_EXITINGTARGET_H
+#define YARDRILL_TESTS_SUPPORT_EXITINGTARGET_H
 
 #include "ScriptedTarget.h"
 #include "SharedStore.h"
@@ -16,9 +17,9 @@
 namespace yardrill::tests {
 
 /// The body of a request that ends whichever target begins to run it.
-inline const char EndingBody[] = "ends its target";
+inline const char ExitRequestBody[] = "ends its target";
 /// The same after the first event of a stream.
-inline const char EndingMidwayBody[] = "ends its target midway";
+inline const char MidStreamExitRequestBody[] = "ends its target midway";
 
 /// One arrival at a target.
 struct Arrival {
@@ -31,32 +32,34 @@
 struct ScriptedBackpressure {
   std::string m_Headers; ///< Whole lines, in each answer.
   /// Answers 503 and does not run what comes.
-  bool m_TurnsAway = false;
+  bool m_RefusesRequests = false;
 };
 
 /// What all targets of a test saw.
-struct ArrivalBook {
+struct ArrivalLog {
   std::mutex m_Mutex;
   std::vector<Arrival> m_Arrivals;
-  std::vector<core::TimePoint> m_Ends; ///< Of targets, under EndingBody.
+  std::vector<core::TimePoint> m_Exits; ///< Of targets, under ExitRequestBody.
 };
 
 /// Answers after some work. One that ends resets all its connections, listens
 /// no longer, and is back under another name; its announcement changes later.
-class EndingTarget {
+class ExitingTarget {
 public:
-  EndingTarget(asio::io_context &Context, SharedStore &Store, ArrivalBook &Book,
-               std::size_t Number)
-      : m_Context(Context), m_Store(Store), m_Book(Book), m_Number(Number),
-        m_Acceptor(Context), m_Port(0) {
+  ExitingTarget(asio::io_context &Context, SharedStore &Store, ArrivalLog &Book,
+                std::size_t Number)
+      : m_Context(Context), m_Store(Store), m_ArrivalLog(Book),
+        m_Number(Number), m_Acceptor(Context), m_Port(0) {
     listen();
     announce();
   }
 
   /// From now on, in answers that begin then.
-  void state(ScriptedBackpressure Terms) { m_Backpressure = std::move(Terms); }
+  void setBackpressure(ScriptedBackpressure Terms) {
+    m_Backpressure = std::move(Terms);
+  }
   /// Announces itself once more, under the same name.
-  void announceAgain() { announce(); }
+  void reannounce() { announce(); }
   void withdrawAnnouncement() { m_Store.remove(key()); }
 
   /// Ends for a reason of its own.
@@ -67,7 +70,7 @@
       if (auto Socket = Each.lock())
         reset(*Socket);
     m_Sockets.clear();
-    ++m_Life;
+    ++m_Incarnation;
     auto Back = std::make_shared<asio::steady_timer>(m_Context, DownTime);
     Back->async_wait([this, Back, Gone](boost::system::error_code Failure) {
       if (Failure)
@@ -91,7 +94,8 @@
   using SocketHandle = std::shared_ptr<tcp::socket>;
 
   std::string name() const {
-    return "i-" + std::to_string(m_Number) + "-" + std::to_string(m_Life);
+    return "i-" + std::to_string(m_Number) + "-" +
+           std::to_string(m_Incarnation);
   }
   std::string key() const { return "servers/" + name(); }
   void announce() {
@@ -137,8 +141,8 @@
   }
   void endUnderRequest() {
     {
-      std::lock_guard<std::mutex> Lock(m_Book.m_Mutex);
-      m_Book.m_Ends.push_back(core::steadyNow());
+      std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
+      m_ArrivalLog.m_Exits.push_back(core::steadyNow());
     }
     end();
   }
@@ -151,17 +155,19 @@
       if (Failure)
         return;
       {
-        std::lock_guard<std::mutex> Lock(m_Book.m_Mutex);
-        m_Book.m_Arrivals.push_back({core::steadyNow(), Read.body(), m_Number});
+        std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
+        m_ArrivalLog.m_Arrivals.push_back(
+            {core::steadyNow(), Read.body(), m_Number});
       }
       std::string Answer =
-          whole(Read, "answer", "200 OK",
-                "Replica-Seal: s\r\n" + m_Backpressure.m_Headers);
+          completeResponse(Read, "answer", "200 OK",
+                           "Replica-Seal: s\r\n" + m_Backpressure.m_Headers);
       if (Read["Expect-Replica"] != name())
-        Answer = whole(Read, "", "421 Misdirected Request", "");
-      else if (m_Backpressure.m_TurnsAway)
-        Answer = whole(Read, "", "503 Service Unavailable",
-                       "Not-Executed: 1\r\n" + m_Backpressure.m_Headers);
+        Answer = completeResponse(Read, "", "421 Misdirected Request", "");
+      else if (m_Backpressure.m_RefusesRequests)
+        Answer =
+            completeResponse(Read, "", "503 Service Unavailable",
+                             "Not-Executed: 1\r\n" + m_Backpressure.m_Headers);
       else if (Read.target().starts_with("/stream/")) {
         std::string First = streamHead(Read) + chunk("id: 1\ndata: a\n\n");
         if (Read["Last-Event-Id"].empty())
@@ -170,11 +176,12 @@
         if (!Read["Last-Event-Id"].empty())
           Answer = streamHead(Read) + Answer;
       }
-      if (!m_Backpressure.m_TurnsAway)
+      if (!m_Backpressure.m_RefusesRequests)
         work(Yield);
       if (!Socket->is_open())
         return;
-      if (Read.body() == EndingBody || Read.body() == EndingMidwayBody)
+      if (Read.body() == ExitRequestBody ||
+          Read.body() == MidStreamExitRequestBody)
         return endUnderRequest();
       asio::async_write(*Socket, asio::buffer(Answer), Yield[Failure]);
       if (Failure)
@@ -184,9 +191,9 @@
 
   asio::io_context &m_Context;
   SharedStore &m_Store;
-  ArrivalBook &m_Book;
+  ArrivalLog &m_ArrivalLog;
   std::size_t m_Number;
-  std::size_t m_Life = 1;
+  std::size_t m_Incarnation = 1;
   ScriptedBackpressure m_Backpressure;
   tcp::acceptor m_Acceptor;
   int m_Port;
--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -44,7 +44,8 @@
   return Out;
 }
 
-Fleet::Fleet(const Shape &Wanted) : m_Shape(Wanted), m_Folder(makeFolder()) {
+Fleet::Fleet(const Options &Wanted)
+    : m_Options(Wanted), m_Folder(makeFolder()) {
   std::string Log = m_Folder + "/stand-ins.log";
   std::string StandIn = program("Tests/stand_in");
   m_PlatformPort = freePort();
@@ -118,7 +119,7 @@
       << "  heartbeat_ms: 100\n  silence_ms: 2000\n  seeds: [";
   for (std::size_t I = 0; I < m_Instances.size(); ++I)
     Out << (I == 0 ? "" : ", ") << local(m_Instances[I].m_PeerPort);
-  Out << "]\n" << m_Shape.m_ExtraSettings;
+  Out << "]\n" << m_Options.m_ExtraSettings;
 }
 
 void Fleet::start(int Index) {
@@ -133,25 +134,25 @@
   Out << "tiers:\n";
   for (int I = 0; I < 3; ++I)
     Out << "  - {name: " << Names[I] << ", tier: " << I + 1
-        << ", deadline_ms: " << m_Shape.m_DeadlineMilliseconds[I] << "}\n";
+        << ", deadline_ms: " << m_Options.m_DeadlineMilliseconds[I] << "}\n";
   Out << "client_accounts:\n  - name: box-office\n    key_sha256: "
       << core::sha256Hex(AccountKey)
       << "\n    default_tier: assist\n    tiers: [hold, assist, batch]\n"
       << "pools:\n  - name: assistant\n    kind: model\n"
-      << "    models: [assistant-1]\n    queue_limit: " << m_Shape.m_QueueLimit
-      << "\n    targets:\n";
+      << "    models: [assistant-1]\n    queue_limit: "
+      << m_Options.m_QueueLimit << "\n    targets:\n";
   for (std::size_t I = 0; I < m_EnginePorts.size(); ++I) {
     std::string Name = "engine-" + std::to_string(I + 1);
     Out << "      - {name: " << Name << ", address: " << local(m_EnginePorts[I])
-        << ", data_hall: edinburgh, places: " << m_Shape.m_Slots
+        << ", data_hall: edinburgh, places: " << m_Options.m_Slots
         << (Name == LeavingTarget ? ", leaving: true" : "") << "}\n";
   }
   Out << "  - name: seats\n    kind: application\n    queue_limit: "
-      << m_Shape.m_QueueLimit
+      << m_Options.m_QueueLimit
       << "\n    routes:\n      - {prefix: /transfers, repeatable: false}\n"
       << "    targets:\n      - {name: seats-1, address: "
       << local(m_ApplicationPort)
-      << ", data_hall: glasgow, places: " << m_Shape.m_Slots << "}\n";
+      << ", data_hall: glasgow, places: " << m_Options.m_Slots << "}\n";
   return Out.str();
 }
 
@@ -176,15 +177,15 @@
                               Text));
 }
 
-Reply Fleet::askOperator(int Index, const std::string &Path) {
+Reply Fleet::callOperatorApi(int Index, const std::string &Path) {
   return call(at(Index).m_OperatorPort, operatorRequest("GET", Path, ""));
 }
 
 json::object Fleet::status(int Index) {
-  return json::parse(askOperator(Index, "/status").m_Body).as_object();
+  return json::parse(callOperatorApi(Index, "/status").m_Body).as_object();
 }
 
-bool Fleet::isServing() {
+bool Fleet::waitUntilServing() {
   bool IsPublished = eventually(
       [&] { return publish(0, 0, "first", configuration()).m_Status == 200; });
   auto IsOpen = [this](int Index) {
@@ -196,7 +197,7 @@
              return P.at("floor_tier").to_number<int>() == 3;
            });
   };
-  for (int I = 0; IsPublished && I < m_Shape.m_Instances; ++I)
+  for (int I = 0; IsPublished && I < m_Options.m_Instances; ++I)
     if (!eventually([&] { return IsOpen(I); }))
       return false;
   return IsPublished;
@@ -231,16 +232,16 @@
   return Out;
 }
 
-http::RequestMessage applicationCall(const std::string &Path,
-                                     const std::string &Identity,
-                                     const std::string &Body) {
+http::RequestMessage applicationRequest(const std::string &Path,
+                                        const std::string &Identity,
+                                        const std::string &Body) {
   http::RequestMessage Out = callerRequest("/apps/seats" + Path, Body);
   Out.m_Headers.set("Test-Identity", Identity);
   return Out;
 }
 
-http::RequestMessage completion(const std::string &Prompt, int Tokens,
-                                bool IsStream, const std::string &Tier) {
+http::RequestMessage completionRequest(const std::string &Prompt, int Tokens,
+                                       bool IsStream, const std::string &Tier) {
   json::object Body{{"model", "assistant-1"},
                     {"prompt", Prompt},
                     {"max_tokens", Tokens},
--- a/Tests/Support/Fleet.h
+++ b/Tests/Support/Fleet.h
@@ -13,7 +13,7 @@
 /// A small fleet on loopback. Everything ends with the object.
 class Fleet {
 public:
-  struct Shape {
+  struct Options {
     int m_Instances = 1;
     int m_Engines = 1;
     int m_Slots = 8; ///< Of each target.
@@ -33,18 +33,18 @@
     std::string m_TraceFile;
   };
 
-  explicit Fleet(const Shape &Wanted);
+  explicit Fleet(const Options &Wanted);
   ~Fleet();
 
   /// Starts instance \p Index, again after it ended.
   void start(int Index);
   /// Waits until all instances have the configuration in force and every tier
   /// is admitted in every pool.
-  bool isServing();
+  bool waitUntilServing();
   /// Publishes the fleet configuration. \returns the answer.
   Reply publish(int Index, int Base, const std::string &Change,
                 const std::string &Text);
-  Reply askOperator(int Index, const std::string &Path);
+  Reply callOperatorApi(int Index, const std::string &Path);
   boost::json::object status(int Index);
   /// The configuration for this fleet; every target leaving that is named.
   std::string configuration(const std::string &LeavingTarget = "") const;
@@ -69,7 +69,7 @@
 private:
   void writeSettings(Instance &Which, int Index) const;
 
-  Shape m_Shape;
+  Options m_Options;
   std::string m_Folder;
   int m_PlatformPort = 0;
   int m_ApplicationPort = 0;
@@ -83,12 +83,13 @@
 /// The path of a program that the build made.
 std::string program(const std::string &Name);
 /// A call to the application pool `seats` by the account `box-office`.
-http::RequestMessage applicationCall(const std::string &Path,
-                                     const std::string &Identity,
-                                     const std::string &Body = "x");
+http::RequestMessage applicationRequest(const std::string &Path,
+                                        const std::string &Identity,
+                                        const std::string &Body = "x");
 /// A completion by the account `box-office`.
-http::RequestMessage completion(const std::string &Prompt, int Tokens,
-                                bool IsStream, const std::string &Tier = "");
+http::RequestMessage completionRequest(const std::string &Prompt, int Tokens,
+                                       bool IsStream,
+                                       const std::string &Tier = "");
 /// The text of a completion's answer, streamed or not.
 std::string completionText(const Reply &Answer);
 /// How often the application executed \p Identity.
--- a/Tests/Support/GatewayFixture.h
+++ b/Tests/Support/GatewayFixture.h
@@ -132,7 +132,7 @@
   Reply send(const http::RequestMessage &What) {
     return call(m_CallerPort, What);
   }
-  std::size_t allRequests() const {
+  std::size_t requestCount() const {
     std::size_t Sum = 0;
     for (const auto &Each : m_Targets)
       Sum += Each->requests().size();
--- a/Tests/Support/GatewayFleet.cpp
+++ b/Tests/Support/GatewayFleet.cpp
@@ -20,11 +20,11 @@
 }
 
 GatewayFleet::GatewayFleet(std::size_t Gateways, std::size_t Targets)
-    : m_Slots(Gateways) {
+    : m_Instances(Gateways) {
   m_Store.put("op/config", Configuration);
   for (std::size_t I = 0; I < Targets; ++I)
     m_Targets.push_back(
-        std::make_unique<EndingTarget>(m_Context, m_Store, m_Book, I));
+        std::make_unique<ExitingTarget>(m_Context, m_Store, m_ArrivalLog, I));
   m_Thread = std::thread([this] { m_Context.run(); });
 }
 
@@ -34,7 +34,7 @@
   m_Thread.join();
 }
 
-void GatewayFleet::withTargets(const std::function<void()> &What) {
+void GatewayFleet::runOnTargetThread(const std::function<void()> &What) {
   std::promise<void> Done;
   asio::post(m_Context, [&] {
     What();
@@ -44,7 +44,7 @@
 }
 
 void GatewayFleet::start(std::size_t Index) {
-  Place &Where = m_Slots[Index];
+  Instance &Where = m_Instances[Index];
   gateway::GatewaySettings Settings;
   Settings.m_Name = core::InstanceName("gateway-" + std::to_string(Index));
   Settings.m_DataHall = core::DataHallName("hall");
@@ -53,7 +53,7 @@
   Settings.m_PeerAddress = local(Where.m_PeerPort);
   Settings.m_MetricsAddress = local(Where.m_MetricsPort);
   Settings.m_PeerKey = "test";
-  for (const Place &Each : m_Slots)
+  for (const Instance &Each : m_Instances)
     Settings.m_Seeds.push_back(local(Each.m_PeerPort));
   Settings.m_IsFirstStart = !Where.m_HasRun;
   Settings.m_Retries = {0.2, std::chrono::seconds(10), 200};
@@ -69,12 +69,12 @@
 }
 
 void GatewayFleet::startAll() {
-  for (std::size_t I = 0; I < m_Slots.size(); ++I)
+  for (std::size_t I = 0; I < m_Instances.size(); ++I)
     start(I);
 }
 
 void GatewayFleet::kill(std::size_t Index) {
-  Place &Which = m_Slots[Index];
+  Instance &Which = m_Instances[Index];
   if (!Which.m_Gateway)
     return;
   Which.m_Context->stop();
@@ -85,19 +85,19 @@
 }
 
 void GatewayFleet::killAll() {
-  for (std::size_t I = 0; I < m_Slots.size(); ++I)
+  for (std::size_t I = 0; I < m_Instances.size(); ++I)
     kill(I);
 }
 
-bool GatewayFleet::areAllReady() {
+bool GatewayFleet::waitUntilReady() {
   http::RequestMessage Ask;
   Ask.m_Method = "GET";
   Ask.m_Target = "/readyz";
   return eventually([&] {
-    for (std::size_t I = 0; I < m_Slots.size(); ++I)
-      if (call(m_Slots[I].m_ReadinessPort, Ask).m_Status != 200 ||
+    for (std::size_t I = 0; I < m_Instances.size(); ++I)
+      if (call(m_Instances[I].m_ReadinessPort, Ask).m_Status != 200 ||
           metric(I, "yardrill_peers") + 1 !=
-              static_cast<double>(m_Slots.size()) ||
+              static_cast<double>(m_Instances.size()) ||
           metric(I, "yardrill_targets") !=
               static_cast<double>(m_Targets.size()))
         return false;
@@ -121,14 +121,14 @@
 
 Reply GatewayFleet::send(std::size_t Gateway, const std::string &Path,
                          const std::string &Body) {
-  return call(m_Slots[Gateway].m_CallerPort, request(Path, Body));
+  return call(m_Instances[Gateway].m_CallerPort, request(Path, Body));
 }
 
 double GatewayFleet::metric(std::size_t Gateway, const std::string &Name) {
   http::RequestMessage Ask;
   Ask.m_Method = "GET";
   Ask.m_Target = "/metrics";
-  Reply Got = call(m_Slots[Gateway].m_MetricsPort, Ask);
+  Reply Got = call(m_Instances[Gateway].m_MetricsPort, Ask);
   std::string Line = "\n" + Name + " ";
   std::size_t At = ("\n" + Got.m_Body).find(Line);
   return At == std::string::npos
@@ -137,34 +137,34 @@
 }
 
 std::size_t GatewayFleet::arrivalsOf(const std::string &Body) {
-  return arrivalsAfterThirdEnd(Body, core::Duration::min());
+  return arrivalsAfterThirdExit(Body, core::Duration::min());
 }
 
 std::vector<core::TimePoint> GatewayFleet::arrivalsAt(std::size_t Target) {
-  std::lock_guard<std::mutex> Lock(m_Book.m_Mutex);
+  std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
   std::vector<core::TimePoint> Out;
-  for (const Arrival &Each : m_Book.m_Arrivals)
+  for (const Arrival &Each : m_ArrivalLog.m_Arrivals)
     if (Each.m_Target == Target)
       Out.push_back(Each.m_At);
   return Out;
 }
 
-std::size_t GatewayFleet::ends() {
-  std::lock_guard<std::mutex> Lock(m_Book.m_Mutex);
-  return m_Book.m_Ends.size();
+std::size_t GatewayFleet::exits() {
+  std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
+  return m_ArrivalLog.m_Exits.size();
 }
 
-std::size_t GatewayFleet::arrivalsAfterThirdEnd(const std::string &Body,
-                                                core::Duration After) {
+std::size_t GatewayFleet::arrivalsAfterThirdExit(const std::string &Body,
+                                                 core::Duration After) {
   static constexpr std::size_t Third = 3;
-  std::lock_guard<std::mutex> Lock(m_Book.m_Mutex);
+  std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
   bool CountsAll = After == core::Duration::min();
-  if (!CountsAll && m_Book.m_Ends.size() < Third)
+  if (!CountsAll && m_ArrivalLog.m_Exits.size() < Third)
     return 0;
   std::size_t Out = 0;
-  for (const Arrival &Each : m_Book.m_Arrivals)
+  for (const Arrival &Each : m_ArrivalLog.m_Arrivals)
     if (Each.m_Body == Body &&
-        (CountsAll || Each.m_At > m_Book.m_Ends[Third - 1] + After))
+        (CountsAll || Each.m_At > m_ArrivalLog.m_Exits[Third - 1] + After))
       ++Out;
   return Out;
 }
--- a/Tests/Support/GatewayFleet.h
+++ b/Tests/Support/GatewayFleet.h
@@ -2,7 +2,7 @@
 #ifndef YARDRILL_TESTS_SUPPORT_GATEWAYFLEET_H
 #define YARDRILL_TESTS_SUPPORT_GATEWAYFLEET_H
 
-#include "EndingTarget.h"
+#include "ExitingTarget.h"
 #include "PlatformDialect.h"
 #include "Process.h"
 #include "TestClient.h"
@@ -28,13 +28,13 @@
   void kill(std::size_t Index);
   void killAll();
   /// Waits until each one is ready and has found all others.
-  bool areAllReady();
+  bool waitUntilReady();
 
   /// Runs \p What where the targets run, and waits for it.
-  void withTargets(const std::function<void()> &What);
-  std::size_t size() const { return m_Slots.size(); }
+  void runOnTargetThread(const std::function<void()> &What);
+  std::size_t size() const { return m_Instances.size(); }
   SharedStore &store() { return m_Store; }
-  EndingTarget &target(std::size_t Index) { return *m_Targets[Index]; }
+  ExitingTarget &target(std::size_t Index) { return *m_Targets[Index]; }
   std::size_t targets() const { return m_Targets.size(); }
 
   static http::RequestMessage request(const std::string &Path,
@@ -47,13 +47,13 @@
   /// All arrivals at one target so far, in their order.
   std::vector<core::TimePoint> arrivalsAt(std::size_t Target);
   /// Targets that ended under a request so far.
-  std::size_t ends();
+  std::size_t exits();
   /// Arrivals of \p Body later than \p After the end of the third target.
-  std::size_t arrivalsAfterThirdEnd(const std::string &Body,
-                                    core::Duration After);
+  std::size_t arrivalsAfterThirdExit(const std::string &Body,
+                                     core::Duration After);
 
 private:
-  struct Place {
+  struct Instance {
     int m_CallerPort = freePort();
     int m_ReadinessPort = freePort();
     int m_PeerPort = freePort();
@@ -67,9 +67,9 @@
   asio::io_context m_Context{1}; ///< Of the targets.
   SharedStore m_Store;
   platform::PlatformDialect m_Dialect;
-  ArrivalBook m_Book;
-  std::vector<Place> m_Slots;
-  std::vector<std::unique_ptr<EndingTarget>> m_Targets;
+  ArrivalLog m_ArrivalLog;
+  std::vector<Instance> m_Instances;
+  std::vector<std::unique_ptr<ExitingTarget>> m_Targets;
   asio::executor_work_guard<asio::io_context::executor_type> m_Work{
       m_Context.get_executor()};
   std::thread m_Thread;
--- a/Tests/Support/LoopbackProxy.cpp
+++ b/Tests/Support/LoopbackProxy.cpp
@@ -41,16 +41,16 @@
       asio::detached);
 }
 
-void LoopbackProxy::setPassage(Passage How) {
+void LoopbackProxy::setMode(ProxyMode How) {
   m_Passage = How;
-  if (How == Passage::Closed)
+  if (How == ProxyMode::Closed)
     m_Acceptor.close();
   else if (!m_Acceptor.is_open())
     listen();
 }
 
-void LoopbackProxy::Link::reset() {
-  for (tcp::socket *Each : {&m_Near, &m_Far}) {
+void LoopbackProxy::ProxiedConnection::reset() {
+  for (tcp::socket *Each : {&m_Downstream, &m_Upstream}) {
     error_code Ignored;
     Each->set_option(asio::socket_base::linger(true, 0), Ignored);
     Each->close(Ignored);
@@ -60,8 +60,8 @@
 void LoopbackProxy::resetAll() { resetIdle(std::chrono::milliseconds(0)); }
 
 void LoopbackProxy::resetIdle(std::chrono::milliseconds Idle) {
-  for (const auto &Weak : m_Links) {
-    LinkHandle Which = Weak.lock();
+  for (const auto &Weak : m_Connections) {
+    ConnectionHandle Which = Weak.lock();
     if (Which && Clock::now() - Which->m_LastByte >= Idle)
       Which->reset();
   }
@@ -69,13 +69,13 @@
 
 void LoopbackProxy::accept(asio::yield_context Yield) {
   while (true) {
-    auto Which = std::make_shared<Link>(m_Context);
+    auto Which = std::make_shared<ProxiedConnection>(m_Context);
     error_code Failure;
-    m_Acceptor.async_accept(Which->m_Near, Yield[Failure]);
+    m_Acceptor.async_accept(Which->m_Downstream, Yield[Failure]);
     if (Failure)
       return;
-    m_Links.remove_if([](const auto &Weak) { return Weak.expired(); });
-    m_Links.push_back(Which);
+    m_Connections.remove_if([](const auto &Weak) { return Weak.expired(); });
+    m_Connections.push_back(Which);
     asio::spawn(
         m_Context,
         [this, Which](asio::yield_context Inner) { connect(Which, Inner); },
@@ -83,23 +83,23 @@
   }
 }
 
-void LoopbackProxy::connect(const LinkHandle &Which,
+void LoopbackProxy::connect(const ConnectionHandle &Which,
                             asio::yield_context Yield) {
   error_code Failure;
   Which->m_LastByte = Clock::now();
-  if (m_Passage == Passage::Down)
+  if (m_Passage == ProxyMode::Reset)
     return Which->reset();
-  if (m_AnswerRate > 0) {
-    Which->m_Far.open(tcp::v4());
-    Which->m_Far.set_option(
+  if (m_ResponseRate > 0) {
+    Which->m_Upstream.open(tcp::v4());
+    Which->m_Upstream.set_option(
         asio::socket_base::receive_buffer_size(LimitedBufferBytes));
   }
-  Which->m_Far.async_connect(loopback(m_ToPort), Yield[Failure]);
+  Which->m_Upstream.async_connect(loopback(m_ToPort), Yield[Failure]);
   if (Failure)
     return Which->reset();
   error_code Ignored;
-  Which->m_Near.set_option(tcp::no_delay(true), Ignored);
-  Which->m_Far.set_option(tcp::no_delay(true), Ignored);
+  Which->m_Downstream.set_option(tcp::no_delay(true), Ignored);
+  Which->m_Upstream.set_option(tcp::no_delay(true), Ignored);
   asio::spawn(
       m_Context,
       [this, Which](asio::yield_context Inner) { pump(Which, false, Inner); },
@@ -108,19 +108,21 @@
 }
 
 bool LoopbackProxy::isCut(bool IsForward) const {
-  return m_Passage == Passage::CutBoth ||
-         m_Passage == (IsForward ? Passage::CutForward : Passage::CutBackward);
+  return m_Passage == ProxyMode::CutBoth ||
+         m_Passage ==
+             (IsForward ? ProxyMode::CutForward : ProxyMode::CutBackward);
 }
 
 void LoopbackProxy::hold(bool IsForward, asio::yield_context Yield) {
-  if (m_Passage == Passage::Delayed)
+  if (m_Passage == ProxyMode::Delayed)
     sleepFor(m_Context, AddedDelay, Yield);
   while (isCut(IsForward))
     sleepFor(m_Context, HoldStep, Yield);
 }
 
 void LoopbackProxy::waitForLink(std::size_t Size, asio::yield_context Yield) {
-  std::chrono::duration<double> Takes(static_cast<double>(Size) / m_AnswerRate);
+  std::chrono::duration<double> Takes(static_cast<double>(Size) /
+                                      m_ResponseRate);
   m_LinkFreeAt = std::max(m_LinkFreeAt, Clock::now()) +
                  std::chrono::duration_cast<Clock::duration>(Takes);
   asio::steady_timer Timer(m_Context, m_LinkFreeAt);
@@ -128,10 +130,10 @@
   Timer.async_wait(Yield[Ignored]);
 }
 
-void LoopbackProxy::pump(const LinkHandle &Which, bool IsForward,
+void LoopbackProxy::pump(const ConnectionHandle &Which, bool IsForward,
                          asio::yield_context Yield) {
-  tcp::socket &From = IsForward ? Which->m_Near : Which->m_Far;
-  tcp::socket &To = IsForward ? Which->m_Far : Which->m_Near;
+  tcp::socket &From = IsForward ? Which->m_Downstream : Which->m_Upstream;
+  tcp::socket &To = IsForward ? Which->m_Upstream : Which->m_Downstream;
   std::array<char, BufferBytes> Buffer;
   while (true) {
     error_code Failure;
@@ -139,7 +141,7 @@
         From.async_read_some(asio::buffer(Buffer), Yield[Failure]);
     // An end is held back by a cut like bytes are.
     hold(IsForward, Yield);
-    if (!IsForward && m_AnswerRate > 0)
+    if (!IsForward && m_ResponseRate > 0)
       waitForLink(Size, Yield);
     Which->m_LastByte = Clock::now();
     error_code Ignored;
--- a/Tests/Support/LoopbackProxy.h
+++ b/Tests/Support/LoopbackProxy.h
@@ -13,13 +13,13 @@
 
 /// How a proxy treats bytes. A cut is silent: nothing is closed, and what was
 /// held back is delivered once the proxy passes again.
-enum class Passage {
-  Whole,
+enum class ProxyMode {
+  PassThrough,
   Delayed,
   CutForward,
   CutBackward,
   CutBoth,
-  Down,   ///< New connections are reset.
+  Reset,  ///< New connections are reset.
   Closed, ///< Nobody listens: new connections are refused, as after a crash.
 };
 
@@ -29,30 +29,32 @@
   LoopbackProxy(boost::asio::io_context &Context, int Port, int ToPort);
 
   int port() const { return m_Port; }
-  void setPassage(Passage How);
+  void setMode(ProxyMode How);
   /// All answers together pass at this rate, each connection in its turn, as
   /// over the link of a small machine. 0: as fast as they come.
-  void limitAnswers(double BytesPerSecond) { m_AnswerRate = BytesPerSecond; }
+  void limitResponseRate(double BytesPerSecond) {
+    m_ResponseRate = BytesPerSecond;
+  }
   /// Resets every connection that is open now.
   void resetAll();
   /// Resets connections over which nothing has come for \p Idle.
   void resetIdle(std::chrono::milliseconds Idle);
 
 private:
-  struct Link {
-    explicit Link(boost::asio::io_context &Context)
-        : m_Near(Context), m_Far(Context) {}
-    boost::asio::ip::tcp::socket m_Near;
-    boost::asio::ip::tcp::socket m_Far;
+  struct ProxiedConnection {
+    explicit ProxiedConnection(boost::asio::io_context &Context)
+        : m_Downstream(Context), m_Upstream(Context) {}
+    boost::asio::ip::tcp::socket m_Downstream;
+    boost::asio::ip::tcp::socket m_Upstream;
     std::chrono::steady_clock::time_point m_LastByte;
     void reset();
   };
-  using LinkHandle = std::shared_ptr<Link>;
+  using ConnectionHandle = std::shared_ptr<ProxiedConnection>;
 
   void listen();
   void accept(boost::asio::yield_context Yield);
-  void connect(const LinkHandle &Which, boost::asio::yield_context Yield);
-  void pump(const LinkHandle &Which, bool IsForward,
+  void connect(const ConnectionHandle &Which, boost::asio::yield_context Yield);
+  void pump(const ConnectionHandle &Which, bool IsForward,
             boost::asio::yield_context Yield);
   void hold(bool IsForward, boost::asio::yield_context Yield);
   bool isCut(bool IsForward) const;
@@ -63,9 +65,9 @@
   int m_Port;
   int m_ToPort;
   boost::asio::ip::tcp::acceptor m_Acceptor;
-  std::list<std::weak_ptr<Link>> m_Links;
-  Passage m_Passage = Passage::Whole;
-  double m_AnswerRate = 0;
+  std::list<std::weak_ptr<ProxiedConnection>> m_Connections;
+  ProxyMode m_Passage = ProxyMode::PassThrough;
+  double m_ResponseRate = 0;
   std::chrono::steady_clock::time_point m_LinkFreeAt;
 };
 
--- a/Tests/Support/SpreadFleet.cpp
+++ b/Tests/Support/MirrorFleet.cpp
@@ -1,4 +1,4 @@
-#include "SpreadFleet.h"
+#include "MirrorFleet.h"
 
 #include "Process.h"
 #include "Sleep.h"
@@ -24,25 +24,26 @@
   return {"127.0.0.1", static_cast<std::uint16_t>(freePort())};
 }
 
-SpreadMember::SpreadMember(asio::io_context &Context)
-    : m_Own(freeEndpoint()), m_Linked(freeEndpoint()), m_Mirror(ChangesKept),
-      m_Fetcher(Context, m_Own, m_Codec, m_Mirror, m_Metrics, SmallLinkRate),
-      m_Link(Context, m_Linked.m_Port, m_Own.m_Port) {
+MirrorInstance::MirrorInstance(asio::io_context &Context)
+    : m_Endpoint(freeEndpoint()), m_ProxyEndpoint(freeEndpoint()),
+      m_Mirror(ChangesKept), m_Fetcher(Context, m_Endpoint, m_Codec, m_Mirror,
+                                       m_Metrics, SmallLinkRate),
+      m_Link(Context, m_ProxyEndpoint.m_Port, m_Endpoint.m_Port) {
   m_Mirror.subscribe([this](const Entry &Change) {
-    m_Told[Change.m_Key] = Change.m_ModRevision;
+    m_Delivered[Change.m_Key] = Change.m_ModRevision;
   });
 }
 
-gateway::FetchCandidate SpreadMember::asFetchCandidate() const {
-  return {m_Linked, m_Mirror.revision(), m_Mirror.completeRevision()};
+gateway::FetchCandidate MirrorInstance::asFetchCandidate() const {
+  return {m_ProxyEndpoint, m_Mirror.revision(), m_Mirror.completeRevision()};
 }
 
-bool SpreadMember::holds(const std::string &Key, Revision At) const {
-  auto Found = m_Told.find(Key);
-  return Found != m_Told.end() && !(Found->second < At);
+bool MirrorInstance::hasDelivered(const std::string &Key, Revision At) const {
+  auto Found = m_Delivered.find(Key);
+  return Found != m_Delivered.end() && !(Found->second < At);
 }
 
-std::size_t SpreadMember::bytesSent() const {
+std::size_t MirrorInstance::bytesSent() const {
   std::string Text = m_Metrics.exposition();
   std::size_t At = Text.find(SentCounter);
   if (At == std::string::npos)
@@ -50,40 +51,43 @@
   return std::stoul(Text.substr(At + sizeof SentCounter - 1));
 }
 
-SpreadMember &SpreadFleet::add(Revision At, const std::vector<Entry> &Content) {
-  m_Members.push_back(std::make_unique<SpreadMember>(m_Context));
-  m_Members.back()->mirror().replaceAll(At, Content);
-  return *m_Members.back();
+MirrorInstance &MirrorFleet::add(Revision At,
+                                 const std::vector<Entry> &Content) {
+  m_Instances.push_back(std::make_unique<MirrorInstance>(m_Context));
+  m_Instances.back()->mirror().replaceAll(At, Content);
+  return *m_Instances.back();
 }
 
-void SpreadFleet::start() {
+void MirrorFleet::start() {
   asio::spawn(
-      m_Context, [this](asio::yield_context Yield) { beat(Yield); },
+      m_Context,
+      [this](asio::yield_context Yield) { fetchPeriodically(Yield); },
       asio::detached);
 }
 
-void SpreadFleet::beat(asio::yield_context Yield) {
+void MirrorFleet::fetchPeriodically(asio::yield_context Yield) {
   for (;; sleepFor(m_Context, BeatPeriod, Yield))
-    for (const auto &Each : m_Members)
-      considerPeers(*Each);
+    for (const auto &Each : m_Instances)
+      fetchFromPeers(*Each);
 }
 
-void SpreadFleet::considerPeers(SpreadMember &Which) {
+void MirrorFleet::fetchFromPeers(MirrorInstance &Which) {
   const platform::StoreMirror &Own = Which.mirror();
   std::vector<gateway::FetchCandidate> Ahead;
-  for (const auto &Other : m_Members)
+  for (const auto &Other : m_Instances)
     if (Own.revision() < Other->mirror().revision() ||
         Own.completeRevision() < Other->mirror().completeRevision())
       Ahead.push_back(Other->asFetchCandidate());
   Which.fetcher().fetchIfDue(Ahead, false, core::steadyNow());
 }
 
-bool SpreadFleet::doAllHold(const std::string &Key, Revision At) const {
-  return std::all_of(m_Members.begin(), m_Members.end(),
-                     [&](const auto &Each) { return Each->holds(Key, At); });
+bool MirrorFleet::haveAllDelivered(const std::string &Key, Revision At) const {
+  return std::all_of(
+      m_Instances.begin(), m_Instances.end(),
+      [&](const auto &Each) { return Each->hasDelivered(Key, At); });
 }
 
-milliseconds SpreadFleet::runUntil(const std::function<bool()> &Condition,
+milliseconds MirrorFleet::runUntil(const std::function<bool()> &Condition,
                                    milliseconds Most) {
   auto Begin = Clock::now();
   milliseconds Passed{0};
--- a/Tests/Support/QuarantineFleet.h
+++ b/Tests/Support/QuarantineSimulation.h
@@ -1,12 +1,13 @@
-//===-- QuarantineFleet.h - A model of a fleet that meets bad requests ----===//
+//===-- QuarantineSimulation.h - A model of a fleet that meets bad requests
+//---===//
 //
 // Instances with their members of the quarantine, targets that end under some
 // requests and by themselves, messages that are lost, a store that is away; all
 // in simulated time, and the same for the same plan.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_TESTS_SUPPORT_QUARANTINEFLEET_H
-#define YARDRILL_TESTS_SUPPORT_QUARANTINEFLEET_H
+#ifndef YARDRILL_TESTS_SUPPORT_QUARANTINESIMULATION_H
+#define YARDRILL_TESTS_SUPPORT_QUARANTINESIMULATION_H
 
 #include "LibQuarantine/Gossip.h"
 
@@ -17,20 +18,20 @@
 namespace yardrill::tests {
 
 enum class QuarantineFaultKind {
-  Kill,      ///< Instances end, and start anew half a second later.
-  Cut,       ///< Instances reach neither each other nor the store.
-  StoreDown, ///< The store answers nobody.
-  EndTargets ///< Targets end by themselves.
+  Kill,       ///< Instances end, and start anew half a second later.
+  Cut,        ///< Instances reach neither each other nor the store.
+  StoreDown,  ///< The store answers nobody.
+  ExitTargets ///< Targets end by themselves.
 };
 
-struct QuarantineFault {
+struct QuarantineFaultEvent {
   std::chrono::milliseconds m_At{};
   std::chrono::milliseconds m_Length{};
   QuarantineFaultKind m_Kind = QuarantineFaultKind::Kill;
   double m_Share = 1; ///< Of the instances or targets, 0 to 1.
 };
 
-struct QuarantineDay {
+struct QuarantineScenario {
   std::uint64_t m_Seed = 1;
   std::size_t m_Instances = 6;
   std::size_t m_Targets = 9;
@@ -43,40 +44,41 @@
   std::size_t m_BadContents = 3;
   double m_BadRate = 2; ///< Attempts a second of each bad content.
   /// From its beginning at a target to the target's end.
-  std::chrono::milliseconds m_BadTime{100};
+  std::chrono::milliseconds m_TimeToExit{100};
   std::chrono::milliseconds m_DownTime{3500};
-  std::chrono::milliseconds m_Contact{3000};
-  double m_Loss = 0.01; ///< Of datagrams.
-  std::vector<QuarantineFault> m_Faults;
+  std::chrono::milliseconds m_ContactTime{3000};
+  double m_DatagramLoss = 0.01; ///< Of datagrams.
+  std::vector<QuarantineFaultEvent> m_Faults;
   // Ways that are compared.
-  std::size_t m_RefusedFrom =
+  std::size_t m_QuarantineThreshold =
       quarantine::QuarantineTable::IncarnationsToQuarantine;
   /// Whether an attempt is sent on at once after its target ended, although
   /// another target ended under the content before.
-  bool m_IsSuspectSentOn = false;
+  bool m_RetriesSuspects = false;
 };
 
-struct QuarantineOutcome {
+struct QuarantineResult {
   /// Of the worst bad content: sends later than the contact time after the end
   /// of the third target, by instances in touch.
   std::size_t m_LateSends = 0;
-  std::size_t m_EndsUnderBad = 0;    ///< Of targets.
-  std::size_t m_Innocents = 0;       ///< Attempts that were sent or refused.
-  std::size_t m_InnocentsBroken = 0; ///< Under which a target ended.
+  std::size_t m_ExitsUnderBad = 0;    ///< Of targets.
+  std::size_t m_HarmlessAttempts = 0; ///< Attempts that were sent or refused.
+  std::size_t m_HarmlessInterrupted = 0; ///< Under which a target ended.
   /// Of innocent requests: those that were never answered, because targets
   /// ended under them or they were refused as if they were bad.
-  std::size_t m_InnocentsLost = 0;
+  std::size_t m_HarmlessLost = 0;
   std::size_t m_WronglyRefused = 0; ///< As if they were bad.
   std::size_t m_PopularRefused = 0; ///< Of them, the popular ones.
   std::size_t m_StoreWrites = 0;
   std::size_t m_Datagrams = 0;
 };
 
-QuarantineOutcome play(const QuarantineDay &Day);
+QuarantineResult simulate(const QuarantineScenario &Day);
 
 /// A day of that size with faults drawn from the seed.
-QuarantineDay drawQuarantineDay(std::uint64_t Seed, std::size_t Instances,
-                                std::size_t Targets);
+QuarantineScenario randomQuarantineScenario(std::uint64_t Seed,
+                                            std::size_t Instances,
+                                            std::size_t Targets);
 
 } // namespace yardrill::tests
 
--- a/Tests/Support/QuotaDay.cpp
+++ b/Tests/Support/QuotaScenario.cpp
@@ -1,6 +1,6 @@
-#include "QuotaDay.h"
+#include "QuotaScenario.h"
 
-#include "QuotaFleet.h"
+#include "QuotaSimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,10 +15,10 @@
 /// Faults begin once the buckets of a fleet that has just started are used up.
 static constexpr milliseconds FirstFault{6000};
 static constexpr milliseconds LastFault{19000};
-static constexpr std::size_t MostEvents = 6;
+static constexpr std::size_t MaxEvents = 6;
 /// Operators lower limits: down to this part of the smallest one that accounts
 /// have at first.
-static constexpr double LoweredShare = 0.5;
+static constexpr double LoweredLimitShare = 0.5;
 
 static routing::QuotaTolerance tolerance(double Tokens) {
   return {0.1, Tokens, seconds(8)};
@@ -57,20 +57,20 @@
 double QuotaDeployment::largestRequest() const {
   double Out = 0;
   for (const QuotaRequestKind &Each : m_Kinds)
-    Out = std::max(Out, Each.m_LongestPrompt + Each.m_LongestAnswer);
+    Out = std::max(Out, Each.m_MaxPromptTokens + Each.m_MaxResponseTokens);
   return Out;
 }
 
-std::string toString(const QuotaEvent &Event) {
+std::string toString(const QuotaFaultEvent &Event) {
   static const char *const Names[] = {"kill", "cut", "split", "freeze", "add"};
   std::ostringstream Out;
-  Out << Names[static_cast<int>(Event.m_Fault)]
+  Out << Names[static_cast<int>(Event.m_Kind)]
       << " at=" << core::toSeconds(Event.m_At) << " share=" << Event.m_Share
       << " for=" << core::toSeconds(Event.m_Time);
   return Out.str();
 }
 
-static QuotaEvent drawEvent(std::mt19937_64 &Random) {
+static QuotaFaultEvent drawEvent(std::mt19937_64 &Random) {
   auto Between = [&Random](milliseconds Least, milliseconds Most) {
     std::uniform_int_distribution<std::int64_t> Draw(Least.count(),
                                                      Most.count());
@@ -79,59 +79,60 @@
   auto Share = [&Random](double Least, double Most) {
     return std::uniform_real_distribution<double>(Least, Most)(Random);
   };
-  QuotaEvent Out;
+  QuotaFaultEvent Out;
   Out.m_At = Between(FirstFault, LastFault);
-  Out.m_Fault =
-      static_cast<QuotaFault>(std::uniform_int_distribution<int>(0, 4)(Random));
-  switch (Out.m_Fault) {
-  case QuotaFault::Kill:
+  Out.m_Kind = static_cast<QuotaFaultKind>(
+      std::uniform_int_distribution<int>(0, 4)(Random));
+  switch (Out.m_Kind) {
+  case QuotaFaultKind::Kill:
     // Mass kills are the most frequent of those that matter.
     Out.m_Share = std::bernoulli_distribution(0.4)(Random) ? 1 : Share(0.1, 1);
     Out.m_Time = Between(milliseconds(500), milliseconds(2500));
     break;
-  case QuotaFault::Cut:
+  case QuotaFaultKind::Cut:
     Out.m_Share = Share(0.05, 0.35);
     Out.m_Time = Between(milliseconds(3000), milliseconds(9000));
     break;
-  case QuotaFault::Split:
+  case QuotaFaultKind::Split:
     Out.m_Share = Share(0.05, 0.5);
     Out.m_Time = Between(milliseconds(3000), milliseconds(9000));
     break;
-  case QuotaFault::Freeze:
+  case QuotaFaultKind::Freeze:
     Out.m_Share = Share(0.05, 0.25);
     Out.m_Time = Between(milliseconds(500), milliseconds(4000));
     break;
-  case QuotaFault::Add:
+  case QuotaFaultKind::Add:
     Out.m_Share = Share(0.25, 0.5);
     break;
   }
   return Out;
 }
 
-QuotaDay QuotaDay::draw(const QuotaDeployment &Deployment, std::uint64_t Seed) {
+QuotaScenario QuotaScenario::random(const QuotaDeployment &Deployment,
+                                    std::uint64_t Seed) {
   std::mt19937_64 Random(Seed);
-  QuotaDay Out;
+  QuotaScenario Out;
   Out.m_Deployment = &Deployment;
   Out.m_Seed = Seed;
   std::uniform_real_distribution<double> Logarithm(
-      std::log(Deployment.m_SmallestLimit * LoweredShare),
-      std::log(Deployment.m_LargestLimit));
+      std::log(Deployment.m_MinLimit * LoweredLimitShare),
+      std::log(Deployment.m_MaxLimit));
   Out.m_Limit = std::exp(Logarithm(Random));
   Out.m_Load = std::uniform_real_distribution<double>(1.2, 6)(Random);
-  std::uniform_int_distribution<std::size_t> Count(1, MostEvents);
+  std::uniform_int_distribution<std::size_t> Count(1, MaxEvents);
   for (std::size_t Left = Count(Random); Left > 0; --Left)
     Out.m_Events.push_back(drawEvent(Random));
   return Out;
 }
 
-QuotaDay QuotaDay::bred(std::mt19937_64 &Random) const {
-  QuotaDay Out = *this;
+QuotaScenario QuotaScenario::mutated(std::mt19937_64 &Random) const {
+  QuotaScenario Out = *this;
   switch (std::uniform_int_distribution<int>(0, 3)(Random)) {
   case 0:
     Out.m_Seed = Random();
     break;
   case 1:
-    if (Out.m_Events.size() < MostEvents)
+    if (Out.m_Events.size() < MaxEvents)
       Out.m_Events.push_back(drawEvent(Random));
     break;
   default:
@@ -143,37 +144,37 @@
   return Out;
 }
 
-std::string QuotaDay::describe() const {
+std::string QuotaScenario::describe() const {
   std::ostringstream Out;
   Out << m_Deployment->m_Name << " limit=" << m_Limit << " load=" << m_Load
-      << " seed=" << m_Seed << " largest=" << m_AreLargest;
-  for (const QuotaEvent &Each : m_Events)
+      << " seed=" << m_Seed << " largest=" << m_HasOnlyLargestRequests;
+  for (const QuotaFaultEvent &Each : m_Events)
     Out << "; " << toString(Each);
   return Out.str();
 }
 
 namespace {
 
-class Player {
+class ScenarioRunner {
 public:
-  explicit Player(const QuotaDay &Day)
-      : m_Day(Day), m_Random(Day.m_Seed),
-        m_Fleet({Day.m_Deployment->m_Size,
-                 {account(Day.m_Limit)},
-                 Day.m_Deployment->m_Tolerance,
-                 Day.m_Seed}) {}
+  explicit ScenarioRunner(const QuotaScenario &Day)
+      : m_Scenario(Day), m_Random(Day.m_Seed),
+        m_Simulation({Day.m_Deployment->m_Size,
+                      {account(Day.m_Limit)},
+                      Day.m_Deployment->m_Tolerance,
+                      Day.m_Seed}) {}
 
-  QuotaDayResult play() {
-    std::vector<QuotaEvent> Left = m_Day.m_Events;
-    core::TimePoint Begin = m_Fleet.now();
-    while (m_Fleet.now() < Begin + Length) {
-      m_Fleet.advance(QuotaFleet::StepTime);
+  QuotaScenarioResult simulate() {
+    std::vector<QuotaFaultEvent> Left = m_Scenario.m_Events;
+    core::TimePoint Begin = m_Simulation.now();
+    while (m_Simulation.now() < Begin + Length) {
+      m_Simulation.advance(QuotaSimulation::StepTime);
       for (auto Each = Left.begin(); Each != Left.end();) {
-        if (Begin + Each->m_At > m_Fleet.now()) {
+        if (Begin + Each->m_At > m_Simulation.now()) {
           ++Each;
           continue;
         }
-        strike(*Each);
+        injectFault(*Each);
         Each = Left.erase(Each);
       }
       demand();
@@ -191,7 +192,7 @@
   }
 
   static double meanTokens(const QuotaRequestKind &Kind) {
-    return Kind.m_MeanPrompt + Kind.m_MeanAnswer;
+    return Kind.m_MeanPromptTokens + Kind.m_MeanResponseTokens;
   }
 
   double drawTokens(double Mean, double Spread, double Most) {
@@ -203,83 +204,95 @@
   }
 
   void demandLargest() {
-    double Tokens = m_Day.m_Deployment->largestRequest();
-    std::uniform_int_distribution<std::size_t> Where(0, m_Fleet.size() - 1);
-    std::poisson_distribution<int> Count(m_Day.m_Limit * m_Day.m_Load / Tokens *
-                                         core::toSeconds(QuotaFleet::StepTime));
+    double Tokens = m_Scenario.m_Deployment->largestRequest();
+    std::uniform_int_distribution<std::size_t> Where(0,
+                                                     m_Simulation.size() - 1);
+    std::poisson_distribution<int> Count(
+        m_Scenario.m_Limit * m_Scenario.m_Load / Tokens *
+        core::toSeconds(QuotaSimulation::StepTime));
     for (int Left = Count(m_Random); Left > 0; --Left)
-      m_Fleet.request(Where(m_Random), 0, static_cast<std::uint32_t>(Tokens));
+      m_Simulation.request(Where(m_Random), 0,
+                           static_cast<std::uint32_t>(Tokens));
   }
 
   void demand() {
-    if (m_Day.m_AreLargest)
+    if (m_Scenario.m_HasOnlyLargestRequests)
       return demandLargest();
     // Answers vary as their sheets say.
     static constexpr double AnswerSpread = 1.5;
     double Mean = 0;
-    for (const QuotaRequestKind &Each : m_Day.m_Deployment->m_Kinds)
+    for (const QuotaRequestKind &Each : m_Scenario.m_Deployment->m_Kinds)
       Mean += Each.m_Share * meanTokens(Each);
-    double Rate = m_Day.m_Limit * m_Day.m_Load / Mean *
-                  core::toSeconds(QuotaFleet::StepTime);
-    std::uniform_int_distribution<std::size_t> Where(0, m_Fleet.size() - 1);
-    for (const QuotaRequestKind &Each : m_Day.m_Deployment->m_Kinds) {
+    double Rate = m_Scenario.m_Limit * m_Scenario.m_Load / Mean *
+                  core::toSeconds(QuotaSimulation::StepTime);
+    std::uniform_int_distribution<std::size_t> Where(0,
+                                                     m_Simulation.size() - 1);
+    for (const QuotaRequestKind &Each : m_Scenario.m_Deployment->m_Kinds) {
       std::poisson_distribution<int> Count(Rate * Each.m_Share);
       for (int Left = Count(m_Random); Left > 0; --Left) {
-        double Tokens =
-            drawTokens(Each.m_MeanPrompt, Each.m_Spread, Each.m_LongestPrompt) +
-            drawTokens(Each.m_MeanAnswer, AnswerSpread, Each.m_LongestAnswer);
-        m_Fleet.request(Where(m_Random), 0, static_cast<std::uint32_t>(Tokens));
+        double Tokens = drawTokens(Each.m_MeanPromptTokens, Each.m_Spread,
+                                   Each.m_MaxPromptTokens) +
+                        drawTokens(Each.m_MeanResponseTokens, AnswerSpread,
+                                   Each.m_MaxResponseTokens);
+        m_Simulation.request(Where(m_Random), 0,
+                             static_cast<std::uint32_t>(Tokens));
       }
     }
   }
 
-  void strike(const QuotaEvent &Event) {
-    if (Event.m_Fault == QuotaFault::Add) {
+  void injectFault(const QuotaFaultEvent &Event) {
+    if (Event.m_Kind == QuotaFaultKind::Add) {
       auto Count = static_cast<std::size_t>(
-          Event.m_Share * static_cast<double>(m_Day.m_Deployment->m_Spare));
+          Event.m_Share *
+          static_cast<double>(m_Scenario.m_Deployment->m_SpareInstances));
       for (; Count > 0; --Count)
-        m_Fleet.add();
+        m_Simulation.add();
       return;
     }
     std::bernoulli_distribution IsStruck(Event.m_Share);
     std::vector<std::size_t> Struck;
-    for (std::size_t I = 0; I < m_Fleet.size(); ++I)
+    for (std::size_t I = 0; I < m_Simulation.size(); ++I)
       if (IsStruck(m_Random))
         Struck.push_back(I);
-    if (Event.m_Fault == QuotaFault::Split)
-      return m_Fleet.split(Struck, Event.m_Time);
+    if (Event.m_Kind == QuotaFaultKind::Split)
+      return m_Simulation.split(Struck, Event.m_Time);
     for (std::size_t Each : Struck) {
-      if (Event.m_Fault == QuotaFault::Kill)
-        m_Fleet.kill(Each, Event.m_Time);
-      if (Event.m_Fault == QuotaFault::Cut)
-        m_Fleet.cut(Each, Event.m_Time);
-      if (Event.m_Fault == QuotaFault::Freeze)
-        m_Fleet.freeze(Each, Event.m_Time);
+      if (Event.m_Kind == QuotaFaultKind::Kill)
+        m_Simulation.kill(Each, Event.m_Time);
+      if (Event.m_Kind == QuotaFaultKind::Cut)
+        m_Simulation.cut(Each, Event.m_Time);
+      if (Event.m_Kind == QuotaFaultKind::Freeze)
+        m_Simulation.freeze(Each, Event.m_Time);
     }
   }
 
-  QuotaDayResult result() const {
-    const routing::QuotaTolerance &Tolerance = m_Day.m_Deployment->m_Tolerance;
-    QuotaDayResult Out;
-    Out.m_Bound =
-        m_Day.m_Limit * core::toSeconds(Tolerance.m_Window) + m_Day.m_Limit;
-    Out.m_Allowed =
-        Out.m_Bound + Tolerance.tokens({m_Day.m_Limit, m_Day.m_Limit});
-    const std::vector<AllowedDraw> &Draws = m_Fleet.allowed(0);
-    Out.m_Most = mostInWindow(Draws, Tolerance.m_Window);
-    auto Refused = static_cast<double>(m_Fleet.refused(0));
+  QuotaScenarioResult result() const {
+    const routing::QuotaTolerance &Tolerance =
+        m_Scenario.m_Deployment->m_Tolerance;
+    QuotaScenarioResult Out;
+    Out.m_BoundTokens =
+        m_Scenario.m_Limit * core::toSeconds(Tolerance.m_Window) +
+        m_Scenario.m_Limit;
+    Out.m_AllowedTokens =
+        Out.m_BoundTokens +
+        Tolerance.tokens({m_Scenario.m_Limit, m_Scenario.m_Limit});
+    const std::vector<TokenGrant> &Draws = m_Simulation.grants(0);
+    Out.m_MaxTokens = maxInWindow(Draws, Tolerance.m_Window);
+    auto Refused = static_cast<double>(m_Simulation.refused(0));
     Out.m_RefusedShare =
         Refused / std::max(1.0, Refused + static_cast<double>(Draws.size()));
     return Out;
   }
 
-  const QuotaDay &m_Day;
+  const QuotaScenario &m_Scenario;
   std::mt19937_64 m_Random;
-  QuotaFleet m_Fleet;
+  QuotaSimulation m_Simulation;
 };
 
 } // namespace
 
-QuotaDayResult play(const QuotaDay &Day) { return Player(Day).play(); }
+QuotaScenarioResult simulate(const QuotaScenario &Day) {
+  return ScenarioRunner(Day).simulate();
+}
 
 } // namespace yardrill::tests
--- a/Tests/Support/QuotaDay.h
+++ b/Tests/Support/QuotaScenario.h
@@ -1,12 +1,13 @@
-//===-- QuotaDay.h - A day of one client account under faults -------------===//
+//===-- QuotaScenario.h - A day of one client account under faults
+//-------------===//
 //
 // One account asks for several times its limit, of a fleet that is killed, cut,
 // split, frozen and grown at set times. How far its fullest window stays below
 // what is allowed is the day's margin; a search breeds days towards its end.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_TESTS_QUOTADAY_H
-#define YARDRILL_TESTS_QUOTADAY_H
+#ifndef YARDRILL_TESTS_QUOTASCENARIO_H
+#define YARDRILL_TESTS_QUOTASCENARIO_H
 
 #include "LibCore/Time.h"
 #include "LibRouting/QuotaOwner.h"
@@ -20,21 +21,21 @@
 
 /// One kind of request of a deployment.
 struct QuotaRequestKind {
-  double m_Share = 0;      ///< Of all requests.
-  double m_MeanPrompt = 0; ///< Tokens.
-  double m_Spread = 0;     ///< Of the logarithm.
-  double m_LongestPrompt = 0;
-  double m_MeanAnswer = 0;
-  double m_LongestAnswer = 0;
+  double m_Share = 0;            ///< Of all requests.
+  double m_MeanPromptTokens = 0; ///< Tokens.
+  double m_Spread = 0;           ///< Of the logarithm.
+  double m_MaxPromptTokens = 0;
+  double m_MeanResponseTokens = 0;
+  double m_MaxResponseTokens = 0;
 };
 
 /// What a deployment's sheet says about quotas.
 struct QuotaDeployment {
   std::string m_Name;
   std::size_t m_Size = 6;
-  std::size_t m_Spare = 0;    ///< Instances that may be added.
-  double m_SmallestLimit = 0; ///< Tokens a second; the burst is one second.
-  double m_LargestLimit = 0;
+  std::size_t m_SpareInstances = 0; ///< Instances that may be added.
+  double m_MinLimit = 0; ///< Tokens a second; the burst is one second.
+  double m_MaxLimit = 0;
   routing::QuotaTolerance m_Tolerance;
   std::vector<QuotaRequestKind> m_Kinds;
 
@@ -43,47 +44,48 @@
   double largestRequest() const;
 };
 
-enum class QuotaFault { Kill, Cut, Split, Freeze, Add };
+enum class QuotaFaultKind { Kill, Cut, Split, Freeze, Add };
 
-struct QuotaEvent {
+struct QuotaFaultEvent {
   core::Duration m_At{}; ///< From the day's begin.
-  QuotaFault m_Fault = QuotaFault::Kill;
+  QuotaFaultKind m_Kind = QuotaFaultKind::Kill;
   double m_Share = 1; ///< Of the instances; Add: of the spare ones.
   core::Duration m_Time{};
 };
 
-std::string toString(const QuotaEvent &Event);
+std::string toString(const QuotaFaultEvent &Event);
 
-struct QuotaDay {
+struct QuotaScenario {
   const QuotaDeployment *m_Deployment = nullptr;
   double m_Limit = 0; ///< Tokens a second, and of the burst.
   double m_Load = 4;  ///< Of the limit.
   /// All requests are as large as any of the deployment's.
-  bool m_AreLargest = false;
-  std::vector<QuotaEvent> m_Events;
+  bool m_HasOnlyLargestRequests = false;
+  std::vector<QuotaFaultEvent> m_Events;
   std::uint64_t m_Seed = 1;
 
   /// With a random limit of the deployment's, and random faults.
-  static QuotaDay draw(const QuotaDeployment &Deployment, std::uint64_t Seed);
+  static QuotaScenario random(const QuotaDeployment &Deployment,
+                              std::uint64_t Seed);
   /// A day that differs from this one in an event or in its luck.
-  QuotaDay bred(std::mt19937_64 &Random) const;
+  QuotaScenario mutated(std::mt19937_64 &Random) const;
   std::string describe() const;
 };
 
-struct QuotaDayResult {
-  double m_Allowed = 0; ///< Tokens of any window.
-  double m_Most = 0;    ///< Tokens of the fullest one.
-  double m_Bound = 0;   ///< Rate x window + burst.
+struct QuotaScenarioResult {
+  double m_AllowedTokens = 0; ///< Tokens of any window.
+  double m_MaxTokens = 0;     ///< Tokens of the fullest one.
+  double m_BoundTokens = 0;   ///< Rate x window + burst.
   double m_RefusedShare = 0;
 
-  bool isKept() const { return m_Most <= m_Allowed; }
+  bool isWithinTolerance() const { return m_MaxTokens <= m_AllowedTokens; }
   /// Part of what is allowed above the bound that was used; above 1: broken.
   double usedTolerance() const {
-    return (m_Most - m_Bound) / (m_Allowed - m_Bound);
+    return (m_MaxTokens - m_BoundTokens) / (m_AllowedTokens - m_BoundTokens);
   }
 };
 
-QuotaDayResult play(const QuotaDay &Day);
+QuotaScenarioResult simulate(const QuotaScenario &Day);
 
 } // namespace yardrill::tests
 
--- /dev/null
+++ b/Tests/Support/QuotaSimulation.cpp
@@ -0,0 +1,390 @@
+#include "QuotaSimulation.h"
+
+#include "LibRouting/DistributedQuota.h"
+
+#include <algorithm>
+#include <array>
+#include <deque>
+#include <map>
+#include <random>
+#include <utility>
+
+namespace yardrill::tests {
+
+using routing::DistributedQuota;
+using routing::QuotaStep;
+
+/// Of datagrams, each on its way for one step.
+static constexpr double LossShare = 0.01;
+/// From a process' start until it has read what the store holds.
+static constexpr std::chrono::milliseconds MinReadTime{50};
+static constexpr std::chrono::milliseconds MaxReadTime{300};
+/// Until one that is cut off, also from the store, knows that it would not hear
+/// of a change: near peers are silent, and a watch of the store fails.
+static constexpr std::chrono::milliseconds MinDetectionTime{700};
+static constexpr std::chrono::milliseconds MaxDetectionTime{3300};
+/// Until an instance hears of one that was added.
+static constexpr std::chrono::milliseconds MaxPropagationTime{500};
+
+namespace {
+
+/// One way between an instance and an owner.
+struct Datagram {
+  std::size_t m_From = 0;
+  std::uint64_t m_Acquisition = 0;
+  bool m_IsResponse = false;
+  bool m_IsCharge = false;
+  routing::QuotaRequest m_Request;
+  routing::QuotaResponse m_Response;
+};
+
+struct CallerRequest {
+  std::size_t m_Account = 0;
+  std::uint32_t m_Tokens = 0;
+};
+
+struct PendingAcquisition {
+  std::size_t m_Instance = 0;
+  std::size_t m_Account = 0;
+  routing::QuotaAcquisition m_Acquisition;
+  core::TimePoint m_SentAt{};
+};
+
+} // namespace
+
+double maxInWindow(const std::vector<TokenGrant> &Draws,
+                   core::Duration Window) {
+  double Most = 0;
+  double Sum = 0;
+  std::size_t First = 0;
+  for (const TokenGrant &Last : Draws) {
+    Sum += Last.m_Tokens;
+    while (Last.m_At - Draws[First].m_At > Window)
+      Sum -= Draws[First++].m_Tokens;
+    Most = std::max(Most, Sum);
+  }
+  return Most;
+}
+
+struct QuotaSimulation::Model {
+  /// One instance.
+  struct ModelInstance {
+    config::Endpoint m_Address;
+    std::unique_ptr<DistributedQuota> m_Quota; ///< Null: down.
+    core::TimePoint m_DownUntil{};
+    core::TimePoint m_ReadsAt{}; ///< When it hears of the list and accounts.
+    bool m_HasRead = false;
+    core::TimePoint m_FrozenUntil{};
+    core::TimePoint m_CutUntil{};
+    core::TimePoint m_SplitUntil{}; ///< From those that are not split off.
+    core::TimePoint m_DetectsCutAt =
+        core::TimePoint::max(); ///< That it is cut.
+    std::deque<Datagram> m_Inbox;
+    std::vector<CallerRequest>
+        m_DelayedRequests; ///< Came while it stood still.
+  };
+
+  QuotaSimulationSettings m_Settings;
+  core::TimePoint m_Now{std::chrono::hours(1)};
+  std::mt19937_64 m_Random;
+  std::vector<config::Endpoint> m_StoredInstances; ///< What the store holds.
+  std::vector<ModelInstance> m_Instances;
+  std::map<config::Endpoint, std::size_t> m_Indexes; ///< By address.
+  std::map<std::uint64_t, PendingAcquisition> m_Pending;
+  std::uint64_t m_NextAcquisition = 1;
+  std::vector<std::vector<TokenGrant>> m_Grants;
+  std::vector<std::array<std::size_t, 2>> m_Refused; ///< 1: cut off.
+
+  bool isReached(const ModelInstance &From, const ModelInstance &To) const {
+    bool IsSplit = (From.m_SplitUntil > m_Now) != (To.m_SplitUntil > m_Now);
+    return !IsSplit && From.m_CutUntil <= m_Now && To.m_CutUntil <= m_Now;
+  }
+
+  bool hasDetectedCut(const ModelInstance &Which) const {
+    bool IsOff = std::max(Which.m_CutUntil, Which.m_SplitUntil) > m_Now;
+    return IsOff && Which.m_DetectsCutAt <= m_Now;
+  }
+  void scheduleCutDetection(ModelInstance &Which) {
+    if (std::max(Which.m_CutUntil, Which.m_SplitUntil) <= m_Now)
+      Which.m_DetectsCutAt =
+          m_Now + drawDuration(MinDetectionTime, MaxDetectionTime);
+  }
+
+  core::Duration drawDuration(core::Duration Least, core::Duration Most) {
+    std::uniform_int_distribution<std::int64_t> Draw(Least.count(),
+                                                     Most.count());
+    return core::Duration(Draw(m_Random));
+  }
+
+  void add(bool IsFirst) {
+    std::size_t Index = m_Instances.size();
+    ModelInstance New;
+    New.m_Address = {"10.1." + std::to_string(Index / 200) + "." +
+                         std::to_string(Index % 200 + 10),
+                     7600};
+    m_Indexes.emplace(New.m_Address, Index);
+    m_StoredInstances.push_back(New.m_Address);
+    m_Instances.push_back(std::move(New));
+    start(m_Instances.back(), IsFirst);
+  }
+
+  void start(ModelInstance &Of, bool IsFirst) {
+    Of.m_Quota = std::make_unique<DistributedQuota>(
+        Of.m_Address, m_Settings.m_Tolerance, IsFirst, m_Random());
+    Of.m_HasRead = false;
+    Of.m_ReadsAt = m_Now;
+    if (!IsFirst)
+      Of.m_ReadsAt += drawDuration(MinReadTime, MaxReadTime);
+  }
+
+  /// Tells it the list of instances, and the accounts.
+  void readStore(ModelInstance &Of) {
+    Of.m_Quota->setRing(routing::ConsistentHashRing(m_StoredInstances), m_Now);
+    if (!Of.m_HasRead)
+      Of.m_Quota->setAccounts(m_Settings.m_Accounts, m_Now);
+    Of.m_HasRead = true;
+    Of.m_ReadsAt = core::TimePoint::max();
+  }
+
+  void send(std::size_t To, const Datagram &What) {
+    std::uniform_real_distribution<double> Chance(0, 1);
+    ModelInstance &Receiver = m_Instances[To];
+    if (Receiver.m_Quota && isReached(m_Instances[What.m_From], Receiver) &&
+        Chance(m_Random) >= LossShare)
+      Receiver.m_Inbox.push_back(What);
+  }
+
+  void begin(std::size_t Instance, const CallerRequest &Request) {
+    ModelInstance &At = m_Instances[Instance];
+    if (!At.m_Quota || !At.m_HasRead)
+      return;
+    PendingAcquisition Open;
+    Open.m_Instance = Instance;
+    Open.m_Account = Request.m_Account;
+    Open.m_Acquisition.m_Account =
+        routing::hashOf(m_Settings.m_Accounts[Request.m_Account].m_Name);
+    Open.m_Acquisition.m_Tokens = Request.m_Tokens;
+    std::uint64_t Id = m_NextAcquisition++;
+    PendingAcquisition &Placed =
+        m_Pending.emplace(Id, std::move(Open)).first->second;
+    settle(Id, At.m_Quota->begin(Placed.m_Acquisition, m_Now));
+  }
+
+  void settle(std::uint64_t Id, QuotaStep Step) {
+    PendingAcquisition &Open = m_Pending.at(Id);
+    if (Step == QuotaStep::Ask) {
+      Open.m_SentAt = m_Now;
+      Datagram Ask;
+      Ask.m_From = Open.m_Instance;
+      Ask.m_Acquisition = Id;
+      Ask.m_Request = {Open.m_Acquisition.m_Account,
+                       Open.m_Acquisition.m_Tokens, 0};
+      return send(m_Indexes.at(Open.m_Acquisition.m_RemainingOwners.back()),
+                  Ask);
+    }
+    bool IsCutOff = m_Instances[Open.m_Instance].m_CutUntil > m_Now;
+    if (Step == QuotaStep::Granted)
+      m_Grants[Open.m_Account].push_back(
+          {m_Now, Open.m_Acquisition.m_Tokens, IsCutOff,
+           Open.m_Acquisition.m_Source == routing::QuotaSource::Isolated});
+    else
+      ++m_Refused[Open.m_Account][IsCutOff ? 1 : 0];
+    m_Pending.erase(Id);
+  }
+
+  routing::QuotaResponse charge(DistributedQuota &Book,
+                                const routing::QuotaRequest &Ask) {
+    routing::QuotaResponse Out;
+    if (Book.charge(Ask.m_Account, Ask.m_Tokens, m_Now))
+      Out.m_Verdict = routing::QuotaVerdict::Granted;
+    return Out;
+  }
+
+  void sendCharges(std::size_t Instance) {
+    for (const routing::QuotaCharge &Each :
+         m_Instances[Instance].m_Quota->takeCharges()) {
+      Datagram Charge;
+      Charge.m_From = Instance;
+      Charge.m_IsCharge = true;
+      Charge.m_Request = {Each.m_Account, Each.m_Tokens, 0};
+      send(m_Indexes.at(Each.m_Owner), Charge);
+    }
+  }
+
+  void handleDatagram(std::size_t Instance, const Datagram &What) {
+    DistributedQuota &Book = *m_Instances[Instance].m_Quota;
+    if (!What.m_IsResponse) {
+      Datagram Answer;
+      Answer.m_From = Instance;
+      Answer.m_Acquisition = What.m_Acquisition;
+      Answer.m_IsResponse = true;
+      Answer.m_Request = What.m_Request;
+      Answer.m_IsCharge = What.m_IsCharge;
+      Answer.m_Response = What.m_IsCharge
+                              ? charge(Book, What.m_Request)
+                              : Book.handleRequest(What.m_Request, m_Now);
+      return send(What.m_From, Answer);
+    }
+    if (What.m_IsCharge) {
+      if (What.m_Response.m_Verdict == routing::QuotaVerdict::Granted)
+        Book.settleCharge(What.m_Request.m_Account, What.m_Request.m_Tokens,
+                          m_Now);
+      return;
+    }
+    auto Open = m_Pending.find(What.m_Acquisition);
+    const config::Endpoint &Owner = m_Instances[What.m_From].m_Address;
+    bool IsWaitedFor =
+        Open != m_Pending.end() &&
+        Open->second.m_Acquisition.m_RemainingOwners.back() == Owner;
+    if (IsWaitedFor)
+      return settle(What.m_Acquisition,
+                    Book.handleResponse(Open->second.m_Acquisition,
+                                        What.m_Response, m_Now));
+    Book.cacheGrant(Owner, What.m_Request.m_Account, What.m_Response.m_Tokens,
+                    m_Now);
+  }
+
+  void expirePending() {
+    std::vector<std::uint64_t> Late;
+    for (const auto &[Id, Open] : m_Pending)
+      if (m_Now - Open.m_SentAt > DistributedQuota::ResponseTimeout &&
+          m_Instances[Open.m_Instance].m_FrozenUntil <= m_Now)
+        Late.push_back(Id);
+    for (std::uint64_t Id : Late) {
+      PendingAcquisition &Open = m_Pending.at(Id);
+      DistributedQuota &Book = *m_Instances[Open.m_Instance].m_Quota;
+      settle(Id, Book.handleTimeout(Open.m_Acquisition, m_Now));
+    }
+  }
+
+  void returnUnusedGrants(std::size_t Instance) {
+    for (const routing::QuotaReturn &Each :
+         m_Instances[Instance].m_Quota->takeUnusedGrants(m_Now)) {
+      Datagram Return;
+      Return.m_From = Instance;
+      Return.m_Request = {Each.m_Account, 0, Each.m_Tokens};
+      send(m_Indexes.at(Each.m_Owner), Return);
+    }
+  }
+
+  void step() {
+    m_Now += StepTime;
+    std::vector<std::deque<Datagram>> Inboxes(m_Instances.size());
+    for (std::size_t I = 0; I < m_Instances.size(); ++I)
+      if (m_Instances[I].m_FrozenUntil <= m_Now)
+        Inboxes[I].swap(m_Instances[I].m_Inbox);
+    for (std::size_t I = 0; I < m_Instances.size(); ++I) {
+      ModelInstance &Each = m_Instances[I];
+      if (Each.m_FrozenUntil > m_Now)
+        continue;
+      if (!Each.m_Quota && Each.m_DownUntil <= m_Now)
+        start(Each, false);
+      if (!Each.m_Quota)
+        continue;
+      Each.m_Quota->setListConfirmed(!hasDetectedCut(Each));
+      // It hears of added ones from the others, and reads the store at a start.
+      bool IsTold = !Each.m_HasRead ||
+                    std::max(Each.m_CutUntil, Each.m_SplitUntil) <= m_Now;
+      if (Each.m_ReadsAt <= m_Now && IsTold)
+        readStore(Each);
+      for (const CallerRequest &Late :
+           std::exchange(Each.m_DelayedRequests, {}))
+        begin(I, Late);
+      for (const Datagram &What : Inboxes[I])
+        handleDatagram(I, What);
+      returnUnusedGrants(I);
+      sendCharges(I);
+    }
+    expirePending();
+  }
+};
+
+QuotaSimulation::QuotaSimulation(const QuotaSimulationSettings &Settings)
+    : m_Model(std::make_unique<Model>()) {
+  Model &M = *m_Model;
+  M.m_Settings = Settings;
+  M.m_Random.seed(Settings.m_Seed);
+  M.m_Grants.resize(Settings.m_Accounts.size());
+  M.m_Refused.resize(Settings.m_Accounts.size());
+  for (std::size_t I = 0; I < Settings.m_Size; ++I)
+    M.add(true);
+  for (Model::ModelInstance &Each : M.m_Instances)
+    M.readStore(Each);
+}
+
+QuotaSimulation::~QuotaSimulation() = default;
+
+core::TimePoint QuotaSimulation::now() const { return m_Model->m_Now; }
+
+std::size_t QuotaSimulation::size() const {
+  return m_Model->m_Instances.size();
+}
+
+void QuotaSimulation::advance(core::Duration Time) {
+  core::TimePoint Until = m_Model->m_Now + Time;
+  while (m_Model->m_Now < Until)
+    m_Model->step();
+}
+
+void QuotaSimulation::request(std::size_t Instance, std::size_t Account,
+                              std::uint32_t Tokens) {
+  Model &M = *m_Model;
+  Model::ModelInstance &At = M.m_Instances[Instance];
+  if (At.m_FrozenUntil > now())
+    return At.m_DelayedRequests.push_back({Account, Tokens});
+  M.begin(Instance, {Account, Tokens});
+}
+
+void QuotaSimulation::kill(std::size_t Instance, core::Duration Down) {
+  Model::ModelInstance &Killed = m_Model->m_Instances[Instance];
+  Killed.m_Quota.reset();
+  Killed.m_Inbox.clear();
+  Killed.m_DelayedRequests.clear();
+  Killed.m_FrozenUntil = core::TimePoint();
+  Killed.m_DownUntil = now() + Down;
+  auto &Open = m_Model->m_Pending;
+  for (auto Each = Open.begin(); Each != Open.end();)
+    Each = Each->second.m_Instance == Instance ? Open.erase(Each)
+                                               : std::next(Each);
+}
+
+void QuotaSimulation::cut(std::size_t Instance, core::Duration Time) {
+  Model::ModelInstance &Which = m_Model->m_Instances[Instance];
+  m_Model->scheduleCutDetection(Which);
+  Which.m_CutUntil = now() + Time;
+}
+
+void QuotaSimulation::split(const std::vector<std::size_t> &Instances,
+                            core::Duration Time) {
+  bool IsMinority = Instances.size() * 2 < size();
+  for (std::size_t Index : Instances) {
+    Model::ModelInstance &Each = m_Model->m_Instances[Index];
+    if (IsMinority)
+      m_Model->scheduleCutDetection(Each);
+    Each.m_SplitUntil = now() + Time;
+  }
+}
+
+void QuotaSimulation::freeze(std::size_t Instance, core::Duration Time) {
+  m_Model->m_Instances[Instance].m_FrozenUntil = now() + Time;
+}
+
+void QuotaSimulation::add() {
+  Model &M = *m_Model;
+  M.add(false);
+  for (Model::ModelInstance &Each : M.m_Instances)
+    Each.m_ReadsAt =
+        std::min(Each.m_ReadsAt,
+                 now() + M.drawDuration(core::Duration(0), MaxPropagationTime));
+}
+
+const std::vector<TokenGrant> &
+QuotaSimulation::grants(std::size_t Account) const {
+  return m_Model->m_Grants[Account];
+}
+
+std::size_t QuotaSimulation::refused(std::size_t Account, bool IsCutOff) const {
+  return m_Model->m_Refused[Account][IsCutOff ? 1 : 0];
+}
+
+} // namespace yardrill::tests
--- a/Tests/Support/QuotaFleet.h
+++ b/Tests/Support/QuotaSimulation.h
@@ -1,12 +1,13 @@
-//===-- QuotaFleet.h - Instances that share quotas, in simulated time -----===//
+//===-- QuotaSimulation.h - Instances that share quotas, in simulated time
+//-----===//
 //
 // The decisions are the product's; time, links, kills, cuts, stalls and the
 // spread of the list of instances are simulated. Every draw that was allowed is
 // kept, so that a test can look at any window.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_TESTS_QUOTAFLEET_H
-#define YARDRILL_TESTS_QUOTAFLEET_H
+#ifndef YARDRILL_TESTS_QUOTASIMULATION_H
+#define YARDRILL_TESTS_QUOTASIMULATION_H
 
 #include "LibCore/Time.h"
 #include "LibRouting/QuotaOwner.h"
@@ -19,28 +20,27 @@
 namespace yardrill::tests {
 
 /// Tokens that an account was allowed at one moment.
-struct AllowedDraw {
+struct TokenGrant {
   core::TimePoint m_At{};
   std::uint32_t m_Tokens = 0;
-  bool m_IsCutOff = false; ///< At an instance that was, for itself.
-  bool m_IsAlone = false;  ///< No owner granted it.
+  bool m_IsCutOff = false;   ///< At an instance that was, for itself.
+  bool m_IsIsolated = false; ///< No owner granted it.
 };
 
 /// \returns the tokens of the fullest window. \param Draws in order of time.
-double mostInWindow(const std::vector<AllowedDraw> &Draws,
-                    core::Duration Window);
+double maxInWindow(const std::vector<TokenGrant> &Draws, core::Duration Window);
 
-struct QuotaFleetSettings {
+struct QuotaSimulationSettings {
   std::size_t m_Size = 6;
   std::vector<routing::Account> m_Accounts; ///< Each with a limit.
   routing::QuotaTolerance m_Tolerance;
   std::uint64_t m_Seed = 1;
 };
 
-class QuotaFleet {
+class QuotaSimulation {
 public:
-  explicit QuotaFleet(const QuotaFleetSettings &Settings);
-  ~QuotaFleet();
+  explicit QuotaSimulation(const QuotaSimulationSettings &Settings);
+  ~QuotaSimulation();
 
   core::TimePoint now() const;
   /// Those that run or have run, added ones included.
@@ -63,7 +63,7 @@
   /// Adds an instance; the others hear of it within half a second.
   void add();
 
-  const std::vector<AllowedDraw> &allowed(std::size_t Account) const;
+  const std::vector<TokenGrant> &grants(std::size_t Account) const;
   /// Requests of the account that were refused at instances that were cut off
   /// for themselves, or at all others.
   std::size_t refused(std::size_t Account, bool IsCutOff) const;
--- /dev/null
+++ b/Tests/Support/RateLimitSimulation.cpp
@@ -0,0 +1,420 @@
+#include "RateLimitSimulation.h"
+
+#include "LibCore/Digest.h"
+
+#include <algorithm>
+#include <deque>
+#include <map>
+#include <memory>
+#include <random>
+
+namespace yardrill::tests {
+
+using core::TimePoint;
+using routing::FleetSubset;
+using routing::TargetThrottleTable;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+static constexpr milliseconds Step{10};
+static constexpr milliseconds ResponseTime{40};
+static constexpr seconds SimulatedTime{40};
+static constexpr seconds LimitFrom{5};
+static constexpr seconds LimitUntil{30};
+static constexpr seconds ContactTime{3};
+static constexpr milliseconds InFlightTime{500};
+static constexpr seconds Window{4};
+static constexpr seconds ReportPeriod{1};
+static constexpr double LossShare = 0.03;
+static constexpr milliseconds MaxDelay{300};
+static constexpr double LateShare = 0.02;
+/// Until all instances know of one more or less.
+static constexpr milliseconds MaxUpdateDelay{2000};
+static constexpr double FaultsPerSecond = 0.7;
+
+const char *toString(RateLimitStrategy Strategy) {
+  switch (Strategy) {
+  case RateLimitStrategy::Senders:
+    return "senders";
+  case RateLimitStrategy::OneSender:
+    return "one-sender";
+  case RateLimitStrategy::EqualParts:
+    return "equal-parts";
+  case RateLimitStrategy::Alone:
+    return "alone";
+  }
+  return "unknown";
+}
+
+namespace {
+
+struct Arrival {
+  TimePoint m_At;
+  std::size_t m_Instance = 0;
+};
+
+struct Datagram {
+  TimePoint m_At;
+  std::size_t m_To = 0;
+  routing::BackpressureReport m_Backpressure;
+  TimePoint m_SentAt;
+};
+
+struct Response {
+  TimePoint m_At;
+  std::size_t m_Instance = 0;
+  std::size_t m_Target = 0;
+  std::uint64_t m_Incarnation = 0;
+};
+
+struct ModelInstance {
+  std::unique_ptr<TargetThrottleTable> m_ThrottleTable;
+  FleetSubset::Fleet m_KnownFleet; ///< As it knows the fleet.
+  FleetSubset m_Subset;
+  std::uint64_t m_Incarnation = 1;
+  bool m_IsMember = true;
+  TimePoint m_DownUntil{};
+  TimePoint m_FrozenUntil{};
+  TimePoint m_CutUntil{};
+  TimePoint m_ExemptUntil{};
+  TimePoint m_ReportedAt{};
+  std::vector<TimePoint>
+      m_LimitKnownAt; ///< By target: passed such an answer on.
+  std::size_t m_ReceivedDatagrams = 0;
+};
+
+class RateLimitSimulation {
+public:
+  RateLimitSimulation(const RateLimitScenario &Day, RateLimitStrategy Strategy)
+      : m_Scenario(Day), m_Strategy(Strategy), m_Random(Day.m_Seed) {}
+
+  RateLimitResult run();
+
+private:
+  static config::Endpoint addressOf(std::size_t Instance) {
+    return {"10.1." + std::to_string(Instance / 250) + "." +
+                std::to_string(Instance % 250 + 1),
+            7600};
+  }
+  static core::DataHallName dataHallOf(std::size_t Instance) {
+    return core::DataHallName("hall-" + std::to_string(Instance % 3));
+  }
+  static routing::TargetIncarnation incarnationOf(std::size_t Target) {
+    return {core::TargetName("t-" + std::to_string(Target))};
+  }
+  bool chance(double Share) {
+    return std::uniform_real_distribution<double>(0, 1)(m_Random) < Share;
+  }
+  core::Duration drawDuration(core::Duration Longest) {
+    return core::Duration(std::uniform_int_distribution<std::int64_t>(
+        0, core::Duration(Longest).count())(m_Random));
+  }
+  std::size_t drawIndex(std::size_t Count) {
+    return std::uniform_int_distribution<std::size_t>(0, Count - 1)(m_Random);
+  }
+  bool isUp(const ModelInstance &Which) const {
+    return Which.m_IsMember && Which.m_DownUntil <= m_Now &&
+           Which.m_FrozenUntil <= m_Now;
+  }
+  bool isCut(const ModelInstance &Which) const {
+    return m_Now < Which.m_CutUntil;
+  }
+  bool isLimited() const {
+    return m_Now >= m_Start + LimitFrom && m_Now < m_Start + LimitUntil;
+  }
+
+  void start(std::size_t Index, const FleetSubset::Fleet &List);
+  void setKnownFleet(std::size_t Index, FleetSubset::Fleet List);
+  std::size_t sendersOf(std::size_t Index,
+                        const routing::TargetIncarnation &Run);
+  void sendRequest();
+  void handleResponse(const Response &What);
+  void sendReports(std::size_t From,
+                   const std::vector<routing::BackpressureReport> &Terms);
+  void deliver();
+  void injectFault();
+  void applyFleetUpdates();
+  void evaluate(RateLimitResult &Out) const;
+
+  RateLimitScenario m_Scenario;
+  RateLimitStrategy m_Strategy;
+  std::mt19937_64 m_Random;
+  TimePoint m_Start{std::chrono::hours(1)};
+  TimePoint m_Now = m_Start;
+  std::size_t m_GroupSize = 0;
+  std::size_t m_Limited = 0; ///< The first targets.
+  std::vector<ModelInstance> m_Instances;
+  std::map<config::Endpoint, std::size_t> m_Indexes;
+  FleetSubset::Fleet m_Fleet; ///< As it is.
+  /// Changes of the fleet on their way to one instance.
+  std::vector<std::pair<TimePoint, std::size_t>> m_PendingFleetUpdates;
+  std::vector<Datagram> m_Datagrams;
+  std::deque<Response> m_Responses;
+  std::vector<std::vector<Arrival>> m_Arrivals; ///< By target; told, in touch.
+  std::vector<std::size_t> m_SentWhileLimited;  ///< By target, while named.
+};
+
+} // namespace
+
+std::size_t
+RateLimitSimulation::sendersOf(std::size_t Index,
+                               const routing::TargetIncarnation &Run) {
+  const ModelInstance &Own = m_Instances[Index];
+  std::size_t Sharers =
+      Own.m_Subset.subsetInstances(m_Scenario.m_Targets).size();
+  std::size_t Order =
+      Own.m_Subset.rendezvousRank(Run.hash(), m_Scenario.m_Targets);
+  switch (m_Strategy) {
+  case RateLimitStrategy::Senders: {
+    std::size_t Senders =
+        std::min(routing::SharedRateLimit::MaxSenders, Sharers);
+    return Order < Senders ? Senders : 0;
+  }
+  case RateLimitStrategy::OneSender:
+    return Order == 0 ? 1 : 0;
+  case RateLimitStrategy::EqualParts:
+    return Sharers;
+  case RateLimitStrategy::Alone:
+    return 1;
+  }
+  return 0;
+}
+
+void RateLimitSimulation::setKnownFleet(std::size_t Index,
+                                        FleetSubset::Fleet List) {
+  ModelInstance &Own = m_Instances[Index];
+  Own.m_KnownFleet = std::move(List);
+  Own.m_Subset = FleetSubset(addressOf(Index), Own.m_KnownFleet, m_GroupSize);
+  Own.m_ThrottleTable->invalidateSenders();
+}
+
+void RateLimitSimulation::start(std::size_t Index,
+                                const FleetSubset::Fleet &List) {
+  ModelInstance &Own = m_Instances[Index];
+  Own.m_ThrottleTable = std::make_unique<TargetThrottleTable>(
+      [this, Index](const routing::TargetIncarnation &Run) {
+        return sendersOf(Index, Run);
+      });
+  Own.m_LimitKnownAt.assign(m_Limited, TimePoint::max());
+  ++Own.m_Incarnation;
+  setKnownFleet(Index, List);
+}
+
+void RateLimitSimulation::sendRequest() {
+  std::size_t Index = drawIndex(m_Instances.size());
+  ModelInstance &Own = m_Instances[Index];
+  if (!isUp(Own))
+    return;
+  // As a dispatcher that finds the limited ones the least busy.
+  std::vector<std::size_t> Open;
+  for (std::size_t Target = 0; Target < m_Limited; ++Target)
+    if (Own.m_Subset.isInSubset(Target * m_Scenario.m_Targets / m_Limited,
+                                m_Scenario.m_Targets) &&
+        Own.m_ThrottleTable->acceptsRequests(incarnationOf(Target), m_Now))
+      Open.push_back(Target);
+  if (Open.empty())
+    return;
+  std::size_t Target = Open[drawIndex(Open.size())];
+  Own.m_ThrottleTable->recordSent(incarnationOf(Target), m_Now);
+  bool IsTold = Own.m_LimitKnownAt[Target] < m_Now - InFlightTime;
+  if (IsTold && Own.m_ExemptUntil < m_Now)
+    m_Arrivals[Target].push_back({m_Now, Index});
+  m_SentWhileLimited[Target] += isLimited() ? 1 : 0;
+  m_Responses.push_back(
+      {m_Now + ResponseTime, Index, Target, Own.m_Incarnation});
+}
+
+void RateLimitSimulation::handleResponse(const Response &What) {
+  ModelInstance &Own = m_Instances[What.m_Instance];
+  if (!Own.m_IsMember || Own.m_Incarnation != What.m_Incarnation)
+    return;
+  routing::TargetBackpressure Terms;
+  if (isLimited()) {
+    Terms.m_RequestsPerSecond = m_Scenario.m_Limit;
+    Own.m_LimitKnownAt[What.m_Target] =
+        std::min(Own.m_LimitKnownAt[What.m_Target], m_Now);
+  }
+  routing::TargetIncarnation Run = incarnationOf(What.m_Target);
+  if (Own.m_ThrottleTable->update(Run, Terms, m_Now))
+    sendReports(What.m_Instance, {Own.m_ThrottleTable->reportOf(Run)});
+}
+
+void RateLimitSimulation::sendReports(
+    std::size_t From, const std::vector<routing::BackpressureReport> &Terms) {
+  ModelInstance &Own = m_Instances[From];
+  if (Terms.empty() || isCut(Own))
+    return;
+  for (const config::Endpoint &To :
+       Own.m_Subset.subsetInstances(m_Scenario.m_Targets)) {
+    std::size_t Index = m_Indexes.at(To);
+    if (Index == From || chance(LossShare))
+      continue;
+    for (const routing::BackpressureReport &Each : Terms)
+      m_Datagrams.push_back({m_Now + Step + drawDuration(MaxDelay) / 10 +
+                                 (chance(LateShare) ? drawDuration(MaxDelay)
+                                                    : core::Duration::zero()),
+                             Index, Each, m_Now});
+  }
+}
+
+void RateLimitSimulation::deliver() {
+  std::vector<Datagram> Left;
+  for (Datagram &Each : m_Datagrams) {
+    ModelInstance &To = m_Instances[Each.m_To];
+    bool IsWaiting = Each.m_At > m_Now || m_Now < To.m_FrozenUntil;
+    if (IsWaiting) {
+      Left.push_back(std::move(Each));
+      continue;
+    }
+    if (!isUp(To) || isCut(To))
+      continue;
+    ++To.m_ReceivedDatagrams;
+    // Told as an age.
+    Each.m_Backpressure.m_Limit.m_At += m_Now - Each.m_SentAt;
+    To.m_ThrottleTable->update(Each.m_Backpressure, m_Now);
+  }
+  m_Datagrams = std::move(Left);
+}
+
+void RateLimitSimulation::injectFault() {
+  std::size_t Index = drawIndex(m_Instances.size());
+  ModelInstance &Own = m_Instances[Index];
+  core::Duration Long = milliseconds(500) + drawDuration(seconds(5));
+  enum Kind { Kill, Freeze, Cut, Leave, Kinds };
+  switch (static_cast<Kind>(drawIndex(Kinds))) {
+  case Kill:
+    Own.m_DownUntil = m_Now + milliseconds(500);
+    Own.m_ExemptUntil = Own.m_DownUntil + ContactTime;
+    // It knows itself alone at first.
+    start(Index, {{addressOf(Index), dataHallOf(Index)}});
+    m_PendingFleetUpdates.emplace_back(
+        Own.m_DownUntil + drawDuration(MaxUpdateDelay), Index);
+    return;
+  case Freeze:
+    Own.m_FrozenUntil = m_Now + Long;
+    Own.m_ExemptUntil = Own.m_FrozenUntil + ContactTime;
+    return;
+  case Cut:
+    Own.m_CutUntil = m_Now + Long;
+    Own.m_ExemptUntil = Own.m_CutUntil + ContactTime;
+    return;
+  case Leave:
+  case Kinds:
+    break;
+  }
+  // It is removed for good, or one that was is there again.
+  Own.m_IsMember = !Own.m_IsMember;
+  if (Own.m_IsMember) {
+    m_Fleet[addressOf(Index)] = dataHallOf(Index);
+    Own.m_ExemptUntil = m_Now + ContactTime;
+    start(Index, {{addressOf(Index), dataHallOf(Index)}});
+  } else {
+    m_Fleet.erase(addressOf(Index));
+  }
+  for (std::size_t Other = 0; Other < m_Instances.size(); ++Other)
+    m_PendingFleetUpdates.emplace_back(m_Now + drawDuration(MaxUpdateDelay),
+                                       Other);
+}
+
+void RateLimitSimulation::applyFleetUpdates() {
+  std::vector<std::pair<TimePoint, std::size_t>> Left;
+  for (const auto &Each : m_PendingFleetUpdates) {
+    ModelInstance &Own = m_Instances[Each.second];
+    if (Each.first > m_Now || m_Now < Own.m_FrozenUntil || isCut(Own))
+      Left.push_back(Each);
+    else if (Own.m_IsMember && Own.m_KnownFleet != m_Fleet)
+      setKnownFleet(Each.second, m_Fleet);
+  }
+  m_PendingFleetUpdates = std::move(Left);
+}
+
+void RateLimitSimulation::evaluate(RateLimitResult &Out) const {
+  double Allowed =
+      1.5 * m_Scenario.m_Limit * core::toSeconds(core::Duration(Window)) + 5;
+  TimePoint From = m_Start + LimitFrom + ContactTime;
+  for (const std::vector<Arrival> &Each : m_Arrivals) {
+    std::size_t First = 0;
+    for (std::size_t Last = 0; Last < Each.size(); ++Last) {
+      while (Each[Last].m_At - Each[First].m_At > Window ||
+             Each[First].m_At < From) {
+        if (First == Last)
+          break;
+        ++First;
+      }
+      if (Each[First].m_At < From || Each[Last].m_At > m_Start + LimitUntil)
+        continue;
+      Out.m_MaxWindowRatio =
+          std::max(Out.m_MaxWindowRatio,
+                   static_cast<double>(Last - First + 1) / Allowed);
+    }
+  }
+  double Takes = m_Scenario.m_Limit * core::toSeconds(LimitUntil - LimitFrom);
+  for (std::size_t Each : m_SentWhileLimited)
+    Out.m_ServedShare += static_cast<double>(Each) / Takes /
+                         static_cast<double>(m_SentWhileLimited.size());
+}
+
+RateLimitResult RateLimitSimulation::run() {
+  m_GroupSize =
+      FleetSubset::groupSizeFor(m_Scenario.m_Instances, m_Scenario.m_Targets);
+  m_Limited = std::max<std::size_t>(
+      1, static_cast<std::size_t>(static_cast<double>(m_Scenario.m_Targets) *
+                                  m_Scenario.m_LimitedShare));
+  m_Instances.resize(m_Scenario.m_Instances);
+  m_Arrivals.resize(m_Limited);
+  m_SentWhileLimited.resize(m_Limited);
+  for (std::size_t I = 0; I < m_Instances.size(); ++I) {
+    m_Fleet[addressOf(I)] = dataHallOf(I);
+    m_Indexes[addressOf(I)] = I;
+  }
+  for (std::size_t I = 0; I < m_Instances.size(); ++I) {
+    start(I, m_Fleet);
+    m_Instances[I].m_ReportedAt = m_Now + drawDuration(ReportPeriod);
+  }
+  RateLimitResult Out;
+  std::poisson_distribution<int> Requests(m_Scenario.m_RequestsPerSecond *
+                                          core::toSeconds(Step));
+  std::size_t Seconds = 0;
+  for (; m_Now < m_Start + SimulatedTime; m_Now += Step, ++Seconds) {
+    if (m_Scenario.m_HasFaults &&
+        chance(FaultsPerSecond * core::toSeconds(core::Duration(Step))))
+      injectFault();
+    applyFleetUpdates();
+    deliver();
+    while (!m_Responses.empty() && m_Responses.front().m_At <= m_Now) {
+      handleResponse(m_Responses.front());
+      m_Responses.pop_front();
+    }
+    for (int I = Requests(m_Random); I > 0; --I)
+      sendRequest();
+    bool IsAnyLimited = false;
+    for (std::size_t I = 0; I < m_Instances.size(); ++I) {
+      ModelInstance &Own = m_Instances[I];
+      if (!isUp(Own))
+        continue;
+      IsAnyLimited = IsAnyLimited || Own.m_ThrottleTable->limited() > 0;
+      if (m_Now - Own.m_ReportedAt < ReportPeriod)
+        continue;
+      Own.m_ReportedAt = m_Now;
+      Own.m_ThrottleTable->removeStale(m_Now);
+      sendReports(I, Own.m_ThrottleTable->dueReports(m_Now));
+    }
+    if (m_Now >= m_Start + LimitUntil && IsAnyLimited)
+      Out.m_LimitEndDelaySeconds =
+          core::toSeconds(m_Now - (m_Start + LimitUntil));
+  }
+  evaluate(Out);
+  double Time = core::toSeconds(SimulatedTime - LimitFrom);
+  for (const ModelInstance &Each : m_Instances)
+    Out.m_DatagramsPerSecond =
+        std::max(Out.m_DatagramsPerSecond,
+                 static_cast<double>(Each.m_ReceivedDatagrams) / Time);
+  return Out;
+}
+
+RateLimitResult simulateRateLimit(const RateLimitScenario &Day,
+                                  RateLimitStrategy Strategy) {
+  return RateLimitSimulation(Day, Strategy).run();
+}
+
+} // namespace yardrill::tests
--- a/Tests/Support/LimitFleet.h
+++ b/Tests/Support/RateLimitSimulation.h
@@ -1,12 +1,12 @@
-//===-- LimitFleet.h - A fleet before targets that name limits ------------===//
+//===-- RateLimitSimulation.h - A fleet before targets that name limits ---===//
 //
 // A model in simulated time: instances with their real TargetThrottleTable and
 // FleetSubset, datagrams that are lost or late, and instances that are killed,
 // frozen, cut off, added and removed, each learning of it at its own time.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_TESTS_SUPPORT_LIMITFLEET_H
-#define YARDRILL_TESTS_SUPPORT_LIMITFLEET_H
+#ifndef YARDRILL_TESTS_SUPPORT_RATELIMITSIMULATION_H
+#define YARDRILL_TESTS_SUPPORT_RATELIMITSIMULATION_H
 
 #include "LibRouting/FleetSubset.h"
 #include "LibRouting/TargetThrottleTable.h"
@@ -17,16 +17,16 @@
 namespace yardrill::tests {
 
 /// Ways to keep a limit over all instances.
-enum class LimitWay {
+enum class RateLimitStrategy {
   Senders,    ///< As SharedRateLimit does.
   OneSender,  ///< One instance has the whole limit.
   EqualParts, ///< Each instance has as much of it as any other.
   Alone,      ///< Each keeps to the whole limit by itself.
 };
 
-const char *toString(LimitWay Way);
+const char *toString(RateLimitStrategy Strategy);
 
-struct LimitDay {
+struct RateLimitScenario {
   std::size_t m_Instances = 7;
   std::size_t m_Targets = 9; ///< Of the one pool.
   /// Requests a second for the pool, at all instances together.
@@ -38,19 +38,20 @@
   std::uint64_t m_Seed = 1;
 };
 
-struct LimitResult {
+struct RateLimitResult {
   /// Worst sum of 4 s over what is allowed in them, of all limited targets.
-  double m_WorstShare = 0;
+  double m_MaxWindowRatio = 0;
   /// What the limited targets got of what they take, while nothing was wrong.
   double m_ServedShare = 0;
   /// Datagrams of limits that an instance heard in a second, at the most.
   double m_DatagramsPerSecond = 0;
   /// From when no target names a limit any more until all instances know.
-  double m_EndKnownSeconds = 0;
+  double m_LimitEndDelaySeconds = 0;
 };
 
 /// Plays 40 s: limits are named from 5 s to 30 s.
-LimitResult playLimitDay(const LimitDay &Day, LimitWay Way);
+RateLimitResult simulateRateLimit(const RateLimitScenario &Day,
+                                  RateLimitStrategy Strategy);
 
 } // namespace yardrill::tests
 
--- a/Tests/Support/RolloutFleet.cpp
+++ b/Tests/Support/RolloutSimulation.cpp
@@ -1,4 +1,4 @@
-#include "RolloutFleet.h"
+#include "RolloutSimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,10 +13,10 @@
 
 static constexpr milliseconds Step{10};
 static constexpr milliseconds LinkDelay{3};
-static constexpr double LossyShare = 0.01;
-static constexpr std::size_t BadAnswersThatCount = 50;
+static constexpr double LossShare = 0.01;
+static constexpr std::size_t MaxBadResponses = 50;
 /// Of the usual time of an answer.
-static constexpr double UsualMs = 60;
+static constexpr double TypicalMs = 60;
 
 namespace {
 
@@ -41,10 +41,10 @@
   std::uint64_t m_Incarnation = 0;
 };
 
-class Play {
+class RolloutSimulation {
 public:
-  Play(const RolloutCase &Case, std::uint64_t Seed)
-      : m_Case(Case), m_Random(Seed), m_Instances(Case.m_Instances) {
+  RolloutSimulation(const RolloutScenario &Case, std::uint64_t Seed)
+      : m_Scenario(Case), m_Random(Seed), m_Instances(Case.m_Instances) {
     m_Order.m_Id = OrderId(7);
     m_Order.m_Version = core::TargetVersion("v2");
     m_Order.m_BakeTime = Case.m_BakeTime;
@@ -53,22 +53,23 @@
     for (Instance &Each : m_Instances)
       Each.m_ReportsAt = m_Now + drawDuration(period());
     m_Coordinator = std::make_unique<Coordinator>(
-        m_Order, ExposureLimits{Case.m_MostShare, 50}, m_Now);
+        m_Order, ExposureLimits{Case.m_MaxShare, 50}, m_Now);
   }
 
   RolloutResult run() {
     core::Duration End = m_Order.m_BakeTime + std::chrono::seconds(8);
     while (m_Now - Begin < End) {
       m_Now += Step;
-      brewFaults();
+      injectFaults();
       finishRequests();
       sendRequests();
       report();
       decide();
     }
     double Deadline = core::toSeconds(m_Order.m_BakeTime);
-    m_Result.m_ExposedBeyond =
-        m_SentNew - m_Case.m_MostShare * m_Case.m_RequestsPerSecond * Deadline;
+    m_Result.m_ExcessRequests = m_SentNew - m_Scenario.m_MaxShare *
+                                                m_Scenario.m_RequestsPerSecond *
+                                                Deadline;
     return m_Result;
   }
 
@@ -79,9 +80,9 @@
   core::Duration drawDuration(core::Duration Most) {
     return core::fromSeconds(draw() * core::toSeconds(Most));
   }
-  core::Duration period() const { return reportPeriod(m_Case.m_Instances); }
+  core::Duration period() const { return reportPeriod(m_Scenario.m_Instances); }
   double age() const { return core::toSeconds(m_Now - Begin); }
-  bool hasEnded() const { return m_Result.m_End.has_value(); }
+  bool hasDecided() const { return m_Result.m_Decision.has_value(); }
 
   void start(std::size_t Which, core::Duration Age) {
     Instance &Each = m_Instances[Which];
@@ -90,73 +91,74 @@
     Each.m_RunningOld = 0;
   }
 
-  void brewFaults() {
+  void injectFaults() {
     double Chance = core::toSeconds(Step) / 2; // Each every 2 s.
     std::size_t Which = m_Random() % m_Instances.size();
-    if (m_Case.m_HasKills && draw() < Chance) {
+    if (m_Scenario.m_HasKills && draw() < Chance) {
       m_Instances[Which].m_DownUntil = m_Now + milliseconds(800);
       start(Which, core::Duration::zero());
     }
-    if (m_Case.m_HasCuts && draw() < Chance)
+    if (m_Scenario.m_HasCuts && draw() < Chance)
       m_Instances[Which].m_CutUntil = m_Now + milliseconds(4000);
-    if (m_Case.m_HasGrey && m_GreyUntil < m_Now && draw() < Chance / 2) {
-      m_GreyUntil = m_Now + milliseconds(4000);
-      m_GreyOffset = m_Random() % 7;
+    if (m_Scenario.m_HasGrayFailures && m_GrayUntil < m_Now &&
+        draw() < Chance / 2) {
+      m_GrayUntil = m_Now + milliseconds(4000);
+      m_GrayOffset = m_Random() % 7;
     }
   }
 
-  bool isGrey(std::size_t Target) const {
-    return m_Now < m_GreyUntil && (Target + m_GreyOffset) % 7 == 0;
+  bool isGray(std::size_t Target) const {
+    return m_Now < m_GrayUntil && (Target + m_GrayOffset) % 7 == 0;
   }
 
   /// A target of the new version that this instance's group tries now.
-  std::size_t sampled(std::size_t Which) const {
+  std::size_t sampledTarget(std::size_t Which) const {
     auto Slot = static_cast<std::size_t>(age());
-    return (Which / 8 + Slot * 7) % m_Case.m_Targets;
+    return (Which / 8 + Slot * 7) % m_Scenario.m_Targets;
   }
 
-  bool isBadAnswer(std::size_t Route, Traffic How) {
-    bool IsRarest = Route + 1 == m_Case.m_Routes.size();
+  bool isBadResponse(std::size_t Route, Traffic How) {
+    bool IsRarest = Route + 1 == m_Scenario.m_RouteShares.size();
     bool IsMeant = false;
-    switch (m_Case.m_Shape) {
-    case VersionShape::Good:
+    switch (m_Scenario.m_Behavior) {
+    case VersionBehavior::Good:
       break;
-    case VersionShape::Fails:
-    case VersionShape::Slow:
+    case VersionBehavior::Fails:
+    case VersionBehavior::Slow:
       IsMeant = true;
       break;
-    case VersionShape::FailsLate:
+    case VersionBehavior::FailsLate:
       IsMeant = age() > core::toSeconds(m_Order.m_BakeTime) * 0.5;
       break;
-    case VersionShape::FailsUnderLoad:
+    case VersionBehavior::FailsUnderLoad:
       // A sampled target gets as much as each will in the end.
       IsMeant = How != Traffic::Old;
       break;
-    case VersionShape::FailsOnOneRoute:
-    case VersionShape::SlowOnOneRoute:
+    case VersionBehavior::FailsOnOneRoute:
+    case VersionBehavior::SlowOnOneRoute:
       IsMeant = IsRarest;
       break;
     }
-    return IsMeant && draw() < m_Case.m_BadPart;
+    return IsMeant && draw() < m_Scenario.m_BadShare;
   }
 
-  bool isSlowShape() const {
-    return m_Case.m_Shape == VersionShape::Slow ||
-           m_Case.m_Shape == VersionShape::SlowOnOneRoute;
+  bool isSlowBehavior() const {
+    return m_Scenario.m_Behavior == VersionBehavior::Slow ||
+           m_Scenario.m_Behavior == VersionBehavior::SlowOnOneRoute;
   }
 
   std::size_t drawRoute() {
     double Point = draw();
-    for (std::size_t I = 0; I < m_Case.m_Routes.size(); ++I) {
-      Point -= m_Case.m_Routes[I];
+    for (std::size_t I = 0; I < m_Scenario.m_RouteShares.size(); ++I) {
+      Point -= m_Scenario.m_RouteShares[I];
       if (Point < 0)
         return I;
     }
-    return m_Case.m_Routes.size() - 1;
+    return m_Scenario.m_RouteShares.size() - 1;
   }
 
   void sendRequests() {
-    double Mean = m_Case.m_RequestsPerSecond * core::toSeconds(Step);
+    double Mean = m_Scenario.m_RequestsPerSecond * core::toSeconds(Step);
     int Count = std::poisson_distribution<int>(Mean)(m_Random);
     for (int I = 0; I < Count; ++I)
       sendOne(m_Random() % m_Instances.size());
@@ -172,31 +174,32 @@
     bool IsNew =
         How == Traffic::New || By.m_Participant->isSampleDue(RouteHash, m_Now);
     // Its end has been heard of everywhere but where nothing is heard.
-    bool IsHeard = hasEnded() && m_Now > m_EndHeardAt && By.m_CutUntil < m_Now;
+    bool IsHeard =
+        hasDecided() && m_Now > m_DecisionKnownAt && By.m_CutUntil < m_Now;
     if (IsHeard)
-      IsNew = m_Result.m_End->m_State == State::Completed;
+      IsNew = m_Result.m_Decision->m_State == State::Completed;
     By.m_Participant->recordSent(RouteHash, IsNew, m_Now);
     countSent(IsNew);
     std::size_t Target = IsNew && How == Traffic::Sample
-                             ? sampled(Which)
-                             : m_Random() % m_Case.m_Targets;
+                             ? sampledTarget(Which)
+                             : m_Random() % m_Scenario.m_Targets;
     Running Next;
     Next.m_Instance = Which;
     Next.m_Key = {IsNew ? Side::New : Side::Old,
                   static_cast<std::uint32_t>(Target + (IsNew ? 100000 : 0)),
                   RouteHash};
-    double Ms =
-        UsualMs * std::exp(std::normal_distribution<double>(0, 0.35)(m_Random));
+    double Ms = TypicalMs *
+                std::exp(std::normal_distribution<double>(0, 0.35)(m_Random));
     if (Target % 3 == 0)
-      Ms *= m_Case.m_SlowHardware;
-    bool IsFailure = draw() < m_Case.m_UsualFailures[Route] ||
-                     (isGrey(Target) && draw() < 0.45);
-    bool IsBad = IsNew && isBadAnswer(Route, How);
-    if (IsBad && isSlowShape())
-      Ms *= m_Case.m_BadTimes;
+      Ms *= m_Scenario.m_SlowHardwareFactor;
+    bool IsFailure = draw() < m_Scenario.m_BaselineFailureRates[Route] ||
+                     (isGray(Target) && draw() < 0.45);
+    bool IsBad = IsNew && isBadResponse(Route, How);
+    if (IsBad && isSlowBehavior())
+      Ms *= m_Scenario.m_SlowdownFactor;
     else if (IsBad)
       IsFailure = true;
-    if (IsBad && ++m_BadAnswers == BadAnswersThatCount)
+    if (IsBad && ++m_BadResponses == MaxBadResponses)
       m_FiftiethAt = m_Now;
     Next.m_How =
         IsFailure ? ResponseQuality::Failed : ResponseQuality::Succeeded;
@@ -209,7 +212,7 @@
   void countSent(bool IsNew) {
     if (IsNew && age() <= core::toSeconds(m_Order.m_BakeTime))
       ++m_SentNew;
-    if (IsNew && m_BadAnswers >= BadAnswersThatCount)
+    if (IsNew && m_BadResponses >= MaxBadResponses)
       m_Result.m_LastAfterFiftieth = core::toSeconds(m_Now - m_FiftiethAt);
   }
 
@@ -231,33 +234,33 @@
         continue;
       Each.m_ReportsAt = m_Now + period();
       Report Told = Each.m_Participant->report(Each.m_RunningOld, m_Now);
-      bool IsLost = m_Now < Each.m_CutUntil || draw() < LossyShare;
+      bool IsLost = m_Now < Each.m_CutUntil || draw() < LossShare;
       if (IsLost)
         continue;
       Permit Given = m_Coordinator->handleReport(
           core::IncarnationId(Each.m_Incarnation), Told, m_Now + LinkDelay);
-      if (draw() >= LossyShare)
+      if (draw() >= LossShare)
         Each.m_Participant->applyPermit(Given, m_Now + 2 * LinkDelay);
     }
   }
 
   void decide() {
-    if (hasEnded() || m_Now < m_LooksAt)
+    if (hasDecided() || m_Now < m_EvaluatesAt)
       return;
-    m_LooksAt = m_Now + EvaluationPeriod;
-    PoolCapacity Targets{m_Case.m_Targets * 4, m_Case.m_Targets * 4};
+    m_EvaluatesAt = m_Now + EvaluationPeriod;
+    PoolCapacity Targets{m_Scenario.m_Targets * 4, m_Scenario.m_Targets * 4};
     auto End = m_Coordinator->decide(Targets, m_Now - Begin, m_Now);
     if (!End)
       return;
-    m_Result.m_End = End;
+    m_Result.m_Decision = End;
     m_Result.m_EndedAfter = age();
     // The write, and the news of it.
-    m_EndHeardAt = m_Now + milliseconds(300);
+    m_DecisionKnownAt = m_Now + milliseconds(300);
   }
 
   static constexpr core::TimePoint Begin{std::chrono::hours(1)};
 
-  RolloutCase m_Case;
+  RolloutScenario m_Scenario;
   std::mt19937_64 m_Random;
   core::TimePoint m_Now = Begin;
   Order m_Order;
@@ -265,11 +268,11 @@
   std::unique_ptr<Coordinator> m_Coordinator;
   std::priority_queue<Running> m_Running;
   std::uint64_t m_Incarnations = 0;
-  core::TimePoint m_LooksAt{};
-  core::TimePoint m_EndHeardAt{};
-  core::TimePoint m_GreyUntil{};
-  std::size_t m_GreyOffset = 0;
-  std::size_t m_BadAnswers = 0;
+  core::TimePoint m_EvaluatesAt{};
+  core::TimePoint m_DecisionKnownAt{};
+  core::TimePoint m_GrayUntil{};
+  std::size_t m_GrayOffset = 0;
+  std::size_t m_BadResponses = 0;
   core::TimePoint m_FiftiethAt{};
   double m_SentNew = 0;
   RolloutResult m_Result;
@@ -277,8 +280,8 @@
 
 } // namespace
 
-RolloutResult playRollout(const RolloutCase &What, std::uint64_t Seed) {
-  return Play(What, Seed).run();
+RolloutResult simulateRollout(const RolloutScenario &What, std::uint64_t Seed) {
+  return RolloutSimulation(What, Seed).run();
 }
 
 } // namespace yardrill::tests
--- a/Tests/Support/ScriptedTarget.h
+++ b/Tests/Support/ScriptedTarget.h
@@ -28,9 +28,9 @@
 public:
   using Script = std::function<std::string(const Request &)>;
 
-  ScriptedTarget(asio::io_context &Context, Script Make)
+  ScriptedTarget(asio::io_context &Context, Script Respond)
       : m_Acceptor(Context, {asio::ip::make_address("127.0.0.1"), 0}),
-        m_Make(std::move(Make)) {
+        m_Respond(std::move(Respond)) {
     asio::spawn(
         Context, [this](asio::yield_context Yield) { accept(Yield); },
         asio::detached);
@@ -69,7 +69,7 @@
         std::lock_guard<std::mutex> Lock(m_Mutex);
         m_Requests.push_back(Read);
       }
-      std::string Bytes = m_Make(Read);
+      std::string Bytes = m_Respond(Read);
       if (Bytes.empty()) {
         Socket.set_option(asio::socket_base::linger(true, 0));
         return Socket.close();
@@ -90,21 +90,22 @@
   }
 
   tcp::acceptor m_Acceptor;
-  Script m_Make;
+  Script m_Respond;
   mutable std::mutex m_Mutex;
   std::vector<Request> m_Requests;
 };
 
-inline std::string idOf(const Request &Read) {
+inline std::string attemptIdOf(const Request &Read) {
   return std::string(Read["Attempt-Id"]);
 }
 
-inline std::string whole(const Request &Read, const std::string &Body,
-                         const std::string &Status = "200 OK",
-                         const std::string &More = "Replica-Seal: s\r\n") {
-  return "HTTP/1.1 " + Status + "\r\nAttempt-Id: " + idOf(Read) + "\r\n" +
-         More + "Content-Length: " + std::to_string(Body.size()) + "\r\n\r\n" +
-         Body;
+inline std::string
+completeResponse(const Request &Read, const std::string &Body,
+                 const std::string &Status = "200 OK",
+                 const std::string &More = "Replica-Seal: s\r\n") {
+  return "HTTP/1.1 " + Status + "\r\nAttempt-Id: " + attemptIdOf(Read) +
+         "\r\n" + More + "Content-Length: " + std::to_string(Body.size()) +
+         "\r\n\r\n" + Body;
 }
 
 inline std::string chunk(const std::string &Text) {
@@ -114,13 +115,14 @@
 }
 
 inline std::string streamHead(const Request &Read) {
-  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + idOf(Read) +
+  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attemptIdOf(Read) +
          "\r\nReplica-Seal: s\r\nContent-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
 inline std::string notExecuted(const Request &Read) {
-  return whole(Read, "", "503 Service Unavailable", "Not-Executed: 1\r\n");
+  return completeResponse(Read, "", "503 Service Unavailable",
+                          "Not-Executed: 1\r\n");
 }
 
 } // namespace yardrill::tests
