--- a/Tests/Support/SharedStore.h
+++ b/Tests/Support/SharedStore.h
@@ -73,7 +73,7 @@
     }
     ++m_Swaps;
     for (const platform::Put &Each : Swap.m_Puts)
-      take(Each.m_Key, Each.m_Value, false);
+      apply(Each.m_Key, Each.m_Value, false);
     Out.m_IsSwapped = true;
     Out.m_Revision = m_Last;
     return Out;
@@ -81,11 +81,11 @@
 
   void put(const std::string &Key, const std::string &Value) {
     std::lock_guard<std::mutex> Lock(m_Mutex);
-    take(Key, Value, false);
+    apply(Key, Value, false);
   }
   void remove(const std::string &Key) {
     std::lock_guard<std::mutex> Lock(m_Mutex);
-    take(Key, "", true);
+    apply(Key, "", true);
   }
   std::string valueOf(const std::string &Key) const {
     std::lock_guard<std::mutex> Lock(m_Mutex);
@@ -117,7 +117,7 @@
         Out.push_back(Each);
     return Out;
   }
-  void take(const std::string &Key, const std::string &Value, bool IsDeleted) {
+  void apply(const std::string &Key, const std::string &Value, bool IsDeleted) {
     m_Last = platform::Revision(m_Last.value() + 1);
     m_Entries[Key] = {Key, Value, m_Last, IsDeleted};
     m_Changes.push_back(m_Entries[Key]);
--- a/Tests/Support/SuspendedClock.cpp
+++ b/Tests/Support/SuspendedClock.cpp
@@ -5,14 +5,14 @@
 #include <sys/syscall.h>
 #include <unistd.h>
 
-static std::atomic<long> SleptNs{0};
+static std::atomic<long> SuspendedNs{0};
 
 static constexpr long NsPerSecond = 1000000000;
 
 namespace yardrill::tests {
 
-void suspendFor(std::chrono::milliseconds Length) {
-  SleptNs += std::chrono::nanoseconds(Length).count();
+void simulateSuspension(std::chrono::milliseconds Length) {
+  SuspendedNs += std::chrono::nanoseconds(Length).count();
 }
 
 } // namespace yardrill::tests
@@ -20,7 +20,7 @@
 extern "C" int clock_gettime(clockid_t Which, timespec *Out) noexcept {
   long Result = syscall(SYS_clock_gettime, Which, Out);
   if (Result == 0 && (Which == CLOCK_BOOTTIME || Which == CLOCK_REALTIME)) {
-    long Ns = Out->tv_nsec + SleptNs.load();
+    long Ns = Out->tv_nsec + SuspendedNs.load();
     Out->tv_sec += Ns / NsPerSecond;
     Out->tv_nsec = Ns % NsPerSecond;
   }
--- a/Tests/Support/SuspendedClock.h
+++ b/Tests/Support/SuspendedClock.h
@@ -11,7 +11,7 @@
 /// the kernel's timers have not (clock_gettime(2)). Only in programs that are
 /// linked with SuspendedClock.cpp, which takes the place of the C library's
 /// function.
-void suspendFor(std::chrono::milliseconds Length);
+void simulateSuspension(std::chrono::milliseconds Length);
 
 } // namespace yardrill::tests
 
--- a/Tests/Support/TestClient.cpp
+++ b/Tests/Support/TestClient.cpp
@@ -72,7 +72,7 @@
   return Out;
 }
 
-std::future<Reply> callLater(int Port, const http::RequestMessage &Request) {
+std::future<Reply> callAsync(int Port, const http::RequestMessage &Request) {
   return std::async(std::launch::async,
                     [Port, Request] { return call(Port, Request); });
 }
--- a/Tests/Support/TestClient.h
+++ b/Tests/Support/TestClient.h
@@ -19,7 +19,7 @@
   std::string m_Body;
   std::string m_Failure;
 
-  bool isWhole() const { return m_Failure.empty(); }
+  bool isComplete() const { return m_Failure.empty(); }
   std::string header(const std::string &Name) const;
   /// A member of a problem details body, or "".
   std::string problem(const std::string &Member) const;
@@ -30,7 +30,7 @@
 Reply call(int Port, const http::RequestMessage &Request,
            const std::function<bool(const std::string &)> &OnPiece = nullptr);
 /// The same on a thread of its own.
-std::future<Reply> callLater(int Port, const http::RequestMessage &Request);
+std::future<Reply> callAsync(int Port, const http::RequestMessage &Request);
 /// Sends bytes as they are and returns all that comes back until the other
 /// side closes.
 std::string sendRaw(int Port, const std::string &Bytes);
--- a/Tests/Suspension/SuspensionTest.cpp
+++ b/Tests/Suspension/SuspensionTest.cpp
@@ -28,7 +28,7 @@
 public:
   void testTimeGoesOnWhileSuspended() {
     core::TimePoint Before = core::steadyNow();
-    suspendFor(7s);
+    simulateSuspension(7s);
     CPPUNIT_ASSERT(core::steadyNow() - Before >= 7s);
   }
 
@@ -41,7 +41,7 @@
     Timers.callAfter(5s, [&](auto) { HasFired = true; });
     Context.run_for(100ms);
     CPPUNIT_ASSERT(!HasFired);
-    suspendFor(6s);
+    simulateSuspension(6s);
     Context.run_for(200ms);
     CPPUNIT_ASSERT(HasFired);
   }
@@ -52,10 +52,10 @@
   void testKnowledgeIsOldAfterWaking() {
     GatewayFleet Fleet(2, 2);
     Fleet.startAll();
-    CPPUNIT_ASSERT(Fleet.areAllReady());
+    CPPUNIT_ASSERT(Fleet.waitUntilReady());
     CPPUNIT_ASSERT_EQUAL(1.0, Fleet.metric(0, "yardrill_peers"));
     Fleet.kill(1);
-    suspendFor(10s);
+    simulateSuspension(10s);
     std::this_thread::sleep_for(300ms);
     CPPUNIT_ASSERT_EQUAL(0.0, Fleet.metric(0, "yardrill_peers"));
   }
