--- a/Bench/Baseline.h
+++ b/Bench/Baseline.h
@@ -9,25 +9,25 @@
 
 namespace yardrill::bench {
 
-enum class Choice { Random, LeastReported, TwoChoices, LeastOwn };
+enum class BaselinePolicy { Random, LeastReported, TwoChoices, LeastOwn };
 
 /// Each request goes to an engine's own queue at once.
 class Baseline final : public Scheduler {
 public:
-  Baseline(Simulation &Owner, Choice How, unsigned Seed)
-      : Scheduler(Owner), m_How(How), m_Random(Seed),
-        m_Own(16, std::vector<std::size_t>(EngineCount)),
+  Baseline(Simulation &Owner, BaselinePolicy How, unsigned Seed)
+      : Scheduler(Owner), m_Policy(How), m_Random(Seed),
+        m_LocalLoad(16, std::vector<std::size_t>(EngineCount)),
         m_EngineOf(Owner.requests().size()) {}
 
-  void arrived(std::size_t Index) override {
+  void requestArrived(std::size_t Index) override {
     std::size_t Instance = m_Owner.requests()[Index].m_Instance;
     std::size_t Engine = choose(Instance);
     m_EngineOf[Index] = Engine;
-    ++m_Own[Instance][Engine];
+    ++m_LocalLoad[Instance][Engine];
     m_Owner.dispatch(Index, Engine);
   }
-  void ended(std::size_t Index, bool) override {
-    --m_Own[m_Owner.requests()[Index].m_Instance][m_EngineOf[Index]];
+  void responseEnded(std::size_t Index, bool) override {
+    --m_LocalLoad[m_Owner.requests()[Index].m_Instance][m_EngineOf[Index]];
   }
 
 private:
@@ -46,15 +46,17 @@
 
   std::size_t choose(std::size_t Instance) {
     auto Reported = [this](std::size_t E) { return m_Owner.reportedLoad(E); };
-    auto Own = [this, Instance](std::size_t E) { return m_Own[Instance][E]; };
-    switch (m_How) {
-    case Choice::Random:
+    auto Own = [this, Instance](std::size_t E) {
+      return m_LocalLoad[Instance][E];
+    };
+    switch (m_Policy) {
+    case BaselinePolicy::Random:
       return any();
-    case Choice::LeastReported:
+    case BaselinePolicy::LeastReported:
       return least(Reported);
-    case Choice::LeastOwn:
+    case BaselinePolicy::LeastOwn:
       return least(Own);
-    case Choice::TwoChoices: {
+    case BaselinePolicy::TwoChoices: {
       std::size_t A = any();
       std::size_t B = any();
       return Reported(A) <= Reported(B) ? A : B;
@@ -63,9 +65,9 @@
     return 0;
   }
 
-  Choice m_How;
+  BaselinePolicy m_Policy;
   std::mt19937_64 m_Random;
-  std::vector<std::vector<std::size_t>> m_Own;
+  std::vector<std::vector<std::size_t>> m_LocalLoad;
   std::vector<std::size_t> m_EngineOf;
 };
 
--- a/Bench/ConfigurationCostProgram.cpp
+++ b/Bench/ConfigurationCostProgram.cpp
@@ -19,7 +19,7 @@
 using namespace yardrill;
 
 static constexpr int Runs = 9;
-static constexpr std::size_t MostBytes = 16UL * 1024 * 1024;
+static constexpr std::size_t MaxBytes = 16UL * 1024 * 1024;
 
 /// As the operators write it, with names that repeat nowhere.
 static std::string configuration(std::size_t Routes, std::size_t Changed) {
@@ -73,7 +73,7 @@
     std::string Patch;
     double PatchMs = cost([&] { Patch = gateway::makePatch(Before, After); });
     double ApplyMs =
-        cost([&] { gateway::applyPatch(Before, Patch, MostBytes); });
+        cost([&] { gateway::applyPatch(Before, Patch, MaxBytes); });
     std::cout << Routes << ',' << static_cast<double>(After.size()) / 1e6 << ','
               << ReadMs << ',' << TableMb << ',' << Patch.size() << ','
               << PatchMs << ',' << ApplyMs << ','
--- a/Bench/Cores.cpp
+++ b/Bench/CoreScheduler.cpp
@@ -1,4 +1,4 @@
-#include "Cores.h"
+#include "CoreScheduler.h"
 
 #include "LibDecision/DecisionCore.h"
 
@@ -13,9 +13,10 @@
 
 namespace {
 
-class Cores final : public Scheduler {
+class CoreScheduler final : public Scheduler {
 public:
-  Cores(Simulation &Owner, const CoreSettings &Settings, unsigned Seed)
+  CoreScheduler(Simulation &Owner, const CoreSchedulerSettings &Settings,
+                unsigned Seed)
       : Scheduler(Owner), m_Settings(Settings), m_Cores(Settings.m_Instances),
         m_IsLost(Settings.m_Instances), m_Seed(Seed) {}
 
@@ -24,17 +25,17 @@
         configuration(), "bench", core::ConfigurationVersion(1));
     for (std::size_t I = 0; I < m_Cores.size(); ++I) {
       decision::InstanceStarted First;
-      First.m_Self = home(I);
+      First.m_Self = instanceRef(I);
       First.m_Seed = m_Seed * 100UL + I;
-      tell(I, First);
-      tell(I, decision::ConfigurationAccepted{Configuration});
-      tell(I, decision::InstanceCountChanged{
-                  static_cast<std::uint32_t>(m_Cores.size())});
+      handleEvent(I, First);
+      handleEvent(I, decision::ConfigurationAccepted{Configuration});
+      handleEvent(I, decision::InstanceCountChanged{
+                         static_cast<std::uint32_t>(m_Cores.size())});
       tick(I);
     }
   }
 
-  void arrived(std::size_t Index) override {
+  void requestArrived(std::size_t Index) override {
     const Request &Which = m_Owner.requests()[Index];
     std::size_t Instance = Which.m_Instance;
     // The balancer no longer sends to an instance that is gone.
@@ -49,19 +50,21 @@
     What.m_PrefillTokens = Which.m_Prefill;
     What.m_OutputTokens = Which.m_Output;
     What.m_PrefixHash = Which.m_Prefix;
-    tell(Instance, What);
+    handleEvent(Instance, What);
   }
 
-  void began(std::size_t Index) override {
-    tellOwner(Index, decision::ResponseStarted{core::RequestId(Index + 1)});
+  void responseStarted(std::size_t Index) override {
+    handleEventAtOwner(Index,
+                       decision::ResponseStarted{core::RequestId(Index + 1)});
   }
 
-  void ended(std::size_t Index, bool IsEvicted) override {
-    tellOwner(Index, decision::ResponseEnded{
-                         core::RequestId(Index + 1),
-                         IsEvicted ? decision::ResponseOutcome::Evicted
-                                   : decision::ResponseOutcome::Complete,
-                         false, m_Owner.requests()[Index].m_Output});
+  void responseEnded(std::size_t Index, bool IsEvicted) override {
+    handleEventAtOwner(
+        Index,
+        decision::ResponseEnded{core::RequestId(Index + 1),
+                                IsEvicted ? decision::ResponseOutcome::Evicted
+                                          : decision::ResponseOutcome::Complete,
+                                false, m_Owner.requests()[Index].m_Output});
   }
 
   void loseInstance(std::size_t Instance) override {
@@ -74,9 +77,10 @@
       for (std::size_t I = 0; I < m_Cores.size(); ++I) {
         if (m_IsLost[I])
           continue;
-        tell(I, decision::MemberGone{home(Instance).m_Incarnation});
-        tell(I, decision::InstanceCountChanged{
-                    static_cast<std::uint32_t>(m_Cores.size() - 1)});
+        handleEvent(I,
+                    decision::MemberGone{instanceRef(Instance).m_Incarnation});
+        handleEvent(I, decision::InstanceCountChanged{
+                           static_cast<std::uint32_t>(m_Cores.size() - 1)});
       }
     });
   }
@@ -96,11 +100,11 @@
     for (std::size_t I = 0; I < EngineCount; ++I)
       Text += "      - {name: e" + std::to_string(I) +
               ", address: 127.0.0.1:1, data_hall: h, places: " +
-              std::to_string(EnginePlaces) + "}\n";
+              std::to_string(EngineSlots) + "}\n";
     return Text;
   }
 
-  static decision::InstanceRef home(std::size_t Instance) {
+  static decision::InstanceRef instanceRef(std::size_t Instance) {
     return {core::IncarnationId(Instance + 1),
             {"127.0.0.1", static_cast<std::uint16_t>(Instance + 1)}};
   }
@@ -108,33 +112,34 @@
   void tick(std::size_t Instance) {
     if (m_IsLost[Instance])
       return;
-    tell(Instance, decision::TimePassed{});
+    handleEvent(Instance, decision::TimePassed{});
     m_Owner.at(m_Owner.now() + TickPeriod,
                [this, Instance] { tick(Instance); });
   }
 
-  void tellOwner(std::size_t Index, const decision::Event &What) {
+  void handleEventAtOwner(std::size_t Index, const decision::Event &What) {
     std::size_t Instance = m_InstanceOf.at(Index);
     if (!m_IsLost[Instance])
-      tell(Instance, What);
+      handleEvent(Instance, What);
   }
 
-  void tell(std::size_t Instance, const decision::Event &What) {
+  void handleEvent(std::size_t Instance, const decision::Event &What) {
     if (m_IsLost[Instance])
       return;
     for (const decision::Action &Next :
-         m_Cores[Instance].handle(What, m_Owner.steady()))
-      act(Instance, Next);
+         m_Cores[Instance].handle(What, m_Owner.steadyNow()))
+      perform(Instance, Next);
     if (const auto *End = std::get_if<decision::ResponseEnded>(&What))
       m_Dispatched.erase(End->m_Request.value() - 1);
   }
 
   void send(const decision::InstanceRef &To, const decision::Event &What) {
-    m_Owner.at(m_Owner.now() + MessageDelay,
-               [this, To, What] { tell(To.m_Incarnation.value() - 1, What); });
+    m_Owner.at(m_Owner.now() + MessageDelay, [this, To, What] {
+      handleEvent(To.m_Incarnation.value() - 1, What);
+    });
   }
 
-  void act(std::size_t Instance, const decision::Action &What) {
+  void perform(std::size_t Instance, const decision::Action &What) {
     if (const auto *Go = std::get_if<decision::Dispatch>(&What)) {
       std::size_t Index = Go->m_Request.value() - 1;
       m_Dispatched.insert(Index);
@@ -143,7 +148,8 @@
     if (const auto *No = std::get_if<decision::Refuse>(&What)) {
       m_Owner.refuse(No->m_Request.value() - 1);
       if (No->m_ValidUntil != 0)
-        send(home(Instance), decision::RefusalSettled{No->m_Request, true});
+        send(instanceRef(Instance),
+             decision::RefusalSettled{No->m_Request, true});
     }
     if (const auto *Cut = std::get_if<decision::Cancel>(&What))
       m_Owner.cancel(Cut->m_Request.value() - 1);
@@ -152,7 +158,7 @@
     if (const auto *Report = std::get_if<decision::SendThresholdReport>(&What))
       send(Report->m_To, Report->m_Report);
     if (std::get_if<decision::ReadThresholdRecord>(&What))
-      send(home(Instance),
+      send(instanceRef(Instance),
            decision::ThresholdRecordRead{
                Pool, m_Revision, m_Record,
                m_Revision != 0 &&
@@ -164,12 +170,12 @@
         m_Record = Write->m_Record;
         ++m_Revision;
       }
-      send(home(Instance),
+      send(instanceRef(Instance),
            decision::ThresholdRecordWritten{Pool, IsWritten, m_Revision});
     }
   }
 
-  CoreSettings m_Settings;
+  CoreSchedulerSettings m_Settings;
   std::vector<decision::DecisionCore> m_Cores;
   std::vector<bool> m_IsLost;
   unsigned m_Seed;
@@ -182,8 +188,9 @@
 } // namespace
 
 std::unique_ptr<Scheduler>
-makeCores(Simulation &Owner, const CoreSettings &Settings, unsigned Seed) {
-  return std::make_unique<Cores>(Owner, Settings, Seed);
+makeCoreScheduler(Simulation &Owner, const CoreSchedulerSettings &Settings,
+                  unsigned Seed) {
+  return std::make_unique<CoreScheduler>(Owner, Settings, Seed);
 }
 
 } // namespace yardrill::bench
--- a/Bench/Cores.h
+++ b/Bench/CoreScheduler.h
@@ -1,13 +1,13 @@
 //===-- Cores.h - Real decision cores that talk to each other
 //--------------===//
-#ifndef YARDRILL_BENCH_CORES_H
-#define YARDRILL_BENCH_CORES_H
+#ifndef YARDRILL_BENCH_CORESCHEDULER_H
+#define YARDRILL_BENCH_CORESCHEDULER_H
 
 #include "Simulation.h"
 
 namespace yardrill::bench {
 
-struct CoreSettings {
+struct CoreSchedulerSettings {
   std::size_t m_Instances = 1;
   unsigned m_ReservedSlots = 0; ///< Of each engine, for tier 1.
   double m_PrefillWeight = 0;
@@ -16,7 +16,8 @@
 /// yardrill's own way of deciding: one core for each instance, whose messages
 /// take a millisecond.
 std::unique_ptr<Scheduler>
-makeCores(Simulation &Owner, const CoreSettings &Settings, unsigned Seed);
+makeCoreScheduler(Simulation &Owner, const CoreSchedulerSettings &Settings,
+                  unsigned Seed);
 
 } // namespace yardrill::bench
 
--- a/Bench/DecisionCostProgram.cpp
+++ b/Bench/DecisionCostProgram.cpp
@@ -36,11 +36,11 @@
 namespace {
 
 /// One core with its queue filled to a given length.
-class Filled {
+class LoadedCore {
 public:
-  Filled(int Targets, int Queued) {
-    tell(InstanceStarted{});
-    tell(ConfigurationAccepted{config::FleetConfiguration::parse(
+  LoadedCore(int Targets, int Queued) {
+    handleEvent(InstanceStarted{});
+    handleEvent(ConfigurationAccepted{config::FleetConfiguration::parse(
         configuration(Targets), "bench", core::ConfigurationVersion(1))});
     for (int I = 0; I < Targets * 8 + Queued; ++I)
       arrive();
@@ -55,17 +55,18 @@
     What.m_PrefillTokens = 500;
     What.m_OutputTokens = 100;
     What.m_PrefixHash = m_Last % 100;
-    return tell(What);
+    return handleEvent(What);
   }
 
   std::int64_t end() {
     core::RequestId Id = m_Running.front();
     m_Running.pop_front();
-    return tell(ResponseEnded{Id, ResponseOutcome::Complete, false, 100});
+    return handleEvent(
+        ResponseEnded{Id, ResponseOutcome::Complete, false, 100});
   }
 
 private:
-  std::int64_t tell(const Event &What) {
+  std::int64_t handleEvent(const Event &What) {
     m_Now += std::chrono::microseconds(50);
     auto Start = std::chrono::steady_clock::now();
     std::vector<Action> Actions = m_Core.handle(What, m_Now);
@@ -97,7 +98,7 @@
   gflags::ParseCommandLineFlags(&Count, &Arguments, true);
   for (int Targets : {16, 64, 256})
     for (int Queued : {100, 1000, 10000, 100000}) {
-      Filled Core(Targets, Queued);
+      LoadedCore Core(Targets, Queued);
       std::vector<std::int64_t> Arrivals;
       std::vector<std::int64_t> Ends;
       for (int I = 0; I < Decisions; ++I) {
--- a/Bench/EngineModel.cpp
+++ b/Bench/EngineModel.cpp
@@ -20,10 +20,11 @@
   return core::Duration(static_cast<std::int64_t>(Seconds * 1e6));
 }
 
-std::optional<Started> EngineModel::startNext(const std::vector<Request> &All) {
+std::optional<StartedRequest>
+EngineModel::startNext(const std::vector<Request> &All) {
   if (m_Running >= m_Slots || m_Waiting.empty())
     return std::nullopt;
-  Started Out;
+  StartedRequest Out;
   Out.m_Request = m_Waiting.begin()->second;
   m_Waiting.erase(m_Waiting.begin());
   ++m_Running;
--- a/Bench/EngineModel.h
+++ b/Bench/EngineModel.h
@@ -23,7 +23,7 @@
 inline constexpr double DecodeRate = 40;    ///< Of one stream, at speed 1.
 
 /// What starting a request means.
-struct Started {
+struct StartedRequest {
   std::size_t m_Request = 0;
   bool m_IsCached = false;
   core::Duration m_Prefill{}; ///< Until the first token.
@@ -32,14 +32,14 @@
 
 class EngineModel {
 public:
-  EngineModel(double Speed, std::size_t Places, std::size_t CachedPrefixes)
-      : m_Speed(Speed), m_Slots(Places), m_CachedPrefixes(CachedPrefixes) {}
+  EngineModel(double Speed, std::size_t Slots, std::size_t CachedPrefixes)
+      : m_Speed(Speed), m_Slots(Slots), m_CachedPrefixes(CachedPrefixes) {}
 
   void setSlowness(double Slowness) { m_Slowness = Slowness; }
   void enqueue(std::size_t Index, const Request &What);
   /// Starts the next waiting request, if a place is free.
-  std::optional<Started> startNext(const std::vector<Request> &All);
-  void finished() { --m_Running; }
+  std::optional<StartedRequest> startNext(const std::vector<Request> &All);
+  void finishRequest() { --m_Running; }
   /// \returns false when it does not wait here.
   bool cancelWaiting(std::size_t Index, const Request &What);
 
--- a/Bench/FleetCutProgram.cpp
+++ b/Bench/FleetCutProgram.cpp
@@ -31,23 +31,23 @@
 
 static void printRow(std::size_t Fleet, std::size_t Pool) {
   FleetSubset::Fleet All = fleetOf(Fleet);
-  std::size_t LeastOwn = Pool;
-  std::size_t MostOwn = 0;
-  std::size_t Near = 0;
+  std::size_t MinSubsetSize = Pool;
+  std::size_t MaxSubsetSize = 0;
+  std::size_t MaxGroupSize = 0;
   std::size_t Sum = 0;
   for (const auto &[Address, Hall] : All) {
-    FleetSubset Share(Address, All, FleetSubset::groupSizeFor(Fleet, Pool));
-    std::size_t Own = 0;
+    FleetSubset Subset(Address, All, FleetSubset::groupSizeFor(Fleet, Pool));
+    std::size_t SubsetSize = 0;
     for (std::size_t Rank = 0; Rank < Pool; ++Rank)
-      Own += Share.isInSubset(Rank, Pool) ? 1 : 0;
-    LeastOwn = std::min(LeastOwn, Own);
-    MostOwn = std::max(MostOwn, Own);
-    Sum += Own;
-    Near = std::max(Near, Share.groupMembers().size());
+      SubsetSize += Subset.isInSubset(Rank, Pool) ? 1 : 0;
+    MinSubsetSize = std::min(MinSubsetSize, SubsetSize);
+    MaxSubsetSize = std::max(MaxSubsetSize, SubsetSize);
+    Sum += SubsetSize;
+    MaxGroupSize = std::max(MaxGroupSize, Subset.groupMembers().size());
   }
   std::cout << "instances=" << Fleet << " targets=" << Pool
-            << " own_least=" << LeastOwn << " own_most=" << MostOwn
-            << " sharers=" << Sum / Pool << " heard=" << Near << "\n";
+            << " own_least=" << MinSubsetSize << " own_most=" << MaxSubsetSize
+            << " sharers=" << Sum / Pool << " heard=" << MaxGroupSize << "\n";
 }
 
 int main() {
--- a/Bench/MembershipProgram.cpp
+++ b/Bench/MembershipProgram.cpp
@@ -17,11 +17,11 @@
 
 static const std::size_t FleetSizes[] = {24, 89, 295, 440};
 static constexpr int Rounds = 7;
-static constexpr milliseconds Beat{40};
-static constexpr int BeatsInSecond = 25;
+static constexpr milliseconds TickPeriod{40};
+static constexpr int TicksPerSecond = 25;
 /// Reports a second: of each near peer; and of all far ones, each every 2.5 s.
-static constexpr std::size_t NearReports = 10;
-static constexpr double FarPeriods = 2.5;
+static constexpr std::size_t GroupPeerReportsPerSecond = 10;
+static constexpr double OtherPeerReportSeconds = 2.5;
 
 namespace {
 
@@ -30,24 +30,27 @@
   explicit Instance(std::size_t Fleet) : m_Fleet(Fleet), m_Table(address(0)) {
     for (std::size_t I = 1; I < m_Fleet; ++I)
       report(I, true);
-    recut();
+    updateSubset();
   }
 
-  void playSecond() {
-    std::size_t Far = m_Fleet - 1 - m_NearIndexes.size();
-    auto FarInBeat = static_cast<std::size_t>(
-        static_cast<double>(Far) / FarPeriods / BeatsInSecond + 1);
-    std::size_t NearInBeat = m_NearIndexes.size() * NearReports / BeatsInSecond;
-    for (int I = 0; I < BeatsInSecond; ++I) {
-      m_Now += Beat;
-      for (std::size_t J = 0; J < FarInBeat; ++J)
+  void simulateSecond() {
+    std::size_t OtherPeers = m_Fleet - 1 - m_GroupPeerIndexes.size();
+    auto OtherPeerReportsPerTick =
+        static_cast<std::size_t>(static_cast<double>(OtherPeers) /
+                                     OtherPeerReportSeconds / TicksPerSecond +
+                                 1);
+    std::size_t GroupPeerReportsPerTick =
+        m_GroupPeerIndexes.size() * GroupPeerReportsPerSecond / TicksPerSecond;
+    for (int I = 0; I < TicksPerSecond; ++I) {
+      m_Now += TickPeriod;
+      for (std::size_t J = 0; J < OtherPeerReportsPerTick; ++J)
         report(1 + m_Next++ % (m_Fleet - 1), true);
-      for (std::size_t J = 0; J < NearInBeat; ++J)
-        report(m_NearIndexes[m_Next++ % m_NearIndexes.size()], false);
+      for (std::size_t J = 0; J < GroupPeerReportsPerTick; ++J)
+        report(m_GroupPeerIndexes[m_Next++ % m_GroupPeerIndexes.size()], false);
       m_Table.expire(m_Now);
       m_Sum += m_Table.groupPeers().size() + m_Table.followersBefore();
       if (I % 6 == 0)
-        recut();
+        updateSubset();
     }
   }
 
@@ -68,23 +71,23 @@
     m_Table.handle(Message, Report, m_Now, 0);
   }
 
-  void recut() {
+  void updateSubset() {
     if (!m_Table.consumeFleetChange())
       return;
     routing::FleetSubset::Fleet All;
     for (std::size_t I = 0; I < m_Fleet; ++I)
       All[address(I)] = core::DataHallName();
-    routing::FleetSubset Share(address(0), All);
-    m_Table.setSubset(Share);
+    routing::FleetSubset Subset(address(0), All);
+    m_Table.setSubset(Subset);
     for (std::size_t I = 1; I < m_Fleet; ++I)
-      if (Share.isGroupPeer(address(I)))
-        m_NearIndexes.push_back(I);
+      if (Subset.isGroupPeer(address(I)))
+        m_GroupPeerIndexes.push_back(I);
   }
 
   std::size_t m_Fleet;
   gateway::PeerTable m_Table;
   core::TimePoint m_Now{std::chrono::hours(1)};
-  std::vector<std::size_t> m_NearIndexes;
+  std::vector<std::size_t> m_GroupPeerIndexes;
   std::uint64_t m_Sequence = 0;
   std::size_t m_Next = 0;
   std::size_t m_Sum = 0;
@@ -98,7 +101,7 @@
     auto Best = Clock::duration::max();
     for (int Round = 0; Round < Rounds; ++Round) {
       auto Begin = Clock::now();
-      What.playSecond();
+      What.simulateSecond();
       Best = std::min(Best, Clock::now() - Begin);
     }
     std::cout
--- a/Bench/QuotaSearchProgram.cpp
+++ b/Bench/QuotaSearchProgram.cpp
@@ -20,26 +20,26 @@
 /// One day in so many has nothing but the largest requests.
 constexpr int LargestEvery = 4;
 
-struct Played {
+struct PlayedDay {
   QuotaScenario m_Day;
   QuotaScenarioResult m_Result;
 };
 
-Played tryOne(QuotaScenario Day) {
+PlayedDay playDay(QuotaScenario Day) {
   QuotaScenarioResult Result = simulate(Day);
   return {std::move(Day), Result};
 }
 
 void search(const QuotaDeployment &Deployment, int Days, int Generations,
             std::uint64_t Seed) {
-  Played Fullest;
+  PlayedDay Fullest;
   int Broken = 0;
   double Sum = 0;
   for (int I = 0; I < Days; ++I) {
     QuotaScenario Day = QuotaScenario::random(
         Deployment, Seed * 1000003 + static_cast<std::uint64_t>(I));
     Day.m_HasOnlyLargestRequests = I % LargestEvery == 0;
-    Played One = tryOne(std::move(Day));
+    PlayedDay One = playDay(std::move(Day));
     Broken += One.m_Result.isWithinTolerance() ? 0 : 1;
     Sum += One.m_Result.usedTolerance();
     if (I == 0 ||
@@ -49,7 +49,7 @@
   double Random = Fullest.m_Result.usedTolerance();
   std::mt19937_64 Luck(Seed);
   for (int I = 0; I < Generations; ++I) {
-    Played One = tryOne(Fullest.m_Day.mutated(Luck));
+    PlayedDay One = playDay(Fullest.m_Day.mutated(Luck));
     if (One.m_Result.usedTolerance() > Fullest.m_Result.usedTolerance())
       Fullest = std::move(One);
   }
--- a/Bench/RoutingProgram.cpp
+++ b/Bench/RoutingProgram.cpp
@@ -9,7 +9,7 @@
 //
 //===----------------------------------------------------------------------===//
 #include "Baseline.h"
-#include "Cores.h"
+#include "CoreScheduler.h"
 #include "Simulation.h"
 #include "Workload.h"
 
@@ -41,21 +41,22 @@
 }
 
 static void print(const std::string &Workload, const std::string &How,
-                  const Result &Sum) {
+                  const SimulationResult &Sum) {
   std::cout << "workload=" << Workload << " way=" << How;
   for (int T = 1; T < 4; ++T)
     std::cout << " in_time_" << T << '='
               << std::round(1000 * Sum.m_InTime[T] / Sum.m_Arrived[T]) / 1000;
   for (int T = 1; T < 4; ++T)
     std::cout << " burst_in_time_" << T << '='
-              << std::round(1000 * Sum.m_InTimeOfBurst[T] /
+              << std::round(1000 * Sum.m_InTimeInBurst[T] /
                             Sum.m_ArrivedInBurst[T]) /
                      1000;
   std::cout << " wasted_prefill="
-            << std::round(1000 * Sum.m_Wasted / std::max(Sum.m_Read, 1.0)) /
+            << std::round(1000 * Sum.m_WastedTokens /
+                          std::max(Sum.m_PrefilledTokens, 1.0)) /
                    1000
-            << " read_tokens_m=" << std::round(Sum.m_Read / 1e5) / 10
-            << " wasted_tokens_m=" << std::round(Sum.m_Wasted / 1e5) / 10
+            << " read_tokens_m=" << std::round(Sum.m_PrefilledTokens / 1e5) / 10
+            << " wasted_tokens_m=" << std::round(Sum.m_WastedTokens / 1e5) / 10
             << " first_token_p95_s="
             << std::round(100 * percentile(Sum.m_FirstToken[1], 0.95)) / 100
             << " refused=" << Sum.m_Refused << " evicted=" << Sum.m_Evicted
@@ -63,31 +64,36 @@
 }
 
 static void compare(const WorkloadShape &Shape) {
-  std::vector<std::pair<std::string, std::function<Simulation::Make(unsigned)>>>
+  std::vector<std::pair<std::string,
+                        std::function<Simulation::SchedulerFactory(unsigned)>>>
       Ways;
   for (auto [Name, How] :
-       {std::make_pair("random", Choice::Random),
-        std::make_pair("least-reported", Choice::LeastReported),
-        std::make_pair("two-choices", Choice::TwoChoices),
-        std::make_pair("least-own", Choice::LeastOwn)})
-    Ways.emplace_back(Name, [How = How](unsigned Seed) -> Simulation::Make {
-      return [How, Seed](Simulation &Owner) {
-        return std::make_unique<Baseline>(Owner, How, Seed);
-      };
-    });
-  Ways.emplace_back("yardrill", [&](unsigned Seed) -> Simulation::Make {
-    return [&Shape, Seed](Simulation &Owner) {
-      CoreSettings Settings{Shape.m_Instances, FLAGS_kept_places,
-                            FLAGS_prefill_weight};
-      return makeCores(Owner, Settings, Seed);
-    };
-  });
-  for (const auto &[Name, Make] : Ways) {
+       {std::make_pair("random", BaselinePolicy::Random),
+        std::make_pair("least-reported", BaselinePolicy::LeastReported),
+        std::make_pair("two-choices", BaselinePolicy::TwoChoices),
+        std::make_pair("least-own", BaselinePolicy::LeastOwn)})
+    Ways.emplace_back(
+        Name, [How = How](unsigned Seed) -> Simulation::SchedulerFactory {
+          return [How, Seed](Simulation &Owner) {
+            return std::make_unique<Baseline>(Owner, How, Seed);
+          };
+        });
+  Ways.emplace_back(
+      "yardrill", [&](unsigned Seed) -> Simulation::SchedulerFactory {
+        return [&Shape, Seed](Simulation &Owner) {
+          CoreSchedulerSettings Settings{Shape.m_Instances, FLAGS_kept_places,
+                                         FLAGS_prefill_weight};
+          return makeCoreScheduler(Owner, Settings, Seed);
+        };
+      });
+  for (const auto &[Name, SchedulerFactory] : Ways) {
     if (!FLAGS_only.empty() && FLAGS_only != Name)
       continue;
-    Result Sum;
+    SimulationResult Sum;
     for (unsigned Seed = 1; Seed <= FLAGS_seeds; ++Seed)
-      Sum.add(Simulation(makeWorkload(Shape, Seed), Seed, Make(Seed)).run());
+      Sum.add(
+          Simulation(makeWorkload(Shape, Seed), Seed, SchedulerFactory(Seed))
+              .run());
     print(Shape.m_Name, Name, Sum);
   }
 }
--- a/Bench/Simulation.cpp
+++ b/Bench/Simulation.cpp
@@ -8,55 +8,55 @@
 static const std::size_t CachedPrefixes = 10;
 static const core::Duration ReportPeriod = std::chrono::seconds(2);
 
-void Result::add(const Result &Other) {
+void SimulationResult::add(const SimulationResult &Other) {
   for (int T = 1; T < 4; ++T) {
     m_InTime[T] += Other.m_InTime[T];
     m_Arrived[T] += Other.m_Arrived[T];
-    m_InTimeOfBurst[T] += Other.m_InTimeOfBurst[T];
+    m_InTimeInBurst[T] += Other.m_InTimeInBurst[T];
     m_ArrivedInBurst[T] += Other.m_ArrivedInBurst[T];
     m_FirstToken[T].insert(m_FirstToken[T].end(), Other.m_FirstToken[T].begin(),
                            Other.m_FirstToken[T].end());
   }
-  m_Wasted += Other.m_Wasted;
-  m_Read += Other.m_Read;
+  m_WastedTokens += Other.m_WastedTokens;
+  m_PrefilledTokens += Other.m_PrefilledTokens;
   m_Refused += Other.m_Refused;
   m_Evicted += Other.m_Evicted;
 }
 
 Simulation::Simulation(std::vector<Request> Requests, unsigned Seed,
-                       const Make &Wanted)
+                       const SchedulerFactory &Factory)
     : m_Requests(std::move(Requests)), m_Reported(EngineCount),
       m_EngineOf(m_Requests.size(), -1), m_IsCancelled(m_Requests.size()),
       m_HasStarted(m_Requests.size()) {
   std::mt19937_64 Random(Seed + 1000);
   for (std::size_t I = 0; I < EngineCount; ++I) {
     m_Speeds.push_back(Random() % 3 == 0 ? 0.5 : 1.0);
-    m_Engines.emplace_back(m_Speeds.back(), EnginePlaces, CachedPrefixes);
+    m_Engines.emplace_back(m_Speeds.back(), EngineSlots, CachedPrefixes);
   }
   std::size_t Slow = Random() % EngineCount;
   at(m_Requests.back().m_At / 2,
      [this, Slow] { m_Engines[Slow].setSlowness(3); });
-  m_Scheduler = Wanted(*this);
+  m_Scheduler = Factory(*this);
 }
 
 void Simulation::at(core::Duration When, std::function<void()> What) {
   m_Queue.push({When, m_NextOrder++, std::move(What)});
 }
 
-Result Simulation::run() {
+SimulationResult Simulation::run() {
   m_Scheduler->start();
   for (std::size_t I = 0; I < m_Requests.size(); ++I)
     at(m_Requests[I].m_At, [this, I] {
       ++m_Result.m_Arrived[m_Requests[I].m_Tier];
       m_Result.m_ArrivedInBurst[m_Requests[I].m_Tier] += isInBurst(I) ? 1 : 0;
-      m_Scheduler->arrived(I);
+      m_Scheduler->requestArrived(I);
     });
   at(m_Requests.back().m_At * 45 / 100,
      [this] { m_Scheduler->loseInstance(3); });
-  report();
+  reportLoads();
   core::Duration End = m_Requests.back().m_At + std::chrono::seconds(180);
   while (!m_Queue.empty() && m_Queue.top().m_At <= End) {
-    Timed Next = m_Queue.top();
+    ScheduledTask Next = m_Queue.top();
     m_Queue.pop();
     m_Now = Next.m_At;
     Next.m_What();
@@ -64,43 +64,43 @@
   return m_Result;
 }
 
-void Simulation::report() {
+void Simulation::reportLoads() {
   for (std::size_t I = 0; I < EngineCount; ++I)
     m_Reported[I] = m_Engines[I].load();
-  at(m_Now + ReportPeriod, [this] { report(); });
+  at(m_Now + ReportPeriod, [this] { reportLoads(); });
 }
 
 void Simulation::dispatch(std::size_t Index, std::size_t Engine) {
   m_EngineOf[Index] = static_cast<int>(Engine);
   m_Engines[Engine].enqueue(Index, m_Requests[Index]);
-  startAt(Engine);
+  startWaitingRequests(Engine);
 }
 
-void Simulation::noteRead(std::size_t Engine, const Started &What) {
+void Simulation::recordPrefill(std::size_t Engine, const StartedRequest &What) {
   const Request &Which = m_Requests[What.m_Request];
   if (What.m_IsCached)
     return;
-  m_Result.m_Read += Which.m_Prefill;
+  m_Result.m_PrefilledTokens += Which.m_Prefill;
   bool IsElsewhere = false;
   for (std::size_t I = 0; I < EngineCount; ++I)
     IsElsewhere = IsElsewhere || (I != Engine && Which.m_Prefix != 0 &&
                                   m_Engines[I].hasPrefix(Which.m_Prefix));
   if (IsElsewhere)
-    m_Result.m_Wasted += Which.m_Prefill;
+    m_Result.m_WastedTokens += Which.m_Prefill;
 }
 
-void Simulation::startAt(std::size_t Engine) {
+void Simulation::startWaitingRequests(std::size_t Engine) {
   while (auto Next = m_Engines[Engine].startNext(m_Requests)) {
     std::size_t Index = Next->m_Request;
     m_HasStarted[Index] = true;
-    noteRead(Engine, *Next);
+    recordPrefill(Engine, *Next);
     at(m_Now + Next->m_Prefill, [this, Index] {
       if (m_IsCancelled[Index])
         return;
       const Request &Which = m_Requests[Index];
       m_Result.m_FirstToken[Which.m_Tier].push_back(
           core::toSeconds(m_Now - Which.m_At));
-      m_Scheduler->began(Index);
+      m_Scheduler->responseStarted(Index);
     });
     at(m_Now + Next->m_Total, [this, Index, Engine] {
       if (!m_IsCancelled[Index])
@@ -111,13 +111,13 @@
 
 void Simulation::finish(std::size_t Index, std::size_t Engine) {
   const Request &Which = m_Requests[Index];
-  m_Engines[Engine].finished();
+  m_Engines[Engine].finishRequest();
   if (m_Now <= Which.m_At + Which.m_Deadline) {
     ++m_Result.m_InTime[Which.m_Tier];
-    m_Result.m_InTimeOfBurst[Which.m_Tier] += isInBurst(Index) ? 1 : 0;
+    m_Result.m_InTimeInBurst[Which.m_Tier] += isInBurst(Index) ? 1 : 0;
   }
-  startAt(Engine);
-  m_Scheduler->ended(Index, false);
+  startWaitingRequests(Engine);
+  m_Scheduler->responseEnded(Index, false);
 }
 
 void Simulation::cancel(std::size_t Index) {
@@ -126,11 +126,12 @@
   m_IsCancelled[Index] = true;
   ++m_Result.m_Evicted;
   if (!m_Engines[Engine].cancelWaiting(Index, Which)) {
-    m_Result.m_Wasted += Which.m_Prefill;
-    m_Engines[Engine].finished();
-    startAt(Engine);
+    m_Result.m_WastedTokens += Which.m_Prefill;
+    m_Engines[Engine].finishRequest();
+    startWaitingRequests(Engine);
   }
-  at(m_Now + MessageDelay, [this, Index] { m_Scheduler->ended(Index, true); });
+  at(m_Now + MessageDelay,
+     [this, Index] { m_Scheduler->responseEnded(Index, true); });
 }
 
 void Simulation::refuse(std::size_t) { ++m_Result.m_Refused; }
--- a/Bench/Simulation.h
+++ b/Bench/Simulation.h
@@ -15,23 +15,23 @@
 namespace yardrill::bench {
 
 inline constexpr std::size_t EngineCount = 12;
-inline constexpr std::size_t EnginePlaces = 8;
+inline constexpr std::size_t EngineSlots = 8;
 /// Of messages between instances, and of an engine's word that it cancelled.
 inline constexpr core::Duration MessageDelay = std::chrono::milliseconds(1);
 
 /// Sums over one or several runs, by tier where there are four.
-struct Result {
+struct SimulationResult {
   double m_InTime[4] = {};
   double m_Arrived[4] = {};
-  double m_InTimeOfBurst[4] = {}; ///< Of those that arrived in the burst.
+  double m_InTimeInBurst[4] = {}; ///< Of those that arrived in the burst.
   double m_ArrivedInBurst[4] = {};
-  double m_Wasted = 0;
-  double m_Read = 0;
+  double m_WastedTokens = 0;
+  double m_PrefilledTokens = 0;
   double m_Refused = 0;
   double m_Evicted = 0;
   std::vector<double> m_FirstToken[4];
 
-  void add(const Result &Other);
+  void add(const SimulationResult &Other);
 };
 
 class Simulation;
@@ -41,9 +41,9 @@
 public:
   explicit Scheduler(Simulation &Owner) : m_Owner(Owner) {}
   virtual ~Scheduler() = default;
-  virtual void arrived(std::size_t Index) = 0;
-  virtual void began(std::size_t) {}
-  virtual void ended(std::size_t, bool IsEvicted) = 0;
+  virtual void requestArrived(std::size_t Index) = 0;
+  virtual void responseStarted(std::size_t) {}
+  virtual void responseEnded(std::size_t, bool IsEvicted) = 0;
   virtual void start() {}
   virtual void loseInstance(std::size_t) {}
 
@@ -56,14 +56,16 @@
 /// burst.
 class Simulation {
 public:
-  using Make = std::function<std::unique_ptr<Scheduler>(Simulation &)>;
+  using SchedulerFactory =
+      std::function<std::unique_ptr<Scheduler>(Simulation &)>;
 
-  Simulation(std::vector<Request> Requests, unsigned Seed, const Make &Wanted);
+  Simulation(std::vector<Request> Requests, unsigned Seed,
+             const SchedulerFactory &Factory);
 
-  Result run();
+  SimulationResult run();
   void at(core::Duration When, std::function<void()> What);
   core::Duration now() const { return m_Now; }
-  core::TimePoint steady() const {
+  core::TimePoint steadyNow() const {
     return core::TimePoint(std::chrono::hours(1)) + m_Now;
   }
   void dispatch(std::size_t Index, std::size_t Engine);
@@ -76,11 +78,11 @@
   }
 
 private:
-  struct Timed {
+  struct ScheduledTask {
     core::Duration m_At;
     std::uint64_t m_Order;
     std::function<void()> m_What;
-    bool operator<(const Timed &Other) const {
+    bool operator<(const ScheduledTask &Other) const {
       return m_At != Other.m_At ? m_At > Other.m_At : m_Order > Other.m_Order;
     }
   };
@@ -89,10 +91,10 @@
     return m_Requests[Index].m_At > End / 3 &&
            m_Requests[Index].m_At < End * 2 / 3;
   }
-  void startAt(std::size_t Engine);
+  void startWaitingRequests(std::size_t Engine);
   void finish(std::size_t Index, std::size_t Engine);
-  void noteRead(std::size_t Engine, const Started &What);
-  void report();
+  void recordPrefill(std::size_t Engine, const StartedRequest &What);
+  void reportLoads();
 
   std::vector<Request> m_Requests;
   std::vector<double> m_Speeds;
@@ -101,11 +103,11 @@
   std::vector<int> m_EngineOf;
   std::vector<bool> m_IsCancelled;
   std::vector<bool> m_HasStarted;
-  std::priority_queue<Timed> m_Queue;
+  std::priority_queue<ScheduledTask> m_Queue;
   std::uint64_t m_NextOrder = 0;
   core::Duration m_Now{};
   std::unique_ptr<Scheduler> m_Scheduler;
-  Result m_Result;
+  SimulationResult m_Result;
 };
 
 } // namespace yardrill::bench
--- a/Bench/StoreSpreadProgram.cpp
+++ b/Bench/StoreSpreadProgram.cpp
@@ -20,7 +20,7 @@
 using platform::Revision;
 
 static constexpr std::size_t Followers = 6;
-static constexpr std::chrono::seconds Patience{60};
+static constexpr std::chrono::seconds SpreadTimeout{60};
 static const char Key[] = "configuration";
 
 static std::string configuration(std::size_t Routes, std::size_t Changed) {
@@ -56,7 +56,7 @@
     Fleet.instance(I).mirror().apply(Revision(2),
                                      {Entry{Key, After, Revision(2)}});
   auto Took = Fleet.runUntil(
-      [&] { return Fleet.haveAllDelivered(Key, Revision(2)); }, Patience);
+      [&] { return Fleet.haveAllDelivered(Key, Revision(2)); }, SpreadTimeout);
   double Spent = processorMs() - Begin;
   std::size_t Most = 0;
   std::size_t All = 0;
--- a/Bench/Workload.cpp
+++ b/Bench/Workload.cpp
@@ -42,8 +42,8 @@
     if (Now >= Shape.m_Length)
       return All;
     double Draw = Part(Random);
-    const RequestKind *Kind = &Shape.m_Kinds.back();
-    for (const RequestKind &Each : Shape.m_Kinds) {
+    const RequestProfile *Kind = &Shape.m_Kinds.back();
+    for (const RequestProfile &Each : Shape.m_Kinds) {
       if (Draw < Each.m_Share) {
         Kind = &Each;
         break;
--- a/Bench/Workload.h
+++ b/Bench/Workload.h
@@ -29,7 +29,7 @@
 };
 
 /// One kind of request in a mix.
-struct RequestKind {
+struct RequestProfile {
   std::uint32_t m_Tier;
   double m_Share; ///< Of all arrivals.
   std::uint32_t m_Prefill;
@@ -40,7 +40,7 @@
 
 struct WorkloadShape {
   std::string m_Name;
-  std::vector<RequestKind> m_Kinds;
+  std::vector<RequestProfile> m_Kinds;
   double m_Rate = 0;  ///< Arrivals a second outside the burst.
   double m_Burst = 3; ///< Times that in the middle third.
   core::Duration m_Length = std::chrono::seconds(600);
--- /dev/null
+++ b/Tests/Soak/BackpressureChecker.cpp
@@ -0,0 +1,94 @@
+#include "BackpressureChecker.h"
+
+#include "InvariantChecker.h"
+
+#include <algorithm>
+#include <sstream>
+
+namespace yardrill::soak {
+
+void BackpressureChecker::rateLimitChanged(const std::string &Incarnation,
+                                           std::optional<double> PerSecond,
+                                           TimePoint Now) {
+  std::vector<LimitPeriod> &Of = m_Periods[Incarnation];
+  if (!Of.empty() && !Of.back().m_End)
+    Of.back().m_End = Now;
+  if (!PerSecond)
+    return;
+  ++m_Limits;
+  Of.push_back({*PerSecond, Now, std::nullopt, {}});
+}
+
+void BackpressureChecker::backpressureStated(const std::string &Incarnation,
+                                             std::size_t Gateway,
+                                             const ResponseBackpressure &What,
+                                             TimePoint Now) {
+  NotifiedGateway &To = m_Notified[Incarnation][Gateway];
+  if (What.m_RequestsPerSecond && !To.m_Limit)
+    To.m_Limit = Now;
+  if (What.m_IsLeaving && !To.m_Leaving)
+    To.m_Leaving = Now;
+  if (!What.m_Backoff || Now + *What.m_Backoff <= To.m_BackoffEndsAt)
+    return;
+  ++m_Backoffs;
+  To.m_BackoffStatedAt = Now;
+  To.m_BackoffEndsAt = Now + *What.m_Backoff;
+  To.m_RequestsInBackoff = 0;
+}
+
+void BackpressureChecker::requestArrived(const std::string &Incarnation,
+                                         std::size_t Gateway, TimePoint SentAt,
+                                         TimePoint Now,
+                                         bool IsGatewayDisturbed) {
+  if (IsGatewayDisturbed)
+    return;
+  NotifiedGateway &To = m_Notified[Incarnation][Gateway];
+  bool IsInBackoff = Now > To.m_BackoffStatedAt + bounds::BackpressureSlack &&
+                     Now < To.m_BackoffEndsAt;
+  if (IsInBackoff &&
+      ++To.m_RequestsInBackoff == bounds::MaxRequestsInBackoff + 1)
+    m_OnViolation("rest: " + Incarnation + " got too much of gateway " +
+                  std::to_string(Gateway));
+  if (To.m_Leaving && SentAt > *To.m_Leaving + bounds::LeavingGracePeriod)
+    m_OnViolation("leaving: " + Incarnation + " got a request of gateway " +
+                  std::to_string(Gateway) +
+                  " after it had said that it leaves");
+  std::vector<LimitPeriod> &Of = m_Periods[Incarnation];
+  if (To.m_Limit && Now > *To.m_Limit + bounds::BackpressureSlack &&
+      !Of.empty() && !Of.back().m_End)
+    Of.back().m_Arrivals.push_back(Now);
+}
+
+void BackpressureChecker::forget(std::size_t Gateway) {
+  for (auto &[Incarnation, Gateways] : m_Notified)
+    Gateways.erase(Gateway);
+}
+
+void BackpressureChecker::check(const std::string &Incarnation,
+                                const LimitPeriod &Of) const {
+  double Window = std::chrono::duration<double>(bounds::LimitWindow).count();
+  double Most = bounds::LimitFactor * Of.m_RequestsPerSecond * Window +
+                bounds::LimitSlack;
+  TimePoint From = Of.m_Begin + bounds::SettleTime;
+  auto First =
+      std::lower_bound(Of.m_Arrivals.begin(), Of.m_Arrivals.end(), From);
+  for (auto Last = First; Last != Of.m_Arrivals.end(); ++Last) {
+    while (*Last - *First > bounds::LimitWindow)
+      ++First;
+    auto Count = static_cast<double>(Last - First + 1);
+    if (Count <= Most)
+      continue;
+    std::ostringstream Text;
+    Text << "limit: " << Incarnation << " got " << Count << " in a window of "
+         << Most;
+    return m_OnViolation(Text.str());
+  }
+}
+
+void BackpressureChecker::finish() {
+  for (const auto &[Incarnation, Periods] : m_Periods)
+    for (const LimitPeriod &Each : Periods)
+      check(Incarnation, Each);
+}
+
+} // namespace yardrill::soak
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -13,50 +13,50 @@
 /// Time limit of every route and deadline of every request.
 static constexpr std::chrono::milliseconds TimeLimit{2000};
 /// A caller waits longer, to see whether an answer comes at all.
-static constexpr std::chrono::milliseconds Patience{3500};
+static constexpr std::chrono::milliseconds ClientTimeout{3500};
 static constexpr std::chrono::milliseconds ConnectTime{500};
 static constexpr std::chrono::milliseconds BalancePeriod{500};
 static constexpr std::chrono::milliseconds ProbePeriod{300};
-static constexpr std::uint64_t MostPauseMs = 150;
-static constexpr int MissesUntilOut = 2;
-static constexpr std::uint64_t RequestsOfConnection = 40;
-static constexpr std::size_t AnswerBytes = 65536;
+static constexpr std::uint64_t MaxPauseMs = 150;
+static constexpr int MissesUntilRemoval = 2;
+static constexpr std::uint64_t MaxRequestsPerConnection = 40;
+static constexpr std::size_t ReadinessResponseLimit = 65536;
 /// For so long a bad caller repeats one request.
-static constexpr std::chrono::seconds BadSeries{12};
-static constexpr std::uint64_t MostBadPauseMs = 600;
+static constexpr std::chrono::seconds BadRequestRepeatTime{12};
+static constexpr std::uint64_t MaxBadRequestPauseMs = 600;
 
-Callers::Callers(asio::io_context &Context, Ledger &Book, Deployment &Under,
-                 std::mt19937_64 &Random)
-    : m_Context(Context), m_Book(Book), m_Under(Under), m_Random(Random),
-      m_Misses(Under.gateways(), MissesUntilOut) {}
+Callers::Callers(asio::io_context &Context, InvariantChecker &Checker,
+                 Deployment &System, std::mt19937_64 &Random)
+    : m_Context(Context), m_Checker(Checker), m_System(System),
+      m_Random(Random), m_Misses(System.gateways(), MissesUntilRemoval) {}
 
 template <class Body> void Callers::spawn(Body What) {
-  ++m_Busy;
+  ++m_ActiveCoroutines;
   asio::spawn(
       m_Context,
       [this, What](asio::yield_context Yield) {
         What(Yield);
-        --m_Busy;
+        --m_ActiveCoroutines;
       },
       asio::detached);
 }
 
 void Callers::start(std::size_t Count) {
-  for (std::size_t I = 0; I < m_Under.gateways(); ++I) {
-    spawn([this, I](asio::yield_context Yield) { balance(I, Yield); });
-    spawn([this, I](asio::yield_context Yield) { probe(I, Yield); });
+  for (std::size_t I = 0; I < m_System.gateways(); ++I) {
+    spawn([this, I](asio::yield_context Yield) { runBalancer(I, Yield); });
+    spawn([this, I](asio::yield_context Yield) { runProber(I, Yield); });
   }
   for (std::size_t I = 0; I < Count; ++I)
-    spawn([this](asio::yield_context Yield) { call(Yield); });
+    spawn([this](asio::yield_context Yield) { runCaller(Yield); });
 }
 
 //===----------------------------------------------------------------------===//
 // Requests
 //===----------------------------------------------------------------------===//
 
-Attempt Callers::makeAttempt(std::size_t Gateway, RequestKind Kind,
-                             bool IsLimited) {
-  Attempt Out;
+SentRequest Callers::makeSentRequest(std::size_t Gateway, RequestKind Kind,
+                                     bool IsLimited) {
+  SentRequest Out;
   Out.m_Id = "a" + std::to_string(m_NextId++);
   Out.m_Kind = Kind;
   Out.m_Gateway = Gateway;
@@ -67,7 +67,7 @@
   return Out;
 }
 
-static http::RequestMessage toMessage(const Attempt &What,
+static http::RequestMessage toMessage(const SentRequest &What,
                                       const std::string &Path) {
   http::RequestMessage Out;
   Out.m_Method = "POST";
@@ -78,7 +78,8 @@
                    {"Api-Key", What.m_Account + "-key"},
                    {"Tenant", "forged"},
                    {"Deadline-Ms", std::to_string(TimeLimit.count())}};
-  Out.m_Body = bodyOf(What.m_Content.empty() ? What.m_Id : What.m_Content);
+  Out.m_Body =
+      requestBodyOf(What.m_Content.empty() ? What.m_Id : What.m_Content);
   return Out;
 }
 
@@ -90,52 +91,53 @@
 }
 
 std::string Callers::readBody(http::ClientConnection &Connection,
-                              const Attempt &What, bool IsStream,
+                              const SentRequest &What, bool IsStream,
                               asio::yield_context Yield) {
-  std::string All = IsStream ? allEventsOf(What.m_Id) : answerTo(What.m_Id);
+  std::string All =
+      IsStream ? allEventsOf(What.m_Id) : responseBodyOf(What.m_Id);
   std::string Out;
   while (true) {
-    std::string Piece = Connection.readBodyData(Patience, Yield);
+    std::string Piece = Connection.readBodyData(ClientTimeout, Yield);
     Out += Piece;
     if (All.compare(0, Out.size(), Out) != 0) {
-      m_Book.wrongAnswer(What.m_Id, "other bytes than its own");
+      m_Checker.wrongResponse(What.m_Id, "other bytes than its own");
       throw core::Error(core::ErrorKind::Protocol, "wrong answer");
     }
     if (!Piece.empty())
       continue;
     if (Out.size() != All.size())
-      m_Book.wrongAnswer(What.m_Id, "ended early, but looks whole");
+      m_Checker.wrongResponse(What.m_Id, "ended early, but looks whole");
     return Out;
   }
 }
 
 std::optional<unsigned> Callers::exchange(http::ClientConnection &Connection,
-                                          const Attempt &What,
+                                          const SentRequest &What,
                                           const std::string &Path,
                                           asio::yield_context Yield) {
-  m_Book.sent(What);
+  m_Checker.requestSent(What);
   try {
-    Connection.sendRequest(toMessage(What, Path), Patience, Yield);
-    http::ResponseHead Head = Connection.readHead(Patience, Yield);
+    Connection.sendRequest(toMessage(What, Path), ClientTimeout, Yield);
+    http::ResponseHead Head = Connection.readHead(ClientTimeout, Yield);
     bool IsSuccess = Head.m_Status == 200;
     const std::string *Id = Head.m_Headers.find("Attempt-Id");
     if (Id && *Id != What.m_Id)
-      m_Book.wrongAnswer(What.m_Id, "is an answer to " + *Id);
+      m_Checker.wrongResponse(What.m_Id, "is an answer to " + *Id);
     if (IsSuccess && !Head.m_Headers.find("Replica-Seal"))
-      m_Book.wrongAnswer(What.m_Id, "is not signed");
+      m_Checker.wrongResponse(What.m_Id, "is not signed");
     if (IsSuccess)
       readBody(Connection, What,
                What.m_Kind == RequestKind::Stream ||
                    What.m_Kind == RequestKind::ResumableStream,
                Yield);
     else
-      while (!Connection.readBodyData(Patience, Yield).empty()) {
+      while (!Connection.readBodyData(ClientTimeout, Yield).empty()) {
         // Of a failure only the status counts.
       }
-    m_Book.answered(What.m_Id, Head.m_Status);
+    m_Checker.responseReceived(What.m_Id, Head.m_Status);
     return Head.m_Status;
   } catch (const core::Error &Failure) {
-    m_Book.unanswered(What.m_Id, Failure.what());
+    m_Checker.responseLost(What.m_Id, Failure.what());
     return std::nullopt;
   }
 }
@@ -144,7 +146,7 @@
   ConnectionHandle Connection;
   try {
     Connection = http::ClientConnection::connect(
-        m_Context, m_Under.callerAddress(Gateway), ConnectTime, Yield);
+        m_Context, m_System.callerAddress(Gateway), ConnectTime, Yield);
   } catch (const core::Error &) {
     return tests::sleepFor(m_Context, std::chrono::milliseconds(50), Yield);
   }
@@ -155,54 +157,58 @@
                {RequestKind::Idempotent, "/again/"},
                {RequestKind::Stream, "/stream/"},
                {RequestKind::ResumableStream, "/resume/"}};
-  for (std::uint64_t Left = 1 + draw(RequestsOfConnection); Left > 0; --Left) {
-    const auto &Kind = Kinds[draw(std::size(Kinds))];
-    Attempt What = makeAttempt(Gateway, Kind.m_Kind, draw(4) == 0);
+  for (std::uint64_t Left = 1 + randomBelow(MaxRequestsPerConnection); Left > 0;
+       --Left) {
+    const auto &Kind = Kinds[randomBelow(std::size(Kinds))];
+    SentRequest What =
+        makeSentRequest(Gateway, Kind.m_Kind, randomBelow(4) == 0);
     auto Status = exchange(*Connection, What, Kind.m_Path, Yield);
     if (!Status || !Connection->isReusable() || m_IsStopped)
       return;
     // Streams of a pause between requests, also longer than a connection rests.
-    tests::sleepFor(m_Context, std::chrono::milliseconds(draw(MostPauseMs)),
-                    Yield);
+    tests::sleepFor(m_Context,
+                    std::chrono::milliseconds(randomBelow(MaxPauseMs)), Yield);
     if (!Connection->isReusable())
       return;
   }
 }
 
-void Callers::startBadCallers(std::size_t Count) {
+void Callers::startBadRequestCallers(std::size_t Count) {
   for (std::size_t I = 0; I < Count; ++I)
-    spawn([this, I](asio::yield_context Yield) { callBadly(I, Yield); });
+    spawn([this, I](asio::yield_context Yield) { sendBadRequests(I, Yield); });
 }
 
-void Callers::callBadly(std::size_t Number, asio::yield_context Yield) {
+void Callers::sendBadRequests(std::size_t Number, asio::yield_context Yield) {
   TimePoint Start = Clock::now();
-  while (!m_IsStopped && !m_AreBadStopped) {
-    auto Series = (Clock::now() - Start) / BadSeries;
+  while (!m_IsStopped && !m_AreBadRequestsStopped) {
+    auto Series = (Clock::now() - Start) / BadRequestRepeatTime;
     std::size_t Gateway = chooseGateway();
     try {
       auto Connection = http::ClientConnection::connect(
-          m_Context, m_Under.callerAddress(Gateway), ConnectTime, Yield);
-      Attempt What = makeAttempt(Gateway, RequestKind::Idempotent, false);
-      What.m_Content =
-          BadPrefix + std::to_string(Number) + "-" + std::to_string(Series);
+          m_Context, m_System.callerAddress(Gateway), ConnectTime, Yield);
+      SentRequest What =
+          makeSentRequest(Gateway, RequestKind::Idempotent, false);
+      What.m_Content = BadContentPrefix + std::to_string(Number) + "-" +
+                       std::to_string(Series);
       exchange(*Connection, What, "/again/", Yield);
     } catch (const core::Error &) {
       // Down, or just starting.
     }
-    tests::sleepFor(m_Context, std::chrono::milliseconds(draw(MostBadPauseMs)),
-                    Yield);
+    tests::sleepFor(
+        m_Context, std::chrono::milliseconds(randomBelow(MaxBadRequestPauseMs)),
+        Yield);
   }
 }
 
 std::size_t Callers::chooseGateway() {
   std::vector<std::size_t> In;
   for (std::size_t I = 0; I < m_Misses.size(); ++I)
-    if (m_Misses[I] < MissesUntilOut)
+    if (m_Misses[I] < MissesUntilRemoval)
       In.push_back(I);
-  return In.empty() ? draw(m_Misses.size()) : In[draw(In.size())];
+  return In.empty() ? randomBelow(m_Misses.size()) : In[randomBelow(In.size())];
 }
 
-void Callers::call(asio::yield_context Yield) {
+void Callers::runCaller(asio::yield_context Yield) {
   while (!m_IsStopped)
     useConnection(chooseGateway(), Yield);
 }
@@ -211,7 +217,7 @@
 // Balancer and probes
 //===----------------------------------------------------------------------===//
 
-void Callers::balance(std::size_t Gateway, asio::yield_context Yield) {
+void Callers::runBalancer(std::size_t Gateway, asio::yield_context Yield) {
   http::RequestMessage Ask;
   Ask.m_Method = "GET";
   Ask.m_Target = "/readyz";
@@ -220,10 +226,11 @@
     unsigned Status = 0;
     try {
       auto Connection = http::ClientConnection::connect(
-          m_Context, m_Under.readinessAddress(Gateway), ConnectTime, Yield);
+          m_Context, m_System.readinessAddress(Gateway), ConnectTime, Yield);
       Connection->sendRequest(Ask, ConnectTime, Yield);
-      Status = Connection->readResponse(ConnectTime, AnswerBytes, Yield)
-                   .m_Head.m_Status;
+      Status =
+          Connection->readResponse(ConnectTime, ReadinessResponseLimit, Yield)
+              .m_Head.m_Status;
     } catch (const core::Error &) {
       // No answer is a miss.
     }
@@ -231,43 +238,43 @@
   }
 }
 
-void Callers::judgeProbe(std::size_t Gateway, std::size_t Life,
-                         const AcceptedVersion &Asked, TimePoint SentAt,
+void Callers::checkProbe(std::size_t Gateway, std::size_t RestartCount,
+                         const AcceptedVersion &Probed, TimePoint SentAt,
                          unsigned Status) {
   std::string Where = "gateway " + std::to_string(Gateway) + ", version " +
-                      std::to_string(Asked.m_Number);
-  std::uint64_t &Seen = m_Seen[{Gateway, Life}];
-  const AcceptedVersion &Newest = m_Under.versions().back();
-  bool IsNewest = Newest.m_Number == Asked.m_Number &&
-                  m_Under.newestSentVersion() == Asked.m_Number;
+                      std::to_string(Probed.m_Number);
+  std::uint64_t &Seen = m_NewestActiveVersion[{Gateway, RestartCount}];
+  const AcceptedVersion &Newest = m_System.versions().back();
+  bool IsNewest = Newest.m_Number == Probed.m_Number &&
+                  m_System.newestSentVersion() == Probed.m_Number;
   if (Status == 200)
-    Seen = std::max(Seen, Asked.m_Number);
+    Seen = std::max(Seen, Probed.m_Number);
   // Without any configuration it answers 503, which is right.
   if (Status != 404 || !IsNewest)
     return;
-  if (Seen >= Asked.m_Number)
-    return m_Book.broken("configuration", Where + " went back");
-  if (SentAt > Asked.m_AcceptedAt + bounds::ConfigurationInForce &&
-      m_Book.isInTouchSince(Gateway, Asked.m_AcceptedAt))
-    m_Book.broken("configuration", Where + " is not in force");
+  if (Seen >= Probed.m_Number)
+    return m_Checker.addViolation("configuration", Where + " went back");
+  if (SentAt > Probed.m_AcceptedAt + bounds::ConfigurationApplyTime &&
+      m_Checker.isUndisturbedSince(Gateway, Probed.m_AcceptedAt))
+    m_Checker.addViolation("configuration", Where + " is not in force");
 }
 
-void Callers::probe(std::size_t Gateway, asio::yield_context Yield) {
+void Callers::runProber(std::size_t Gateway, asio::yield_context Yield) {
   for (; !m_IsStopped; tests::sleepFor(m_Context, ProbePeriod, Yield)) {
-    if (m_Under.versions().empty())
+    if (m_System.versions().empty())
       continue;
-    AcceptedVersion Asked = m_Under.versions().back();
-    std::size_t Life = m_Under.lifeOf(Gateway);
-    Attempt What = makeAttempt(Gateway, RequestKind::Idempotent, false);
+    AcceptedVersion Probed = m_System.versions().back();
+    std::size_t RestartCount = m_System.restartCount(Gateway);
+    SentRequest What = makeSentRequest(Gateway, RequestKind::Idempotent, false);
     What.m_IsProbe = true;
     try {
       auto Connection = http::ClientConnection::connect(
-          m_Context, m_Under.callerAddress(Gateway), ConnectTime, Yield);
+          m_Context, m_System.callerAddress(Gateway), ConnectTime, Yield);
       auto Status =
           exchange(*Connection, What,
-                   "/probe-" + std::to_string(Asked.m_Number) + "/", Yield);
-      if (Status && Life == m_Under.lifeOf(Gateway))
-        judgeProbe(Gateway, Life, Asked, What.m_SentAt, *Status);
+                   "/probe-" + std::to_string(Probed.m_Number) + "/", Yield);
+      if (Status && RestartCount == m_System.restartCount(Gateway))
+        checkProbe(Gateway, RestartCount, Probed, What.m_SentAt, *Status);
     } catch (const core::Error &) {
       // Down, or just starting.
     }
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -23,14 +23,14 @@
 static constexpr std::chrono::seconds StopGrace{8};
 static constexpr std::chrono::milliseconds RestartDelay{300};
 /// A target that a request has ended is back after this time.
-static constexpr std::chrono::milliseconds EndedTime{800};
+static constexpr std::chrono::milliseconds ExitedTargetDownTime{800};
 /// A leaving target serves on for so long after the store has taken its word.
-static constexpr std::chrono::milliseconds LeavingTime{2600};
-static constexpr std::chrono::milliseconds AfterLeaving{600};
+static constexpr std::chrono::milliseconds LeavingServiceTime{2600};
+static constexpr std::chrono::milliseconds LeavingExitDelay{600};
 /// Until the announcement of a target that was stopped without a word is gone.
-static constexpr std::chrono::milliseconds LapseTime{1500};
+static constexpr std::chrono::milliseconds AnnouncementExpiryTime{1500};
 static constexpr std::chrono::seconds OperatorTimeout{20};
-static constexpr std::chrono::milliseconds OperatorPause{20};
+static constexpr std::chrono::milliseconds PublishPollInterval{20};
 
 /// Each soak has a block of loopback addresses of its own, so that several can
 /// run at once.
@@ -42,9 +42,9 @@
   return Out.str();
 }
 
-Deployment::Deployment(asio::io_context &Context, Ledger &Book,
+Deployment::Deployment(asio::io_context &Context, InvariantChecker &Checker,
                        const DeploymentShape &Shape, std::mt19937_64 &Random)
-    : m_Context(Context), m_Book(Book), m_Shape(Shape),
+    : m_Context(Context), m_Checker(Checker), m_Shape(Shape),
       m_StorePort(tests::freePort()),
       m_Store({Shape.m_StandIn, "platform",
                "--port=" + std::to_string(m_StorePort)},
@@ -56,21 +56,21 @@
         Context, tests::freePort(), m_StorePort);
   }
   for (const char *Pool : {"app", "engine"})
-    for (std::size_t I = 0; I < Shape.m_TargetsOfPool; ++I)
-      m_Targets.push_back(std::make_unique<SoakTarget>(Context, Book, Random,
+    for (std::size_t I = 0; I < Shape.m_TargetsPerPool; ++I)
+      m_Targets.push_back(std::make_unique<SoakTarget>(Context, Checker, Random,
                                                        nextTargetName(), Pool));
   for (std::size_t I = 0; I < m_Targets.size(); ++I)
-    armEnd(I);
+    installExitHook(I);
 }
 
 Deployment::~Deployment() = default;
 
-void Deployment::armEnd(std::size_t Index) {
-  m_Targets[Index]->setEndHook([this, Index] {
+void Deployment::installExitHook(std::size_t Index) {
+  m_Targets[Index]->setExitHook([this, Index] {
     asio::spawn(
         m_Context,
         [this, Index](asio::yield_context Yield) {
-          crashTarget(Index, EndedTime, Yield);
+          crashTarget(Index, ExitedTargetDownTime, Yield);
         },
         asio::detached);
   });
@@ -129,7 +129,7 @@
   Which.m_Process = tests::Process(
       {m_Shape.m_Program, "gateway", "--config=" + Stem + ".toml"},
       Stem + ".log");
-  Which.m_IsEndExpected = false;
+  Which.m_IsExitExpected = false;
   Which.m_StoppingSince = TimePoint();
 }
 
@@ -154,12 +154,12 @@
   Gateway &Which = m_Gateways[Index];
   if (!Which.m_Process.isRunning())
     return;
-  Which.m_IsEndExpected = true;
+  Which.m_IsExitExpected = true;
   // Before the signal: what callers see of it is excused.
-  m_Book.processTrouble(Index, true);
+  m_Checker.noteProcessDisturbance(Index, true);
   Which.m_Process.kill();
-  noteEnd(Index, -SIGKILL);
-  m_Book.processTrouble(Index, false);
+  handleGatewayExit(Index, -SIGKILL);
+  m_Checker.noteProcessDisturbance(Index, false);
 }
 
 void Deployment::stopGateway(std::size_t Index) {
@@ -167,8 +167,8 @@
   if (!Which.m_Process.isRunning() || Which.m_StoppingSince != TimePoint())
     return;
   Which.m_StoppingSince = Clock::now();
-  Which.m_IsEndExpected = true;
-  m_Book.setStopping(Index, true);
+  Which.m_IsExitExpected = true;
+  m_Checker.setStopping(Index, true);
   Which.m_Process.signal(SIGTERM);
 }
 
@@ -176,13 +176,14 @@
   m_Gateways[Index].m_Process.signal(Signal);
 }
 
-void Deployment::noteEnd(std::size_t Index, int ExitCode) {
+void Deployment::handleGatewayExit(std::size_t Index, int ExitCode) {
   Gateway &Which = m_Gateways[Index];
-  if (!Which.m_IsEndExpected)
-    m_Book.broken("exit", "gateway " + std::to_string(Index) + " ended with " +
-                              std::to_string(ExitCode));
-  m_Book.setStopping(Index, false);
-  m_Book.processTrouble(Index, true);
+  if (!Which.m_IsExitExpected)
+    m_Checker.addViolation("exit", "gateway " + std::to_string(Index) +
+                                       " ended with " +
+                                       std::to_string(ExitCode));
+  m_Checker.setStopping(Index, false);
+  m_Checker.noteProcessDisturbance(Index, true);
   Which.m_StartsAt = Clock::now() + RestartDelay;
 }
 
@@ -192,14 +193,14 @@
     if (!Which.m_Process.isRunning()) {
       if (Which.m_StartsAt > Clock::now())
         continue;
-      ++Which.m_Lives;
-      m_Book.restarted(I);
+      ++Which.m_Restarts;
+      m_Checker.gatewayRestarted(I);
       startGateway(I, false);
-      m_Book.processTrouble(I, false);
+      m_Checker.noteProcessDisturbance(I, false);
       continue;
     }
     if (auto Code = Which.m_Process.poll())
-      noteEnd(I, *Code);
+      handleGatewayExit(I, *Code);
     else if (Which.m_StoppingSince != TimePoint() &&
              Clock::now() > Which.m_StoppingSince + StopGrace)
       killGateway(I);
@@ -256,7 +257,7 @@
   // One operator: versions that overtook each other would leave the older one
   // in the store, which no gateway goes back to.
   while (m_IsPublishing)
-    tests::sleepFor(m_Context, OperatorPause, Yield);
+    tests::sleepFor(m_Context, PublishPollInterval, Yield);
   m_IsPublishing = true;
   std::uint64_t Number = m_NextVersion++;
   json::array Routes{
@@ -299,16 +300,16 @@
   if (Which.isRetired())
     return;
   std::string Key = Which.key();
-  Which.sayLeaving();
-  Which.setLeaving();
+  Which.setLeavingInResponses();
+  Which.setLeavingInStore();
   // Counted from the store's answer.
   put(Key, Which.announcement(), Yield);
-  Which.setLeaving();
-  tests::sleepFor(m_Context, LeavingTime, Yield);
+  Which.setLeavingInStore();
+  tests::sleepFor(m_Context, LeavingServiceTime, Yield);
   if (Which.isRetired())
     return;
   remove(Key, Yield);
-  tests::sleepFor(m_Context, AfterLeaving, Yield);
+  tests::sleepFor(m_Context, LeavingExitDelay, Yield);
   crashTarget(Index, RestartDelay, Yield);
 }
 
@@ -337,18 +338,18 @@
 
 void Deployment::startVersion(const std::string &Pool,
                               const std::string &Version,
-                              const Misbehaviour &How,
+                              const ResponseFaults &How,
                               asio::yield_context Yield) {
-  for (std::size_t I = 0; I < m_Shape.m_TargetsOfPool; ++I) {
+  for (std::size_t I = 0; I < m_Shape.m_TargetsPerPool; ++I) {
     m_NewVersion.push_back(std::make_unique<SoakTarget>(
-        m_Context, m_Book, m_Random, nextTargetName(), Pool, Version));
-    m_NewVersion.back()->setMisbehaviour(How);
+        m_Context, m_Checker, m_Random, nextTargetName(), Pool, Version));
+    m_NewVersion.back()->setResponseFaults(How);
     put(m_NewVersion.back()->key(), m_NewVersion.back()->announcement(), Yield);
   }
 }
 
-void Deployment::keepNewVersion(const std::string &Pool,
-                                asio::yield_context Yield) {
+void Deployment::promoteNewVersion(const std::string &Pool,
+                                   asio::yield_context Yield) {
   std::vector<std::string> Gone;
   for (auto &Each : m_Targets) {
     if (Each->pool() != Pool)
@@ -360,18 +361,18 @@
     m_NewVersion.pop_back();
   }
   for (std::size_t I = 0; I < m_Targets.size(); ++I)
-    armEnd(I);
-  tests::sleepFor(m_Context, LapseTime, Yield);
+    installExitHook(I);
+  tests::sleepFor(m_Context, AnnouncementExpiryTime, Yield);
   for (const std::string &Key : Gone)
     remove(Key, Yield);
 }
 
-void Deployment::dropNewVersion(asio::yield_context Yield) {
+void Deployment::discardNewVersion(asio::yield_context Yield) {
   for (auto &Each : m_NewVersion) {
-    Each->setLeaving();
+    Each->setLeavingInStore();
     put(Each->key(), Each->announcement(), Yield);
   }
-  tests::sleepFor(m_Context, LeavingTime, Yield);
+  tests::sleepFor(m_Context, LeavingServiceTime, Yield);
   for (auto &Each : m_NewVersion) {
     remove(Each->key(), Yield);
     Each->retire();
@@ -380,9 +381,10 @@
   m_NewVersion.clear();
 }
 
-void Deployment::putOrder(const std::string &Pool, const std::string &Version,
-                          std::chrono::seconds Bake,
-                          asio::yield_context Yield) {
+void Deployment::putRolloutOrder(const std::string &Pool,
+                                 const std::string &Version,
+                                 std::chrono::seconds Bake,
+                                 asio::yield_context Yield) {
   json::object Text{
       {"service", Pool}, {"targetVersion", Version}, {"bakeS", Bake.count()}};
   put("op/rollout/" + Pool, json::serialize(Text), Yield);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -2,7 +2,7 @@
 #ifndef YARDRILL_TESTS_SOAK_DEPLOYMENT_H
 #define YARDRILL_TESTS_SOAK_DEPLOYMENT_H
 
-#include "Ledger.h"
+#include "InvariantChecker.h"
 #include "LoopbackProxy.h"
 #include "Process.h"
 #include "SoakTarget.h"
@@ -15,7 +15,7 @@
 
 struct DeploymentShape {
   std::size_t m_Gateways = 4;
-  std::size_t m_TargetsOfPool = 4;
+  std::size_t m_TargetsPerPool = 4;
   std::string m_Program; ///< The yardrill binary.
   std::string m_StandIn; ///< The stand_in binary.
   std::string m_Folder;  ///< For settings and logs; exists.
@@ -31,7 +31,7 @@
 /// a loopback address of its own, with a proxy on its way to the store.
 class Deployment {
 public:
-  Deployment(boost::asio::io_context &Context, Ledger &Book,
+  Deployment(boost::asio::io_context &Context, InvariantChecker &Checker,
              const DeploymentShape &Shape, std::mt19937_64 &Random);
   ~Deployment();
 
@@ -42,8 +42,8 @@
   boost::asio::ip::tcp::endpoint callerAddress(std::size_t Gateway) const;
   boost::asio::ip::tcp::endpoint readinessAddress(std::size_t Gateway) const;
   /// Processes that ran there before the current one.
-  std::size_t lifeOf(std::size_t Gateway) const {
-    return m_Gateways[Gateway].m_Lives;
+  std::size_t restartCount(std::size_t Gateway) const {
+    return m_Gateways[Gateway].m_Restarts;
   }
   std::size_t targets() const { return m_Targets.size(); }
   SoakTarget &target(std::size_t Index) { return *m_Targets[Index]; }
@@ -66,14 +66,16 @@
   void replaceTarget(std::size_t Index, boost::asio::yield_context Yield);
   /// Starts as many targets of another version as the pool has, beside them.
   void startVersion(const std::string &Pool, const std::string &Version,
-                    const Misbehaviour &How, boost::asio::yield_context Yield);
+                    const ResponseFaults &How,
+                    boost::asio::yield_context Yield);
   /// As on a completed order: the others of the pool are stopped at once.
-  void keepNewVersion(const std::string &Pool,
-                      boost::asio::yield_context Yield);
+  void promoteNewVersion(const std::string &Pool,
+                         boost::asio::yield_context Yield);
   /// As on one that was rolled back: the new ones leave.
-  void dropNewVersion(boost::asio::yield_context Yield);
-  void putOrder(const std::string &Pool, const std::string &Version,
-                std::chrono::seconds Bake, boost::asio::yield_context Yield);
+  void discardNewVersion(boost::asio::yield_context Yield);
+  void putRolloutOrder(const std::string &Pool, const std::string &Version,
+                       std::chrono::seconds Bake,
+                       boost::asio::yield_context Yield);
   /// What operators read; empty: nothing.
   std::string rolloutState(const std::string &Pool,
                            boost::asio::yield_context Yield);
@@ -87,28 +89,28 @@
 
 private:
   /// Lets requests end the target at that place.
-  void armEnd(std::size_t Index);
+  void installExitHook(std::size_t Index);
 
   struct Gateway {
     std::string m_Address;
     std::unique_ptr<tests::LoopbackProxy> m_StoreProxy;
     tests::Process m_Process;
-    std::size_t m_Lives = 0;
-    bool m_IsEndExpected = false;
+    std::size_t m_Restarts = 0;
+    bool m_IsExitExpected = false;
     TimePoint m_StoppingSince;
     TimePoint m_StartsAt; ///< When it is down.
   };
 
   void writeSettings(std::size_t Index, bool IsFirstStart) const;
   void startGateway(std::size_t Index, bool IsFirstStart);
-  void noteEnd(std::size_t Index, int ExitCode);
+  void handleGatewayExit(std::size_t Index, int ExitCode);
   void put(const std::string &Key, const std::string &Value,
            boost::asio::yield_context Yield);
   void remove(const std::string &Key, boost::asio::yield_context Yield);
   std::string nextTargetName();
 
   boost::asio::io_context &m_Context;
-  Ledger &m_Book;
+  InvariantChecker &m_Checker;
   DeploymentShape m_Shape;
   int m_StorePort;
   tests::Process m_Store;
--- a/Tests/Soak/FaultPlan.cpp
+++ b/Tests/Soak/FaultPlan.cpp
@@ -11,21 +11,21 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-static constexpr std::uint64_t LeastGapMs = 150;
+static constexpr std::uint64_t MinGapMs = 150;
 static constexpr std::uint64_t GapSpreadMs = 900;
-static constexpr std::uint64_t LeastLengthMs = 300;
+static constexpr std::uint64_t MinLengthMs = 300;
 static constexpr std::uint64_t LengthSpreadMs = 3000;
-static constexpr double MisbehavingShare = 0.4;
-static constexpr double MuteShare = 0.1;
+static constexpr double ResponseFaultShare = 0.4;
+static constexpr double HangShare = 0.1;
 static constexpr milliseconds StoreDelay{400};
 static constexpr milliseconds IdleTime{100};
-static constexpr double TiringShare = 0.5;
-static constexpr std::uint64_t TermsGapMs = 1500;
+static constexpr double BackoffShare = 0.5;
+static constexpr std::uint64_t BackpressureGapMs = 1500;
 /// Long enough for a whole window after the time in which all must know.
-static constexpr std::uint64_t LeastTermsMs = 4000;
-static constexpr std::uint64_t TermsSpreadMs = 8000;
+static constexpr std::uint64_t MinBackpressureMs = 4000;
+static constexpr std::uint64_t BackpressureSpreadMs = 8000;
 /// Limits are tenths of a request a second.
-static constexpr std::uint64_t MostLimitTenths = 60;
+static constexpr std::uint64_t MaxLimitTenths = 60;
 
 const char *toString(FaultKind Kind) {
   static const char *Names[] = {
@@ -39,7 +39,7 @@
       "target-leaves",       "target-fails",      "target-refuses",
       "target-breaks-off",   "target-is-mute",    "publish",
       "target-limits",       "target-tires",      "target-says-it-leaves"};
-  static_assert(std::size(Names) == AllFaultKinds);
+  static_assert(std::size(Names) == FaultKindCount);
   return Names[static_cast<int>(Kind)];
 }
 
@@ -49,31 +49,35 @@
     return milliseconds(Least + Random() % Spread);
   };
   std::vector<Fault> Out;
-  milliseconds At = Draw(LeastGapMs, GapSpreadMs);
+  milliseconds At = Draw(MinGapMs, GapSpreadMs);
   while (At < Length) {
     Fault Next;
     Next.m_At = At;
-    Next.m_Length = std::min(Draw(LeastLengthMs, LengthSpreadMs), Length - At);
-    Next.m_Kind = static_cast<FaultKind>(Random() % FaultKinds);
-    Next.m_Which = Random();
+    Next.m_Length = std::min(Draw(MinLengthMs, LengthSpreadMs), Length - At);
+    Next.m_Kind = static_cast<FaultKind>(Random() % RandomFaultKindCount);
+    Next.m_Selector = Random();
     Out.push_back(Next);
-    At += Draw(LeastGapMs, GapSpreadMs);
+    At += Draw(MinGapMs, GapSpreadMs);
   }
   return Out;
 }
 
-std::vector<Fault> drawTerms(std::uint64_t Seed, milliseconds Length) {
+std::vector<Fault> drawBackpressureFaults(std::uint64_t Seed,
+                                          milliseconds Length) {
   std::mt19937_64 Random(~Seed);
   std::vector<Fault> Out;
-  for (milliseconds At(Random() % TermsGapMs); At < Length;
-       At += milliseconds(TermsGapMs / 2 + Random() % TermsGapMs)) {
+  for (milliseconds At(Random() % BackpressureGapMs); At < Length;
+       At +=
+       milliseconds(BackpressureGapMs / 2 + Random() % BackpressureGapMs)) {
     Fault Next;
     Next.m_At = At;
     Next.m_Length = std::min(
-        milliseconds(LeastTermsMs + Random() % TermsSpreadMs), Length - At);
+        milliseconds(MinBackpressureMs + Random() % BackpressureSpreadMs),
+        Length - At);
     Next.m_Kind = static_cast<FaultKind>(
-        FaultKinds + Random() % (AllFaultKinds - FaultKinds));
-    Next.m_Which = Random();
+        RandomFaultKindCount +
+        Random() % (FaultKindCount - RandomFaultKindCount));
+    Next.m_Selector = Random();
     Out.push_back(Next);
   }
   return Out;
@@ -82,52 +86,54 @@
 namespace {
 
 /// One fault under way.
-class Running {
+class FaultInjection {
 public:
-  Running(const Fault &What, Deployment &On, Ledger &Book,
-          asio::io_context &Context, asio::yield_context Yield)
-      : m_What(What), m_On(On), m_Book(Book), m_Context(Context),
-        m_Yield(std::move(Yield)), m_Gateway(What.m_Which % On.gateways()),
-        m_Index(What.m_Which % On.targets()) {}
+  FaultInjection(const Fault &What, Deployment &System,
+                 InvariantChecker &Checker, asio::io_context &Context,
+                 asio::yield_context Yield)
+      : m_What(What), m_System(System), m_Checker(Checker), m_Context(Context),
+        m_Yield(std::move(Yield)),
+        m_Gateway(What.m_Selector % System.gateways()),
+        m_Index(What.m_Selector % System.targets()) {}
 
   void run();
 
 private:
   void pause() { tests::sleepFor(m_Context, m_What.m_Length, m_Yield); }
   void freezeGateway() {
-    m_Book.processTrouble(m_Gateway, true);
-    m_On.signalGateway(m_Gateway, SIGSTOP);
+    m_Checker.noteProcessDisturbance(m_Gateway, true);
+    m_System.signalGateway(m_Gateway, SIGSTOP);
     pause();
-    m_On.signalGateway(m_Gateway, SIGCONT);
-    m_Book.processTrouble(m_Gateway, false);
+    m_System.signalGateway(m_Gateway, SIGCONT);
+    m_Checker.noteProcessDisturbance(m_Gateway, false);
   }
   void disturbStoreLink(tests::ProxyMode How, bool MustReset) {
-    m_Book.pathTrouble(m_Gateway, true);
-    tests::LoopbackProxy &Link = m_On.storeProxy(m_Gateway);
+    m_Checker.noteStorePathDisturbance(m_Gateway, true);
+    tests::LoopbackProxy &Link = m_System.storeProxy(m_Gateway);
     Link.setMode(How);
     if (MustReset)
       Link.resetAll();
     pause();
     Link.setMode(tests::ProxyMode::PassThrough);
-    m_Book.pathTrouble(m_Gateway, false);
+    m_Checker.noteStorePathDisturbance(m_Gateway, false);
   }
   void disturbStore(const boost::json::object &Begin,
                     const boost::json::object &End) {
-    m_Book.storeTrouble(true);
-    m_On.controlStore(Begin, m_Yield);
+    m_Checker.noteStoreDisturbance(true);
+    m_System.controlStore(Begin, m_Yield);
     pause();
-    m_On.controlStore(End, m_Yield);
-    m_Book.storeTrouble(false);
+    m_System.controlStore(End, m_Yield);
+    m_Checker.noteStoreDisturbance(false);
   }
   void freezeStore() {
-    m_Book.storeTrouble(true);
-    m_On.freezeStore(true);
+    m_Checker.noteStoreDisturbance(true);
+    m_System.freezeStore(true);
     pause();
-    m_On.freezeStore(false);
-    m_Book.storeTrouble(false);
+    m_System.freezeStore(false);
+    m_Checker.noteStoreDisturbance(false);
   }
   void disturbTargetLink(tests::ProxyMode How, bool MustReset) {
-    SoakTarget &Which = m_On.target(m_Index);
+    SoakTarget &Which = m_System.target(m_Index);
     Which.setDisturbed(true);
     Which.proxy().setMode(How);
     if (MustReset)
@@ -138,28 +144,29 @@
   }
   void dropIdleConnections() {
     // Whatever is sent on them next is reset: any request may meet one.
-    SoakTarget &Which = m_On.target(m_Index);
+    SoakTarget &Which = m_System.target(m_Index);
     Which.setDisturbed(true);
     Which.proxy().resetIdle(IdleTime);
     pause();
     Which.setDisturbed(false);
   }
-  void misbehave(const Misbehaviour &How) {
-    m_On.target(m_Index).setMisbehaviour(How);
+  void injectResponseFaults(const ResponseFaults &How) {
+    m_System.target(m_Index).setResponseFaults(How);
     pause();
-    m_On.target(m_Index).setMisbehaviour({});
+    m_System.target(m_Index).setResponseFaults({});
   }
 
   void limit() {
-    SoakTarget &Which = m_On.target(m_Index);
-    Which.setLimit(static_cast<double>(m_What.m_Which % MostLimitTenths) / 10);
+    SoakTarget &Which = m_System.target(m_Index);
+    Which.setLimit(static_cast<double>(m_What.m_Selector % MaxLimitTenths) /
+                   10);
     pause();
     Which.setLimit(std::nullopt);
   }
 
   const Fault &m_What;
-  Deployment &m_On;
-  Ledger &m_Book;
+  Deployment &m_System;
+  InvariantChecker &m_Checker;
   asio::io_context &m_Context;
   asio::yield_context m_Yield;
   std::size_t m_Gateway;
@@ -168,20 +175,20 @@
 
 } // namespace
 
-void Running::run() {
+void FaultInjection::run() {
   switch (m_What.m_Kind) {
   case FaultKind::KillGateway:
-    return m_On.killGateway(m_Gateway);
+    return m_System.killGateway(m_Gateway);
   case FaultKind::KillAllGateways:
-    for (std::size_t I = 0; I < m_On.gateways(); ++I)
-      m_On.killGateway(I);
+    for (std::size_t I = 0; I < m_System.gateways(); ++I)
+      m_System.killGateway(I);
     return;
   case FaultKind::StopGateway:
-    return m_On.stopGateway(m_Gateway);
+    return m_System.stopGateway(m_Gateway);
   case FaultKind::FreezeGateway:
     return freezeGateway();
   case FaultKind::ReloadGateway:
-    return m_On.signalGateway(m_Gateway, SIGHUP);
+    return m_System.signalGateway(m_Gateway, SIGHUP);
   case FaultKind::StoreLinkDelayed:
     return disturbStoreLink(tests::ProxyMode::Delayed, false);
   case FaultKind::StoreLinkReset:
@@ -213,33 +220,33 @@
   case FaultKind::TargetIdleReset:
     return dropIdleConnections();
   case FaultKind::TargetCrashes:
-    return m_On.crashTarget(m_Index, m_What.m_Length, m_Yield);
+    return m_System.crashTarget(m_Index, m_What.m_Length, m_Yield);
   case FaultKind::TargetLeaves:
-    return m_On.replaceTarget(m_Index, m_Yield);
+    return m_System.replaceTarget(m_Index, m_Yield);
   case FaultKind::TargetFails:
-    return misbehave({MisbehavingShare, 0, 0, 0});
+    return injectResponseFaults({ResponseFaultShare, 0, 0, 0});
   case FaultKind::TargetRefuses:
-    return misbehave({0, MisbehavingShare, 0, 0});
+    return injectResponseFaults({0, ResponseFaultShare, 0, 0});
   case FaultKind::TargetBreaksOff:
-    return misbehave({0, 0, MisbehavingShare, 0});
+    return injectResponseFaults({0, 0, ResponseFaultShare, 0});
   case FaultKind::TargetIsMute:
-    return misbehave({0, 0, 0, MuteShare});
+    return injectResponseFaults({0, 0, 0, HangShare});
   case FaultKind::Publish:
-    return m_On.publish(m_Yield);
+    return m_System.publish(m_Yield);
   case FaultKind::TargetLimits:
     return limit();
   case FaultKind::TargetTires:
-    return misbehave({0, 0, 0, 0, TiringShare});
+    return injectResponseFaults({0, 0, 0, 0, BackoffShare});
   case FaultKind::TargetSaysItLeaves:
-    m_On.target(m_Index).sayLeaving();
+    m_System.target(m_Index).setLeavingInResponses();
     pause();
-    return m_On.crashTarget(m_Index, m_What.m_Length / 8, m_Yield);
+    return m_System.crashTarget(m_Index, m_What.m_Length / 8, m_Yield);
   }
 }
 
-void runFault(const Fault &What, Deployment &On, Ledger &Book,
+void runFault(const Fault &What, Deployment &System, InvariantChecker &Checker,
               asio::io_context &Context, asio::yield_context Yield) {
-  Running(What, On, Book, Context, Yield).run();
+  FaultInjection(What, System, Checker, Context, Yield).run();
 }
 
 } // namespace yardrill::soak
--- a/Tests/Soak/FaultPlan.h
+++ b/Tests/Soak/FaultPlan.h
@@ -43,9 +43,9 @@
   TargetTires,
   TargetSaysItLeaves,
 };
-inline constexpr std::uint64_t FaultKinds =
+inline constexpr std::uint64_t RandomFaultKindCount =
     static_cast<std::uint64_t>(FaultKind::Publish) + 1;
-inline constexpr std::uint64_t AllFaultKinds =
+inline constexpr std::uint64_t FaultKindCount =
     static_cast<std::uint64_t>(FaultKind::TargetSaysItLeaves) + 1;
 
 const char *toString(FaultKind Kind);
@@ -54,7 +54,7 @@
   std::chrono::milliseconds m_At{}; ///< After the soak's start.
   std::chrono::milliseconds m_Length{};
   FaultKind m_Kind = FaultKind::Publish;
-  std::size_t m_Which = 0; ///< Gateway or target, modulo their number.
+  std::size_t m_Selector = 0; ///< Gateway or target, modulo their number.
 };
 
 /// Faults in series that also overlap; the same for the same seed.
@@ -64,11 +64,11 @@
 
 /// Terms that targets state beside them, drawn apart, so that a seed's faults
 /// stay what they were. In the order of their beginnings.
-std::vector<Fault> drawTerms(std::uint64_t Seed,
-                             std::chrono::milliseconds Length);
+std::vector<Fault> drawBackpressureFaults(std::uint64_t Seed,
+                                          std::chrono::milliseconds Length);
 
 /// Brings about one fault, waits, and ends it.
-void runFault(const Fault &What, Deployment &On, Ledger &Book,
+void runFault(const Fault &What, Deployment &System, InvariantChecker &Checker,
               boost::asio::io_context &Context,
               boost::asio::yield_context Yield);
 
--- /dev/null
+++ b/Tests/Soak/InvariantChecker.cpp
@@ -0,0 +1,326 @@
+#include "InvariantChecker.h"
+
+#include <algorithm>
+#include <sstream>
+
+namespace yardrill::soak {
+
+/// These statuses promise that the request has not run and never will.
+static bool isRefusal(unsigned Status) {
+  return Status == 429 || Status == 503 || Status == 408 || Status == 421;
+}
+
+static bool isSuccess(unsigned Status) { return Status >= 200 && Status < 300; }
+
+//===----------------------------------------------------------------------===//
+// Trouble
+//===----------------------------------------------------------------------===//
+
+void InvariantChecker::Disturbance::change(bool Begins, TimePoint Now) {
+  m_ActiveCount += Begins ? 1 : -1;
+  m_EndedAt = Now;
+}
+
+void InvariantChecker::noteProcessDisturbance(std::size_t Gateway,
+                                              bool Begins) {
+  m_Gateways[Gateway].m_Process.change(Begins, m_Now());
+}
+
+void InvariantChecker::noteStorePathDisturbance(std::size_t Gateway,
+                                                bool Begins) {
+  m_Gateways[Gateway].m_StorePath.change(Begins, m_Now());
+}
+
+void InvariantChecker::noteStoreDisturbance(bool Begins) {
+  m_Store.change(Begins, m_Now());
+}
+
+void InvariantChecker::setStopping(std::size_t Gateway, bool IsStopping) {
+  m_Gateways[Gateway].m_IsStopping = IsStopping;
+}
+
+bool InvariantChecker::isUndisturbedSince(std::size_t Which,
+                                          TimePoint Since) const {
+  const Gateway &At = m_Gateways[Which];
+  return !At.m_IsStopping && At.m_Process.hasEndedBefore(Since) &&
+         At.m_StorePath.hasEndedBefore(Since) && m_Store.hasEndedBefore(Since);
+}
+
+//===----------------------------------------------------------------------===//
+// Observations
+//===----------------------------------------------------------------------===//
+
+SentRequest *InvariantChecker::find(const std::string &Id) {
+  auto Found = m_SentRequests.find(Id);
+  return Found == m_SentRequests.end() ? nullptr : &Found->second;
+}
+
+void InvariantChecker::addViolation(const std::string &Rule,
+                                    const std::string &What) {
+  m_Violations.push_back(Rule + ": " + What);
+}
+
+void InvariantChecker::requestSent(SentRequest What) {
+  m_Requests.push_back({What.m_SentAt});
+  std::string Id = What.m_Id;
+  m_SentRequests.emplace(std::move(Id), std::move(What));
+}
+
+void InvariantChecker::requestArrived(const std::string &Id,
+                                      const std::string &Target,
+                                      std::optional<TimePoint> LeavingSince) {
+  SentRequest *What = find(Id);
+  if (!What)
+    return addViolation("unasked", "nobody sent " + Id);
+  if (++What->m_Arrivals > 1)
+    m_Repeats.push_back({m_Now()});
+  if (!What->m_Content.empty() && isUndisturbedSince(What->m_Gateway, m_Now()))
+    m_BadContents[What->m_Content].m_Arrivals.push_back(m_Now());
+  if (!LeavingSince || m_Now() <= *LeavingSince + bounds::LeavingGracePeriod)
+    return;
+  if (isUndisturbedSince(What->m_Gateway, *LeavingSince))
+    addViolation("leaving", Id + " came to " + Target + " after it left");
+}
+
+void InvariantChecker::arrivedAtIncarnation(const std::string &Id,
+                                            const std::string &Run) {
+  const SentRequest *What = find(Id);
+  if (!What)
+    return;
+  const Gateway &At = m_Gateways[What->m_Gateway];
+  m_Backpressure.requestArrived(Run, What->m_Gateway, What->m_SentAt, m_Now(),
+                                !At.m_Process.hasEndedBefore(m_Now()));
+}
+
+void InvariantChecker::backpressureStated(const std::string &Id,
+                                          const std::string &Run,
+                                          const ResponseBackpressure &What) {
+  if (const SentRequest *Of = find(Id))
+    m_Backpressure.backpressureStated(Run, Of->m_Gateway, What, m_Now());
+}
+
+void InvariantChecker::requestExecuted(const std::string &Id) {
+  SentRequest *What = find(Id);
+  if (!What)
+    return;
+  m_ExecutedTokens[What->m_Account].push_back({m_Now(), What->m_Tokens});
+  if (++What->m_Executions > 1 && !What->isRetryable())
+    addViolation("once", Id + " ran again");
+  if (What->m_Status && isRefusal(*What->m_Status) && !What->isRetryable())
+    addViolation("refusal", Id + " ran after it was refused");
+}
+
+void InvariantChecker::noteTargetDisturbance(const std::string &Id) {
+  if (SentRequest *What = find(Id))
+    What->m_IsTargetDisturbed = true;
+}
+
+void InvariantChecker::targetExited(const std::string &Content) {
+  m_BadContents[Content].m_Exits.push_back(m_Now());
+}
+
+void InvariantChecker::arrivedAtVersion(const std::string &Id,
+                                        const std::string &Pool,
+                                        const std::string &Version) {
+  const SentRequest *What = find(Id);
+  bool IsUndisturbed = What && isUndisturbedSince(What->m_Gateway, m_Now());
+  m_VersionArrivals.push_back({m_Now(), Pool, Version, IsUndisturbed});
+}
+
+void InvariantChecker::badResponseSent(const std::string &Pool,
+                                       const std::string &Version) {
+  m_BadResponses.push_back({m_Now(), Pool, Version});
+}
+
+bool InvariantChecker::isFleetUndisturbedSince(TimePoint Since) const {
+  for (std::size_t I = 0; I < m_Gateways.size(); ++I)
+    if (!isUndisturbedSince(I, Since))
+      return false;
+  return true;
+}
+
+void InvariantChecker::checkRollout(const RolloutOrder &Terms) {
+  if (!Terms.m_IsBad)
+    return;
+  double All = 0;
+  double Exposed = 0;
+  for (const VersionArrival &Each : m_VersionArrivals) {
+    bool IsWithin = Each.m_Pool == Terms.m_Pool &&
+                    Each.m_At >= Terms.m_OrderedAt &&
+                    Each.m_At <= Terms.m_Deadline;
+    All += IsWithin ? 1 : 0;
+    Exposed += IsWithin && Each.m_IsGatewayUndisturbed &&
+                       Each.m_Version == Terms.m_Version
+                   ? 1
+                   : 0;
+  }
+  if (Exposed > bounds::CanaryShare * All + bounds::CanarySlack) {
+    std::ostringstream Text;
+    Text << Terms.m_Version << " got " << Exposed << " of " << All;
+    addViolation("exposure", Text.str());
+  }
+  // Bad answers count since the store was last in trouble.
+  std::size_t Bad = 0;
+  std::optional<TimePoint> Last;
+  for (const BadResponse &Each : m_BadResponses)
+    if (Each.m_Pool == Terms.m_Pool && Each.m_Version == Terms.m_Version &&
+        m_Store.hasEndedBefore(Each.m_At) &&
+        ++Bad == bounds::BadResponsesForRollback)
+      Last = Each.m_At + bounds::RollbackTime;
+  for (const VersionArrival &Each : m_VersionArrivals)
+    if (Last && Each.m_At > *Last && Each.m_IsGatewayUndisturbed &&
+        Each.m_Pool == Terms.m_Pool && Each.m_Version == Terms.m_Version)
+      return addViolation("exposure",
+                          Terms.m_Version + " got requests too long");
+}
+
+void InvariantChecker::responseReceived(const std::string &Id,
+                                        unsigned Status) {
+  SentRequest &What = m_SentRequests.at(Id);
+  What.m_Status = Status;
+  if (isRefusal(Status) && What.m_Executions > 0 && !What.isRetryable())
+    addViolation("refusal", Id + " was refused after it ran");
+  if (!What.m_IsProbe && (Status == 401 || Status == 404))
+    addViolation("denied", Id + " got " + std::to_string(Status));
+}
+
+void InvariantChecker::responseLost(const std::string &Id,
+                                    const std::string &How) {
+  ++m_LostResponses;
+  SentRequest &What = m_SentRequests.at(Id);
+  const Gateway &At = m_Gateways[What.m_Gateway];
+  auto Passed = m_Now() - What.m_SentAt;
+  if (!At.m_Process.hasEndedBefore(What.m_SentAt))
+    return;
+  if (Passed > What.m_TimeLimit + bounds::ResponseSlack)
+    return addViolation("held",
+                        Id + " had no answer at its time limit: " + How);
+  // What had not ended when its time was over may be broken off.
+  bool IsOver = Passed >= What.m_TimeLimit;
+  bool IsOurs =
+      !IsOver && (What.m_Executions > 0 || Passed > bounds::EarlyLossSlack);
+  if (IsOurs && !What.m_IsTargetDisturbed)
+    addViolation(At.m_IsStopping ? "stop" : "lost", Id + " ended: " + How);
+}
+
+void InvariantChecker::wrongResponse(const std::string &Id,
+                                     const std::string &How) {
+  addViolation("answer", Id + ": " + How);
+}
+
+//===----------------------------------------------------------------------===//
+// Windows
+//===----------------------------------------------------------------------===//
+
+/// Sum of the marks in [their First, First + Length).
+static double sumFrom(const std::vector<DataPoint> &TimeSeries,
+                      std::size_t First, Clock::duration Length) {
+  double Sum = 0;
+  TimePoint End = TimeSeries[First].m_At + Length;
+  for (std::size_t I = First; I < TimeSeries.size() && TimeSeries[I].m_At < End;
+       ++I)
+    Sum += TimeSeries[I].m_Amount;
+  return Sum;
+}
+
+void InvariantChecker::checkQuotas() {
+  auto Window = std::chrono::duration<double>(bounds::QuotaWindow).count();
+  for (const auto &[Account, Terms] : m_Quotas) {
+    double Most = (Terms.m_TokensPerSecond * Window + Terms.m_Burst) *
+                      (1 + bounds::QuotaOvershoot) +
+                  bounds::QuotaSlack;
+    const TimeSeries &Run = m_ExecutedTokens[Account];
+    for (std::size_t I = 0; I < Run.size(); ++I) {
+      double Sum = sumFrom(Run, I, bounds::QuotaWindow);
+      if (Sum <= Most)
+        continue;
+      std::ostringstream Text;
+      Text << Account << " ran " << Sum << " tokens in a window of " << Most;
+      return addViolation("quota", Text.str());
+    }
+  }
+}
+
+void InvariantChecker::checkRetries() {
+  for (std::size_t I = 0; I < m_Repeats.size(); ++I) {
+    double Again = sumFrom(m_Repeats, I, bounds::RetryWindow);
+    auto First = std::lower_bound(
+        m_Requests.begin(), m_Requests.end(), m_Repeats[I].m_At,
+        [](const DataPoint &Each, TimePoint At) { return Each.m_At < At; });
+    double Asked =
+        First == m_Requests.end()
+            ? 0
+            : sumFrom(m_Requests,
+                      static_cast<std::size_t>(First - m_Requests.begin()),
+                      bounds::RetryWindow);
+    if (Again <= bounds::RetryRatio * Asked + bounds::RetrySlack)
+      continue;
+    std::ostringstream Text;
+    Text << Again << " repeats of " << Asked << " requests in a window";
+    return addViolation("retries", Text.str());
+  }
+}
+
+void InvariantChecker::checkRecovery(TimePoint RecoveredAt) {
+  std::size_t Asked = 0;
+  std::size_t Served = 0;
+  for (const auto &[Id, What] : m_SentRequests) {
+    bool IsLimited = m_Quotas.count(What.m_Account) != 0;
+    if (What.m_SentAt < RecoveredAt + bounds::SettleTime || IsLimited ||
+        !What.m_Content.empty())
+      continue;
+    ++Asked;
+    Served += What.m_Status && isSuccess(*What.m_Status) ? 1 : 0;
+  }
+  if (static_cast<double>(Served) >=
+      bounds::MinServedAfterRecovery * static_cast<double>(Asked))
+    return;
+  std::ostringstream Text;
+  Text << Served << " of " << Asked << " served once all trouble was over";
+  addViolation("recovery", Text.str());
+}
+
+void InvariantChecker::checkContents() {
+  for (const auto &[Content, Seen] : m_BadContents) {
+    if (Seen.m_Exits.size() < bounds::ExitsForQuarantine)
+      continue;
+    TimePoint Last =
+        Seen.m_Exits[bounds::ExitsForQuarantine - 1] + bounds::SettleTime;
+    auto Late = std::count_if(Seen.m_Arrivals.begin(), Seen.m_Arrivals.end(),
+                              [Last](TimePoint At) { return At > Last; });
+    if (static_cast<std::size_t>(Late) <= bounds::MaxSendsInQuarantine)
+      continue;
+    std::ostringstream Text;
+    Text << Content << " was sent " << Late << " times more, "
+         << Seen.m_Exits.size() << " targets ended";
+    addViolation("quarantine", Text.str());
+  }
+}
+
+void InvariantChecker::finish(TimePoint RecoveredAt) {
+  m_Backpressure.finish();
+  checkContents();
+  checkQuotas();
+  checkRetries();
+  checkRecovery(RecoveredAt);
+}
+
+std::string InvariantChecker::summary() const {
+  std::size_t Served = 0;
+  std::size_t Refused = 0;
+  for (const auto &[Id, What] : m_SentRequests) {
+    Served += What.m_Status && isSuccess(*What.m_Status) ? 1 : 0;
+    Refused += What.m_Status && isRefusal(*What.m_Status) ? 1 : 0;
+  }
+  std::ostringstream Out;
+  Out << "requests=" << m_SentRequests.size() << " served=" << Served
+      << " refused=" << Refused << " unanswered=" << m_LostResponses
+      << " repeats=" << m_Repeats.size()
+      << " bad_contents=" << m_BadContents.size()
+      << " limits=" << m_Backpressure.limits()
+      << " rests=" << m_Backpressure.backoffs()
+      << " violations=" << m_Violations.size();
+  return Out.str();
+}
+
+} // namespace yardrill::soak
--- a/Tests/Soak/LedgerTest.cpp
+++ b/Tests/Soak/InvariantCheckerTest.cpp
@@ -1,5 +1,6 @@
-//===-- LedgerTest.cpp - Each check of the soak notices what it is for ----===//
-#include "Ledger.h"
+//===-- InvariantCheckerTest.cpp - Each check of the soak notices what it is for
+//----===//
+#include "InvariantChecker.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,8 +8,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class LedgerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LedgerTest);
+class InvariantCheckerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(InvariantCheckerTest);
   CPPUNIT_TEST(testQuietRunBreaksNothing);
   CPPUNIT_TEST(testSecondRun);
   CPPUNIT_TEST(testRefusalThatIsNotTrue);
@@ -31,70 +32,70 @@
   CPPUNIT_TEST_SUITE_END();
 
   TimePoint m_Now{std::chrono::hours(1)};
-  Ledger m_Book{2, [this] { return m_Now; }};
+  InvariantChecker m_Checker{2, [this] { return m_Now; }};
   int m_Next = 0;
 
   std::string send(RequestKind Kind = RequestKind::NonIdempotent,
                    const std::string &Account = "open") {
-    Attempt What;
+    SentRequest What;
     What.m_Id = "a" + std::to_string(++m_Next);
     What.m_Kind = Kind;
     What.m_Account = Account;
     What.m_Tokens = 100;
     What.m_SentAt = m_Now;
     What.m_TimeLimit = seconds(2);
-    m_Book.sent(What);
+    m_Checker.requestSent(What);
     return What.m_Id;
   }
   void run(const std::string &Id) {
-    m_Book.arrived(Id, "i-1", std::nullopt);
-    m_Book.ran(Id);
+    m_Checker.requestArrived(Id, "i-1", std::nullopt);
+    m_Checker.requestExecuted(Id);
   }
   void expect(const std::string &Rule) {
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Book.violations().size());
-    CPPUNIT_ASSERT_EQUAL(Rule, m_Book.violations()[0].substr(
-                                   0, m_Book.violations()[0].find(':')));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Checker.violations().size());
+    CPPUNIT_ASSERT_EQUAL(Rule, m_Checker.violations()[0].substr(
+                                   0, m_Checker.violations()[0].find(':')));
   }
-  void expectNothing() { CPPUNIT_ASSERT(m_Book.violations().empty()); }
+  void expectNothing() { CPPUNIT_ASSERT(m_Checker.violations().empty()); }
 
-  void arriveAtRun(const std::string &Run) {
+  void arriveAtIncarnation(const std::string &Incarnation) {
     std::string Id = send();
-    m_Book.arrivedAtRun(Id, Run);
+    m_Checker.arrivedAtIncarnation(Id, Incarnation);
   }
-  void state(const std::string &Run, const TargetStatement &What) {
-    m_Book.stated(send(), Run, What);
+  void state(const std::string &Incarnation, const ResponseBackpressure &What) {
+    m_Checker.backpressureStated(send(), Incarnation, What);
   }
 
 public:
   void testLimitOfATarget() {
-    m_Book.limited("r", 2);
+    m_Checker.rateLimitChanged("r", 2);
     state("r", {2.0, std::nullopt, false});
     m_Now += seconds(4);
     // 1.5 x 2 x 4 + 5 in 4 s.
     for (int I = 0; I < 17; ++I) {
       m_Now += milliseconds(200);
-      arriveAtRun("r");
+      arriveAtIncarnation("r");
     }
-    m_Book.finish(m_Now);
+    m_Checker.finish(m_Now);
     expectNothing();
     m_Now += milliseconds(200);
-    arriveAtRun("r");
-    m_Book.finish(m_Now);
+    arriveAtIncarnation("r");
+    m_Checker.finish(m_Now);
     expect("limit");
   }
 
   void testLimitCountsThoseWhoWereTold() {
-    m_Book.limited("r", 2);
+    m_Checker.rateLimitChanged("r", 2);
     m_Now += seconds(4);
     for (int I = 0; I < 50; ++I)
-      arriveAtRun("r");
+      arriveAtIncarnation("r");
     state("r", {2.0, std::nullopt, false});
     m_Now += seconds(1);
     // It ended before they came.
-    m_Book.limited("r", std::nullopt);
+    m_Checker.rateLimitChanged("r", std::nullopt);
     for (int I = 0; I < 50; ++I)
-      arriveAtRun("r");
-    m_Book.finish(m_Now);
+      arriveAtIncarnation("r");
+    m_Checker.finish(m_Now);
     expectNothing();
   }
 
@@ -102,17 +103,17 @@
     m_Now += seconds(10);
     state("r", {std::nullopt, seconds(3), false});
     for (int I = 0; I < 5; ++I)
-      arriveAtRun("r");
+      arriveAtIncarnation("r");
     m_Now += milliseconds(600);
-    arriveAtRun("r");
-    arriveAtRun("r");
+    arriveAtIncarnation("r");
+    arriveAtIncarnation("r");
     expectNothing();
     // A shorter one does not end it.
     state("r", {std::nullopt, milliseconds(100), false});
-    arriveAtRun("r");
+    arriveAtIncarnation("r");
     expect("rest");
     m_Now += seconds(3);
-    arriveAtRun("r");
+    arriveAtIncarnation("r");
     expect("rest");
   }
 
@@ -120,13 +121,13 @@
     m_Now += seconds(10);
     state("r", {std::nullopt, std::nullopt, true});
     m_Now += seconds(2);
-    arriveAtRun("r");
+    arriveAtIncarnation("r");
     expectNothing();
     m_Now += milliseconds(1);
-    arriveAtRun("r");
+    arriveAtIncarnation("r");
     expect("leaving");
-    m_Book.restarted(0);
-    arriveAtRun("r");
+    m_Checker.gatewayRestarted(0);
+    arriveAtIncarnation("r");
     expect("leaving");
   }
 
@@ -135,9 +136,9 @@
       m_Now += milliseconds(100);
       std::string Id = send();
       run(Id);
-      m_Book.answered(Id, 200);
+      m_Checker.responseReceived(Id, 200);
     }
-    m_Book.finish(m_Now - seconds(5));
+    m_Checker.finish(m_Now - seconds(5));
     expectNothing();
   }
 
@@ -154,61 +155,61 @@
 
   void testRefusalThatIsNotTrue() {
     std::string Id = send();
-    m_Book.answered(Id, 503);
+    m_Checker.responseReceived(Id, 503);
     expectNothing();
     run(Id);
     expect("refusal");
   }
 
   void testRequestThatNobodySent() {
-    m_Book.arrived("forged", "i-1", std::nullopt);
+    m_Checker.requestArrived("forged", "i-1", std::nullopt);
     expect("unasked");
   }
 
   void testDenied() {
-    m_Book.answered(send(), 404);
+    m_Checker.responseReceived(send(), 404);
     expect("denied");
   }
 
   void testLeavingTarget() {
     TimePoint LeftAt = m_Now;
     m_Now += milliseconds(1900);
-    m_Book.arrived(send(), "i-1", LeftAt);
+    m_Checker.requestArrived(send(), "i-1", LeftAt);
     expectNothing();
     m_Now += milliseconds(200);
-    m_Book.arrived(send(), "i-1", LeftAt);
+    m_Checker.requestArrived(send(), "i-1", LeftAt);
     expect("leaving");
   }
 
   void testLostAnswer() {
     std::string Untouched = send();
     m_Now += milliseconds(100);
-    m_Book.unanswered(Untouched, "reset");
+    m_Checker.responseLost(Untouched, "reset");
     std::string OfTarget = send();
     run(OfTarget);
-    m_Book.targetTrouble(OfTarget);
-    m_Book.unanswered(OfTarget, "reset");
+    m_Checker.noteTargetDisturbance(OfTarget);
+    m_Checker.responseLost(OfTarget, "reset");
     expectNothing();
     std::string Id = send();
     run(Id);
-    m_Book.unanswered(Id, "reset");
+    m_Checker.responseLost(Id, "reset");
     expect("lost");
   }
 
   void testPlannedStop() {
-    m_Book.setStopping(0, true);
+    m_Checker.setStopping(0, true);
     std::string Id = send();
     run(Id);
-    m_Book.unanswered(Id, "reset");
+    m_Checker.responseLost(Id, "reset");
     expect("stop");
   }
 
   void testHeldBeyondItsTime() {
     std::string Id = send();
     run(Id);
-    m_Book.targetTrouble(Id);
+    m_Checker.noteTargetDisturbance(Id);
     m_Now += milliseconds(2600);
-    m_Book.unanswered(Id, "time-out");
+    m_Checker.responseLost(Id, "time-out");
     expect("held");
   }
 
@@ -217,37 +218,37 @@
     std::string Late = send(RequestKind::Stream);
     run(Late);
     m_Now += milliseconds(2200);
-    m_Book.unanswered(Late, "reset");
+    m_Checker.responseLost(Late, "reset");
     expectNothing();
     std::string Early = send(RequestKind::Stream);
     run(Early);
     m_Now += milliseconds(1900);
-    m_Book.unanswered(Early, "reset");
+    m_Checker.responseLost(Early, "reset");
     expect("lost");
   }
 
   void testTroubleExcuses() {
-    m_Book.processTrouble(0, true);
-    m_Book.unanswered(send(), "reset");
-    m_Book.processTrouble(0, false);
+    m_Checker.noteProcessDisturbance(0, true);
+    m_Checker.responseLost(send(), "reset");
+    m_Checker.noteProcessDisturbance(0, false);
     TimePoint LeftAt = m_Now;
     m_Now += milliseconds(2500);
-    m_Book.arrived(send(), "i-1", LeftAt);
+    m_Checker.requestArrived(send(), "i-1", LeftAt);
     expectNothing();
     // The other gateway had no trouble, and later this one has none either.
-    CPPUNIT_ASSERT(m_Book.isInTouchSince(1, m_Now));
-    CPPUNIT_ASSERT(!m_Book.isInTouchSince(0, m_Now));
-    CPPUNIT_ASSERT(m_Book.isInTouchSince(0, m_Now + seconds(1)));
-    m_Book.storeTrouble(true);
-    CPPUNIT_ASSERT(!m_Book.isInTouchSince(1, m_Now + seconds(9)));
+    CPPUNIT_ASSERT(m_Checker.isUndisturbedSince(1, m_Now));
+    CPPUNIT_ASSERT(!m_Checker.isUndisturbedSince(0, m_Now));
+    CPPUNIT_ASSERT(m_Checker.isUndisturbedSince(0, m_Now + seconds(1)));
+    m_Checker.noteStoreDisturbance(true);
+    CPPUNIT_ASSERT(!m_Checker.isUndisturbedSince(1, m_Now + seconds(9)));
   }
 
   void testQuota() {
-    m_Book.setQuota("limited", {100, 100});
+    m_Checker.setQuota("limited", {100, 100});
     // (100 x 8 + 100) x 1.1 + 2,800 tokens are allowed in 8 s.
     for (int I = 0; I < 38; ++I)
       run(send(RequestKind::NonIdempotent, "limited"));
-    m_Book.finish(m_Now);
+    m_Checker.finish(m_Now);
     expect("quota");
   }
 
@@ -256,63 +257,63 @@
       std::string Id = send(RequestKind::Idempotent);
       run(Id);
       run(Id);
-      m_Book.answered(Id, 200);
+      m_Checker.responseReceived(Id, 200);
     }
-    m_Book.finish(m_Now);
+    m_Checker.finish(m_Now);
     // 53 of 53: a fifth of them and 52 are allowed.
     expectNothing();
     std::string Id = send(RequestKind::Idempotent);
     for (int I = 0; I < 14; ++I)
       run(Id);
-    m_Book.answered(Id, 200);
-    m_Book.finish(m_Now);
+    m_Checker.responseReceived(Id, 200);
+    m_Checker.finish(m_Now);
     expect("retries");
   }
 
   void testRecovery() {
-    TimePoint CalmSince = m_Now;
-    m_Book.answered(send(), 503);
+    TimePoint RecoveredAt = m_Now;
+    m_Checker.responseReceived(send(), 503);
     m_Now += seconds(4);
     for (int I = 0; I < 9; ++I)
-      m_Book.answered(send(), 200);
-    m_Book.answered(send(), 503);
-    m_Book.finish(CalmSince);
+      m_Checker.responseReceived(send(), 200);
+    m_Checker.responseReceived(send(), 503);
+    m_Checker.finish(RecoveredAt);
     expectNothing();
-    m_Book.answered(send(), 503);
-    m_Book.finish(CalmSince);
+    m_Checker.responseReceived(send(), 503);
+    m_Checker.finish(RecoveredAt);
     expect("recovery");
   }
 
   void testContentThatEndsTargets() {
     auto Come = [this](std::size_t Gateway) {
-      Attempt What;
+      SentRequest What;
       What.m_Id = "a" + std::to_string(++m_Next);
       What.m_Kind = RequestKind::Idempotent;
       What.m_Gateway = Gateway;
       What.m_Content = "bad";
       What.m_SentAt = m_Now;
-      m_Book.sent(What);
-      m_Book.arrived(What.m_Id, "i-1", std::nullopt);
+      m_Checker.requestSent(What);
+      m_Checker.requestArrived(What.m_Id, "i-1", std::nullopt);
     };
     for (int I = 0; I < 3; ++I) {
       Come(0);
-      m_Book.endedUnder("bad");
+      m_Checker.targetExited("bad");
     }
     // Within the contact time, and by a gateway out of touch, it may.
     for (int I = 0; I < 9; ++I)
       Come(0);
-    m_Now += bounds::Contact + milliseconds(1);
-    m_Book.processTrouble(1, true);
+    m_Now += bounds::SettleTime + milliseconds(1);
+    m_Checker.noteProcessDisturbance(1, true);
     for (int I = 0; I < 9; ++I)
       Come(1);
     for (int I = 0; I < 3; ++I)
       Come(0);
-    m_Book.finish(m_Now);
+    m_Checker.finish(m_Now);
     expectNothing();
     Come(0);
-    m_Book.finish(m_Now);
+    m_Checker.finish(m_Now);
     expect("quarantine");
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LedgerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(InvariantCheckerTest);
--- a/Tests/Soak/Operator.h
+++ b/Tests/Soak/Operator.h
@@ -10,9 +10,10 @@
 /// schedule of the other faults stays what it was.
 class Operator {
 public:
-  Operator(boost::asio::io_context &Context, Ledger &Book, Deployment &Under,
-           std::uint64_t Seed)
-      : m_Context(Context), m_Book(Book), m_Under(Under), m_Random(Seed) {}
+  Operator(boost::asio::io_context &Context, InvariantChecker &Checker,
+           Deployment &System, std::uint64_t Seed)
+      : m_Context(Context), m_Checker(Checker), m_System(System),
+        m_Random(Seed) {}
 
   /// Orders until stop() is called; the one under way is seen to its end.
   void run(boost::asio::yield_context Yield);
@@ -24,13 +25,13 @@
 private:
   void rollOut(boost::asio::yield_context Yield);
   /// \returns the last state, once it is final or has taken too long.
-  std::string awaitEnd(const RolloutTerms &Terms,
-                       boost::asio::yield_context Yield);
-  void judge(const RolloutTerms &Terms, const std::string &State);
+  std::string awaitFinalState(const RolloutOrder &Order,
+                              boost::asio::yield_context Yield);
+  void checkOutcome(const RolloutOrder &Order, const std::string &State);
 
   boost::asio::io_context &m_Context;
-  Ledger &m_Book;
-  Deployment &m_Under;
+  InvariantChecker &m_Checker;
+  Deployment &m_System;
   std::mt19937_64 m_Random;
   std::size_t m_NextVersion = 2;
   std::size_t m_Completed = 0;
--- a/Tests/Soak/SoakTarget.cpp
+++ b/Tests/Soak/SoakTarget.cpp
@@ -18,17 +18,17 @@
 static constexpr std::chrono::milliseconds WorkTime{12};
 static constexpr std::chrono::milliseconds EventPause{15};
 /// Longer than any caller waits.
-static constexpr std::chrono::seconds MuteTime{6};
-static constexpr std::chrono::milliseconds LeastRest{300};
-static constexpr int RestSpreadMs = 3000;
+static constexpr std::chrono::seconds HangTime{6};
+static constexpr std::chrono::milliseconds MinBackoffTime{300};
+static constexpr int BackoffSpreadMs = 3000;
 
-const char BadPrefix[] = "ends-its-target-";
+const char BadContentPrefix[] = "ends-its-target-";
 
 static std::uint64_t hashOf(const std::string &Id) {
   return core::stableHash(Id);
 }
 
-std::string answerTo(const std::string &Id) {
+std::string responseBodyOf(const std::string &Id) {
   std::string Out = "answer to " + Id + ":";
   Out.append(hashOf(Id) % 4000, 'x');
   return Out;
@@ -41,12 +41,12 @@
   return "id: " + Count + "\ndata: " + Id + "/" + Count + "\n\n";
 }
 
-std::string bodyOf(const std::string &Id) { return "body of " + Id; }
+std::string requestBodyOf(const std::string &Id) { return "body of " + Id; }
 
-SoakTarget::SoakTarget(asio::io_context &Context, Ledger &Book,
+SoakTarget::SoakTarget(asio::io_context &Context, InvariantChecker &Checker,
                        std::mt19937_64 &Random, std::string Name,
                        std::string Pool, std::string Version)
-    : m_Context(Context), m_Book(Book), m_Random(Random),
+    : m_Context(Context), m_Checker(Checker), m_Random(Random),
       m_Name(std::move(Name)), m_Pool(std::move(Pool)),
       m_Version(std::move(Version)) {
   auto Port = static_cast<std::uint16_t>(tests::freePort());
@@ -57,7 +57,7 @@
         handle(Call, Yield);
       },
       [this](unsigned Status) {
-        m_Book.broken("unasked", "unreadable request at " + m_Name);
+        m_Checker.addViolation("unasked", "unreadable request at " + m_Name);
         http::ResponseMessage Out;
         Out.m_Head.m_Status = Status;
         return Out;
@@ -75,7 +75,7 @@
       {"slots", Places},
       {"coldLeftMs", 0},
       {"seq", 1},
-      {"born", m_Birth},
+      {"born", m_StartTime},
       {"state", m_LeavingSince ? "draining" : "ready"}};
   return boost::json::serialize(Out);
 }
@@ -83,31 +83,31 @@
 void SoakTarget::setDisturbed(bool IsDisturbed) {
   m_IsDisturbed = IsDisturbed;
   for (const std::string &Id : m_Running)
-    m_Book.targetTrouble(Id);
+    m_Checker.noteTargetDisturbance(Id);
 }
 
 void SoakTarget::restart(std::string Name) {
   setLimit(std::nullopt);
-  m_IsSayingLeaving = false;
+  m_IsLeavingInResponses = false;
   m_Name = std::move(Name);
-  ++m_Birth;
+  ++m_StartTime;
   m_LeavingSince.reset();
-  m_How = Misbehaviour();
-  m_IsEnding = false;
+  m_ResponseFaults = ResponseFaults();
+  m_IsExiting = false;
 }
 
 std::string SoakTarget::badContentOf(const http::RequestMessage &Request) {
-  std::size_t At = Request.m_Target.find(BadPrefix);
+  std::size_t At = Request.m_Target.find(BadContentPrefix);
   return At == std::string::npos ? "" : Request.m_Target.substr(At);
 }
 
-void SoakTarget::end(const std::string &Content) {
+void SoakTarget::exitProcess(const std::string &Content) {
   // Targets of a version under trial are not ended.
-  if (m_IsEnding || m_IsRetired || !m_End)
+  if (m_IsExiting || m_IsRetired || !m_ExitHook)
     return;
-  m_IsEnding = true;
-  m_Book.endedUnder(Content);
-  m_End();
+  m_IsExiting = true;
+  m_Checker.targetExited(Content);
+  m_ExitHook();
 }
 
 void SoakTarget::retire() {
@@ -138,58 +138,60 @@
   if (m_Limit == PerSecond)
     return;
   m_Limit = PerSecond;
-  m_Book.limited(run(), PerSecond);
+  m_Checker.rateLimitChanged(incarnation(), PerSecond);
 }
 
-void SoakTarget::state(http::ResponseHead &Head, const std::string &Id,
-                       std::optional<std::chrono::milliseconds> Rest) {
-  TargetStatement What;
-  What.m_PerSecond = m_Limit;
-  What.m_IsLeaving = m_IsSayingLeaving;
-  What.m_Rest = Rest;
+void SoakTarget::stateBackpressure(
+    http::ResponseHead &Head, const std::string &Id,
+    std::optional<std::chrono::milliseconds> Rest) {
+  ResponseBackpressure What;
+  What.m_RequestsPerSecond = m_Limit;
+  What.m_IsLeaving = m_IsLeavingInResponses;
+  What.m_Backoff = Rest;
   if (m_Limit)
     Head.m_Headers.add("Server-Limit", std::to_string(*m_Limit));
-  if (m_IsSayingLeaving)
+  if (m_IsLeavingInResponses)
     Head.m_Headers.add("Server-Leaving", "1");
   if (Rest)
     Head.m_Headers.add("Retry-After", std::to_string(core::toSeconds(*Rest)));
-  m_Book.stated(Id, run(), What);
+  m_Checker.backpressureStated(Id, incarnation(), What);
 }
 
 void SoakTarget::handle(http::Exchange &Call, asio::yield_context Yield) {
   const http::RequestMessage &Request = Call.request();
   std::string Id = headerOf(Request, "Attempt-Id");
-  m_Book.arrived(Id, m_Name, m_LeavingSince);
-  m_Book.arrivedAt(Id, m_Pool, m_Version);
-  m_Book.arrivedAtRun(Id, run());
+  m_Checker.requestArrived(Id, m_Name, m_LeavingSince);
+  m_Checker.arrivedAtVersion(Id, m_Pool, m_Version);
+  m_Checker.arrivedAtIncarnation(Id, incarnation());
   if (m_IsDisturbed)
-    m_Book.targetTrouble(Id);
+    m_Checker.noteTargetDisturbance(Id);
   if (headerOf(Request, "Expect-Replica") != m_Name)
     return Call.sendResponse(refusal(421, Id), Yield);
-  if (m_Running.size() >= Places + QueueLimit || happens(m_How.m_Refuses)) {
-    m_Book.targetTrouble(Id);
+  if (m_Running.size() >= Places + QueueLimit ||
+      happens(m_ResponseFaults.m_RefuseShare)) {
+    m_Checker.noteTargetDisturbance(Id);
     http::ResponseMessage Out = refusal(503, Id);
-    state(Out.m_Head, Id, std::nullopt);
+    stateBackpressure(Out.m_Head, Id, std::nullopt);
     return Call.sendResponse(std::move(Out), Yield);
   }
-  if (happens(m_How.m_Tires)) {
-    m_Book.targetTrouble(Id);
+  if (happens(m_ResponseFaults.m_BackoffShare)) {
+    m_Checker.noteTargetDisturbance(Id);
     http::ResponseMessage Out = refusal(503, Id);
-    state(Out.m_Head, Id,
-          LeastRest +
-              std::chrono::milliseconds(std::uniform_int_distribution<int>(
-                  0, RestSpreadMs)(m_Random)));
+    stateBackpressure(Out.m_Head, Id,
+                      MinBackoffTime + std::chrono::milliseconds(
+                                           std::uniform_int_distribution<int>(
+                                               0, BackoffSpreadMs)(m_Random)));
     return Call.sendResponse(std::move(Out), Yield);
   }
   std::string Bad = badContentOf(Request);
-  if (Request.m_Body != bodyOf(Bad.empty() ? Id : Bad))
-    m_Book.broken("unasked", Id + " came with another body");
+  if (Request.m_Body != requestBodyOf(Bad.empty() ? Id : Bad))
+    m_Checker.addViolation("unasked", Id + " came with another body");
   if (headerOf(Request, "Tenant").empty())
-    m_Book.broken("unasked", Id + " came without its account");
+    m_Checker.addViolation("unasked", Id + " came without its account");
   auto Place = m_Running.insert(Id);
   try {
     if (!Bad.empty())
-      m_Book.targetTrouble(Id);
+      m_Checker.noteTargetDisturbance(Id);
     serve(Call, Id, Yield);
   } catch (const core::Error &) {
     // Its caller left; what ran, ran.
@@ -199,32 +201,32 @@
 
 void SoakTarget::serve(http::Exchange &Call, const std::string &Id,
                        asio::yield_context Yield) {
-  m_Book.ran(Id);
-  bool MustBreak = happens(m_How.m_Breaks);
-  bool MustFail = happens(m_How.m_Fails);
-  bool IsMute = happens(m_How.m_IsMute);
-  if (MustBreak || MustFail || IsMute) {
-    m_Book.targetTrouble(Id);
-    m_Book.answeredBadly(m_Pool, m_Version);
+  m_Checker.requestExecuted(Id);
+  bool MustAbort = happens(m_ResponseFaults.m_AbortShare);
+  bool MustFail = happens(m_ResponseFaults.m_FailShare);
+  bool MustHang = happens(m_ResponseFaults.m_HangShare);
+  if (MustAbort || MustFail || MustHang) {
+    m_Checker.noteTargetDisturbance(Id);
+    m_Checker.badResponseSent(m_Pool, m_Version);
   }
   tests::sleepFor(m_Context,
-                  IsMute ? std::chrono::milliseconds(MuteTime) : WorkTime,
+                  MustHang ? std::chrono::milliseconds(HangTime) : WorkTime,
                   Yield);
   std::string Bad = badContentOf(Call.request());
   if (!Bad.empty()) {
-    end(Bad);
+    exitProcess(Bad);
     return Call.abort();
   }
   http::ResponseMessage Out;
   Out.m_Head.m_Status = MustFail ? 500 : 200;
   Out.m_Head.m_Headers = {{"Attempt-Id", Id}, {"Replica-Seal", "s-" + m_Name}};
-  state(Out.m_Head, Id, std::nullopt);
-  Out.m_Body = answerTo(Id);
+  stateBackpressure(Out.m_Head, Id, std::nullopt);
+  Out.m_Body = responseBodyOf(Id);
   if (MustFail)
     return Call.sendResponse(std::move(Out), Yield);
   if (m_Pool == "engine")
-    return stream(Call, Id, MustBreak, Yield);
-  if (!MustBreak)
+    return stream(Call, Id, MustAbort, Yield);
+  if (!MustAbort)
     return Call.sendResponse(std::move(Out), Yield);
   Out.m_Head.m_ContentLength = Out.m_Body.size();
   Call.startStream(Out.m_Head, Yield);
@@ -233,7 +235,7 @@
 }
 
 void SoakTarget::stream(http::Exchange &Call, const std::string &Id,
-                        bool MustBreak, asio::yield_context Yield) {
+                        bool MustAbort, asio::yield_context Yield) {
   std::string After = headerOf(Call.request(), "Last-Event-Id");
   std::size_t Next = After.empty() ? 1 : std::stoul(After) + 1;
   http::ResponseHead Head;
@@ -241,11 +243,11 @@
   Head.m_Headers = {{"Attempt-Id", Id},
                     {"Replica-Seal", "s-" + m_Name},
                     {"Content-Type", "text/event-stream"}};
-  state(Head, Id, std::nullopt);
+  stateBackpressure(Head, Id, std::nullopt);
   Call.startStream(Head, Yield);
   for (; Next <= eventCountOf(Id); ++Next) {
     std::string Event = eventOf(Id, Next);
-    if (MustBreak && Next > 1) {
+    if (MustAbort && Next > 1) {
       // Also partway through an event.
       Call.sendBodyData(Event.substr(0, Event.size() / 2), Yield);
       return Call.abort();
--- a/Tests/Soak/main.cpp
+++ b/Tests/Soak/main.cpp
@@ -12,7 +12,7 @@
 #include "Callers.h"
 #include "Deployment.h"
 #include "FaultPlan.h"
-#include "Ledger.h"
+#include "InvariantChecker.h"
 #include "Operator.h"
 #include "Sleep.h"
 
@@ -42,39 +42,39 @@
 
 /// Before the first fault and after the last one.
 constexpr std::chrono::milliseconds StartTime{1500};
-constexpr std::chrono::milliseconds CalmTime{6000};
+constexpr std::chrono::milliseconds RecoveryTime{6000};
 constexpr std::chrono::milliseconds SupervisePeriod{20};
 /// Longer than any request is waited for.
-constexpr std::chrono::milliseconds LastAnswers{4000};
+constexpr std::chrono::milliseconds LastResponseTime{4000};
 
 class Soak {
 public:
   Soak()
-      : m_Random(FLAGS_seed), m_Book(FLAGS_gateways),
-        m_Under(m_Context, m_Book,
-                {FLAGS_gateways, FLAGS_targets, FLAGS_yardrill, FLAGS_stand_in,
-                 FLAGS_folder},
-                m_Random),
-        m_Callers(m_Context, m_Book, m_Under, m_Random),
-        m_Operator(m_Context, m_Book, m_Under, FLAGS_seed) {}
+      : m_Random(FLAGS_seed), m_Checker(FLAGS_gateways),
+        m_System(m_Context, m_Checker,
+                 {FLAGS_gateways, FLAGS_targets, FLAGS_yardrill, FLAGS_stand_in,
+                  FLAGS_folder},
+                 m_Random),
+        m_Callers(m_Context, m_Checker, m_System, m_Random),
+        m_Operator(m_Context, m_Checker, m_System, FLAGS_seed) {}
 
   int run() {
-    m_Book.setQuota("limited", {2000, 2000});
+    m_Checker.setQuota("limited", {2000, 2000});
     asio::spawn(
-        m_Context, [this](asio::yield_context Yield) { direct(Yield); },
+        m_Context, [this](asio::yield_context Yield) { runSchedule(Yield); },
         asio::detached);
     m_Context.run();
-    for (const std::string &Each : m_Book.violations())
+    for (const std::string &Each : m_Checker.violations())
       std::cout << "violation " << Each << "\n";
-    std::cout << "soak seed=" << FLAGS_seed << " " << m_Book.summary()
+    std::cout << "soak seed=" << FLAGS_seed << " " << m_Checker.summary()
               << " completed=" << m_Operator.completed()
               << " rolled_back=" << m_Operator.rolledBack() << "\n";
-    return m_Book.violations().empty() ? 0 : 1;
+    return m_Checker.violations().empty() ? 0 : 1;
   }
 
 private:
-  void direct(asio::yield_context Yield) {
-    m_Under.start(Yield);
+  void runSchedule(asio::yield_context Yield) {
+    m_System.start(Yield);
     asio::spawn(
         m_Context, [this](asio::yield_context Inner) { supervise(Inner); },
         asio::detached);
@@ -86,7 +86,7 @@
           m_Context,
           [this](asio::yield_context Inner) { m_Operator.run(Inner); },
           asio::detached);
-    m_Callers.startBadCallers(FLAGS_bad_callers);
+    m_Callers.startBadRequestCallers(FLAGS_bad_callers);
     TimePoint Start = Clock::now();
     if (!FLAGS_faults)
       yardrill::tests::sleepFor(m_Context, std::chrono::seconds(FLAGS_seconds),
@@ -99,15 +99,15 @@
           Yield);
       begin(What);
     }
-    m_Callers.stopBadCallers();
+    m_Callers.stopBadRequestCallers();
     m_Operator.stop();
-    while (m_Open > 0 || !m_Operator.isIdle())
+    while (m_ActiveFaults > 0 || !m_Operator.isIdle())
       yardrill::tests::sleepFor(m_Context, SupervisePeriod, Yield);
-    TimePoint CalmSince = Clock::now();
-    yardrill::tests::sleepFor(m_Context, CalmTime, Yield);
+    TimePoint RecoveredAt = Clock::now();
+    yardrill::tests::sleepFor(m_Context, RecoveryTime, Yield);
     m_Callers.stop();
-    yardrill::tests::sleepFor(m_Context, LastAnswers, Yield);
-    m_Book.finish(CalmSince);
+    yardrill::tests::sleepFor(m_Context, LastResponseTime, Yield);
+    m_Checker.finish(RecoveredAt);
     m_Context.stop();
   }
 
@@ -116,7 +116,7 @@
       return {};
     std::chrono::seconds Length(FLAGS_seconds);
     std::vector<Fault> Out = drawFaults(FLAGS_seed, Length);
-    std::vector<Fault> Terms = drawTerms(FLAGS_seed, Length);
+    std::vector<Fault> Terms = drawBackpressureFaults(FLAGS_seed, Length);
     Out.insert(Out.end(), Terms.begin(), Terms.end());
     std::stable_sort(
         Out.begin(), Out.end(),
@@ -128,32 +128,32 @@
     std::cout << "fault at_ms=" << What.m_At.count()
               << " length_ms=" << What.m_Length.count()
               << " kind=" << toString(What.m_Kind)
-              << " which=" << What.m_Which % FLAGS_gateways << "/"
-              << What.m_Which % m_Under.targets() << std::endl;
-    ++m_Open;
+              << " which=" << What.m_Selector % FLAGS_gateways << "/"
+              << What.m_Selector % m_System.targets() << std::endl;
+    ++m_ActiveFaults;
     asio::spawn(
         m_Context,
         [this, What](asio::yield_context Yield) {
-          runFault(What, m_Under, m_Book, m_Context, Yield);
-          --m_Open;
+          runFault(What, m_System, m_Checker, m_Context, Yield);
+          --m_ActiveFaults;
         },
         asio::detached);
   }
 
   void supervise(asio::yield_context Yield) {
     while (true) {
-      m_Under.supervise();
+      m_System.supervise();
       yardrill::tests::sleepFor(m_Context, SupervisePeriod, Yield);
     }
   }
 
   asio::io_context m_Context{1};
   std::mt19937_64 m_Random;
-  Ledger m_Book;
-  Deployment m_Under;
+  InvariantChecker m_Checker;
+  Deployment m_System;
   Callers m_Callers;
   Operator m_Operator;
-  int m_Open = 0; ///< Faults under way.
+  int m_ActiveFaults = 0; ///< Faults under way.
 };
 
 } // namespace
