--- a/Bench/LimitSearchProgram.cpp
+++ b/Bench/LimitSearchProgram.cpp
@@ -4,7 +4,7 @@
 // what limited targets got of what they take. Usage: limit_search [DAYS]
 //
 //===----------------------------------------------------------------------===//
-#include "LimitFleet.h"
+#include "RateLimitSimulation.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -5,7 +5,7 @@
 // of the ways to deal with a request under which targets end.
 //
 //===----------------------------------------------------------------------===//
-#include "QuarantineFleet.h"
+#include "QuarantineSimulation.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/Tests/LibQuarantine/QuarantineModelTest.cpp
+++ b/Tests/LibQuarantine/QuarantineModelTest.cpp
@@ -6,7 +6,7 @@
 // exit must not be refused.
 //
 //===----------------------------------------------------------------------===//
-#include "QuarantineFleet.h"
+#include "QuarantineSimulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/Tests/LibRollout/RolloutModelTest.cpp
+++ b/Tests/LibRollout/RolloutModelTest.cpp
@@ -1,4 +1,4 @@
-#include "RolloutFleet.h"
+#include "RolloutSimulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <iostream>
--- a/Tests/LibRouting/LimitModelTest.cpp
+++ b/Tests/LibRouting/LimitModelTest.cpp
@@ -5,7 +5,7 @@
 // removed, and datagrams are lost or late.
 //
 //===----------------------------------------------------------------------===//
-#include "LimitFleet.h"
+#include "RateLimitSimulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <string>
--- a/Tests/Support/ExitingTarget.h
+++ b/Tests/Support/ExitingTarget.h
@@ -63,7 +63,7 @@
   void withdrawAnnouncement() { m_Store.remove(key()); }
 
   /// Ends for a reason of its own.
-  void end() {
+  void simulateExit() {
     std::string Gone = key();
     m_Acceptor.close();
     for (const auto &Each : m_Sockets)
@@ -144,7 +144,7 @@
       std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
       m_ArrivalLog.m_Exits.push_back(core::steadyNow());
     }
-    end();
+    simulateExit();
   }
   void serve(const SocketHandle &Socket, asio::yield_context Yield) {
     beast::flat_buffer Buffer;
