--- a/Libraries/LibInstance/ActiveConfiguration.cpp
+++ b/Libraries/LibInstance/ActiveConfiguration.cpp
@@ -50,8 +50,8 @@
 
 bool ActiveConfiguration::offer(const ConfigurationEnvelope &Envelope) {
   std::lock_guard<std::mutex> OfferLock(m_OfferMutex);
-  config::ConfigurationHandle Standing = current();
-  if (Standing && !(Standing->version() < Envelope.m_Version))
+  config::ConfigurationHandle Current = current();
+  if (Current && !(Current->version() < Envelope.m_Version))
     return false;
   config::ConfigurationHandle Next;
   try {
--- a/Libraries/LibInstance/ClaimService.cpp
+++ b/Libraries/LibInstance/ClaimService.cpp
@@ -29,27 +29,27 @@
   return json::serialize(Out);
 }
 
-ClaimCompleted ClaimService::resultFor(const decision::Claim &What,
-                                       const std::string &Standing,
+ClaimCompleted ClaimService::resultFor(const decision::Claim &Request,
+                                       const std::string &Stored,
                                        const std::string &Value) const {
   ClaimCompleted Out;
-  Out.m_Request = What.m_Request;
-  if (Standing == Value) {
+  Out.m_Request = Request.m_Request;
+  if (Stored == Value) {
     Out.m_Outcome = ClaimOutcome::Won;
     return Out;
   }
-  Out.m_Owner = toInstanceRef(json::parse(Standing));
+  Out.m_Owner = toInstanceRef(json::parse(Stored));
   Out.m_Outcome = ClaimOutcome::Held;
   return Out;
 }
 
 platform::LeaseId ClaimService::currentLease(boost::asio::yield_context Yield) {
   // One grant for all claims that come while it is under way.
-  core::Timer Pause(Yield.get_executor());
+  core::Timer WaitTimer(Yield.get_executor());
   while (m_IsGrantPending) {
     boost::system::error_code Ignored;
-    Pause.expires_after(GrantPollPeriod);
-    Pause.async_wait(Yield[Ignored]);
+    WaitTimer.expires_after(GrantPollPeriod);
+    WaitTimer.async_wait(Yield[Ignored]);
   }
   core::TimePoint Now = core::steadyNow();
   if (m_Lease && Now < m_LeaseUsableUntil)
@@ -67,13 +67,14 @@
 
 void ClaimService::renewLease(core::TimePoint Now,
                               boost::asio::yield_context Yield) {
-  auto Life = std::chrono::duration_cast<std::chrono::seconds>(m_Retention) +
-              2 * LeaseSharingPeriod;
-  m_Lease = m_Service.grantLease(Life, platform::CallClass::Claim, Yield);
+  auto TimeToLive =
+      std::chrono::duration_cast<std::chrono::seconds>(m_Retention) +
+      2 * LeaseSharingPeriod;
+  m_Lease = m_Service.grantLease(TimeToLive, platform::CallClass::Claim, Yield);
   m_LeaseUsableUntil = Now + LeaseSharingPeriod;
 }
 
-ClaimCompleted ClaimService::writeClaim(const decision::Claim &What,
+ClaimCompleted ClaimService::writeClaim(const decision::Claim &Request,
                                         const std::string &Key,
                                         const std::string &Value,
                                         boost::asio::yield_context Yield) {
@@ -83,47 +84,47 @@
   platform::SwapResult Result =
       m_Service.compareAndSwap(Swap, platform::CallClass::Claim, Yield);
   if (Result.m_IsSwapped)
-    return resultFor(What, Value, Value);
+    return resultFor(Request, Value, Value);
   if (!Result.m_Current)
     throw Error(ErrorKind::Protocol, "a held claim without a value");
-  return resultFor(What, Result.m_Current->m_Value, Value);
+  return resultFor(Request, Result.m_Current->m_Value, Value);
 }
 
-ClaimCompleted ClaimService::readBack(const decision::Claim &What,
+ClaimCompleted ClaimService::readBack(const decision::Claim &Request,
                                       const std::string &Key,
                                       const std::string &Value,
                                       boost::asio::yield_context Yield) {
-  core::Timer Pause(Yield.get_executor());
-  for (int Try = 0; Try < MaxReadBackAttempts; ++Try) {
+  core::Timer WaitTimer(Yield.get_executor());
+  for (int Attempt = 0; Attempt < MaxReadBackAttempts; ++Attempt) {
     try {
-      auto Standing = m_Service.read(Key, platform::CallClass::Control, Yield);
-      if (Standing)
-        return resultFor(What, Standing->m_Value, Value);
+      auto Stored = m_Service.read(Key, platform::CallClass::Control, Yield);
+      if (Stored)
+        return resultFor(Request, Stored->m_Value, Value);
     } catch (const Error &) {
       // Asked again below.
     }
     boost::system::error_code Ignored;
-    Pause.expires_after(ReadBackRetryDelay);
-    Pause.async_wait(Yield[Ignored]);
+    WaitTimer.expires_after(ReadBackRetryDelay);
+    WaitTimer.async_wait(Yield[Ignored]);
   }
   // Absent is no proof: the write may be on its way still.
   ClaimCompleted Out;
-  Out.m_Request = What.m_Request;
+  Out.m_Request = Request.m_Request;
   Out.m_MayTakeEffect = true;
   return Out;
 }
 
-ClaimCompleted ClaimService::claim(const decision::Claim &What,
+ClaimCompleted ClaimService::claim(const decision::Claim &Request,
                                    boost::asio::yield_context Yield) {
-  std::string Key = ClaimPrefix + core::sha256Hex(What.m_Identity);
-  std::string Value = toValue(m_Self, What.m_Request);
+  std::string Key = ClaimPrefix + core::sha256Hex(Request.m_Identity);
+  std::string Value = toValue(m_Self, Request.m_Request);
   ClaimCompleted Unavailable;
-  Unavailable.m_Request = What.m_Request;
+  Unavailable.m_Request = Request.m_Request;
   try {
-    return writeClaim(What, Key, Value, Yield);
+    return writeClaim(Request, Key, Value, Yield);
   } catch (const Error &Failure) {
     if (Failure.kind() == ErrorKind::OutcomeUnknown)
-      return readBack(What, Key, Value, Yield);
+      return readBack(Request, Key, Value, Yield);
   } catch (const std::exception &) {
     // A claim that can't be read is somebody's: never ours to run.
   }
--- a/Libraries/LibInstance/ClaimService.h
+++ b/Libraries/LibInstance/ClaimService.h
@@ -23,21 +23,21 @@
       : m_Service(Service), m_Self(std::move(Self)), m_Retention(Retention) {}
 
   /// Never throws core::Error: a failure is an outcome.
-  decision::ClaimCompleted claim(const decision::Claim &What,
+  decision::ClaimCompleted claim(const decision::Claim &Request,
                                  boost::asio::yield_context Yield);
 
 private:
-  decision::ClaimCompleted writeClaim(const decision::Claim &What,
+  decision::ClaimCompleted writeClaim(const decision::Claim &Request,
                                       const std::string &Key,
                                       const std::string &Value,
                                       boost::asio::yield_context Yield);
   /// After a lost answer: did the write take effect?
-  decision::ClaimCompleted readBack(const decision::Claim &What,
+  decision::ClaimCompleted readBack(const decision::Claim &Request,
                                     const std::string &Key,
                                     const std::string &Value,
                                     boost::asio::yield_context Yield);
-  decision::ClaimCompleted resultFor(const decision::Claim &What,
-                                     const std::string &Standing,
+  decision::ClaimCompleted resultFor(const decision::Claim &Request,
+                                     const std::string &Stored,
                                      const std::string &Value) const;
   platform::LeaseId currentLease(boost::asio::yield_context Yield);
   void renewLease(core::TimePoint Now, boost::asio::yield_context Yield);
--- a/Libraries/LibInstance/DecisionThread.cpp
+++ b/Libraries/LibInstance/DecisionThread.cpp
@@ -28,8 +28,8 @@
 
 DecisionThread::~DecisionThread() { stop(); }
 
-void DecisionThread::start(const decision::InstanceStarted &First) {
-  push(First);
+void DecisionThread::start(const decision::InstanceStarted &StartEvent) {
+  push(StartEvent);
   m_Timers.subscribe(TickPeriod, [this](core::TimePoint Now) {
     handle(decision::TimePassed{}, Now);
   });
--- a/Libraries/LibInstance/DecisionThread.h
+++ b/Libraries/LibInstance/DecisionThread.h
@@ -55,7 +55,7 @@
   ~DecisionThread();
 
   void setSink(ActionSink Sink) { m_Sink = std::move(Sink); }
-  void start(const decision::InstanceStarted &First);
+  void start(const decision::InstanceStarted &StartEvent);
   void stop() { m_Thread.stop(); }
 
   /// \returns false when the ring is full; for events that can be refused.
--- a/Libraries/LibInstance/Instance.cpp
+++ b/Libraries/LibInstance/Instance.cpp
@@ -43,10 +43,10 @@
 }
 
 Instance::~Instance() {
-  auto Stop = [](const auto &Duty) {
+  auto Stop = [](const auto &Component) {
     // Missing where an address was taken.
-    if (Duty)
-      Duty->stop();
+    if (Component)
+      Component->stop();
   };
   // Whoever calls another duty stops first.
   Stop(m_OperatorServer);
@@ -106,12 +106,12 @@
 }
 
 void Instance::start() {
-  decision::InstanceStarted First;
-  First.m_Self = m_Self;
-  First.m_Seed = core::randomBits();
-  First.m_Identities = m_Settings.m_Identities.m_Identities;
-  First.m_RetentionMicros = m_Settings.m_Identities.m_Retention.count();
-  m_Decision->start(First);
+  decision::InstanceStarted StartEvent;
+  StartEvent.m_Self = m_Self;
+  StartEvent.m_Seed = core::randomBits();
+  StartEvent.m_Identities = m_Settings.m_Identities.m_Identities;
+  StartEvent.m_RetentionMicros = m_Settings.m_Identities.m_Retention.count();
+  m_Decision->start(StartEvent);
   m_Traffic->start();
   m_Peers->start();
   m_Platform->start();
@@ -215,7 +215,7 @@
 }
 
 OperatorResponse Instance::publish(const OperatorRequest &Request) {
-  PublishRequest Wanted;
+  PublishRequest Publication;
   std::uint64_t Base = 0;
   const std::string &Text = Request.m_BaseVersion;
   auto [Last, Code] =
@@ -224,11 +224,11 @@
       Request.m_ChangeId.empty())
     return problemResponse(400, "Bad Request", "usage",
                            "base (a version) and change (an id) are required");
-  Wanted.m_BaseVersion = core::ConfigurationVersion(Base);
-  Wanted.m_ChangeId = Request.m_ChangeId;
-  Wanted.m_Text = Request.m_Body;
+  Publication.m_BaseVersion = core::ConfigurationVersion(Base);
+  Publication.m_ChangeId = Request.m_ChangeId;
+  Publication.m_Text = Request.m_Body;
   try {
-    core::ConfigurationVersion Version = m_Platform->publish(Wanted);
+    core::ConfigurationVersion Version = m_Platform->publish(Publication);
     return {200, "OK", "application/json",
             "{\"version\":" + std::to_string(Version.value()) + "}\n"};
   } catch (const config::DocumentError &Failure) {
--- a/Libraries/LibInstance/OpenRequest.cpp
+++ b/Libraries/LibInstance/OpenRequest.cpp
@@ -12,14 +12,14 @@
 using decision::RefusalKind;
 using decision::ResponseOutcome;
 
-OpenRequest::OpenRequest(TrafficThread &Duty, http::Exchange &Caller,
+OpenRequest::OpenRequest(TrafficThread &Traffic, http::Exchange &Caller,
                          ParsedRequest Request)
-    : m_Traffic(Duty), m_Caller(Caller), m_Request(std::move(Request)),
+    : m_Traffic(Traffic), m_Caller(Caller), m_Request(std::move(Request)),
       m_Id(m_Request.m_Arrival.m_Request),
-      m_PrintableId(Duty.printableId(m_Id)),
+      m_PrintableId(Traffic.printableId(m_Id)),
       m_Labels{m_Request.m_Arrival.m_Account, m_Request.m_Arrival.m_Tier,
                m_Request.m_Arrival.m_Pool},
-      m_WakeTimer(Duty.m_Thread.context()), m_ArrivedAt(core::steadyNow()) {
+      m_WakeTimer(Traffic.m_Thread.context()), m_ArrivedAt(core::steadyNow()) {
   m_Traffic.m_OpenRequests.emplace(m_Id, this);
   m_Request.m_TargetRequest.m_Headers.set("Yardrill-Request-Id", m_PrintableId);
 }
@@ -62,14 +62,14 @@
 
 bool OpenRequest::perform(const decision::Action &What,
                           asio::yield_context Yield) {
-  if (const auto *Go = std::get_if<decision::Dispatch>(&What))
-    return dispatch(*Go, Yield);
-  if (const auto *No = std::get_if<decision::Refuse>(&What))
-    return refuse(*No, Yield);
-  if (const auto *Away = std::get_if<decision::Forward>(&What))
-    forward(*Away, Yield);
-  if (const auto *Old = std::get_if<decision::SendStoredResponse>(&What))
-    sendStoredResponse(Old->m_Original, Yield);
+  if (const auto *ToDispatch = std::get_if<decision::Dispatch>(&What))
+    return dispatch(*ToDispatch, Yield);
+  if (const auto *Refusal = std::get_if<decision::Refuse>(&What))
+    return refuse(*Refusal, Yield);
+  if (const auto *ToForward = std::get_if<decision::Forward>(&What))
+    forward(*ToForward, Yield);
+  if (const auto *ToResend = std::get_if<decision::SendStoredResponse>(&What))
+    sendStoredResponse(ToResend->m_Original, Yield);
   if (std::holds_alternative<decision::Drop>(What))
     finish("caller-left");
   return true;
@@ -185,8 +185,9 @@
 
 void OpenRequest::relay(http::ClientConnection &From,
                         asio::yield_context Yield) {
-  core::Duration Silence = m_Traffic.m_Settings.m_Targets.m_SilenceTimeout;
-  http::ResponseHead Head = From.readHead(Silence, Yield);
+  core::Duration SilenceTimeout =
+      m_Traffic.m_Settings.m_Targets.m_SilenceTimeout;
+  http::ResponseHead Head = From.readHead(SilenceTimeout, Yield);
   m_Status = Head.m_Status;
   Head.m_Headers.removeHopByHop();
   Head.m_Headers.set("Yardrill-Request-Id", m_PrintableId);
@@ -194,26 +195,26 @@
   m_ResponseToStore.m_Head.m_ContentLength.reset();
   sendToCaller([&] { m_Caller.startStream(Head, Yield); });
   while (true) {
-    std::string Piece = From.readBodyData(Silence, Yield);
-    if (Piece.empty())
+    std::string Data = From.readBodyData(SilenceTimeout, Yield);
+    if (Data.empty())
       break;
-    recordBodyData(Piece);
-    sendToCaller([&] { m_Caller.sendBodyData(Piece, Yield); });
+    recordBodyData(Data);
+    sendToCaller([&] { m_Caller.sendBodyData(Data, Yield); });
   }
   sendToCaller([&] { m_Caller.finishStream(Yield); });
 }
 
 /// Server-sent events end with an empty line (WHATWG HTML, section 9.2.5);
 /// engines send one event for each token.
-static std::uint32_t countServerSentEvents(const std::string &Piece) {
+static std::uint32_t countServerSentEvents(const std::string &Data) {
   std::uint32_t Count = 0;
-  for (std::size_t At = Piece.find("\n\n"); At != std::string::npos;
-       At = Piece.find("\n\n", At + 2))
+  for (std::size_t At = Data.find("\n\n"); At != std::string::npos;
+       At = Data.find("\n\n", At + 2))
     ++Count;
   return Count;
 }
 
-void OpenRequest::recordBodyData(const std::string &Piece) {
+void OpenRequest::recordBodyData(const std::string &Data) {
   core::TimePoint Now = core::steadyNow();
   bool IsFirst = m_LastBodyDataAt == core::TimePoint();
   m_Traffic.m_Metrics.observe(IsFirst ? metrics::RequestLatency::FirstToken
@@ -224,10 +225,10 @@
   if (IsFirst && !m_IsForwarded)
     m_Traffic.m_Hooks.m_Push(decision::ResponseStarted{m_Id});
   m_LastBodyDataAt = Now;
-  m_OutputTokens += countServerSentEvents(Piece);
+  m_OutputTokens += countServerSentEvents(Data);
   if (!m_IsStoringResponse || m_IsTooLargeToStore)
     return;
-  m_ResponseToStore.m_Body += Piece;
+  m_ResponseToStore.m_Body += Data;
   if (m_ResponseToStore.m_Body.size() >
       m_Traffic.m_Responses.maxResponseBytes()) {
     m_IsTooLargeToStore = true;
@@ -288,12 +289,12 @@
   Request.m_Headers.set(AccountHeader, m_Request.m_Arrival.m_Account.value());
   m_Traffic.m_Signature.sign(Request, core::wallSeconds().count());
   try {
-    auto Home =
+    auto Owner =
         m_Traffic.m_Targets.acquire(What.m_Owner.m_Peer.toTcp(), true, Yield);
-    m_Target = Home.get();
-    Home->sendRequest(Request, m_Traffic.m_Settings.m_Targets.m_SilenceTimeout,
-                      Yield);
-    relay(*Home, Yield);
+    m_Target = Owner.get();
+    Owner->sendRequest(Request, m_Traffic.m_Settings.m_Targets.m_SilenceTimeout,
+                       Yield);
+    relay(*Owner, Yield);
     m_Target = nullptr;
     finish("forwarded");
   } catch (const Error &Failure) {
--- a/Libraries/LibInstance/OpenRequest.h
+++ b/Libraries/LibInstance/OpenRequest.h
@@ -15,7 +15,7 @@
 /// its answer, and does what the decision core says.
 class OpenRequest {
 public:
-  OpenRequest(TrafficThread &Duty, http::Exchange &Caller,
+  OpenRequest(TrafficThread &Traffic, http::Exchange &Caller,
               ParsedRequest Request);
   ~OpenRequest();
   OpenRequest(const OpenRequest &) = delete;
@@ -42,7 +42,7 @@
   /// connection does; a caller who is gone only sets m_IsCallerDisconnected.
   void relay(http::ClientConnection &From, boost::asio::yield_context Yield);
   void sendToCaller(const std::function<void()> &Send);
-  void recordBodyData(const std::string &Piece);
+  void recordBodyData(const std::string &Data);
   void handleCallerDisconnect();
   void failRequest(decision::RefusalKind Kind,
                    boost::asio::yield_context Yield);
--- a/Libraries/LibInstance/OperatorServer.cpp
+++ b/Libraries/LibInstance/OperatorServer.cpp
@@ -72,18 +72,18 @@
   if (!isAllowed(Request))
     return {401, "Unauthorized", "application/json",
             "{\"type\":\"urn:yardrill:problem:no-credentials\"}\n"};
-  OperatorRequest What;
-  What.m_Method = Request.method();
-  What.m_Path = Request.url();
-  What.m_Body = Request.bodyStr();
+  OperatorRequest Parsed;
+  Parsed.m_Method = Request.method();
+  Parsed.m_Path = Request.url();
+  Parsed.m_Body = Request.bodyStr();
   cxxtools::QueryParams Query(Request.qparams());
-  What.m_BaseVersion = Query["base"];
-  What.m_ChangeId = Query["change"];
+  Parsed.m_BaseVersion = Query["base"];
+  Parsed.m_ChangeId = Query["change"];
   try {
-    return m_Handle(What);
+    return m_Handle(Parsed);
   } catch (const std::exception &Failure) {
     core::LogLine("operator-request-failed", core::LogLevel::Error)
-        .add("path", What.m_Path)
+        .add("path", Parsed.m_Path)
         .add("reason", Failure.what());
     return {500, "Internal Server Error", "application/json",
             "{\"type\":\"urn:yardrill:problem:internal\"}\n"};
--- a/Libraries/LibInstance/PeerThread.cpp
+++ b/Libraries/LibInstance/PeerThread.cpp
@@ -90,9 +90,9 @@
   updateInstanceCount();
   if (const auto *Beat = std::get_if<peer::Heartbeat>(&Message.m_Body))
     return handleHeartbeat(Message, *Beat);
-  if (const auto *Order =
+  if (const auto *Command =
           std::get_if<decision::ThresholdCommand>(&Message.m_Body))
-    return m_Push(*Order);
+    return m_Push(*Command);
   if (const auto *Report =
           std::get_if<decision::ThresholdReport>(&Message.m_Body))
     m_Push(*Report);
@@ -144,9 +144,10 @@
 
 void PeerThread::handleAction(const decision::Action &What) {
   core::TimePoint Now = core::steadyNow();
-  if (const auto *Order = std::get_if<decision::SendThresholdCommand>(&What)) {
-    send(Order->m_To.m_Peer, Order->m_Command);
-    return reportIfGone(Order->m_To, Now);
+  if (const auto *Command =
+          std::get_if<decision::SendThresholdCommand>(&What)) {
+    send(Command->m_To.m_Peer, Command->m_Command);
+    return reportIfGone(Command->m_To, Now);
   }
   if (const auto *Report = std::get_if<decision::SendThresholdReport>(&What))
     send(Report->m_To.m_Peer, Report->m_Report);
@@ -179,7 +180,7 @@
   return Out;
 }
 
-std::vector<config::Endpoint> PeerThread::heartbeatTargets() {
+std::vector<config::Endpoint> PeerThread::heartbeatRecipients() {
   std::set<config::Endpoint> All(m_ListedPeers.begin(), m_ListedPeers.end());
   All.insert(m_Settings.m_Peers.m_Seeds.begin(),
              m_Settings.m_Peers.m_Seeds.end());
@@ -189,20 +190,20 @@
   All.erase(m_Self.m_Peer);
   std::size_t Count =
       All.size() <= MaxPeersWithoutSampling ? All.size() : HeartbeatSampleSize;
-  std::vector<config::Endpoint> Chosen;
-  std::sample(All.begin(), All.end(), std::back_inserter(Chosen), Count,
+  std::vector<config::Endpoint> Recipients;
+  std::sample(All.begin(), All.end(), std::back_inserter(Recipients), Count,
               m_Random);
-  return Chosen;
+  return Recipients;
 }
 
 void PeerThread::sendHeartbeats(core::TimePoint Now) {
   peer::Heartbeat Beat = makeHeartbeat();
-  for (const config::Endpoint &To : heartbeatTargets())
+  for (const config::Endpoint &To : heartbeatRecipients())
     send(To, Beat);
-  for (const peer::KnownPeer &Gone : m_Directory.expire(Now))
+  for (const peer::KnownPeer &Expired : m_Directory.expire(Now))
     core::LogLine("peer-silent", core::LogLevel::Warning)
-        .add("instance", Gone.m_LastHeartbeat.m_Name)
-        .add("peer", Gone.m_Instance.m_Peer.toString());
+        .add("instance", Expired.m_LastHeartbeat.m_Name)
+        .add("peer", Expired.m_Instance.m_Peer.toString());
   updateInstanceCount();
   publishStatus(Now);
 }
--- a/Libraries/LibInstance/PeerThread.h
+++ b/Libraries/LibInstance/PeerThread.h
@@ -62,7 +62,7 @@
   void send(const config::Endpoint &To, peer::PeerBody Body);
   void sendHeartbeats(core::TimePoint Now);
   peer::Heartbeat makeHeartbeat();
-  std::vector<config::Endpoint> heartbeatTargets();
+  std::vector<config::Endpoint> heartbeatRecipients();
   void updateInstanceCount();
   void reportIfGone(const decision::InstanceRef &Member, core::TimePoint Now);
   void fetchConfiguration(const config::Endpoint &From,
--- a/Libraries/LibInstance/PlatformThread.cpp
+++ b/Libraries/LibInstance/PlatformThread.cpp
@@ -73,18 +73,19 @@
 }
 
 void PlatformThread::handleAction(const decision::Action &What) {
-  if (const auto *Wanted = std::get_if<decision::Claim>(&What))
-    return spawn([this, Wanted = *Wanted](asio::yield_context Yield) {
-      m_Hooks.m_Push(m_Claims.claim(Wanted, Yield));
+  if (const auto *Operation = std::get_if<decision::Claim>(&What))
+    return spawn([this, Operation = *Operation](asio::yield_context Yield) {
+      m_Hooks.m_Push(m_Claims.claim(Operation, Yield));
     });
-  if (const auto *Wanted = std::get_if<decision::ReadThresholdRecord>(&What))
-    return spawn([this, Wanted = *Wanted](asio::yield_context Yield) {
-      if (auto Read = m_ThresholdRecords.read(Wanted.m_Pool, Yield))
+  if (const auto *Operation = std::get_if<decision::ReadThresholdRecord>(&What))
+    return spawn([this, Operation = *Operation](asio::yield_context Yield) {
+      if (auto Read = m_ThresholdRecords.read(Operation.m_Pool, Yield))
         m_Hooks.m_Push(*Read);
     });
-  if (const auto *Wanted = std::get_if<decision::WriteThresholdRecord>(&What))
-    return spawn([this, Wanted = *Wanted](asio::yield_context Yield) {
-      m_Hooks.m_Push(m_ThresholdRecords.write(Wanted, Yield));
+  if (const auto *Operation =
+          std::get_if<decision::WriteThresholdRecord>(&What))
+    return spawn([this, Operation = *Operation](asio::yield_context Yield) {
+      m_Hooks.m_Push(m_ThresholdRecords.write(Operation, Yield));
     });
   if (std::holds_alternative<decision::ResignLeadership>(What))
     spawn([this](asio::yield_context Yield) {
@@ -120,8 +121,8 @@
 }
 
 void PlatformThread::watchConfiguration(asio::yield_context Yield) {
-  platform::Backoff Pauses(InitialBackoff, MaxBackoff, core::randomBits());
-  auto Take = [this](const platform::Entry &Item) {
+  platform::Backoff RetryDelays(InitialBackoff, MaxBackoff, core::randomBits());
+  auto Offer = [this](const platform::Entry &Item) {
     try {
       if (Item.m_Key == ConfigurationKey && !Item.m_IsDeleted)
         m_Configuration.offer(ConfigurationEnvelope::parse(Item.m_Value));
@@ -135,35 +136,35 @@
       auto Current =
           m_Service.read(ConfigurationKey, CallClass::Control, Yield);
       if (Current)
-        Take(*Current);
-      Pauses.reset();
+        Offer(*Current);
+      RetryDelays.reset();
       m_Service.watch(
           ConfigurationKey, m_Service.lastRevision(),
           [&](const std::vector<platform::Entry> &Changes) {
             for (const platform::Entry &Item : Changes)
-              Take(Item);
+              Offer(Item);
             return true;
           },
           Yield);
     } catch (const std::exception &Failure) {
       logWatchLost("configuration", Failure);
     }
-    sleepFor(Pauses.next(), Yield);
+    sleepFor(RetryDelays.next(), Yield);
   }
 }
 
 void PlatformThread::watchInstances(asio::yield_context Yield) {
-  platform::Backoff Pauses(InitialBackoff, MaxBackoff, core::randomBits());
+  platform::Backoff RetryDelays(InitialBackoff, MaxBackoff, core::randomBits());
   while (true) {
     try {
-      m_List.reset(
+      m_InstanceList.reset(
           m_Service.readPrefix(InstanceListPrefix, CallClass::Control, Yield));
       reportInstanceChanges();
-      Pauses.reset();
+      RetryDelays.reset();
       m_Service.watch(
           InstanceListPrefix, m_Service.lastRevision(),
           [&](const std::vector<platform::Entry> &Changes) {
-            m_List.apply(Changes);
+            m_InstanceList.apply(Changes);
             reportInstanceChanges();
             return true;
           },
@@ -171,22 +172,22 @@
     } catch (const std::exception &Failure) {
       logWatchLost("instances", Failure);
     }
-    sleepFor(Pauses.next(), Yield);
+    sleepFor(RetryDelays.next(), Yield);
   }
 }
 
 void PlatformThread::reportInstanceChanges() {
-  for (const auto &[Key, Listed] : m_List.all()) {
+  for (const auto &[Key, Listed] : m_InstanceList.all()) {
     if (Listed.m_Kind != ListedKind::Target)
       continue;
     core::TargetName Name(Listed.m_Name);
-    bool &WasLeaving = m_LeavingTargets[Name];
+    bool &WasLeaving = m_IsTargetLeaving[Name];
     if (WasLeaving == Listed.m_IsLeaving)
       continue;
     WasLeaving = Listed.m_IsLeaving;
     m_Hooks.m_Push(decision::TargetStateChanged{Name, Listed.m_IsLeaving});
   }
-  m_Hooks.m_OnSchedulersListed(m_List.schedulerAddresses());
+  m_Hooks.m_OnSchedulersListed(m_InstanceList.schedulerAddresses());
 }
 
 //===----------------------------------------------------------------------===//
@@ -218,33 +219,33 @@
   return Result.get();
 }
 
-static Error conflict(const ConfigurationEnvelope &Standing) {
+static Error conflict(const ConfigurationEnvelope &Stored) {
   return Error(ErrorKind::Conflict,
-               "version " + std::to_string(Standing.m_Version.value()) +
+               "version " + std::to_string(Stored.m_Version.value()) +
                    " stands");
 }
 
 core::ConfigurationVersion
 PlatformThread::publishToStore(const PublishRequest &Request,
                                asio::yield_context Yield) {
-  ConfigurationEnvelope Standing;
+  ConfigurationEnvelope Stored;
   platform::CompareAndSwap Swap;
   Swap.m_Key = ConfigurationKey;
   auto Current = m_Service.read(ConfigurationKey, CallClass::Control, Yield);
   if (Current) {
-    Standing = ConfigurationEnvelope::parse(Current->m_Value);
+    Stored = ConfigurationEnvelope::parse(Current->m_Value);
     Swap.m_Expected = Current->m_ModRevision;
   }
-  if (Standing.hasChange(Request.m_ChangeId))
-    return Standing.m_Version;
+  if (Stored.hasChange(Request.m_ChangeId))
+    return Stored.m_Version;
   // A store that was put back to an earlier state must not take us with it.
-  if (Standing.m_Version < m_Configuration.version())
+  if (Stored.m_Version < m_Configuration.version())
     throw conflict(m_Configuration.envelope());
-  if (Standing.m_Version != Request.m_BaseVersion)
-    throw conflict(Standing);
+  if (Stored.m_Version != Request.m_BaseVersion)
+    throw conflict(Stored);
   ConfigurationEnvelope Next;
-  Next.m_Version = core::ConfigurationVersion(Standing.m_Version.value() + 1);
-  Next.m_ChangeIds = Standing.m_ChangeIds;
+  Next.m_Version = core::ConfigurationVersion(Stored.m_Version.value() + 1);
+  Next.m_ChangeIds = Stored.m_ChangeIds;
   Next.m_ChangeIds.push_back(Request.m_ChangeId);
   Next.m_Text = Request.m_Text;
   Swap.m_Puts.push_back({ConfigurationKey, Next.toJson(), std::nullopt});
@@ -265,20 +266,20 @@
 core::ConfigurationVersion
 PlatformThread::resolvePublication(const PublishRequest &Request,
                                    asio::yield_context Yield) {
-  for (int Try = 0; Try < MaxResolveAttempts; ++Try) {
+  for (int Attempt = 0; Attempt < MaxResolveAttempts; ++Attempt) {
     try {
       auto Current =
           m_Service.read(ConfigurationKey, CallClass::Control, Yield);
-      ConfigurationEnvelope Standing;
+      ConfigurationEnvelope Stored;
       if (Current)
-        Standing = ConfigurationEnvelope::parse(Current->m_Value);
-      if (Standing.hasChange(Request.m_ChangeId)) {
-        m_Configuration.offer(Standing);
-        return Standing.m_Version;
+        Stored = ConfigurationEnvelope::parse(Current->m_Value);
+      if (Stored.hasChange(Request.m_ChangeId)) {
+        m_Configuration.offer(Stored);
+        return Stored.m_Version;
       }
       // Another change stands where ours would be: ours can't come any more.
-      if (Standing.m_Version != Request.m_BaseVersion)
-        throw conflict(Standing);
+      if (Stored.m_Version != Request.m_BaseVersion)
+        throw conflict(Stored);
     } catch (const Error &Failure) {
       if (Failure.kind() == ErrorKind::Conflict)
         throw;
--- a/Libraries/LibInstance/PlatformThread.h
+++ b/Libraries/LibInstance/PlatformThread.h
@@ -77,8 +77,8 @@
   platform::StoreClient m_Service;
   ClaimService m_Claims;
   ThresholdRecordService m_ThresholdRecords;
-  InstanceList m_List;
-  std::map<core::TargetName, bool> m_LeavingTargets;
+  InstanceList m_InstanceList;
+  std::map<core::TargetName, bool> m_IsTargetLeaving;
   core::MPSCQueue<decision::Action> m_Actions;
 };
 
--- a/Libraries/LibInstance/RequestReader.cpp
+++ b/Libraries/LibInstance/RequestReader.cpp
@@ -86,14 +86,14 @@
     return problem(405, "bad-method", "Only POST is served here");
   ParsedRequest Out;
   Out.m_Arrival.m_Account = Account.m_Name;
-  auto Wrong = readTier(Request, Account, Out);
-  if (!Wrong)
-    Wrong = IsModelCall ? readModelCall(Request, *Path, Out)
-                        : readApplicationCall(Request, *Path, Out);
-  if (!Wrong)
-    Wrong = readIdentity(Request, Account, Out);
-  if (Wrong)
-    return *Wrong;
+  auto Rejection = readTier(Request, Account, Out);
+  if (!Rejection)
+    Rejection = IsModelCall ? readModelCall(Request, *Path, Out)
+                            : readApplicationCall(Request, *Path, Out);
+  if (!Rejection)
+    Rejection = readIdentity(Request, Account, Out);
+  if (Rejection)
+    return *Rejection;
   return Out;
 }
 
@@ -102,8 +102,8 @@
                         const config::ClientAccount &Account,
                         ParsedRequest &Out) const {
   std::string Name = Account.m_DefaultTier;
-  if (const std::string *Asked = Request.m_Headers.find(TierHeader))
-    Name = *Asked;
+  if (const std::string *RequestedTier = Request.m_Headers.find(TierHeader))
+    Name = *RequestedTier;
   const config::Tier *Tier = m_Configuration.findTier(Name);
   if (!Tier)
     return problem(400, "unknown-tier", "No such tier", Name);
@@ -141,9 +141,9 @@
     decision::Identity Id;
     Id.m_Kind = decision::IdentityKind::Key;
     // With its length, so that no two accounts can share a name.
-    const std::string &Owner = Account.m_Name.value();
-    Id.m_Name =
-        "key " + std::to_string(Owner.size()) + " " + Owner + " " + *Key;
+    const std::string &AccountName = Account.m_Name.value();
+    Id.m_Name = "key " + std::to_string(AccountName.size()) + " " +
+                AccountName + " " + *Key;
     Out.m_Arrival.m_Identity = Id;
   }
   if (Out.m_Arrival.m_Identity)
@@ -182,9 +182,9 @@
 
 static std::uint64_t prefixHashOf(const json::object &Body,
                                   const std::string &Prompt) {
-  const json::value *Named = Body.if_contains("prompt_cache_key");
-  if (Named && Named->is_string())
-    return core::stableHash(std::string(Named->get_string()));
+  const json::value *CacheKey = Body.if_contains("prompt_cache_key");
+  if (CacheKey && CacheKey->is_string())
+    return core::stableHash(std::string(CacheKey->get_string()));
   if (Prompt.size() < CachedPrefixBytes)
     return 0;
   return core::stableHash(Prompt.substr(0, CachedPrefixBytes));
--- a/Libraries/LibInstance/ResponseStore.cpp
+++ b/Libraries/LibInstance/ResponseStore.cpp
@@ -2,27 +2,28 @@
 
 namespace yardrill::instance {
 
-bool ResponseStore::store(core::RequestId Runner,
+bool ResponseStore::store(core::RequestId Request,
                           http::ResponseMessage Response) {
   std::size_t Size = Response.m_Body.size();
   if (Size > m_MaxResponseBytes || Size > m_MaxBytes)
     return false;
   while (m_Bytes + Size > m_MaxBytes)
     discard(m_InsertionOrder.front());
-  auto Age = m_InsertionOrder.insert(m_InsertionOrder.end(), Runner);
+  auto Position = m_InsertionOrder.insert(m_InsertionOrder.end(), Request);
   m_Bytes += Size;
-  m_Responses[Runner] = {
-      std::make_shared<const http::ResponseMessage>(std::move(Response)), Age};
+  m_Responses[Request] = {
+      std::make_shared<const http::ResponseMessage>(std::move(Response)),
+      Position};
   return true;
 }
 
-StoredResponse ResponseStore::find(core::RequestId Runner) const {
-  auto Found = m_Responses.find(Runner);
+StoredResponse ResponseStore::find(core::RequestId Request) const {
+  auto Found = m_Responses.find(Request);
   return Found == m_Responses.end() ? nullptr : Found->second.m_Response;
 }
 
-void ResponseStore::discard(core::RequestId Runner) {
-  auto Found = m_Responses.find(Runner);
+void ResponseStore::discard(core::RequestId Request) {
+  auto Found = m_Responses.find(Request);
   if (Found == m_Responses.end())
     return;
   m_Bytes -= Found->second.m_Response->m_Body.size();
--- a/Libraries/LibInstance/ResponseStore.h
+++ b/Libraries/LibInstance/ResponseStore.h
@@ -23,9 +23,9 @@
       : m_MaxBytes(MaxBytes), m_MaxResponseBytes(MaxResponseBytes) {}
 
   /// \returns false when the answer is too large to keep.
-  bool store(core::RequestId Runner, http::ResponseMessage Response);
-  StoredResponse find(core::RequestId Runner) const;
-  void discard(core::RequestId Runner);
+  bool store(core::RequestId Request, http::ResponseMessage Response);
+  StoredResponse find(core::RequestId Request) const;
+  void discard(core::RequestId Request);
 
   std::size_t maxResponseBytes() const { return m_MaxResponseBytes; }
 
--- a/Libraries/LibInstance/TrafficThread.cpp
+++ b/Libraries/LibInstance/TrafficThread.cpp
@@ -152,8 +152,9 @@
 } // namespace
 
 void TrafficThread::handleAction(decision::Action What) {
-  if (const auto *Old = std::get_if<decision::DiscardStoredResponse>(&What))
-    return m_Responses.discard(Old->m_Original);
+  if (const auto *ToDiscard =
+          std::get_if<decision::DiscardStoredResponse>(&What))
+    return m_Responses.discard(ToDiscard->m_Original);
   core::RequestId Id = std::visit(RequestIdOf(), What);
   auto Found = m_OpenRequests.find(Id);
   if (Found != m_OpenRequests.end())
@@ -171,12 +172,13 @@
   }
   RequestReader Reader(*Current, m_Tickets);
   auto Account = Reader.authenticate(Caller.request());
-  if (const auto *Wrong = std::get_if<Problem>(&Account))
-    return Caller.sendResponse(toResponse(*Wrong, ""), Yield);
-  const auto *Owner = std::get<const config::ClientAccount *>(Account);
+  if (const auto *Rejection = std::get_if<Problem>(&Account))
+    return Caller.sendResponse(toResponse(*Rejection, ""), Yield);
+  const auto *AuthenticatedAccount =
+      std::get<const config::ClientAccount *>(Account);
   if (Caller.request().m_Target == TicketsPath)
-    return issueTickets(Caller, *Owner, Yield);
-  serveRequest(Caller, *Owner, Current, false, Yield);
+    return issueTickets(Caller, *AuthenticatedAccount, Yield);
+  serveRequest(Caller, *AuthenticatedAccount, Current, false, Yield);
 }
 
 void TrafficThread::serveRequest(
@@ -186,8 +188,8 @@
   RequestReader Reader(*Configuration, m_Tickets);
   auto Read = Reader.read(Caller.request(), Account);
   core::RequestId Id(m_NextRequest++);
-  if (const auto *Wrong = std::get_if<Problem>(&Read))
-    return Caller.sendResponse(toResponse(*Wrong, printableId(Id)), Yield);
+  if (const auto *Rejection = std::get_if<Problem>(&Read))
+    return Caller.sendResponse(toResponse(*Rejection, printableId(Id)), Yield);
   auto &Request = std::get<ParsedRequest>(Read);
   Request.m_Arrival.m_Request = Id;
   Request.m_Arrival.m_IsForwarded = IsForwarded;
@@ -204,16 +206,19 @@
   if (!Body.empty()) {
     boost::json::value Parsed = boost::json::parse(Body, Failure);
     const auto *Object = Parsed.if_object();
-    const auto *Wanted = Object ? Object->if_contains("count") : nullptr;
-    Count = Wanted && Wanted->is_int64() ? Wanted->get_int64() : 0;
+    const auto *RequestedCount =
+        Object ? Object->if_contains("count") : nullptr;
+    Count = RequestedCount && RequestedCount->is_int64()
+                ? RequestedCount->get_int64()
+                : 0;
   }
   if (Caller.request().m_Method != "POST" || Count < 1 ||
       Count > MaxTicketsPerRequest) {
-    Problem Wrong;
-    Wrong.m_Status = 400;
-    Wrong.m_Type = "bad-ticket-request";
-    Wrong.m_Title = "POST {\"count\": N} with N from 1 to 1000";
-    return Caller.sendResponse(toResponse(Wrong, ""), Yield);
+    Problem Rejection;
+    Rejection.m_Status = 400;
+    Rejection.m_Type = "bad-ticket-request";
+    Rejection.m_Title = "POST {\"count\": N} with N from 1 to 1000";
+    return Caller.sendResponse(toResponse(Rejection, ""), Yield);
   }
   boost::json::array Tickets;
   core::TimePoint Now = core::steadyNow();
@@ -239,11 +244,11 @@
                                       asio::yield_context Yield) {
   if (!m_Signature.isValid(Peer.request(), core::wallSeconds().count())) {
     m_Metrics.count("yardrill_peer_requests_rejected_total");
-    Problem Wrong;
-    Wrong.m_Status = 403;
-    Wrong.m_Type = "not-a-peer";
-    Wrong.m_Title = "The signature is not valid";
-    return Peer.sendResponse(toResponse(Wrong, ""), Yield);
+    Problem Rejection;
+    Rejection.m_Status = 403;
+    Rejection.m_Type = "not-a-peer";
+    Rejection.m_Title = "The signature is not valid";
+    return Peer.sendResponse(toResponse(Rejection, ""), Yield);
   }
   if (Peer.request().m_Target == PeerConfigurationPath)
     return sendConfiguration(Peer, Yield);
--- a/Tests/LibInstance/ActiveConfigurationTest.cpp
+++ b/Tests/LibInstance/ActiveConfigurationTest.cpp
@@ -15,7 +15,7 @@
   CPPUNIT_TEST(testEnvelopeKeepsLatestChangeIds);
   CPPUNIT_TEST_SUITE_END();
 
-  ActiveConfiguration m_Keeper;
+  ActiveConfiguration m_Active;
 
   static ConfigurationEnvelope envelope(std::uint64_t Version) {
     ConfigurationEnvelope Out;
@@ -26,30 +26,30 @@
 
 public:
   void testRejectsVersionsThatAreNotNewer() {
-    CPPUNIT_ASSERT(m_Keeper.offer(envelope(3)));
+    CPPUNIT_ASSERT(m_Active.offer(envelope(3)));
     for (std::uint64_t Old : {1, 2, 3})
-      CPPUNIT_ASSERT(!m_Keeper.offer(envelope(Old)));
-    CPPUNIT_ASSERT(m_Keeper.offer(envelope(4)));
-    CPPUNIT_ASSERT(m_Keeper.version() == core::ConfigurationVersion(4));
+      CPPUNIT_ASSERT(!m_Active.offer(envelope(Old)));
+    CPPUNIT_ASSERT(m_Active.offer(envelope(4)));
+    CPPUNIT_ASSERT(m_Active.version() == core::ConfigurationVersion(4));
   }
 
   void testReadersDoNotWaitForAnOffer() {
     // A reader within an offer would wait for ever if the offer held the
     // readers' lock; a large text held it for 405 ms.
     core::ConfigurationVersion Seen;
-    m_Keeper.subscribe([&](const config::ConfigurationHandle &) {
-      Seen = m_Keeper.current()->version();
+    m_Active.subscribe([&](const config::ConfigurationHandle &) {
+      Seen = m_Active.current()->version();
     });
-    m_Keeper.offer(envelope(5));
+    m_Active.offer(envelope(5));
     CPPUNIT_ASSERT(Seen == core::ConfigurationVersion(5));
   }
 
   void testUnreadableConfigurationIsRejected() {
-    m_Keeper.offer(envelope(1));
+    m_Active.offer(envelope(1));
     ConfigurationEnvelope Bad = envelope(2);
     Bad.m_Text = "tears: []";
-    CPPUNIT_ASSERT(!m_Keeper.offer(Bad));
-    CPPUNIT_ASSERT(m_Keeper.version() == core::ConfigurationVersion(1));
+    CPPUNIT_ASSERT(!m_Active.offer(Bad));
+    CPPUNIT_ASSERT(m_Active.version() == core::ConfigurationVersion(1));
   }
 
   void testEnvelopeKeepsLatestChangeIds() {
--- a/Tests/LibInstance/ClaimServiceTest.cpp
+++ b/Tests/LibInstance/ClaimServiceTest.cpp
@@ -53,12 +53,12 @@
     if (Now == WriteFailure::LostBeforeWrite)
       throw Error(ErrorKind::OutcomeUnknown, "lost");
     platform::SwapResult Out;
-    auto [Place, IsNew] =
+    auto [Position, IsNew] =
         m_Entries.emplace(Swap.m_Key, Swap.m_Puts.front().m_Value);
     Out.m_IsSwapped = IsNew;
     if (!IsNew)
       Out.m_Current =
-          platform::Entry{Swap.m_Key, Place->second, platform::Revision(1)};
+          platform::Entry{Swap.m_Key, Position->second, platform::Revision(1)};
     if (Now == WriteFailure::LostAfterWrite)
       throw Error(ErrorKind::OutcomeUnknown, "lost");
     return Out;
@@ -91,12 +91,12 @@
   ClaimCompleted claim(std::uint64_t By, std::uint64_t Request,
                        const std::string &Identity = "key") {
     boost::asio::io_context Context;
-    ClaimService Keeper(m_Service, owner(By), std::chrono::minutes(10));
+    ClaimService Service(m_Service, owner(By), std::chrono::minutes(10));
     ClaimCompleted Out;
     boost::asio::spawn(
         Context,
         [&](boost::asio::yield_context Yield) {
-          Out = Keeper.claim(Claim{core::RequestId(Request), Identity}, Yield);
+          Out = Service.claim(Claim{core::RequestId(Request), Identity}, Yield);
         },
         boost::asio::detached);
     Context.run();
@@ -149,14 +149,14 @@
 
   void testLeaseIsShared() {
     boost::asio::io_context Context;
-    ClaimService Keeper(m_Service, owner(1), std::chrono::minutes(10));
+    ClaimService Service(m_Service, owner(1), std::chrono::minutes(10));
     int Won = 0;
     for (std::uint64_t I = 1; I <= 20; ++I)
       boost::asio::spawn(
           Context,
           [&, I](boost::asio::yield_context Yield) {
-            Claim Wanted{core::RequestId(I), "key " + std::to_string(I)};
-            Won += Keeper.claim(Wanted, Yield).m_Outcome == ClaimOutcome::Won;
+            Claim ToClaim{core::RequestId(I), "key " + std::to_string(I)};
+            Won += Service.claim(ToClaim, Yield).m_Outcome == ClaimOutcome::Won;
           },
           boost::asio::detached);
     Context.run();
