--- a/Libraries/LibInstance/OpenRequest.cpp
+++ b/Libraries/LibInstance/OpenRequest.cpp
@@ -77,7 +77,8 @@
 
 void OpenRequest::handleCallerDisconnect() {
   m_IsCallerDisconnected = true;
-  // A request with an identity runs to its end: its caller may ask again.
+  // A response that is being stored is read to its end: the caller may repeat
+  // the request.
   if (m_Target && !m_IsStoringResponse)
     m_Target->close();
   if (!m_Target && !m_IsForwarded)
@@ -85,7 +86,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// At the target
+// Dispatch to a target
 //===----------------------------------------------------------------------===//
 
 bool OpenRequest::dispatch(const decision::Dispatch &What,
@@ -97,7 +98,8 @@
   logLine("request-dispatched");
   ResponseOutcome Outcome = ResponseOutcome::CallerDisconnected;
   if (m_IsEvicted) {
-    // Cancelled before a byte was sent; told as unknown, which is never wrong.
+    // Cancelled before a byte was sent. Like every eviction it is reported as
+    // outcome unknown, which is never wrong.
     Outcome = ResponseOutcome::Evicted;
   } else if (!m_IsCallerDisconnected || m_IsStoringResponse) {
     std::unique_ptr<http::ClientConnection> Target;
@@ -116,7 +118,7 @@
       return false;
     }
     m_Target = Target.get();
-    // Either may have happened while the connection was being made.
+    // Both may have changed while the connection was opened.
     if (m_IsEvicted)
       Outcome = ResponseOutcome::Evicted;
     else if (!m_IsCallerDisconnected || m_IsStoringResponse)
@@ -129,8 +131,8 @@
   if (Outcome == ResponseOutcome::Complete && m_IsStoringResponse &&
       !m_IsTooLargeToStore)
     IsKept = m_Traffic.m_Responses.store(m_Id, std::move(m_ResponseToStore));
-  // Before the decision thread hears of it, so that logs of several instances
-  // can be compared: a shed that this end allows is always logged later.
+  // Logged before the decision thread is notified, so that in the logs of all
+  // instances a shed that this completion permits comes later.
   logLine("target-finished");
   m_Traffic.m_Hooks.m_Push(
       decision::ResponseEnded{m_Id, Outcome, IsKept, m_OutputTokens});
@@ -180,7 +182,7 @@
     m_IsCallerDisconnected = true;
   }
   if (m_IsCallerDisconnected && !m_IsStoringResponse)
-    throw Error(core::ErrorKind::OutcomeUnknown, "caller is gone");
+    throw Error(core::ErrorKind::OutcomeUnknown, "the caller disconnected");
 }
 
 void OpenRequest::relay(http::ClientConnection &From,
@@ -204,8 +206,8 @@
   sendToCaller([&] { m_Caller.finishStream(Yield); });
 }
 
-/// Server-sent events end with an empty line (WHATWG HTML, section 9.2.5);
-/// engines send one event for each token.
+/// Counts the ends of server-sent events, which are empty lines (WHATWG HTML,
+/// section 9.2.5). Engines send one event per token.
 static std::uint32_t countServerSentEvents(const std::string &Data) {
   std::uint32_t Count = 0;
   for (std::size_t At = Data.find("\n\n"); At != std::string::npos;
@@ -221,7 +223,7 @@
                                       : metrics::RequestLatency::BetweenTokens,
                               m_Labels,
                               Now - (IsFirst ? m_ArrivedAt : m_LastBodyDataAt));
-  // A forwarded request is its home's; the core here has forgotten it.
+  // The decision core has forgotten a forwarded request: its owner decides.
   if (IsFirst && !m_IsForwarded)
     m_Traffic.m_Hooks.m_Push(decision::ResponseStarted{m_Id});
   m_LastBodyDataAt = Now;
@@ -237,12 +239,12 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Other answers
+// Refusals, repeats and forwarding
 //===----------------------------------------------------------------------===//
 
 void OpenRequest::failRequest(RefusalKind Kind, asio::yield_context Yield) {
   if (m_Caller.isStreamStarted())
-    // Never let half an answer look whole.
+    // A partial response must not look complete.
     m_Caller.abort();
   else
     sendProblem(
@@ -253,7 +255,8 @@
 
 bool OpenRequest::refuse(const decision::Refuse &What,
                          asio::yield_context Yield) {
-  // Looked at again here, since this process may have been frozen meanwhile.
+  // Checked at the time of sending: the process may have been suspended since
+  // the decision.
   std::int64_t Now = core::steadyNow().time_since_epoch().count();
   bool IsLimited = What.m_ValidUntil != 0;
   bool IsSent = !IsLimited || Now < What.m_ValidUntil;
--- a/Libraries/LibInstance/OpenRequest.h
+++ b/Libraries/LibInstance/OpenRequest.h
@@ -11,8 +11,9 @@
 
 namespace yardrill::instance {
 
-/// Lives in its caller's coroutine from the request's arrival to the end of
-/// its answer, and does what the decision core says.
+/// Carries out the decision core's actions for one request, from its arrival to
+/// the end of its response. TrafficThread creates it in the coroutine of the
+/// caller's connection.
 class OpenRequest {
 public:
   OpenRequest(TrafficThread &Traffic, http::Exchange &Caller,
@@ -21,13 +22,15 @@
   OpenRequest(const OpenRequest &) = delete;
   OpenRequest &operator=(const OpenRequest &) = delete;
 
-  /// Returns when the answer is complete or the caller is gone.
+  /// Returns when the request is completed, refused, dropped or has failed.
   void run(boost::asio::yield_context Yield);
-  /// An action for this request, on the traffic thread.
+  /// Handles a Cancel at once and queues any other action for run(). Called on
+  /// the traffic thread.
   void handleAction(decision::Action What);
 
 private:
-  /// \returns true when nothing more will come for this request.
+  /// Carries out an action of the decision core.
+  /// \returns true when no further action follows for this request.
   bool perform(const decision::Action &What, boost::asio::yield_context Yield);
   bool dispatch(const decision::Dispatch &What,
                 boost::asio::yield_context Yield);
@@ -36,19 +39,29 @@
   void sendStoredResponse(core::RequestId Original,
                           boost::asio::yield_context Yield);
 
+  /// Sends the request to a target and relays the response.
   decision::ResponseOutcome runAtTarget(http::ClientConnection &Target,
                                         boost::asio::yield_context Yield);
-  /// Passes an answer on, piece by piece. \throws core::Error as the
-  /// connection does; a caller who is gone only sets m_IsCallerDisconnected.
+  /// Streams a response to the caller. \throws core::Error as the connection to
+  /// the target does. A disconnected caller sets m_IsCallerDisconnected, and
+  /// ends the relay only if the response is not being stored.
   void relay(http::ClientConnection &From, boost::asio::yield_context Yield);
+  /// Calls \p Send unless the caller has disconnected.
+  /// \throws core::Error when it disconnects now and the response is not being
+  /// stored.
   void sendToCaller(const std::function<void()> &Send);
+  /// Measures and counts tokens, and collects the response if it is being
+  /// stored.
   void recordBodyData(const std::string &Data);
   void handleCallerDisconnect();
+  /// Resets the caller's connection if a response has begun, else sends a
+  /// problem.
   void failRequest(decision::RefusalKind Kind,
                    boost::asio::yield_context Yield);
   void sendProblem(const Problem &What, boost::asio::yield_context Yield);
-  /// \param Kind of a refusal; without one the line names the target.
+  /// \param Kind the kind of refusal; if null, the line names the target.
   void logLine(const char *Event, const char *Kind = nullptr) const;
+  /// Records the outcome and total time in the metrics and the log.
   void finish(const std::string &Outcome);
 
   TrafficThread &m_Traffic;
@@ -66,7 +79,7 @@
   bool m_IsCallerDisconnected = false;
   bool m_IsEvicted = false;
   bool m_IsForwarded = false;
-  bool m_IsStoringResponse = false; ///< The answer is being stored.
+  bool m_IsStoringResponse = false; ///< For repeats of the identity.
   bool m_IsTooLargeToStore = false;
   http::ResponseMessage m_ResponseToStore;
   std::uint32_t m_OutputTokens = 0;
