--- a/Libraries/LibInstance/TrafficThread.cpp
+++ b/Libraries/LibInstance/TrafficThread.cpp
@@ -24,7 +24,7 @@
   switch (Status) {
   case 408:
     Out.m_Type = "too-slow";
-    Out.m_Title = "The request came too slowly";
+    Out.m_Title = "The request was not received in time";
     break;
   case 413:
     Out.m_Type = "body-too-large";
@@ -36,15 +36,15 @@
     break;
   case 501:
     Out.m_Type = "transfer-coding";
-    Out.m_Title = "Only the chunked transfer coding is served here";
+    Out.m_Title = "Only the chunked transfer coding is supported";
     break;
   case 505:
     Out.m_Type = "http-version";
-    Out.m_Title = "Only HTTP/1.1 is served here";
+    Out.m_Title = "Only HTTP/1.1 is supported";
     break;
   default:
     Out.m_Type = "bad-request";
-    Out.m_Title = "This is not an HTTP request";
+    Out.m_Title = "The request is not valid HTTP";
     break;
   }
   return Out;
@@ -124,7 +124,8 @@
 
 namespace {
 
-/// The request that an action is about; none for actions of other duties.
+/// Visitor that returns the request of an action, or no id for actions of other
+/// threads.
 struct RequestIdOf {
   core::RequestId operator()(const decision::Dispatch &What) const {
     return What.m_Request;
@@ -237,7 +238,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// From other instances
+// Requests of peers
 //===----------------------------------------------------------------------===//
 
 void TrafficThread::handlePeerRequest(http::Exchange &Peer,
--- a/Libraries/LibInstance/TrafficThread.h
+++ b/Libraries/LibInstance/TrafficThread.h
@@ -1,8 +1,7 @@
-//===-- TrafficThread.h - The thread that carries requests and answers
-//------===//
+//===-- TrafficThread.h - Thread that serves callers and targets ----------===//
 //
-// One thread for callers and targets: the bytes of an answer never cross a
-// thread, and a slow reader holds back its own target and nobody else
+// One thread serves callers and targets, so that the bytes of a response never
+// cross threads and a slow caller slows down only its own target
 // (docs/design/0001-whole-path.md).
 //
 //===----------------------------------------------------------------------===//
@@ -31,13 +30,16 @@
 
 class OpenRequest;
 
-/// How traffic talks to the decision thread.
+/// Functions that send events to the decision thread.
 struct TrafficHooks {
-  /// False when there is no room: the request is refused as not run.
+  /// Returns false when the queue is full; the request is then refused as not
+  /// run.
   std::function<bool(decision::Event)> m_TryPush;
   std::function<void(decision::Event)> m_Push;
 };
 
+/// Event loop thread that serves callers and peers by HTTP, forwards requests
+/// to targets and relays their responses, as the decision core directs.
 class TrafficThread {
 public:
   /// Binds the caller and peer addresses.
@@ -50,15 +52,16 @@
 
   void start() { m_Thread.start(); }
   void stop() { m_Thread.stop(); }
-  /// Takes an action of the decision thread. Thread-safe.
+  /// Queues an action of the decision core. Thread-safe.
   void push(const decision::Action &What);
-  /// Accepts nothing new; requests in progress go on. Thread-safe.
+  /// Stops accepting callers' connections; requests in progress continue.
+  /// Thread-safe.
   void stopAccepting();
   struct Load {
-    std::size_t m_Connections = 0; ///< Of callers.
-    std::size_t m_Requests = 0;    ///< Not yet answered, peers' included.
+    std::size_t m_Connections = 0; ///< Open connections of callers.
+    std::size_t m_Requests = 0;    ///< Open requests of callers and peers.
   };
-  /// Waits for the traffic thread. Thread-safe.
+  /// Waits for the traffic thread, so must not be called on it. Thread-safe.
   Load load();
 
 private:
@@ -78,6 +81,7 @@
   void sendConfiguration(http::Exchange &Peer,
                          boost::asio::yield_context Yield);
   void handleAction(decision::Action What);
+  /// \returns an id that is unique among all instances, as in logs and headers.
   std::string printableId(core::RequestId Id) const;
 
   core::EventLoopThread m_Thread;
