--- a/Libraries/LibInstance/Instance.cpp
+++ b/Libraries/LibInstance/Instance.cpp
@@ -14,9 +14,10 @@
 namespace json = boost::json;
 
 static const std::chrono::milliseconds DrainPollPeriod(20);
-/// Time for the platform to hear of a resignation, and peers of our leaving.
+/// Time for the platform to receive the resignation, and for peers to receive
+/// the notice that this instance leaves.
 static const std::chrono::milliseconds LeaveNoticeTime(1000);
-/// Events and actions that one open request can have under way at once.
+/// Maximum of events and actions that one open request has in a queue at once.
 static const std::size_t QueueEntriesPerRequest = 4;
 
 InstanceBuilder &InstanceBuilder::settings(config::InstanceSettings Settings) {
@@ -44,11 +45,11 @@
 
 Instance::~Instance() {
   auto Stop = [](const auto &Component) {
-    // Missing where an address was taken.
+    // Null when construction failed, such as on an address in use.
     if (Component)
       Component->stop();
   };
-  // Whoever calls another duty stops first.
+  // Each component stops before those that it calls.
   Stop(m_OperatorServer);
   Stop(m_Traffic);
   Stop(m_Platform);
@@ -146,7 +147,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Operators
+// Operator endpoint
 //===----------------------------------------------------------------------===//
 
 static OperatorResponse problemResponse(unsigned Status, const char *Reason,
@@ -223,7 +224,8 @@
   if (Code != std::errc() || Last != Text.data() + Text.size() ||
       Request.m_ChangeId.empty())
     return problemResponse(400, "Bad Request", "usage",
-                           "base (a version) and change (an id) are required");
+                           "the query must have base (a version) and "
+                           "change (an id)");
   Publication.m_BaseVersion = core::ConfigurationVersion(Base);
   Publication.m_ChangeId = Request.m_ChangeId;
   Publication.m_Text = Request.m_Body;
--- a/Libraries/LibInstance/Instance.h
+++ b/Libraries/LibInstance/Instance.h
@@ -1,4 +1,4 @@
-//===-- Instance.h - One yardrill instance, all its duties wired ----------===//
+//===-- Instance.h - One yardrill instance and its threads ----------------===//
 #ifndef YARDRILL_LIBINSTANCE_INSTANCE_H
 #define YARDRILL_LIBINSTANCE_INSTANCE_H
 
@@ -16,16 +16,18 @@
 
 namespace yardrill::instance {
 
-/// All parts of one process. Threads: traffic, decision, platform, peers and
-/// the operator endpoint's own, joined by bounded rings.
+/// One process of yardrill: the threads for traffic, decisions, the platform,
+/// peers and the operator endpoint, which exchange events and actions through
+/// bounded queues.
 class Instance {
 public:
   ~Instance();
 
   void start();
-  /// Accepts nothing new, finishes everything in progress, however long that
-  /// takes, and hands leadership over (brief: "A planned stop cuts no request
-  /// in progress"). Returns when done or when \p IsStopForced becomes true.
+  /// Stops accepting requests after the drain delay, completes those in
+  /// progress however long they take, and resigns leadership (brief: "A planned
+  /// stop cuts no request in progress"). Returns when done or when
+  /// \p IsStopForced becomes true.
   void drain(const std::atomic<bool> &IsStopForced);
 
 private:
@@ -33,9 +35,10 @@
   explicit Instance(config::InstanceSettings Settings);
 
   void createComponents();
+  /// Passes an action of the decision core to the thread that carries it out.
   void routeAction(const decision::Action &What);
   OperatorResponse handleOperator(const OperatorRequest &Request);
-  /// What is only worth counting when somebody looks.
+  /// Sets the gauges that are computed only when metrics are requested.
   void updateGauges();
   OperatorResponse publish(const OperatorRequest &Request);
   OperatorResponse readConfiguration() const;
@@ -53,8 +56,8 @@
   std::atomic<bool> m_IsStopping{false};
 };
 
-/// Builds an instance: every address is bound before anything starts, so that
-/// a failure leaves no half-started process.
+/// Builds an instance. All addresses are bound before any thread starts, so
+/// that a failure leaves no partly started process.
 class InstanceBuilder {
 public:
   InstanceBuilder &settings(config::InstanceSettings Settings);
