--- a/Libraries/LibInstance/PlatformThread.cpp
+++ b/Libraries/LibInstance/PlatformThread.cpp
@@ -111,7 +111,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Following the platform
+// Watches
 //===----------------------------------------------------------------------===//
 
 static void logWatchLost(const char *What, const std::exception &Failure) {
@@ -196,12 +196,12 @@
 
 core::ConfigurationVersion
 PlatformThread::publish(const PublishRequest &Request) {
-  // Refused before anything is written: what is accepted can be in force.
+  // Validated before it is written, so that instances can apply what is stored.
   auto Parsed = config::FleetConfiguration::parse(
       Request.m_Text, "configuration", Request.m_BaseVersion);
   if (!Parsed->policy().empty())
     policy::PolicyProgram::check(Parsed->policy());
-  // Shared, because this thread may stop waiting before the answer comes.
+  // Shared: this thread may stop waiting before the result is set.
   auto Promise = std::make_shared<std::promise<core::ConfigurationVersion>>();
   auto Result = Promise->get_future();
   asio::post(m_Thread.context(), [this, Promise, Request] {
@@ -215,7 +215,8 @@
   });
   if (Result.wait_for(PublishTimeout) != std::future_status::ready)
     throw Error(ErrorKind::OutcomeUnknown,
-                "publish again with the change id " + Request.m_ChangeId);
+                "no result yet: publish again with the change id " +
+                    Request.m_ChangeId);
   return Result.get();
 }
 
@@ -238,7 +239,7 @@
   }
   if (Stored.hasChange(Request.m_ChangeId))
     return Stored.m_Version;
-  // A store that was put back to an earlier state must not take us with it.
+  // A store restored to an earlier state must not revert the configuration.
   if (Stored.m_Version < m_Configuration.version())
     throw conflict(m_Configuration.envelope());
   if (Stored.m_Version != Request.m_BaseVersion)
@@ -256,7 +257,7 @@
   } catch (const Error &Failure) {
     if (Failure.kind() != ErrorKind::OutcomeUnknown)
       throw;
-    // The answer was lost: the write may have taken effect, or may yet.
+    // The response was lost: the write may have taken effect, or may later.
     return resolvePublication(Request, Yield);
   }
   m_Configuration.offer(Next);
@@ -277,7 +278,7 @@
         m_Configuration.offer(Stored);
         return Stored.m_Version;
       }
-      // Another change stands where ours would be: ours can't come any more.
+      // Another change replaced the base version: this one can't succeed now.
       if (Stored.m_Version != Request.m_BaseVersion)
         throw conflict(Stored);
     } catch (const Error &Failure) {
@@ -287,7 +288,8 @@
     sleepFor(InitialBackoff, Yield);
   }
   throw Error(ErrorKind::OutcomeUnknown,
-              "publish again with the change id " + Request.m_ChangeId);
+              "write not confirmed: publish again with the change id " +
+                  Request.m_ChangeId);
 }
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/PlatformThread.h
+++ b/Libraries/LibInstance/PlatformThread.h
@@ -1,5 +1,4 @@
-//===-- PlatformThread.h - The thread that talks to the platform
-//------------===//
+//===-- PlatformThread.h - Thread that calls the platform -----------------===//
 #ifndef YARDRILL_LIBINSTANCE_PLATFORMTHREAD_H
 #define YARDRILL_LIBINSTANCE_PLATFORMTHREAD_H
 
@@ -23,18 +22,25 @@
 
 namespace yardrill::instance {
 
+/// Functions by which the platform thread reports to other threads.
 struct PlatformHooks {
   std::function<void(decision::Event)> m_Push;
-  /// The peer addresses of all listed instances that are not leaving.
+  /// Receives the peer addresses of all listed instances that are not leaving.
   std::function<void(std::vector<config::Endpoint>)> m_OnSchedulersListed;
 };
 
+/// A configuration to publish, from the operator endpoint.
 struct PublishRequest {
   std::string m_Text;
-  core::ConfigurationVersion m_BaseVersion; ///< The version it was made from.
-  std::string m_ChangeId; ///< The publisher's id for this change.
+  core::ConfigurationVersion m_BaseVersion; ///< Version that was edited.
+  /// Id that the publisher chose. A repeat with the same id returns the version
+  /// that the change already has.
+  std::string m_ChangeId;
 };
 
+/// Event loop thread that calls the platform's key-value service: carries out
+/// the decision core's claims and threshold record calls, watches the
+/// configuration and the instance list, and publishes configurations.
 class PlatformThread {
 public:
   PlatformThread(const config::InstanceSettings &Settings,
@@ -44,15 +50,15 @@
 
   void start();
   void stop() { m_Thread.stop(); }
-  /// Takes Claim, ReadThresholdRecord, WriteThresholdRecord and
-  /// ResignLeadership.
+  /// Queues a Claim, ReadThresholdRecord, WriteThresholdRecord or
+  /// ResignLeadership. Thread-safe.
   void push(const decision::Action &What);
 
-  /// Makes a configuration the accepted one. Waits; thread-safe.
-  /// \returns its version.
-  /// \throws config::DocumentError, or core::Error of kind Policy (the
-  /// program is wrong), Conflict (another
-  /// version stands), Unavailable (nothing was done) or OutcomeUnknown.
+  /// Writes a configuration to the platform and waits for the result.
+  /// Thread-safe. \returns the new version.
+  /// \throws config::DocumentError, or core::Error of kind Policy (invalid
+  /// policy program), Conflict (the base version is not current), Unavailable
+  /// (nothing was written) or OutcomeUnknown.
   core::ConfigurationVersion publish(const PublishRequest &Request);
 
 private:
@@ -61,8 +67,11 @@
   void watchConfiguration(boost::asio::yield_context Yield);
   void watchInstances(boost::asio::yield_context Yield);
   void reportInstanceChanges();
+  /// Writes the configuration if the base version is the current one.
   core::ConfigurationVersion publishToStore(const PublishRequest &Request,
                                             boost::asio::yield_context Yield);
+  /// Reads the store until it shows whether an unconfirmed change was written.
+  /// \throws core::Error of kind Conflict or OutcomeUnknown.
   core::ConfigurationVersion
   resolvePublication(const PublishRequest &Request,
                      boost::asio::yield_context Yield);
