--- a/Libraries/LibInstance/PeerSignature.cpp
+++ b/Libraries/LibInstance/PeerSignature.cpp
@@ -16,7 +16,7 @@
   for (const char *Name : {TimeHeader, AccountHeader, TierHeader, TicketHeader,
                            IdempotencyKeyHeader}) {
     const std::string *Value = Request.m_Headers.find(Name);
-    // Length first, so that no two requests have the same text.
+    // With its length, so that different headers never give the same text.
     std::string Part = Value ? *Value : "";
     Text += "\n" + std::to_string(Part.size()) + " " + Part;
   }
--- a/Libraries/LibInstance/PeerSignature.h
+++ b/Libraries/LibInstance/PeerSignature.h
@@ -1,4 +1,4 @@
-//===-- PeerSignature.h - Signed requests between instances ---------------===//
+//===-- PeerSignature.h - Signatures of requests between instances --------===//
 #ifndef YARDRILL_LIBINSTANCE_PEERSIGNATURE_H
 #define YARDRILL_LIBINSTANCE_PEERSIGNATURE_H
 
@@ -9,8 +9,8 @@
 
 namespace yardrill::instance {
 
-/// Names of the headers that a forwarded request carries; stripped from what
-/// callers send.
+/// Headers that a forwarded request may have. The Yardrill-Peer ones are
+/// removed from callers' requests.
 inline constexpr const char *AccountHeader = "Yardrill-Peer-Account";
 inline constexpr const char *TimeHeader = "Yardrill-Peer-Time";
 inline constexpr const char *SignatureHeader = "Yardrill-Peer-Signature";
@@ -18,14 +18,16 @@
 inline constexpr const char *IdempotencyKeyHeader = "Idempotency-Key";
 inline constexpr const char *TierHeader = "Yardrill-Tier";
 
-/// Signs method, target, time, account, tier, identity and body with the
-/// instances' shared key.
+/// Signs and verifies requests between instances: an HMAC with their shared key
+/// over method, target, time, account, tier, identity and body.
 class PeerSignature {
 public:
   explicit PeerSignature(std::string Key) : m_Key(std::move(Key)) {}
 
+  /// Adds the time and signature headers. \p WallSeconds is Unix time.
   void sign(http::RequestMessage &Request, std::int64_t WallSeconds) const;
-  /// \returns false for a request that is unsigned, forged or stale.
+  /// \returns false when the request is unsigned or forged, or its time differs
+  /// too much from \p WallSeconds.
   bool isValid(const http::RequestMessage &Request,
                std::int64_t WallSeconds) const;
 
--- a/Libraries/LibInstance/PeerThread.cpp
+++ b/Libraries/LibInstance/PeerThread.cpp
@@ -13,9 +13,9 @@
 namespace asio = boost::asio;
 using core::Error;
 
-/// A small fleet hears from everyone each period; in a larger one each
-/// instance writes to a few drawn at random, so that its own traffic stays
-/// the same however many there are (docs/CAPACITY.md).
+/// Heartbeats go to all peers up to this number; in a larger fleet they go to
+/// HeartbeatSampleSize random peers, so that the traffic of an instance does
+/// not grow with the fleet (docs/CAPACITY.md).
 static const std::size_t MaxPeersWithoutSampling = 8;
 static const std::size_t HeartbeatSampleSize = 3;
 static const std::size_t RecentPeersPerHeartbeat = 2;
@@ -219,8 +219,8 @@
 
 void PeerThread::reportIfGone(const decision::InstanceRef &Member,
                               core::TimePoint Now) {
-  // Gone only on two words: it has been silent, and the list no longer has its
-  // address or another process answers there.
+  // A silent member may only be suspended or unreachable; it counts as gone
+  // when, in addition, its address is unlisted or used by another process.
   if (m_Directory.all().count(Member.m_Incarnation) != 0) {
     m_FirstCommandAt.erase(Member.m_Incarnation);
     return;
--- a/Libraries/LibInstance/PeerThread.h
+++ b/Libraries/LibInstance/PeerThread.h
@@ -1,5 +1,4 @@
-//===-- PeerThread.h - The thread that talks to other instances
-//-------------===//
+//===-- PeerThread.h - Thread that exchanges messages with peers ----------===//
 #ifndef YARDRILL_LIBINSTANCE_PEERTHREAD_H
 #define YARDRILL_LIBINSTANCE_PEERTHREAD_H
 
@@ -26,15 +25,18 @@
 
 namespace yardrill::instance {
 
+/// State of a peer as reported by the operator endpoint.
 struct PeerStatus {
   core::InstanceName m_Name;
   decision::InstanceRef m_Instance;
   core::ConfigurationVersion m_Version;
-  core::Duration m_SilentFor{};
+  core::Duration m_SilentFor{}; ///< Time since the last message.
   bool m_IsStopping = false;
 };
 
-/// Heartbeats, floor messages and the spread of configurations, by UDP.
+/// Event loop thread that exchanges heartbeats and threshold messages with
+/// peers by UDP. It fetches a configuration by HTTP from a peer whose heartbeat
+/// announces a newer version.
 class PeerThread {
 public:
   /// \throws core::Error of kind AddressInUse.
@@ -46,12 +48,15 @@
 
   void start();
   void stop() { m_Thread.stop(); }
-  /// Takes SendThresholdCommand and SendThresholdReport. Thread-safe.
+  /// Queues a SendThresholdCommand or SendThresholdReport. Thread-safe.
   void push(const decision::Action &What);
-  /// The peer addresses that the instance list names. Thread-safe.
+  /// Sets the peer addresses of the platform's instance list. Thread-safe.
   void setListedPeers(std::vector<config::Endpoint> Addresses);
+  /// Announces in further heartbeats that this instance is stopping.
+  /// Thread-safe.
   void setStopping();
 
+  /// Returns the status as of the last heartbeat. Thread-safe.
   std::vector<PeerStatus> status() const;
 
 private:
@@ -64,6 +69,8 @@
   peer::Heartbeat makeHeartbeat();
   std::vector<config::Endpoint> heartbeatRecipients();
   void updateInstanceCount();
+  /// Reports \p Member as gone to the decision core if it is silent and its
+  /// address is unlisted or used by another process.
   void reportIfGone(const decision::InstanceRef &Member, core::TimePoint Now);
   void fetchConfiguration(const config::Endpoint &From,
                           boost::asio::yield_context Yield);
@@ -84,7 +91,8 @@
   peer::PeerSocket m_Socket;
   std::mt19937_64 m_Random;
   std::vector<config::Endpoint> m_ListedPeers;
-  std::set<config::Endpoint> m_HintedPeers; ///< Heard of, not heard from.
+  std::set<config::Endpoint> m_HintedPeers; ///< Named by other peers only.
+  /// Time of the first command to each member that is not in m_Directory.
   std::map<core::IncarnationId, core::TimePoint> m_FirstCommandAt;
   std::uint64_t m_NextSequence = 1;
   std::size_t m_LastInstanceCount = 0;
