--- a/Libraries/LibInstance/DecisionThread.cpp
+++ b/Libraries/LibInstance/DecisionThread.cpp
@@ -42,8 +42,8 @@
 
 void DecisionThread::handle(const decision::Event &What, core::TimePoint Now) {
   std::vector<decision::Action> Actions = m_Core.handle(What, Now);
-  // Anything thrown here is a fault of ours: EventLoopThread logs it as
-  // duty-failure, and the tests look for that line.
+  // An exception here is a bug. EventLoopThread logs it as duty-failure, which
+  // fails the tests.
   if (m_Trace)
     m_Trace->write(What, Now, Actions);
   for (decision::Action &Next : Actions)
--- a/Libraries/LibInstance/DecisionThread.h
+++ b/Libraries/LibInstance/DecisionThread.h
@@ -1,5 +1,4 @@
-//===-- DecisionThread.h - The thread that decides
-//--------------------------===//
+//===-- DecisionThread.h - Thread that runs the decision core -------------===//
 #ifndef YARDRILL_LIBINSTANCE_DECISIONTHREAD_H
 #define YARDRILL_LIBINSTANCE_DECISIONTHREAD_H
 
@@ -18,26 +17,28 @@
 
 namespace yardrill::instance {
 
+/// State of a target as this instance sees it.
 struct TargetStatus {
   core::TargetName m_Name;
   config::Endpoint m_Address;
   std::size_t m_Running = 0;
   bool m_TakesNewWork = false;
-  double m_DecodeRate = 0;
+  double m_DecodeRate = 0; ///< Tokens per second.
 };
 
+/// State of a pool, with the requests of this instance only.
 struct PoolStatus {
   core::PoolName m_Name;
   std::size_t m_Queued = 0;
   std::size_t m_Running = 0;
   core::TierNumber m_Threshold;
   bool m_IsLeader = false;
-  std::string m_LeaderPhase; ///< Empty when it does not lead.
+  std::string m_LeaderPhase; ///< Empty unless this instance leads the pool.
   bool m_HasShedPermit = false;
   std::vector<TargetStatus> m_Targets;
 };
 
-/// What the operator endpoint shows of the decision thread's state.
+/// State of the decision core as reported by the operator endpoint.
 struct DecisionStatus {
   std::size_t m_OpenRequests = 0;
   std::size_t m_Identities = 0;
@@ -45,12 +46,16 @@
   std::vector<PoolStatus> m_Pools;
 };
 
-/// Runs the decision core: events in by a ring, actions out by a hook.
+/// Event loop thread that runs the decision core. Other threads send events to
+/// it through a queue; the sink gets the actions that the core returns.
 class DecisionThread {
 public:
-  /// Called on the decision thread for each action, in order.
+  /// Runs on the decision thread for each action, in order.
   using ActionSink = std::function<void(decision::Action)>;
 
+  /// \param TraceFile file to which events and actions are written; none if
+  /// empty.
+  /// \throws core::Error of kind Settings when the file can't be written.
   DecisionThread(std::size_t QueueCapacity, const std::string &TraceFile);
   ~DecisionThread();
 
@@ -58,14 +63,16 @@
   void start(const decision::InstanceStarted &StartEvent);
   void stop() { m_Thread.stop(); }
 
-  /// \returns false when the ring is full; for events that can be refused.
+  /// Queues an event that may be rejected. \returns false when the queue is
+  /// full.
   bool tryPush(decision::Event What) {
     return m_Events.tryPush(std::move(What));
   }
-  /// For events that must not be lost. The ring is sized for all that open
-  /// requests can cause, so it waits only behind a stalled decision thread.
+  /// Queues an event that must not be lost. The queue has room for all events
+  /// of open requests, so this blocks only behind a stalled decision thread.
   void push(const decision::Event &What);
 
+  /// Returns the status as last published. Thread-safe.
   DecisionStatus status() const;
 
 private:
--- a/Libraries/LibInstance/OperatorServer.h
+++ b/Libraries/LibInstance/OperatorServer.h
@@ -1,7 +1,7 @@
-//===-- OperatorServer.h - The operators' HTTP endpoint
-//---------------------===//
+//===-- OperatorServer.h - The operators' HTTP endpoint -------------------===//
 //
-// cxxtools HTTP (house style): small whole answers, its own few threads.
+// Implemented with cxxtools HTTP: responses are small, complete, and sent by
+// the server's own threads.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBINSTANCE_OPERATORSERVER_H
@@ -20,9 +20,8 @@
   std::string m_Method;
   std::string m_Path;
   std::string m_Body;
-  /// Query parameters of a publication.
-  std::string m_BaseVersion;
-  std::string m_ChangeId;
+  std::string m_BaseVersion; ///< Query parameter `base` of a publication.
+  std::string m_ChangeId;    ///< Query parameter `change` of a publication.
 };
 
 struct OperatorResponse {
@@ -32,12 +31,13 @@
   std::string m_Body;
 };
 
-/// Serves one handler; called on several threads.
+/// HTTP server that passes each authorized request to one handler, on several
+/// threads.
 class OperatorServer {
 public:
   using Handler = std::function<OperatorResponse(const OperatorRequest &)>;
 
-  /// \param Token bearer token for everything but /healthz and /readyz.
+  /// \param Token bearer token for all paths except /healthz and /readyz.
   /// \throws core::Error of kind AddressInUse.
   OperatorServer(const config::Endpoint &Address, std::string Token,
                  Handler Handle);
