--- a/Libraries/LibInstance/RequestReader.cpp
+++ b/Libraries/LibInstance/RequestReader.cpp
@@ -14,10 +14,12 @@
 static const std::string ChatPath = "/v1/chat/completions";
 static const std::string ApplicationsPrefix = "/apps/";
 static const std::string BearerPrefix = "Bearer ";
-static const std::size_t BytesPerToken = 4; ///< Of English text, roughly.
+static const std::size_t BytesPerToken = 4; ///< Approximate, for English.
+/// Estimate for requests that state no limit.
 static const std::uint32_t DefaultOutputTokens = 256;
 static const std::uint32_t MaxOutputTokens = 1'000'000;
-/// A prompt shares its cached prefix with others that begin with these bytes.
+/// Prompts that agree in these first bytes are assumed to share a cached
+/// prefix.
 static const std::size_t CachedPrefixBytes = 1024;
 static const std::size_t MaxKeyBytes = 255;
 
@@ -62,7 +64,8 @@
 RequestReader::authenticate(const http::RequestMessage &Request) const {
   const std::string *Value = Request.m_Headers.find("Authorization");
   if (!Value || Value->compare(0, BearerPrefix.size(), BearerPrefix) != 0)
-    return problem(401, "no-credentials", "A bearer key is required");
+    return problem(401, "no-credentials",
+                   "An Authorization header with a bearer key is required");
   std::string Key = Value->substr(BearerPrefix.size());
   const auto *Account = m_Configuration.findAccountByKey(core::sha256Hex(Key));
   if (!Account)
@@ -76,14 +79,14 @@
   auto Path = canonicalPath(Request.m_Target);
   if (!Path)
     return problem(400, "bad-path",
-                   "The path can be read in more than one way");
+                   "The path has an ambiguous or invalid form");
   bool IsModelCall = *Path == CompletionsPath || *Path == ChatPath;
   bool IsApplicationCall =
       Path->compare(0, ApplicationsPrefix.size(), ApplicationsPrefix) == 0;
   if (!IsModelCall && !IsApplicationCall)
     return problem(404, "unknown-path", "No such path");
   if (IsModelCall && Request.m_Method != "POST")
-    return problem(405, "bad-method", "Only POST is served here");
+    return problem(405, "bad-method", "This path supports only POST");
   ParsedRequest Out;
   Out.m_Arrival.m_Account = Account.m_Name;
   auto Rejection = readTier(Request, Account, Out);
@@ -137,10 +140,11 @@
   if (Key) {
     if (Key->empty() || Key->size() > MaxKeyBytes)
       return problem(400, "bad-idempotency-key",
-                     "An Idempotency-Key has 1 to 255 bytes");
+                     "An Idempotency-Key must have 1 to 255 bytes");
     decision::Identity Id;
     Id.m_Kind = decision::IdentityKind::Key;
-    // With its length, so that no two accounts can share a name.
+    // With the account's length, so that identities of different accounts
+    // can't have the same name.
     const std::string &AccountName = Account.m_Name.value();
     Id.m_Name = "key " + std::to_string(AccountName.size()) + " " +
                 AccountName + " " + *Key;
@@ -151,7 +155,7 @@
   return std::nullopt;
 }
 
-/// What targets may see of the caller's headers.
+/// \returns the caller's headers without credentials and hop-by-hop fields.
 static http::HeaderList headersForTarget(const http::RequestMessage &Request) {
   http::HeaderList Out = Request.m_Headers;
   Out.removeHopByHop();
@@ -202,7 +206,7 @@
   json::object &Body = Parsed.get_object();
   const json::value *Model = Body.if_contains("model");
   if (!Model || !Model->is_string())
-    return problem(400, "no-model", "`model` must be a text");
+    return problem(400, "no-model", "`model` must be a string");
   const auto *Pool =
       m_Configuration.findPoolForModel(std::string(Model->get_string()));
   if (!Pool)
@@ -224,14 +228,14 @@
   Out.m_TargetRequest.m_Method = "POST";
   Out.m_TargetRequest.m_Target = Path;
   Out.m_TargetRequest.m_Headers = headersForTarget(Request);
-  // The caller's own word on urgency is not taken. Engines serve a smaller
-  // number first, as tiers are numbered.
+  // Replaces the caller's priority. Engines serve smaller numbers first, which
+  // is the order of tiers.
   Body["priority"] = Out.m_Arrival.m_Tier.value();
   Out.m_TargetRequest.m_Body = json::serialize(Parsed);
   return std::nullopt;
 }
 
-/// What stands behind `/apps/<pool>`, spelled as the caller did.
+/// \returns the rest of the target after `/apps/<pool>`, not decoded.
 static std::string pathWithinPool(const std::string &Target) {
   std::size_t PathEnd = std::min(Target.find_first_of("?#"), Target.size());
   std::string Path = Target.substr(0, PathEnd);
@@ -258,7 +262,7 @@
   bool IsSafe = Request.m_Method == "GET" || Request.m_Method == "HEAD" ||
                 Request.m_Method == "OPTIONS";
   Out.m_Arrival.m_IsIdentityRequired = !IsRepeatable && !IsSafe;
-  // Half a call to an application may have had its whole effect.
+  // An evicted application call may already have taken full effect.
   Out.m_Arrival.m_IsEvictable = false;
   Out.m_Arrival.m_OutputTokens = 1;
   Out.m_TargetRequest.m_Method = Request.m_Method;
--- a/Libraries/LibInstance/RequestReader.h
+++ b/Libraries/LibInstance/RequestReader.h
@@ -1,4 +1,4 @@
-//===-- RequestReader.h - From an HTTP request to a decision event --------===//
+//===-- RequestReader.h - Converts HTTP requests to decision events -------===//
 #ifndef YARDRILL_LIBINSTANCE_REQUESTREADER_H
 #define YARDRILL_LIBINSTANCE_REQUESTREADER_H
 
@@ -13,31 +13,34 @@
 
 namespace yardrill::instance {
 
-/// A request that may be decided on, and what goes to its target.
+/// A valid request: the event for the decision core, and the request to send to
+/// the target.
 struct ParsedRequest {
   decision::RequestArrived m_Arrival;
   http::RequestMessage m_TargetRequest;
   bool m_IsStream = false;
 };
 
-/// Checks a caller's request against one configuration: who asks, for which
-/// pool, in which tier, under which identity.
+/// Validates requests of callers against one configuration, and finds their
+/// client account, pool, tier and identity. Used by the traffic thread.
 class RequestReader {
 public:
   RequestReader(const config::FleetConfiguration &Configuration,
                 const TicketSigner &Tickets)
       : m_Configuration(Configuration), m_Tickets(Tickets) {}
 
-  /// \returns the client account, or the problem to answer with (401, 403).
+  /// \returns the client account, or the error response (401, 403).
   std::variant<const config::ClientAccount *, Problem>
   authenticate(const http::RequestMessage &Request) const;
 
   /// Reads a request of \p Account for a model or an application pool.
+  /// \returns the request, or the error response.
   std::variant<ParsedRequest, Problem>
   read(const http::RequestMessage &Request,
        const config::ClientAccount &Account) const;
 
 private:
+  // Each of these sets its part of Out, or returns the error response.
   std::optional<Problem> readModelCall(const http::RequestMessage &Request,
                                        const std::string &Path,
                                        ParsedRequest &Out) const;
@@ -55,10 +58,10 @@
   const TicketSigner &m_Tickets;
 };
 
-/// The path without the query, percent-decoded once.
-/// \returns nothing for a path that targets may read in more than one way
-/// (dot segments, empty segments, encoded slashes, control characters), so
-/// that no spelling gets around a route's rule.
+/// Returns the path without the query, percent-decoded once.
+/// \returns none for a path that targets may interpret in several ways (dot
+/// segments, empty segments, encoded slashes, control characters), so that no
+/// spelling bypasses a route's rule.
 std::optional<std::string> canonicalPath(const std::string &Target);
 
 } // namespace yardrill::instance
--- a/Tests/LibInstance/RequestReaderTest.cpp
+++ b/Tests/LibInstance/RequestReaderTest.cpp
@@ -52,7 +52,7 @@
     auto Expiry = Now + std::chrono::minutes(10);
     CPPUNIT_ASSERT(Read->m_ExpiresAt == Expiry.time_since_epoch().count());
     CPPUNIT_ASSERT(m_Tickets.issue(m_Account, Now) != Ticket);
-    // Of another account, of another key, or changed in any place.
+    // Rejected: another account, another key, a changed or shortened ticket.
     CPPUNIT_ASSERT(!m_Tickets.read(Ticket, core::AccountName("other")));
     TicketSigner Other("other key", m_Self, std::chrono::minutes(10));
     CPPUNIT_ASSERT(!Other.read(Ticket, m_Account));
