--- a/Libraries/LibInstance/ClaimService.cpp
+++ b/Libraries/LibInstance/ClaimService.cpp
@@ -16,7 +16,7 @@
 using decision::ClaimOutcome;
 
 static const char ClaimPrefix[] = "/yardrill/claims/";
-/// Claims made within this time share a lease.
+/// Time for which a lease is used for new claims.
 static const std::chrono::seconds LeaseSharingPeriod(60);
 static const std::chrono::milliseconds GrantPollPeriod(5);
 static const int MaxReadBackAttempts = 3;
@@ -44,7 +44,7 @@
 }
 
 platform::LeaseId ClaimService::currentLease(boost::asio::yield_context Yield) {
-  // One grant for all claims that come while it is under way.
+  // Claims that arrive while a lease is being granted wait for that lease.
   core::Timer WaitTimer(Yield.get_executor());
   while (m_IsGrantPending) {
     boost::system::error_code Ignored;
@@ -86,7 +86,8 @@
   if (Result.m_IsSwapped)
     return resultFor(Request, Value, Value);
   if (!Result.m_Current)
-    throw Error(ErrorKind::Protocol, "a held claim without a value");
+    throw Error(ErrorKind::Protocol,
+                "compare-and-swap of a claim failed without a current value");
   return resultFor(Request, Result.m_Current->m_Value, Value);
 }
 
@@ -101,13 +102,13 @@
       if (Stored)
         return resultFor(Request, Stored->m_Value, Value);
     } catch (const Error &) {
-      // Asked again below.
+      // Retried after the delay.
     }
     boost::system::error_code Ignored;
     WaitTimer.expires_after(ReadBackRetryDelay);
     WaitTimer.async_wait(Yield[Ignored]);
   }
-  // Absent is no proof: the write may be on its way still.
+  // An absent key proves nothing: the write may still take effect.
   ClaimCompleted Out;
   Out.m_Request = Request.m_Request;
   Out.m_MayTakeEffect = true;
@@ -126,7 +127,7 @@
     if (Failure.kind() == ErrorKind::OutcomeUnknown)
       return readBack(Request, Key, Value, Yield);
   } catch (const std::exception &) {
-    // A claim that can't be read is somebody's: never ours to run.
+    // A malformed value is another owner's claim: don't run the request here.
   }
   return Unavailable;
 }
--- a/Libraries/LibInstance/ClaimService.h
+++ b/Libraries/LibInstance/ClaimService.h
@@ -1,5 +1,4 @@
-//===-- ClaimService.h - Claims of Idempotency-Keys at the platform
-//--------===//
+//===-- ClaimService.h - Claims of Idempotency-Keys at the platform -------===//
 #ifndef YARDRILL_LIBINSTANCE_CLAIMSERVICE_H
 #define YARDRILL_LIBINSTANCE_CLAIMSERVICE_H
 
@@ -13,16 +12,17 @@
 
 namespace yardrill::instance {
 
-/// Makes this instance the home of a key, if nobody is. Runs on the platform
-/// thread; one coroutine a claim.
+/// Records this instance as the owner of an Idempotency-Key in the platform's
+/// key-value service, unless another owner is recorded. Runs on the platform
+/// thread, one coroutine per claim.
 class ClaimService {
 public:
-  /// \param Retention how long a claim stands at the least.
+  /// \param Retention minimum time for which a claim is kept.
   ClaimService(platform::KeyValueService &Service, decision::InstanceRef Self,
                core::Duration Retention)
       : m_Service(Service), m_Self(std::move(Self)), m_Retention(Retention) {}
 
-  /// Never throws core::Error: a failure is an outcome.
+  /// Makes a claim. Reports failures as an outcome and throws no core::Error.
   decision::ClaimCompleted claim(const decision::Claim &Request,
                                  boost::asio::yield_context Yield);
 
@@ -31,21 +31,24 @@
                                       const std::string &Key,
                                       const std::string &Value,
                                       boost::asio::yield_context Yield);
-  /// After a lost answer: did the write take effect?
+  /// Finds out whether a write whose response was lost took effect.
   decision::ClaimCompleted readBack(const decision::Claim &Request,
                                     const std::string &Key,
                                     const std::string &Value,
                                     boost::asio::yield_context Yield);
+  /// \returns Won if \p Stored is this claim's own \p Value, else Held by the
+  /// owner that \p Stored names.
   decision::ClaimCompleted resultFor(const decision::Claim &Request,
                                      const std::string &Stored,
                                      const std::string &Value) const;
+  /// Returns the lease for a new claim, and replaces it when it is too old.
   platform::LeaseId currentLease(boost::asio::yield_context Yield);
   void renewLease(core::TimePoint Now, boost::asio::yield_context Yield);
 
   platform::KeyValueService &m_Service;
   decision::InstanceRef m_Self;
   core::Duration m_Retention;
-  /// One lease for all claims of some seconds: it ends them all together.
+  /// Lease of the claims of one LeaseSharingPeriod, which expire with it.
   std::optional<platform::LeaseId> m_Lease;
   core::TimePoint m_LeaseUsableUntil{};
   bool m_IsGrantPending = false;
--- a/Tests/LibInstance/ClaimServiceTest.cpp
+++ b/Tests/LibInstance/ClaimServiceTest.cpp
@@ -1,5 +1,4 @@
-//===-- ClaimServiceTest.cpp - Claims against a mock of the service
-//--------===//
+//===-- ClaimServiceTest.cpp - Claims with lost and failed store calls ----===//
 #include "LibInstance/ClaimService.h"
 
 #include "EmptyStore.h"
@@ -20,12 +19,12 @@
 
 enum class WriteFailure {
   None,
-  Refused,        ///< The call is not made.
-  LostAfterWrite, ///< The write takes effect, its answer is lost.
-  LostBeforeWrite ///< The write never takes effect, nor is it answered.
+  Refused,        ///< The call fails, and nothing is written.
+  LostAfterWrite, ///< The write takes effect, but its response is lost.
+  LostBeforeWrite ///< The request is lost: no write and no response.
 };
 
-/// Keeps entries in memory; one mishap for the next write.
+/// Store in memory whose next write can be made to fail.
 class MockService final : public tests::EmptyStore {
 public:
   std::map<std::string, std::string> m_Entries;
@@ -110,7 +109,7 @@
     CPPUNIT_ASSERT(Second.m_Outcome == ClaimOutcome::Held);
     CPPUNIT_ASSERT(Second.m_Owner == owner(1));
     CPPUNIT_ASSERT_EQUAL(std::uint16_t(8082), Second.m_Owner.m_Peer.m_Port);
-    // Another request of the same process did not win it either.
+    // The claim is the request's, not the instance's.
     CPPUNIT_ASSERT(claim(1, 6).m_Outcome == ClaimOutcome::Held);
   }
 
