--- a/Libraries/LibInstance/ActiveConfiguration.cpp
+++ b/Libraries/LibInstance/ActiveConfiguration.cpp
@@ -55,11 +55,12 @@
     return false;
   config::ConfigurationHandle Next;
   try {
-    // Takes long for a large text, so readers must not wait for it.
+    // Outside m_Mutex: parsing a large text must not block readers.
     Next = config::FleetConfiguration::parse(Envelope.m_Text, "configuration",
                                              Envelope.m_Version);
   } catch (const core::Error &Failure) {
-    // Publishing checks it first, so this is another release's work.
+    // Texts are validated before they are published, so another release wrote
+    // this one.
     core::LogLine("configuration-unreadable", core::LogLevel::Error)
         .add("version", Envelope.m_Version)
         .add("reason", Failure.what());
--- a/Libraries/LibInstance/ActiveConfiguration.h
+++ b/Libraries/LibInstance/ActiveConfiguration.h
@@ -1,4 +1,4 @@
-//===-- ActiveConfiguration.h - The configuration in force here -----------===//
+//===-- ActiveConfiguration.h - Newest accepted configuration -------------===//
 #ifndef YARDRILL_LIBINSTANCE_ACTIVECONFIGURATION_H
 #define YARDRILL_LIBINSTANCE_ACTIVECONFIGURATION_H
 
@@ -11,31 +11,32 @@
 
 namespace yardrill::instance {
 
-/// What stands in the platform's service: a text with its place in the order
-/// of all that were ever accepted.
+/// A configuration's text and version, as stored in the platform's key-value
+/// service and sent between instances.
 struct ConfigurationEnvelope {
   core::ConfigurationVersion m_Version;
-  /// Ids of the latest changes, newest last, so that a publisher who lost an
-  /// answer can tell whether its change was made.
+  /// Ids of the latest changes, newest last. A publisher whose response was
+  /// lost finds its change here if it took effect.
   std::vector<std::string> m_ChangeIds;
   std::string m_Text;
 
-  /// \throws core::Error of kind Configuration.
+  /// \throws core::Error of kind Configuration when \p Json is malformed.
   static ConfigurationEnvelope parse(const std::string &Json);
   std::string toJson() const;
   bool hasChange(const std::string &Change) const;
 };
 
-/// Holds the newest accepted configuration. It only ever goes to a higher
-/// version, whoever offers what, in whatever order (brief: "never reverts").
-/// Thread-safe.
+/// Holds the newest configuration that this instance accepted, from the
+/// platform, a peer or an operator. The version only increases, in whatever
+/// order configurations are offered (brief: "never reverts"). Thread-safe.
 class ActiveConfiguration {
 public:
-  /// Called with each new configuration, one at a time, in order.
+  /// Receives each new configuration, in order of versions and one at a time.
   using Subscriber = std::function<void(const config::ConfigurationHandle &)>;
 
   void subscribe(Subscriber Notify);
-  /// \returns false when the offer is not newer, or cannot be read (logged).
+  /// Accepts a configuration and notifies the subscribers.
+  /// \returns false when it is not newer, or is invalid, which is logged.
   bool offer(const ConfigurationEnvelope &Envelope);
 
   config::ConfigurationHandle current() const;
@@ -43,9 +44,9 @@
   core::ConfigurationVersion version() const;
 
 private:
-  /// Held by one offer from its check to its notifications.
+  /// Serializes offers, from the version check to the last notification.
   std::mutex m_OfferMutex;
-  /// Held only to read or replace what is current.
+  /// Protects the current configuration; never held while a text is parsed.
   mutable std::mutex m_Mutex;
   config::ConfigurationHandle m_Current;
   ConfigurationEnvelope m_Envelope;
--- a/Tests/LibInstance/ActiveConfigurationTest.cpp
+++ b/Tests/LibInstance/ActiveConfigurationTest.cpp
@@ -34,8 +34,7 @@
   }
 
   void testReadersDoNotWaitForAnOffer() {
-    // A reader within an offer would wait for ever if the offer held the
-    // readers' lock; a large text held it for 405 ms.
+    // Deadlocks if offer() holds the readers' lock while it notifies.
     core::ConfigurationVersion Seen;
     m_Active.subscribe([&](const config::ConfigurationHandle &) {
       Seen = m_Active.current()->version();
