--- a/Libraries/LibInstance/ThresholdRecordService.cpp
+++ b/Libraries/LibInstance/ThresholdRecordService.cpp
@@ -80,7 +80,7 @@
     Out.m_IsWritten = Result.m_IsSwapped;
     Out.m_Revision = Result.m_Revision.value();
   } catch (const Error &Failure) {
-    // Perhaps the lease has ended and took the write with it.
+    // The write may have failed because the lease has expired.
     m_Lease.reset();
     core::LogLine("floor-record-unwritten", core::LogLevel::Warning)
         .add("pool", What.m_Pool)
@@ -97,7 +97,7 @@
   try {
     m_Service.revoke(Lease, Yield);
   } catch (const Error &) {
-    // It ends by itself.
+    // The lease expires without keep-alives.
   }
 }
 
@@ -108,7 +108,7 @@
     if (!m_Service.keepAlive(*m_Lease, Yield))
       m_Lease.reset();
   } catch (const Error &) {
-    // Tried again at the next period; the lease may end meanwhile.
+    // Retried after KeepAlivePeriod; the lease may expire before.
   }
 }
 
--- a/Libraries/LibInstance/ThresholdRecordService.h
+++ b/Libraries/LibInstance/ThresholdRecordService.h
@@ -1,5 +1,4 @@
-//===-- ThresholdRecordService.h - Pool leadership at the platform
-//-------------===//
+//===-- ThresholdRecordService.h - Leadership of pools --------------------===//
 #ifndef YARDRILL_LIBINSTANCE_THRESHOLDRECORDSERVICE_H
 #define YARDRILL_LIBINSTANCE_THRESHOLDRECORDSERVICE_H
 
@@ -13,22 +12,27 @@
 
 namespace yardrill::instance {
 
-/// Reads and writes the pools' floor records. Beside each record stands a
-/// `leader` key under this instance's lease: while it is there, nobody else
-/// campaigns. Runs on the platform thread.
+/// Reads and writes the threshold records of pools in the platform's key-value
+/// service. Beside each record the leader has a `leader` key under its lease;
+/// other instances don't campaign while that key exists. Runs on the platform
+/// thread.
 class ThresholdRecordService {
 public:
   explicit ThresholdRecordService(platform::KeyValueService &Service)
       : m_Service(Service) {}
 
-  /// \returns nothing when the service did not answer.
+  /// \returns none, and logs why, when the service fails or the record is
+  /// malformed.
   std::optional<decision::ThresholdRecordRead>
   read(const core::PoolName &Pool, boost::asio::yield_context Yield);
+  /// Writes the record and the `leader` key if the record's revision is the
+  /// expected one. Logs failures and reports them as not written.
   decision::ThresholdRecordWritten
   write(const decision::WriteThresholdRecord &What,
         boost::asio::yield_context Yield);
+  /// Revokes the lease, which removes the `leader` keys of this instance.
   void resign(boost::asio::yield_context Yield);
-  /// To be called every KeepAlivePeriod.
+  /// Renews the lease; called every KeepAlivePeriod.
   void keepAlive(boost::asio::yield_context Yield);
 
   static constexpr std::chrono::seconds LeaseDuration{9};
