--- a/Libraries/LibInstance/ResponseStore.h
+++ b/Libraries/LibInstance/ResponseStore.h
@@ -1,5 +1,4 @@
-//===-- ResponseStore.h - Whole answers kept for repeated identities
-//--------===//
+//===-- ResponseStore.h - Responses stored for repeated requests ----------===//
 #ifndef YARDRILL_LIBINSTANCE_RESPONSESTORE_H
 #define YARDRILL_LIBINSTANCE_RESPONSESTORE_H
 
@@ -15,15 +14,18 @@
 
 using StoredResponse = std::shared_ptr<const http::ResponseMessage>;
 
-/// Bounded by bytes. When full the oldest answers go first; who asks for one
-/// of those is told that it ran and that its answer is not kept.
+/// Complete responses to requests with an identity, by the request that ran.
+/// The traffic thread sends them to callers who repeat the request. Bounded by
+/// the bytes of the bodies: the oldest are discarded first, and a repeat of
+/// their request is refused with ResponseNotStored.
 class ResponseStore {
 public:
   ResponseStore(std::size_t MaxBytes, std::size_t MaxResponseBytes)
       : m_MaxBytes(MaxBytes), m_MaxResponseBytes(MaxResponseBytes) {}
 
-  /// \returns false when the answer is too large to keep.
+  /// Stores a response. \returns false when it is too large.
   bool store(core::RequestId Request, http::ResponseMessage Response);
+  /// \returns null when the response is not stored.
   StoredResponse find(core::RequestId Request) const;
   void discard(core::RequestId Request);
 
--- a/Libraries/LibInstance/TicketSigner.cpp
+++ b/Libraries/LibInstance/TicketSigner.cpp
@@ -8,8 +8,9 @@
 
 namespace yardrill::instance {
 
-/// Text form: `1.incarnation.serial.expiry.peer-port.peer-address-hex.mac`;
-/// numbers are decimal, the expiry counts on the home's steady clock.
+/// Fields of `1.incarnation.serial.expiry.peer-port.peer-address-hex.mac`.
+/// Numbers are decimal; the expiry is in microseconds of the owner's steady
+/// clock.
 static const std::size_t PartCount = 7;
 static const std::string FormatVersion = "1";
 static const std::string SignatureDomain = "yardrill-ticket";
--- a/Libraries/LibInstance/TicketSigner.h
+++ b/Libraries/LibInstance/TicketSigner.h
@@ -1,4 +1,4 @@
-//===-- TicketSigner.h - Tickets for requests that may not be repeated ----===//
+//===-- TicketSigner.h - Tickets for requests that must not run twice -----===//
 #ifndef YARDRILL_LIBINSTANCE_TICKETSIGNER_H
 #define YARDRILL_LIBINSTANCE_TICKETSIGNER_H
 
@@ -11,16 +11,19 @@
 
 namespace yardrill::instance {
 
-/// A ticket names its home instance, a serial and an expiry, is bound to one
-/// client account and signed with the instances' shared key. Any instance can
-/// read it; issuing one leaves nothing to remember.
+/// Issues and verifies tickets. A ticket has its owner instance, a serial
+/// number and an expiry, is bound to one client account and signed with the
+/// instances' shared key. Any instance can verify it, and no record of it is
+/// stored.
 class TicketSigner {
 public:
   TicketSigner(std::string Key, decision::InstanceRef Self,
                core::Duration Lifetime);
 
+  /// Issues a ticket that expires after lifetime().
   std::string issue(const core::AccountName &Account, core::TimePoint Now);
-  /// \returns nothing for a ticket that is forged or of another account.
+  /// \returns none for a ticket that is malformed, forged or of another
+  /// account. The expiry is not checked: it is a time of the owner's clock.
   std::optional<decision::Identity>
   read(const std::string &Ticket, const core::AccountName &Account) const;
   core::Duration lifetime() const { return m_Lifetime; }
