--- a/Libraries/LibInstance/InstanceList.h
+++ b/Libraries/LibInstance/InstanceList.h
@@ -1,9 +1,10 @@
 //===-- InstanceList.h - The platform's list of instances -----------------===//
 //
-// The list is met as keys under `/platform/instances/` in the platform's
-// key-value service, written by the platform, one JSON object each:
+// The platform writes a key under `/platform/instances/` of its key-value
+// service for each instance. The value is a JSON object:
 // {"kind":"scheduler"|"target","name":…,"address":"ip:port",
-//  "state":"live"|"leaving"}. It lags; a missing key means gone.
+//  "state":"live"|"leaving"}. The list lags behind the instances; an instance
+// without a key is gone.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBINSTANCE_INSTANCELIST_H
@@ -26,23 +27,26 @@
 struct ListedInstance {
   ListedKind m_Kind = ListedKind::Target;
   std::string m_Name;
-  config::Endpoint m_Address; ///< Of a scheduler: its peer address.
+  config::Endpoint m_Address; ///< The peer address, for a scheduler.
   bool m_IsLeaving = false;
 };
 
-/// The list as last seen.
+/// Copy of the platform's instance list, kept by the platform thread.
 class InstanceList {
 public:
-  /// Replaces the whole list.
+  /// Replaces all entries.
   void reset(const std::vector<platform::Entry> &Entries);
+  /// Applies changes that a watch reported.
   void apply(const std::vector<platform::Entry> &Changes);
 
   const std::map<std::string, ListedInstance> &all() const {
     return m_Instances;
   }
+  /// \returns the peer addresses of schedulers that are not leaving.
   std::vector<config::Endpoint> schedulerAddresses() const;
 
 private:
+  /// Adds or replaces an entry. Logs a malformed value and ignores it.
   void put(const platform::Entry &Item);
 
   std::map<std::string, ListedInstance> m_Instances; ///< By key.
--- a/Libraries/LibInstance/InstanceRefJson.h
+++ b/Libraries/LibInstance/InstanceRefJson.h
@@ -1,4 +1,4 @@
-//===-- InstanceRefJson.h - Homes as the platform keeps them ------------===//
+//===-- InstanceRefJson.h - JSON form of instance references --------------===//
 #ifndef YARDRILL_LIBINSTANCE_INSTANCEREFJSON_H
 #define YARDRILL_LIBINSTANCE_INSTANCEREFJSON_H
 
@@ -8,9 +8,9 @@
 
 namespace yardrill::instance {
 
-/// `{"incarnation":N,"peer":"ip:port"}`
+/// \returns `{"incarnation":N,"peer":"ip:port"}`, as stored at the platform.
 boost::json::object toJson(const decision::InstanceRef &InstanceRef);
-/// \throws std::exception when \p Value is something else.
+/// \throws std::exception when a member is missing or has another type.
 decision::InstanceRef toInstanceRef(const boost::json::value &Value);
 
 } // namespace yardrill::instance
