--- a/Libraries/LibInstance/ProblemDetails.h
+++ b/Libraries/LibInstance/ProblemDetails.h
@@ -1,4 +1,4 @@
-//===-- ProblemDetails.h - Error answers (RFC 9457) -----------------------===//
+//===-- ProblemDetails.h - Error responses (RFC 9457) ---------------------===//
 #ifndef YARDRILL_LIBINSTANCE_PROBLEMDETAILS_H
 #define YARDRILL_LIBINSTANCE_PROBLEMDETAILS_H
 
@@ -9,6 +9,7 @@
 
 namespace yardrill::instance {
 
+/// Content of an error response.
 struct Problem {
   unsigned m_Status = 500;
   std::string m_Type; ///< Last part of the `type` URI.
@@ -18,10 +19,12 @@
   unsigned m_RetryAfterSeconds = 0; ///< 0: no Retry-After header.
 };
 
+/// Describes a refusal by the decision core.
 Problem toProblem(decision::RefusalKind Kind, unsigned RetryAfterSeconds);
 
-/// `application/problem+json`, with the members `outcome` (`not-run`,
-/// `outcome-unknown` or `ran`) and `request_id` beside the standard's.
+/// Makes an `application/problem+json` response. Beside the members of RFC 9457
+/// it has `outcome` (`not-run`, `outcome-unknown` or `ran`) and, unless
+/// \p RequestId is empty, `request_id`.
 http::ResponseMessage toResponse(const Problem &What,
                                  const std::string &RequestId);
 
