--- a/Tests/LibInstance/ActiveConfigurationTest.cpp
+++ b/Tests/LibInstance/ActiveConfigurationTest.cpp
@@ -1,3 +1,4 @@
+//===-- ActiveConfigurationTest.cpp - Versions never go back --------------===//
 #include "LibInstance/ActiveConfiguration.h"
 
 #include "LibCore/Error.h"
--- a/Tests/LibInstance/RequestReaderTest.cpp
+++ b/Tests/LibInstance/RequestReaderTest.cpp
@@ -1,3 +1,4 @@
+//===-- RequestReaderTest.cpp - Paths, identities and headers -------------===//
 #include "LibInstance/RequestReader.h"
 
 #include "LibCore/Digest.h"
