--- a/Libraries/LibConfig/Diagnostic.cpp
+++ b/Libraries/LibConfig/Diagnostic.cpp
@@ -9,9 +9,9 @@
 
 static std::string summarize(const std::string &File,
                              const std::vector<Diagnostic> &Diagnostics) {
-  std::string Text = std::to_string(Diagnostics.size()) + " faults";
+  std::string Text = std::to_string(Diagnostics.size()) + " errors";
   if (!Diagnostics.empty())
-    Text += ", first " + Diagnostics.front().toString(File);
+    Text += ", first: " + Diagnostics.front().toString(File);
   return Text;
 }
 
--- a/Libraries/LibConfig/Diagnostic.h
+++ b/Libraries/LibConfig/Diagnostic.h
@@ -1,4 +1,4 @@
-//===-- Diagnostic.h - What is wrong in a YAML document -----------------===//
+//===-- Diagnostic.h - Errors in settings and configuration documents -----===//
 #ifndef YARDRILL_LIBCONFIG_DIAGNOSTIC_H
 #define YARDRILL_LIBCONFIG_DIAGNOSTIC_H
 
@@ -9,18 +9,19 @@
 
 namespace yardrill::config {
 
-/// One thing wrong in a document.
+/// One error in a YAML or TOML document.
 struct Diagnostic {
-  int m_Line = 0;        ///< From 1; 0 when the document has no such place.
-  std::string m_Key;     ///< Path of the key, as `pools[0].targets[1].address`.
-  std::string m_Problem; ///< What is wrong.
-  std::string m_Allowed; ///< What would be right.
+  int m_Line = 0;        ///< Counted from 1; 0 when the line is not known.
+  std::string m_Key;     ///< Path of the key: `pools[0].targets[1].address`.
+  std::string m_Problem; ///< Predicate to the key: `is missing`.
+  std::string m_Allowed; ///< Values that are accepted at the key.
 
-  /// `file:line: key: problem; allowed: …`
+  /// Formats the diagnostic as `file:line: key: problem; allowed: …`.
   std::string toString(const std::string &File) const;
 };
 
-/// Thrown with every fault of the document, not only the first.
+/// Thrown for an invalid document; carries all of its errors, so that an
+/// operator can correct them at once.
 class DocumentError : public core::Error {
 public:
   DocumentError(core::ErrorKind Kind, const std::string &File,
--- a/Libraries/LibConfig/Endpoint.h
+++ b/Libraries/LibConfig/Endpoint.h
@@ -1,4 +1,4 @@
-//===-- Endpoint.h - An IP number and a port ------------------------------===//
+//===-- Endpoint.h - An IP address and a port -----------------------------===//
 #ifndef YARDRILL_LIBCONFIG_ENDPOINT_H
 #define YARDRILL_LIBCONFIG_ENDPOINT_H
 
@@ -10,18 +10,21 @@
 
 namespace yardrill::config {
 
-/// Names are not looked up: processes talk by IP numbers (brief, "Where it
-/// will run").
+/// Address of a socket that settings and configurations name. Host names are
+/// not resolved: processes connect to IP addresses (brief, "Where it will
+/// run").
 struct Endpoint {
-  std::string m_Address;
+  std::string m_Address; ///< IPv4 or IPv6 address, without brackets.
   std::uint16_t m_Port = 0;
 
-  /// Reads `192.0.2.1:80` or `[2001:db8::1]:80`.
+  /// Parses `192.0.2.1:80` or `[2001:db8::1]:80`. \returns nothing when
+  /// \p Text has another form.
   static std::optional<Endpoint> parse(const std::string &Text);
+  /// Formats the endpoint so that parse() reads it.
   std::string toString() const;
-  /// \pre The address was read by parse().
+  /// \pre m_Address is the result of parse().
   boost::asio::ip::tcp::endpoint toTcp() const;
-  /// \pre The address was read by parse().
+  /// \pre m_Address is the result of parse().
   boost::asio::ip::udp::endpoint toUdp() const;
 
   bool operator==(const Endpoint &Other) const {
--- a/Libraries/LibConfig/YamlReader.cpp
+++ b/Libraries/LibConfig/YamlReader.cpp
@@ -80,13 +80,13 @@
 
 std::string YamlReader::readString(const std::string &Key,
                                    const std::optional<std::string> &Default) {
-  auto Value = readScalar(Key, !Default, "a text");
+  auto Value = readScalar(Key, !Default, "a string");
   return Value ? *Value : Default.value_or("");
 }
 
 std::int64_t YamlReader::readInteger(const std::string &Key, IntegerRange Range,
                                      std::optional<std::int64_t> Default) {
-  std::string Allowed = "a whole number from " + std::to_string(Range.m_Min) +
+  std::string Allowed = "an integer from " + std::to_string(Range.m_Min) +
                         " to " + std::to_string(Range.m_Max);
   auto Value = readScalar(Key, !Default, Allowed);
   if (!Value)
@@ -114,7 +114,7 @@
     if (Number >= Min && Number <= Max)
       return Number;
   } catch (const YAML::Exception &) {
-    // Reported below, with what would be right.
+    // Reported below, with the accepted range.
   }
   reportError(Key, "is \"" + *Value + "\"", Allowed);
   return Default;
@@ -131,7 +131,7 @@
 }
 
 static const char EndpointFormat[] =
-    "an IP number and a port, as 127.0.0.1:8080";
+    "an IP address and a port, for example 127.0.0.1:8080";
 
 Endpoint YamlReader::readEndpoint(const std::string &Key,
                                   const std::optional<Endpoint> &Default) {
@@ -173,14 +173,15 @@
   if (!Node.IsDefined() || Node.IsNull())
     return Values;
   if (!Node.IsSequence()) {
-    reportError(Key, "is not a list", "a list of texts");
+    reportError(Key, "is not a list", "a list of strings");
     return Values;
   }
   for (const auto &Item : Node) {
     if (Item.IsScalar())
       Values.push_back(Item.Scalar());
     else
-      reportError(Key, "holds something other than a text", "a list of texts");
+      reportError(Key, "has an element that is not a string",
+                  "a list of strings");
   }
   return Values;
 }
@@ -192,7 +193,7 @@
     if (Parsed)
       Values.push_back(*Parsed);
     else
-      reportError(Key, "holds \"" + Text + "\"", EndpointFormat);
+      reportError(Key, "has the element \"" + Text + "\"", EndpointFormat);
   }
   return Values;
 }
--- a/Tests/LibConfig/SettingsTest.cpp
+++ b/Tests/LibConfig/SettingsTest.cpp
@@ -1,3 +1,4 @@
+//===-- SettingsTest.cpp - Validation of settings and configurations ------===//
 #include "LibConfig/FleetConfiguration.h"
 #include "LibConfig/InstanceSettings.h"
 #include "LibConfig/YamlReader.h"
@@ -114,7 +115,7 @@
     auto Diagnostics = diagnosticsOf([&] {
       FleetConfiguration::parse(Text, "f", core::ConfigurationVersion(1));
     });
-    // The unknown tiers `gold` and `batch` are two faults of their account.
+    // The undefined tiers `gold` and `batch` are two errors of the account.
     CPPUNIT_ASSERT_EQUAL(std::size_t(6), Diagnostics.size());
   }
 
