--- a/Libraries/LibConfig/FleetConfiguration.cpp
+++ b/Libraries/LibConfig/FleetConfiguration.cpp
@@ -47,7 +47,8 @@
 )";
 }
 
-/// Names stand in keys, paths, metrics and logs, so they are kept plain.
+/// Names occur in keys, paths, metrics and logs, where other characters would
+/// need escapes.
 static std::string readName(YamlReader &Reader) {
   std::string Name = Reader.readString("name");
   bool IsPlain = !Name.empty() && Name.size() <= MaxNameBytes;
@@ -76,7 +77,8 @@
   Out.m_KeySha256 = Reader.readString("key_sha256");
   bool IsHex = core::fromHex(Out.m_KeySha256).size() * 2 == Sha256HexDigits;
   if (!IsHex)
-    Reader.reportError("key_sha256", "is no SHA-256", "64 hex digits");
+    Reader.reportError("key_sha256", "is not a SHA-256 digest",
+                       "64 hex digits");
   Out.m_DefaultTier = Reader.readString("default_tier");
   Out.m_Tiers = Reader.readStrings("tiers");
   Out.m_Tiers.push_back(Out.m_DefaultTier);
@@ -87,8 +89,9 @@
     bool IsKnown = std::any_of(Tiers.begin(), Tiers.end(),
                                [&](const Tier &T) { return T.m_Name == Name; });
     if (!IsKnown)
-      Reader.reportError("default_tier", "or tiers names \"" + Name + "\"",
-                         "a name from the list of tiers");
+      Reader.reportError("default_tier",
+                         "or tiers names the undefined tier \"" + Name + "\"",
+                         "the name of an entry of tiers");
   }
   return Out;
 }
@@ -134,21 +137,21 @@
   if (Out.m_Kind == PoolKind::Model && Out.m_Models.empty())
     Reader.reportError("models", "names no model", "one model or more");
   if (Out.m_Kind == PoolKind::Application && !Out.m_Models.empty())
-    Reader.reportError("models", "stands in an application pool", "nothing");
+    Reader.reportError("models", "is set in an application pool", "no models");
   for (const Target &T : Out.m_Targets)
     if (T.m_Slots <= Out.m_ReservedSlots)
       Reader.reportError("kept_places",
-                         "leaves no place at " + T.m_Name.value(),
-                         "fewer than each target's places");
+                         "reserves all places of target " + T.m_Name.value(),
+                         "fewer than the places of each target");
   return Out;
 }
 
-/// Reports \p Name unless it is the first of its kind.
+/// Adds \p Name to \p Seen; reports an error when it is there already.
 template <class Map, class Key>
 static void reportIfDuplicate(Map &Seen, const Key &Name, std::size_t Index,
                               YamlReader &Reader, const char *Field) {
   if (!Seen.emplace(Name, Index).second)
-    Reader.reportError(Field, "stands twice", "each name once");
+    Reader.reportError(Field, "is used twice", "each value once");
 }
 
 std::shared_ptr<const FleetConfiguration>
--- a/Libraries/LibConfig/FleetConfiguration.h
+++ b/Libraries/LibConfig/FleetConfiguration.h
@@ -1,4 +1,4 @@
-//===-- FleetConfiguration.h - What operators publish ---------------------===//
+//===-- FleetConfiguration.h - Configuration shared by all instances ------===//
 #ifndef YARDRILL_LIBCONFIG_FLEETCONFIGURATION_H
 #define YARDRILL_LIBCONFIG_FLEETCONFIGURATION_H
 
@@ -14,72 +14,89 @@
 
 namespace yardrill::config {
 
+/// Service class of requests; the smallest number is served first.
 struct Tier {
   std::string m_Name;
   core::TierNumber m_Number;
-  /// Longest wait of a request for a target; then it is refused, not run.
+  /// Maximum time that a request waits for a target before it is refused.
   core::Duration m_Deadline{};
 };
 
+/// Account of a client; requests name it by their bearer key.
 struct ClientAccount {
   core::AccountName m_Name;
-  std::string m_KeySha256; ///< Of the account's bearer key, hex.
+  std::string m_KeySha256; ///< SHA-256 of the bearer key, in hex.
   std::string m_DefaultTier;
-  std::vector<std::string> m_Tiers; ///< Tiers its requests may name.
-  double m_Weight = 1; ///< Its share among accounts that wait in one tier.
-  std::size_t m_MaxOpenRequests = 0; ///< More are answered 429, not run.
+  std::vector<std::string> m_Tiers; ///< Tiers that its requests may name.
+  /// Relative share of targets among the accounts that wait in one tier.
+  double m_Weight = 1;
+  /// Further requests are refused with status 429.
+  std::size_t m_MaxOpenRequests = 0;
 };
 
+/// Process that runs requests.
 struct Target {
   core::TargetName m_Name;
   Endpoint m_Address;
   core::DataHallName m_DataHall;
-  std::size_t m_Slots = 0; ///< Requests it runs at one time.
-  bool m_IsLeaving = false;
+  std::size_t m_Slots = 0;  ///< Number of concurrent requests.
+  bool m_IsLeaving = false; ///< Gets no new requests.
 };
 
-/// How calls under one path prefix of an application pool are treated.
+/// Treatment of the calls to an application pool under one path prefix.
 struct Route {
   std::string m_Prefix;
-  bool m_IsIdempotent = true; ///< If not, a request needs an identity.
+  /// False: only requests with an identity or a safe method are accepted.
+  bool m_IsIdempotent = true;
 };
 
 enum class PoolKind { Model, Application };
 
+/// Targets that run the same models or the same application.
 struct Pool {
   core::PoolName m_Name;
   PoolKind m_Kind = PoolKind::Model;
-  std::vector<std::string> m_Models;
-  std::size_t m_QueueLimit = 0; ///< Waiting requests at one instance.
-  /// Places of each target, on average, that only the highest tier may take.
+  std::vector<std::string> m_Models; ///< Empty in an application pool.
+  /// Maximum number of requests that wait at one instance.
+  std::size_t m_QueueLimit = 0;
+  /// Slots per target, on average over the pool, that only the highest tier may
+  /// use.
   std::size_t m_ReservedSlots = 0;
-  /// Weight of a prefill token that was already read elsewhere.
+  /// Factor on the prefill time at targets that have not cached the prefix of a
+  /// request.
   double m_PrefillWeight = 25;
   std::vector<Route> m_Routes;
   std::vector<Target> m_Targets;
 
-  /// The longest matching prefix, if any.
+  /// Returns the route with the longest prefix of \p Path, or null.
   const Route *findRoute(const std::string &Path) const;
 };
 
-/// One accepted configuration; immutable, shared between threads.
+/// One version of the configuration that operators publish to all instances:
+/// tiers, client accounts, pools and the policy program. Immutable, so threads
+/// share it.
 class FleetConfiguration {
 public:
-  /// \throws DocumentError with every fault found.
+  /// Parses the YAML in \p Text; \p File names it in diagnostics.
+  /// \throws DocumentError with all errors of the document.
   static std::shared_ptr<const FleetConfiguration>
   parse(const std::string &Text, const std::string &File,
         core::ConfigurationVersion Version);
+  /// Returns a valid sample document.
   static const char *example();
 
   core::ConfigurationVersion version() const { return m_Version; }
   const std::string &text() const { return m_Text; }
-  /// First 64 bits of the text's SHA-256.
+  /// Returns the first 64 bits of the SHA-256 of text().
   std::uint64_t digest() const { return m_Digest; }
+  /// Returns the tiers in ascending order of their numbers.
   const std::vector<Tier> &tiers() const { return m_Tiers; }
   const std::vector<ClientAccount> &accounts() const { return m_Accounts; }
   const std::vector<Pool> &pools() const { return m_Pools; }
+  /// Returns the source of the policy program; empty when there is none.
   const std::string &policy() const { return m_Policy; }
 
+  // The functions below return null when there is no such entry.
   const ClientAccount *findAccountByKey(const std::string &KeySha256) const;
   const ClientAccount *findAccount(const core::AccountName &Name) const;
   const Tier *findTier(const std::string &Name) const;
@@ -89,6 +106,7 @@
 
 private:
   FleetConfiguration() = default;
+  /// Fills the maps from names and keys to positions in the lists.
   void buildIndex();
 
   core::ConfigurationVersion m_Version;
--- a/Libraries/LibConfig/InstanceSettings.cpp
+++ b/Libraries/LibConfig/InstanceSettings.cpp
@@ -21,46 +21,46 @@
 instance:
   name: entry-1
   data_hall: edinburgh
-  caller_address: 127.0.0.1:8080     # callers, through the platform's balancer
+  caller_address: 127.0.0.1:8080     # for callers, behind a load balancer
   operator_address: 127.0.0.1:8081   # health, metrics, status, configuration
-  peer_address: 127.0.0.1:8082       # other instances, UDP and TCP
+  peer_address: 127.0.0.1:8082       # for other instances, UDP and TCP
   operator_token: change-me          # Bearer token of the operator endpoint
-  trace_file: ""                     # record decisions here; "" records nothing
-  ring_capacity: 16384               # of each ring between two threads
-  drain_notice_ms: 0                 # not ready, but accepting, before a stop
+  trace_file: ""                     # file for recorded decisions; "": none
+  ring_capacity: 16384               # of each queue between two threads
+  drain_notice_ms: 0                 # not ready but accepting before a stop
 
 callers:
-  header_bytes: 16384                # more is answered 431
-  body_bytes: 8388608                # more is answered 413
+  header_bytes: 16384                # larger headers get status 431
+  body_bytes: 8388608                # larger bodies get status 413
   open_connections: 4096             # more wait in the listen queue
   open_requests: 4096                # more are answered 503, not run
-  read_timeout_ms: 10000             # a slower header or body is answered 408
-  write_timeout_ms: 30000            # a slower reader is cut off
+  read_timeout_ms: 10000             # slower headers or bodies get status 408
+  write_timeout_ms: 30000            # slower readers are disconnected
   idle_timeout_ms: 60000             # between requests of one connection
 
 targets:
   connect_timeout_ms: 1000
-  silence_timeout_ms: 60000          # longest silence within an answer
-  idle_connections: 64               # kept for reuse, per target
+  silence_timeout_ms: 60000          # maximum pause within a response
+  idle_connections: 64               # for reuse, per target
 
 identities:
-  identities: 100000                 # more are answered 429, not run
-  answer_bytes: 16777216             # of kept answers in all
-  one_answer_bytes: 262144           # a larger answer is not kept
-  retention_ms: 600000               # how long an identity is remembered
+  identities: 100000                 # further ones get status 429
+  answer_bytes: 16777216             # for all stored responses
+  one_answer_bytes: 262144           # larger responses are not stored
+  retention_ms: 600000               # time until an identity is forgotten
 
 platform:
   addresses: [127.0.0.1:8225]        # the metadata store
   call_timeout_ms: 2000
-  calls_per_second: 20               # budget of this instance
+  calls_per_second: 20               # rate limit of this instance
   call_burst: 40
-  waiting_calls: 256                 # more are refused at once
+  waiting_calls: 256                 # further calls fail at once
 
 peers:
   seeds: []                          # peer_address of some other instances
-  key_hex: 000102030405060708090a0b0c0d0e0f  # the same at all instances
+  key_hex: 000102030405060708090a0b0c0d0e0f  # same for all instances
   heartbeat_ms: 1000
-  silence_ms: 5000                   # then a peer counts as gone
+  silence_ms: 5000                   # after which a peer is considered gone
   known_peers: 1024
 )";
 }
@@ -77,7 +77,7 @@
       Reader.readInteger("ring_capacity", QueueCapacityRange, 16384));
   Out.m_DrainDelay = Reader.readMilliseconds("drain_notice_ms", DelayRange, 0);
   if (Out.m_OperatorToken.empty())
-    Reader.reportError("operator_token", "is empty", "a secret text");
+    Reader.reportError("operator_token", "is empty", "a secret");
 }
 
 static std::size_t size(YamlReader &Reader, const char *Key,
@@ -169,7 +169,7 @@
 std::string readFile(const std::string &File) {
   std::ifstream In(File, std::ios::binary);
   std::ostringstream Text;
-  // Copying nothing counts as a failure of the stream.
+  // Inserting an empty buffer would set failbit of Text.
   bool IsEmpty = In && In.peek() == std::ifstream::traits_type::eof();
   if (IsEmpty)
     throw core::Error(core::ErrorKind::Settings, "file " + File + " is empty");
--- a/Libraries/LibConfig/InstanceSettings.h
+++ b/Libraries/LibConfig/InstanceSettings.h
@@ -1,4 +1,4 @@
-//===-- InstanceSettings.h - What one process is told at its start --------===//
+//===-- InstanceSettings.h - Settings file of one instance ----------------===//
 #ifndef YARDRILL_LIBCONFIG_INSTANCESETTINGS_H
 #define YARDRILL_LIBCONFIG_INSTANCESETTINGS_H
 
@@ -12,69 +12,81 @@
 
 namespace yardrill::config {
 
-/// Limits on one caller connection and on all of them. Each has a stated
-/// answer when it is reached (docs/OPERATIONS.md).
+/// Limits on a caller connection and on all of them. docs/OPERATIONS.md states
+/// the response to each.
 struct CallerLimits {
-  std::size_t m_HeaderBytes = 0;     ///< More: 431.
-  std::size_t m_BodyBytes = 0;       ///< More: 413.
-  std::size_t m_OpenConnections = 0; ///< More: not accepted until one closes.
-  std::size_t m_MaxOpenRequests = 0; ///< More: 503 `overloaded`.
-  core::Duration m_ReadTimeout{};    ///< Slower header or body: 408.
-  core::Duration m_WriteTimeout{};   ///< A reader this slow is cut off.
-  core::Duration m_IdleTimeout{};    ///< Kept-alive connection closed.
+  std::size_t m_HeaderBytes = 0; ///< Larger headers: status 431.
+  std::size_t m_BodyBytes = 0;   ///< Larger bodies: status 413.
+  /// Further connections wait in the kernel's listen queue.
+  std::size_t m_OpenConnections = 0;
+  /// FIXME: Read, but not enforced.
+  std::size_t m_MaxOpenRequests = 0;
+  /// Time for a header or body to arrive; then status 408.
+  core::Duration m_ReadTimeout{};
+  /// Time for one write, after which the connection is closed.
+  core::Duration m_WriteTimeout{};
+  /// Time between two requests, after which the connection is closed.
+  core::Duration m_IdleTimeout{};
 };
 
+/// Limits on connections to targets.
 struct TargetLimits {
   core::Duration m_ConnectTimeout{};
-  /// Longest silence of a target within an answer.
+  /// Maximum time without progress while a request is sent or its response
+  /// received.
   core::Duration m_SilenceTimeout{};
-  std::size_t m_MaxIdleConnections = 0; ///< Kept for reuse, per target.
+  std::size_t m_MaxIdleConnections = 0; ///< Per target, for reuse.
 };
 
+/// Limits of the table of request identities and their stored responses.
 struct IdentityLimits {
-  std::size_t m_Identities = 0;    ///< More: 429 `identities-full`, not run.
-  std::size_t m_MaxStoreBytes = 0; ///< Kept answers in all.
-  std::size_t m_MaxStoredResponseBytes = 0; ///< A larger answer is not kept.
-  core::Duration m_Retention{}; ///< How long an identity is remembered.
+  std::size_t m_Identities = 0; ///< Further ones: status 429 `identities-full`.
+  std::size_t m_MaxStoreBytes = 0;          ///< Sum over all stored responses.
+  std::size_t m_MaxStoredResponseBytes = 0; ///< Larger ones are not stored.
+  core::Duration m_Retention{}; ///< Time after which an identity is forgotten.
 };
 
+/// Connection to the platform's metadata store.
 struct PlatformSettings {
   std::vector<Endpoint> m_Addresses;
   core::Duration m_CallTimeout{};
-  double m_CallsPerSecond = 0; ///< Budget of this instance, all calls.
-  double m_CallBurst = 0;
-  std::size_t m_MaxWaitingCalls = 0; ///< More are refused at once.
+  double m_CallsPerSecond = 0;       ///< Rate limit over all kinds of calls.
+  double m_CallBurst = 0;            ///< Number of calls.
+  std::size_t m_MaxWaitingCalls = 0; ///< Further calls fail at once.
 };
 
+/// Communication with the other instances.
 struct PeerSettings {
-  std::vector<Endpoint> m_Seeds;
-  std::string m_Key; ///< Shared secret, raw bytes.
+  std::vector<Endpoint> m_Seeds; ///< Peer addresses of some instances.
+  std::string m_Key;             ///< Secret that all instances share, as bytes.
   core::Duration m_HeartbeatPeriod{};
-  core::Duration m_SilenceTimeout{}; ///< Then a peer counts as gone.
+  core::Duration m_SilenceTimeout{}; ///< Then a peer is considered gone.
   std::size_t m_MaxKnownPeers = 0;
 };
 
-/// One process's settings, read once at its start.
+/// Settings of one instance, which `yardrill serve` loads when it starts.
 class InstanceSettings {
 public:
-  /// \throws DocumentError with every fault found.
+  /// Parses the YAML in \p Text; \p File names it in diagnostics.
+  /// \throws DocumentError with all errors of the document.
   static InstanceSettings parse(const std::string &Text,
                                 const std::string &File);
+  /// Reads and parses \p File.
   /// \throws core::Error when the file can't be read; DocumentError.
   static InstanceSettings load(const std::string &File);
-  /// A commented document with every key and its default.
+  /// Returns a commented document with every key and its default.
   static const char *example();
 
   core::InstanceName m_Name;
   core::DataHallName m_DataHall;
   Endpoint m_CallerAddress;
   Endpoint m_OperatorAddress;
-  Endpoint m_PeerAddress; ///< The same number for UDP and TCP.
+  Endpoint m_PeerAddress; ///< Same port for UDP and TCP.
   std::string m_OperatorToken;
-  std::string m_TraceFile; ///< Empty: decisions are not recorded.
-  std::size_t m_QueueCapacity = 0;
-  /// How long a stopping instance is not ready but still accepts, so that the
-  /// balancer can take it out first.
+  std::string m_TraceFile;         ///< Empty: decisions are not recorded.
+  std::size_t m_QueueCapacity = 0; ///< Entries of each queue between threads.
+  /// Time during which a stopping instance reports not ready and still accepts
+  /// connections, so that the load balancer removes it first.
   core::Duration m_DrainDelay{};
   CallerLimits m_Callers;
   TargetLimits m_Targets;
@@ -83,7 +95,8 @@
   PeerSettings m_Peers;
 };
 
-/// \throws core::Error of kind Settings when the file can't be read.
+/// Returns the contents of \p File.
+/// \throws core::Error of kind Settings when it can't be read or is empty.
 std::string readFile(const std::string &File);
 
 } // namespace yardrill::config
