--- a/Libraries/LibMetrics/MetricsRegistry.cpp
+++ b/Libraries/LibMetrics/MetricsRegistry.cpp
@@ -15,7 +15,7 @@
 static const std::array<const char *, LatencyCount> LatencyNames = {
     "yardrill_queue_wait_seconds", "yardrill_first_token_seconds",
     "yardrill_between_tokens_seconds", "yardrill_total_seconds"};
-/// Upper edges in seconds, from a millisecond to ten minutes.
+/// Bounds of the histogram buckets, in seconds.
 static const std::vector<double> BucketBounds = {
     0,   0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
     0.5, 1,     1.5,    2.5,   5,    10,    30,   60,  600};
@@ -80,7 +80,7 @@
   m_Gauges[Name] = Value;
 }
 
-/// Label values as the text format wants them escaped.
+/// Escapes a label value as the Prometheus text format requires.
 static std::string escapeLabelValue(const std::string &Text) {
   std::string Out;
   for (char C : Text) {
--- a/Libraries/LibMetrics/MetricsRegistry.h
+++ b/Libraries/LibMetrics/MetricsRegistry.h
@@ -1,4 +1,4 @@
-//===-- MetricsRegistry.h - Counters and histograms -----------------------===//
+//===-- MetricsRegistry.h - Counters, gauges and latency histograms -------===//
 #ifndef YARDRILL_LIBMETRICS_METRICSREGISTRY_H
 #define YARDRILL_LIBMETRICS_METRICSREGISTRY_H
 
@@ -13,8 +13,8 @@
 
 namespace yardrill::metrics {
 
-/// What a request's times are counted under (brief: histograms for each
-/// tenant or class).
+/// Labels of the metrics of a request (brief: histograms for each tenant or
+/// class).
 struct RequestLabels {
   core::AccountName m_Account;
   core::TierNumber m_Tier;
@@ -23,27 +23,31 @@
   bool operator<(const RequestLabels &Other) const;
 };
 
+/// Latencies of a request that have a histogram each.
 enum class RequestLatency { QueueWait, FirstToken, BetweenTokens, Total };
 
-/// Counts from several threads; writes the Prometheus text format, version
-/// 0.0.4. The number of label sets is bounded: the rest is counted together
-/// under the account `other`.
+/// Metrics of one instance, which its threads update and its operator endpoint
+/// serves. Thread-safe. The number of label sets is bounded: beyond it,
+/// requests are counted under the account `other`.
 class MetricsRegistry {
 public:
   MetricsRegistry();
   ~MetricsRegistry();
 
+  /// Adds \p Value to the histogram of \p Latency.
   void observe(RequestLatency Latency, const RequestLabels &Labels,
                core::Duration Value);
-  /// One more request that ended as \p Outcome, for instance `complete`.
+  /// Counts a request that ended with \p Outcome, for instance `complete`.
   void countOutcome(const RequestLabels &Labels, const std::string &Outcome);
-  /// Adds to a counter without labels.
+  /// Adds \p Amount to a counter without labels.
   void count(const std::string &Name, std::uint64_t Amount = 1);
   void setGauge(const std::string &Name, double Value);
 
+  /// Returns all metrics in the Prometheus text format, version 0.0.4.
   std::string exposition() const;
 
 private:
+  /// Metrics of all requests with the same labels.
   struct RequestMetrics;
   RequestMetrics &metricsFor(const RequestLabels &Labels);
 
