--- a/Programs/yardrill/QuarantineVerbs.cpp
+++ b/Programs/yardrill/QuarantineVerbs.cpp
@@ -24,14 +24,15 @@
 using quarantine::Observation;
 using quarantine::QuarantineTable;
 
-/// Instances write to the same entry; each time one was first it is read again.
+/// Attempts to replace the record. Instances write it too; after a conflict it
+/// is read again.
 static constexpr int MaxSwapAttempts = 5;
 
 static std::string recordKey() {
   return gateway::StoreRecord::keyOf(gateway::QuarantineService::RecordName);
 }
 
-/// Runs \p What with a client of the store that the settings file names.
+/// Calls \p Function with a client of the store that the settings file names.
 static void withStore(
     const std::function<void(platform::StoreClient &, asio::yield_context)>
         &Function) {
@@ -69,12 +70,12 @@
   auto Observations = quarantine::parseObservations(Text);
   if (!Observations)
     throw core::Error(core::ErrorKind::Protocol,
-                      recordKey() + " can't be read");
+                      recordKey() + " has an invalid format");
   std::map<ContentDigest, std::pair<std::size_t, std::size_t>> Counts;
   for (const Observation &Each : *Observations)
     ++(Each.m_IsCleared ? Counts[Each.m_Content].second
                         : Counts[Each.m_Content].first);
-  std::cout << "content                           ended  excused  state\n";
+  std::cout << "content                           exits  cleared  state\n";
   for (const auto &[Content, Count] : Counts) {
     const char *State = "released";
     if (Count.first >= QuarantineTable::IncarnationsToQuarantine)
@@ -98,7 +99,7 @@
   auto Content = ContentDigest::parse(Positionals.at(0));
   if (!Content)
     throw core::Error(core::ErrorKind::Usage,
-                      "a content is 32 hex digits, as in the logs and in "
+                      "CONTENT must be 32 hex digits, as in the logs and in "
                       "quarantine list");
   withStore([&](platform::StoreClient &Store, asio::yield_context Yield) {
     for (int I = 0; I < MaxSwapAttempts; ++I) {
@@ -106,18 +107,19 @@
       auto Text = quarantine::withContentCleared(Current.m_Value, *Content);
       if (!Text)
         throw core::Error(core::ErrorKind::Usage,
-                          "the store holds nothing of that content");
+                          "the store has no observations of that content");
       platform::CompareAndSwap Swap{recordKey(),
                                     Current.m_ModRevision,
                                     {{recordKey(), *Text, std::nullopt}}};
       if (Store.compareAndSwap(Swap, platform::CallClass::Control, Yield)
               .m_IsSwapped) {
-        std::cout << "lifted; instances hear of it from the store\n";
+        std::cout << "lifted; instances receive the change from the store\n";
         return;
       }
     }
-    throw core::Error(core::ErrorKind::Conflict,
-                      "instances keep writing the record; try again");
+    throw core::Error(
+        core::ErrorKind::Conflict,
+        "instances changed the record during each attempt; try again");
   });
   return ExitSuccess;
 }
--- a/Tests/Program/QuarantineVerbsTest.cpp
+++ b/Tests/Program/QuarantineVerbsTest.cpp
@@ -1,4 +1,4 @@
-//===-- QuarantineVerbsTest.cpp - Operators list and lift quarantines -----===//
+//===-- QuarantineVerbsTest.cpp - `quarantine list` and `quarantine lift` -===//
 #include "Process.h"
 #include "TestClient.h"
 
@@ -99,7 +99,8 @@
     CPPUNIT_ASSERT_EQUAL(2, run({"quarantine", "lift", "x"}, Output));
     CPPUNIT_ASSERT_MESSAGE(Output, has(Output, "32 hex digits"));
     CPPUNIT_ASSERT_EQUAL(2, run({"quarantine", "lift", Content}, Output));
-    CPPUNIT_ASSERT_MESSAGE(Output, has(Output, "nothing of that content"));
+    CPPUNIT_ASSERT_MESSAGE(Output,
+                           has(Output, "no observations of that content"));
     controlStandIn(m_StorePort,
                    {{"put", boost::json::object{{"key", "yardrill/quarantine"},
                                                 {"value", "garbage"}}}});
