--- a/Programs/yardrill/CheckVerb.cpp
+++ b/Programs/yardrill/CheckVerb.cpp
@@ -11,7 +11,7 @@
 
 DECLARE_string(config);
 DEFINE_string(fleet, "", "fleet configuration file");
-DEFINE_string(deployment, "", "settings file that the platform lays out");
+DEFINE_string(deployment, "", "settings file that the platform provides");
 DEFINE_bool(example, false, "print a commented settings file");
 DEFINE_bool(fleet_example, false, "print a commented fleet configuration");
 
--- a/Programs/yardrill/CommandLine.cpp
+++ b/Programs/yardrill/CommandLine.cpp
@@ -26,8 +26,8 @@
        runServe},
       {"gateway",
        "[--config=FILE] [--least_outstanding] [--group_size=N]",
-       "run one instance on the operators' platform until SIGTERM; the "
-       "settings file is the one that the platform names",
+       "run one instance on the platform until SIGTERM; without --config, the "
+       "environment names the settings file",
        {"config", "least_outstanding", "group_size"},
        0,
        runGateway},
@@ -41,7 +41,7 @@
        runCheck},
       {"config get",
        "--operator=IP:PORT --token=TOKEN",
-       "print the configuration in force",
+       "print the fleet configuration in force",
        {"operator", "token", "with_version"},
        0,
        runConfigGet},
@@ -60,7 +60,7 @@
        runConfigStatus},
       {"policy check",
        "FILE",
-       "compile a policy program and try it on sample requests",
+       "compile a policy program and run it on sample requests",
        {},
        1,
        runPolicyCheck},
@@ -72,20 +72,20 @@
        runReplay},
       {"explain",
        "REQUEST [--logs=FILE,FILE,...]",
-       "print what the logs of all instances tell of one request",
+       "print the timeline of one request from the logs of all instances",
        {"logs"},
        1,
        runExplain},
       {"quarantine list",
        "[--config=FILE]",
-       "print the requests that the store holds as ending their targets; the "
-       "settings file is the one of the gateway",
+       "print the request contents recorded as making targets exit; the "
+       "settings file is the gateway's",
        {"config"},
        0,
        runQuarantineList},
       {"quarantine lift",
        "CONTENT [--config=FILE]",
-       "let all instances send a request again that was quarantined",
+       "release a quarantined request content at all instances",
        {"config"},
        1,
        runQuarantineLift},
@@ -130,9 +130,8 @@
   return ExitBadInput;
 }
 
-/// Sets the flag that \p Argument gives. gflags' own parsing ends the process
-/// on a bad flag and takes every verb's flags for every verb, so only its
-/// registry is used.
+/// Sets the flag in \p Argument. gflags' own parser would exit on an invalid
+/// flag and accept the flags of all verbs, so only its registry is used.
 static bool setFlag(const Verb &V, const std::string &Argument,
                     std::string &Problem) {
   std::size_t NameStart = Argument.find_first_not_of('-');
--- a/Programs/yardrill/GatewayVerb.cpp
+++ b/Programs/yardrill/GatewayVerb.cpp
@@ -17,17 +17,18 @@
 
 DECLARE_string(config);
 DEFINE_bool(least_outstanding, false,
-            "place by own outstanding requests alone, without a queue: the "
-            "baseline that measurements compare with");
+            "choose targets by this instance's outstanding requests alone, "
+            "without a queue; a baseline for measurements");
 DEFINE_uint32(group_size, 0,
-              "instances of a large fleet that share their targets; 0: by the "
-              "number of targets");
+              "number of instances in a group, which share a subset of the "
+              "targets; 0: derived from the number of targets");
 
 namespace yardrill::program {
 
 namespace {
 
-/// SIGTERM and SIGINT stop, a second one cuts what is left; SIGHUP reloads.
+/// Process that runs a gateway::Gateway until SIGTERM or SIGINT; a second one
+/// stops it at once. SIGHUP reloads the settings file.
 class GatewayProgram {
 public:
   explicit GatewayProgram(std::string File)
@@ -64,9 +65,9 @@
   }
 
 private:
-  /// Lines are written together, since each write is paid for.
+  /// Log lines are written in batches to save system calls.
   static constexpr std::chrono::milliseconds LogFlushInterval{200};
-  /// The file may change without a signal.
+  /// The platform may change the file without a signal.
   static constexpr std::chrono::seconds SettingsPollInterval{1};
 
   platform::DeploymentSettings loadSettings() {
@@ -84,7 +85,7 @@
     try {
       m_Context.run();
     } catch (const std::exception &Failure) {
-      // One request's failure must not end the instance for all others.
+      // An exception of one request must not end the process.
       core::LogLine("loop-failure", core::LogLevel::Error)
           .add("reason", Failure.what());
     }
@@ -124,7 +125,7 @@
 
   std::string m_File;
   core::NonBlockingLogWriter m_Log;
-  std::string m_SettingsText; ///< Of the settings file, as last read.
+  std::string m_SettingsText; ///< As last read.
   boost::asio::io_context m_Context{1};
   boost::asio::signal_set m_Signals;
   core::SteadyTimerService m_Timers;
--- a/Programs/yardrill/ServeVerb.cpp
+++ b/Programs/yardrill/ServeVerb.cpp
@@ -17,7 +17,8 @@
 
 namespace yardrill::program {
 
-/// Every connection takes a file descriptor; the usual soft limit is low.
+/// Raises the soft limit of file descriptors to the hard limit, since each
+/// connection needs one.
 static void raiseDescriptorLimit() {
   rlimit Limit{};
   if (getrlimit(RLIMIT_NOFILE, &Limit) != 0)
@@ -41,7 +42,7 @@
   sigemptyset(&Signals);
   sigaddset(&Signals, SIGTERM);
   sigaddset(&Signals, SIGINT);
-  // Blocked before any thread starts, so that only this one takes them.
+  // Blocked before any thread starts, so that only sigwait() receives them.
   pthread_sigmask(SIG_BLOCK, &Signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
   auto Instance =
@@ -49,14 +50,14 @@
   Instance->start();
   waitForSignal(Signals);
   std::atomic<bool> IsStopForced{false};
-  // A second signal is the operator's choice to cut what is left.
+  // A second signal stops the instance without waiting for open requests.
   std::thread Second([&] {
     waitForSignal(Signals);
     IsStopForced = true;
   });
   Instance->drain(IsStopForced);
   bool WasForced = IsStopForced;
-  // All threads block these signals; only the second waiter takes it.
+  // Ends the second thread's wait; all other threads block the signal.
   if (!WasForced)
     kill(getpid(), SIGINT);
   Second.join();
