--- a/Programs/yardrill/CommandLine.cpp
+++ b/Programs/yardrill/CommandLine.cpp
@@ -26,8 +26,8 @@
        runServe},
       {"gateway",
        "[--config=FILE] [--least_outstanding] [--group_size=N]",
-       "run one instance on the operators' platform until SIGTERM; the "
-       "settings file is the one that the platform names",
+       "run one instance on the platform until SIGTERM; without --config, the "
+       "environment names the settings file",
        {"config", "least_outstanding", "group_size"},
        0,
        runGateway},
@@ -41,7 +41,7 @@
        runCheck},
       {"config get",
        "--operator=IP:PORT --token=TOKEN",
-       "print the configuration in force",
+       "print the fleet configuration in force",
        {"operator", "token", "with_version"},
        0,
        runConfigGet},
@@ -60,7 +60,7 @@
        runConfigStatus},
       {"policy check",
        "FILE",
-       "compile a policy program and try it on sample requests",
+       "compile a policy program and run it on sample requests",
        {},
        1,
        runPolicyCheck},
@@ -72,20 +72,20 @@
        runReplay},
       {"explain",
        "REQUEST [--logs=FILE,FILE,...]",
-       "print what the logs of all instances tell of one request",
+       "print the timeline of one request from the logs of all instances",
        {"logs"},
        1,
        runExplain},
       {"quarantine list",
        "[--config=FILE]",
-       "print the requests that the store holds as ending their targets; the "
-       "settings file is the one of the gateway",
+       "print the request contents recorded as making targets exit; the "
+       "settings file is the gateway's",
        {"config"},
        0,
        runQuarantineList},
       {"quarantine lift",
        "CONTENT [--config=FILE]",
-       "let all instances send a request again that was quarantined",
+       "release a quarantined request content at all instances",
        {"config"},
        1,
        runQuarantineLift},
@@ -94,11 +94,11 @@
   return All;
 }
 
-static void printVerb(std::ostream &Out, const Verb &Which) {
-  Out << "  yardrill " << Which.m_Name;
-  if (!Which.m_Arguments.empty())
-    Out << ' ' << Which.m_Arguments;
-  Out << "\n      " << Which.m_Summary << '\n';
+static void printVerb(std::ostream &Out, const Verb &V) {
+  Out << "  yardrill " << V.m_Name;
+  if (!V.m_Arguments.empty())
+    Out << ' ' << V.m_Arguments;
+  Out << "\n      " << V.m_Summary << '\n';
 }
 
 static int printHelp(const std::string &Name) {
@@ -130,19 +130,18 @@
   return ExitBadInput;
 }
 
-/// Sets the flag that \p Argument gives. gflags' own parsing ends the process
-/// on a bad flag and takes every verb's flags for every verb, so only its
-/// registry is used.
-static bool setFlag(const Verb &Which, const std::string &Argument,
+/// Sets the flag in \p Argument. gflags' own parser would exit on an invalid
+/// flag and accept the flags of all verbs, so only its registry is used.
+static bool setFlag(const Verb &V, const std::string &Argument,
                     std::string &Problem) {
-  std::size_t NameAt = Argument.find_first_not_of('-');
+  std::size_t NameStart = Argument.find_first_not_of('-');
   std::size_t Equals = Argument.find('=');
-  std::string Name = NameAt == std::string::npos
+  std::string Name = NameStart == std::string::npos
                          ? ""
-                         : Argument.substr(NameAt, Equals - NameAt);
-  const auto &Flags = Which.m_Flags;
+                         : Argument.substr(NameStart, Equals - NameStart);
+  const auto &Flags = V.m_Flags;
   if (std::find(Flags.begin(), Flags.end(), Name) == Flags.end()) {
-    Problem = Which.m_Name + " has no flag " + Argument;
+    Problem = V.m_Name + " has no flag " + Argument;
     return false;
   }
   std::string Value =
@@ -153,21 +152,21 @@
   return false;
 }
 
-static int run(const Verb &Which, const std::vector<std::string> &Rest) {
+static int run(const Verb &V, const std::vector<std::string> &Rest) {
   std::vector<std::string> Positionals;
   for (const std::string &Argument : Rest) {
     std::string Problem;
     if (Argument.empty() || Argument.front() != '-')
       Positionals.push_back(Argument);
-    else if (!setFlag(Which, Argument, Problem))
+    else if (!setFlag(V, Argument, Problem))
       return usageError(Problem);
   }
-  if (Positionals.size() != Which.m_PositionalCount)
-    return usageError(Which.m_Name + " takes " +
-                      std::to_string(Which.m_PositionalCount) +
+  if (Positionals.size() != V.m_PositionalCount)
+    return usageError(V.m_Name + " takes " +
+                      std::to_string(V.m_PositionalCount) +
                       " arguments besides its flags");
   try {
-    return Which.m_Run(Positionals);
+    return V.m_Run(Positionals);
   } catch (const config::DocumentError &Failure) {
     for (const config::Diagnostic &Each : Failure.diagnostics())
       std::cerr << Each.toString(Failure.file()) << '\n';
--- a/Programs/yardrill/ConfigVerbs.cpp
+++ b/Programs/yardrill/ConfigVerbs.cpp
@@ -17,12 +17,11 @@
 DEFINE_string(operator, "", "operator address of any instance, IP:PORT");
 DEFINE_string(token, "", "operator token");
 DECLARE_string(fleet);
-DEFINE_int64(base, -1,
-             "version that the change was made from; 0 for the first");
-DEFINE_string(change, "",
-              "id of this change; give the same one when trying again");
-DEFINE_int64(wait_ms, 13000, "how long to wait until it is in force");
-DEFINE_bool(with_version, false, "print the version in a comment line first");
+DEFINE_int64(base, -1, "version that the change is based on; 0 for the first");
+DEFINE_string(change, "", "id of this change; the same one for each retry");
+DEFINE_int64(wait_ms, 13000,
+             "how long to wait until the change is in force, in milliseconds");
+DEFINE_bool(with_version, false, "first print the version in a comment");
 
 namespace yardrill::program {
 
@@ -40,16 +39,17 @@
 
 } // namespace
 
-static OperatorResponse call(const std::string &Method, const std::string &Path,
-                             const std::string &Query,
-                             const std::string &Body) {
+static OperatorResponse sendRequest(const std::string &Method,
+                                    const std::string &Path,
+                                    const std::string &Query,
+                                    const std::string &Body) {
   auto Address = config::Endpoint::parse(FLAGS_operator);
   if (!Address)
     throw core::Error(core::ErrorKind::Usage,
-                      "--operator must be an IP number and a port");
+                      "--operator must be an IP address and a port");
   try {
     cxxtools::http::Client Client(Address->m_Address, Address->m_Port);
-    // The client does not send what is set with qparams().
+    // cxxtools does not send parameters that are set with qparams().
     cxxtools::http::Request Request(Query.empty() ? Path : Path + "?" + Query);
     Request.method(Method);
     Request.setHeader("Authorization", ("Bearer " + FLAGS_token).c_str());
@@ -76,7 +76,7 @@
 }
 
 int runConfigGet(const std::vector<std::string> &) {
-  OperatorResponse Response = call("GET", "/configuration", "", "");
+  OperatorResponse Response = sendRequest("GET", "/configuration", "", "");
   if (Response.m_Status != 200)
     return reportFailure(Response);
   const json::object &Envelope = Response.m_Body.as_object();
@@ -87,27 +87,27 @@
 }
 
 int runConfigStatus(const std::vector<std::string> &) {
-  OperatorResponse Response = call("GET", "/status", "", "");
+  OperatorResponse Response = sendRequest("GET", "/status", "", "");
   if (Response.m_Status != 200)
     return reportFailure(Response);
   std::cout << json::serialize(Response.m_Body) << '\n';
   return ExitSuccess;
 }
 
-/// Prints each instance that has come to \p Version since the last call.
-/// \returns whether all have.
+/// Prints each instance that is not in \p Seen and has reached \p Version, and
+/// adds it there. \returns whether all instances have.
 static bool printUpdatedInstances(std::int64_t Version,
                                   std::vector<std::string> &Seen) {
-  OperatorResponse Response = call("GET", "/status", "", "");
+  OperatorResponse Response = sendRequest("GET", "/status", "", "");
   if (Response.m_Status != 200)
     return false;
   const json::object &Status = Response.m_Body.as_object();
-  bool AllHave = true;
-  auto Check = [&](const json::object &Object, const char *Name) {
+  bool AreAllUpdated = true;
+  auto CheckVersion = [&](const json::object &Object, const char *Name) {
     std::string Instance(Object.at(Name).as_string());
     if (Object.at("configuration_version").to_number<std::int64_t>() <
         Version) {
-      AllHave = false;
+      AreAllUpdated = false;
       return;
     }
     if (std::find(Seen.begin(), Seen.end(), Instance) != Seen.end())
@@ -116,10 +116,10 @@
     std::cout << "in force: instance=" << Instance << " version=" << Version
               << std::endl;
   };
-  Check(Status, "instance");
+  CheckVersion(Status, "instance");
   for (const json::value &Peer : Status.at("peers").as_array())
-    Check(Peer.as_object(), "name");
-  return AllHave;
+    CheckVersion(Peer.as_object(), "name");
+  return AreAllUpdated;
 }
 
 int runConfigPublish(const std::vector<std::string> &) {
@@ -133,7 +133,7 @@
   Query.add("base", std::to_string(FLAGS_base));
   Query.add("change", FLAGS_change);
   OperatorResponse Response =
-      call("PUT", "/configuration", Query.getUrl(), Text);
+      sendRequest("PUT", "/configuration", Query.getUrl(), Text);
   if (Response.m_Status != 200) {
     std::cerr << "yardrill: change id " << FLAGS_change << '\n';
     return reportFailure(Response);
@@ -143,11 +143,13 @@
   std::cout << "accepted: version=" << Version << " change=" << FLAGS_change
             << std::endl;
   std::vector<std::string> Seen;
-  auto Until = std::chrono::steady_clock::now() +
-               std::chrono::milliseconds(FLAGS_wait_ms);
+  auto Deadline = std::chrono::steady_clock::now() +
+                  std::chrono::milliseconds(FLAGS_wait_ms);
   while (!printUpdatedInstances(Version, Seen)) {
-    if (std::chrono::steady_clock::now() > Until) {
-      std::cerr << "yardrill: accepted, but not yet in force everywhere\n";
+    if (std::chrono::steady_clock::now() > Deadline) {
+      std::cerr
+          << "yardrill: accepted, but not in force at all instances within "
+             "--wait_ms\n";
       return ExitFailure;
     }
     std::this_thread::sleep_for(StatusPollInterval);
