--- a/Tests/Failures/BadInputTest.cpp
+++ b/Tests/Failures/BadInputTest.cpp
@@ -28,9 +28,9 @@
   int port() { return m_Fleet->at(0).m_CallerPort; }
 
   void expectServing() {
-    Reply Answer = call(port(), completionRequest("x", 2, true));
-    CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-    CPPUNIT_ASSERT(Answer.isComplete());
+    Reply Response = call(port(), completionRequest("x", 2, true));
+    CPPUNIT_ASSERT_EQUAL(200U, Response.m_Status);
+    CPPUNIT_ASSERT(Response.isComplete());
   }
 
   static bool startsWith(const std::string &Text, const std::string &Start) {
@@ -39,11 +39,12 @@
 
 public:
   void setUp() override {
-    Fleet::Options Wanted;
-    Wanted.m_ExtraSettings = "callers:\n  header_bytes: 8192\n  body_bytes: "
-                             "100000\n  read_timeout_ms: 700\n"
-                             "  open_connections: 64\n";
-    m_Fleet = std::make_unique<Fleet>(Wanted);
+    Fleet::Options FleetOptions;
+    FleetOptions.m_ExtraSettings =
+        "callers:\n  header_bytes: 8192\n  body_bytes: "
+        "100000\n  read_timeout_ms: 700\n"
+        "  open_connections: 64\n";
+    m_Fleet = std::make_unique<Fleet>(FleetOptions);
     CPPUNIT_ASSERT(m_Fleet->waitUntilServing());
   }
   void tearDown() override { m_Fleet.reset(); }
@@ -127,14 +128,14 @@
                                static_cast<std::uint16_t>(Peer));
     std::mt19937 Random(4);
     for (int I = 0; I < 300; ++I) {
-      std::string Noise(Random() % 3000, '\0');
-      for (char &C : Noise)
+      std::string Datagram(Random() % 3000, '\0');
+      for (char &C : Datagram)
         C = static_cast<char>(Random());
       if (I % 2 == 0)
-        Noise = std::string("YD") + peer::ProtocolVersion + Noise;
+        Datagram = std::string("YD") + peer::ProtocolVersion + Datagram;
       else if (I % 5 == 0)
-        Noise = "YD\x01" + Noise;
-      Socket.send_to(asio::buffer(Noise), To);
+        Datagram = "YD\x01" + Datagram;
+      Socket.send_to(asio::buffer(Datagram), To);
     }
     CPPUNIT_ASSERT(eventually([&] {
       std::string Metrics = m_Fleet->callOperatorApi(0, "/metrics").m_Body;
--- a/Tests/Failures/CompleteResponseTest.cpp
+++ b/Tests/Failures/CompleteResponseTest.cpp
@@ -36,7 +36,7 @@
   CPPUNIT_TEST(testMethodsAndEmptyResponses);
   CPPUNIT_TEST_SUITE_END();
 
-  static Fleet::Options shape(int Instances, int Engines) {
+  static Fleet::Options fleetOptions(int Instances, int Engines) {
     Fleet::Options Out;
     Out.m_Instances = Instances;
     Out.m_Engines = Engines;
@@ -46,10 +46,10 @@
 
 public:
   void testRandomBodies() {
-    Fleet All(shape(2, 1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(2, 1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     std::vector<std::thread> Workers;
-    std::atomic<int> Right{0};
+    std::atomic<int> CorrectCount{0};
     for (unsigned Seed = 0; Seed < 8; ++Seed)
       Workers.emplace_back([&, Seed] {
         std::mt19937 Random(Seed);
@@ -57,91 +57,92 @@
           std::string Body(Random() % (1U << (Random() % 19)), '\0');
           for (char &C : Body)
             C = static_cast<char>(Random());
-          Reply Answer = call(All.at(I % 2).m_CallerPort,
-                              applicationRequest("/echo", "body", Body));
-          Right += Answer.m_Status == 200 && Answer.m_Body == Body &&
-                   Answer.header("Body-Sha256") == core::sha256Hex(Body);
+          Reply Response = call(TestFleet.at(I % 2).m_CallerPort,
+                                applicationRequest("/echo", "body", Body));
+          CorrectCount +=
+              Response.m_Status == 200 && Response.m_Body == Body &&
+              Response.header("Body-Sha256") == core::sha256Hex(Body);
         }
       });
     for (auto &Each : Workers)
       Each.join();
-    CPPUNIT_ASSERT_EQUAL(200, Right.load());
+    CPPUNIT_ASSERT_EQUAL(200, CorrectCount.load());
   }
 
   void testResponsesOutOfOrder() {
-    Fleet All(shape(2, 2));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(2, 2));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     // One engine is slow, so that answers overtake each other.
-    controlStandIn(All.enginePort(0), {{"slowness", 4}});
+    controlStandIn(TestFleet.enginePort(0), {{"slowness", 4}});
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 48; ++I)
       Replies.push_back(
-          callAsync(All.at(I % 2).m_CallerPort,
+          callAsync(TestFleet.at(I % 2).m_CallerPort,
                     completionRequest("prompt " + std::to_string(I), 1 + I % 20,
                                       I % 3 != 0)));
     for (int I = 0; I < 48; ++I) {
-      Reply Answer = Replies[static_cast<std::size_t>(I)].get();
-      CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-      CPPUNIT_ASSERT(Answer.isComplete());
+      Reply Response = Replies[static_cast<std::size_t>(I)].get();
+      CPPUNIT_ASSERT_EQUAL(200U, Response.m_Status);
+      CPPUNIT_ASSERT(Response.isComplete());
       CPPUNIT_ASSERT_EQUAL(
           expectedText("prompt " + std::to_string(I), 1 + I % 20),
-          completionText(Answer));
+          completionText(Response));
     }
   }
 
   void testTruncatedResponseNeverLooksComplete() {
-    Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    controlStandIn(All.enginePort(0), {{"break_after_tokens", 3}});
+    Fleet TestFleet(fleetOptions(1, 1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    controlStandIn(TestFleet.enginePort(0), {{"break_after_tokens", 3}});
     for (bool IsStream : {true, false}) {
-      Reply Answer =
-          call(All.at(0).m_CallerPort, completionRequest("cut", 10, IsStream));
-      bool IsTold = Answer.problem("outcome") == "outcome-unknown";
-      CPPUNIT_ASSERT(!Answer.isComplete() || IsTold);
-      CPPUNIT_ASSERT(Answer.m_Body.find("[DONE]") == std::string::npos);
+      Reply Response = call(TestFleet.at(0).m_CallerPort,
+                            completionRequest("cut", 10, IsStream));
+      bool IsReported = Response.problem("outcome") == "outcome-unknown";
+      CPPUNIT_ASSERT(!Response.isComplete() || IsReported);
+      CPPUNIT_ASSERT(Response.m_Body.find("[DONE]") == std::string::npos);
     }
     // The same with the engine's process killed in the middle.
-    controlStandIn(All.enginePort(0), {{"break_after_tokens", -1}});
+    controlStandIn(TestFleet.enginePort(0), {{"break_after_tokens", -1}});
     bool IsKilled = false;
-    Reply Answer =
-        call(All.at(0).m_CallerPort, completionRequest("kill", 500, true),
+    Reply Response =
+        call(TestFleet.at(0).m_CallerPort, completionRequest("kill", 500, true),
              [&](const std::string &) {
                if (!IsKilled)
-                 All.engine(0).kill();
+                 TestFleet.engine(0).kill();
                return IsKilled = true;
              });
-    CPPUNIT_ASSERT(!Answer.isComplete());
+    CPPUNIT_ASSERT(!Response.isComplete());
   }
 
   void testDisconnectCancelsRequest() {
-    Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(1, 1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     for (int I = 0; I < 20; ++I) {
       Reply Cut =
-          call(All.at(0).m_CallerPort,
+          call(TestFleet.at(0).m_CallerPort,
                completionRequest("left " + std::to_string(I), 2000, true),
                [](const std::string &) { return false; });
       CPPUNIT_ASSERT(!Cut.isComplete());
       std::string Prompt = "next " + std::to_string(I);
-      Reply Next = call(All.at(0).m_CallerPort,
+      Reply Next = call(TestFleet.at(0).m_CallerPort,
                         completionRequest(Prompt, 5, I % 2 == 0));
       CPPUNIT_ASSERT_EQUAL(expectedText(Prompt, 5), completionText(Next));
     }
     CPPUNIT_ASSERT(eventually([&] {
-      auto Counters = countersOf(All.enginePort(0));
+      auto Counters = countersOf(TestFleet.enginePort(0));
       return Counters.at("cancelled").to_number<int>() == 20 &&
              Counters.at("busy").to_number<int>() == 0;
     }));
     // Nothing of the cancelled requests is left at the instance either.
     CPPUNIT_ASSERT(eventually([&] {
-      return All.status(0).at("open_requests").to_number<int>() == 0;
+      return TestFleet.status(0).at("open_requests").to_number<int>() == 0;
     }));
   }
 
   void testSlowReaderDoesNotBlockOthers() {
     namespace asio = boost::asio;
-    Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(1, 1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     // Larger than all socket buffers on the way, and never read.
     std::string Body(7UL * 1024 * 1024, 'x');
     http::RequestMessage Request = applicationRequest("/echo", "slow", Body);
@@ -152,36 +153,37 @@
     asio::io_context Context;
     asio::ip::tcp::socket Slow(Context);
     Slow.connect({asio::ip::make_address("127.0.0.1"),
-                  static_cast<std::uint16_t>(All.at(0).m_CallerPort)});
+                  static_cast<std::uint16_t>(TestFleet.at(0).m_CallerPort)});
     asio::write(Slow, asio::buffer(Text + Body));
-    CPPUNIT_ASSERT(eventually(
-        [&] { return executionsOf(All.applicationPort(), "slow") == 1; }));
+    CPPUNIT_ASSERT(eventually([&] {
+      return executionsOf(TestFleet.applicationPort(), "slow") == 1;
+    }));
     for (int I = 0; I < 20; ++I)
-      CPPUNIT_ASSERT_EQUAL(200U, call(All.at(0).m_CallerPort,
+      CPPUNIT_ASSERT_EQUAL(200U, call(TestFleet.at(0).m_CallerPort,
                                       applicationRequest("/echo", "fast"))
                                      .m_Status);
-    std::string Answer;
+    std::string Response;
     std::vector<char> Buffer(65536);
-    while (Answer.size() < Body.size()) {
+    while (Response.size() < Body.size()) {
       std::size_t Size = Slow.read_some(asio::buffer(Buffer));
-      Answer.append(Buffer.data(), Size);
+      Response.append(Buffer.data(), Size);
     }
-    CPPUNIT_ASSERT(Answer.find(Body) != std::string::npos ||
-                   Answer.size() > Body.size());
+    CPPUNIT_ASSERT(Response.find(Body) != std::string::npos ||
+                   Response.size() > Body.size());
   }
 
   void testMethodsAndEmptyResponses() {
-    Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(1, 1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     for (const char *Method : {"GET", "HEAD", "PUT", "DELETE", "OPTIONS"}) {
       http::RequestMessage Request =
           applicationRequest("/any?a=b%20c", "m", "");
       Request.m_Method = Method;
-      Reply Answer = call(All.at(0).m_CallerPort, Request);
-      CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-      CPPUNIT_ASSERT(Answer.isComplete());
+      Reply Response = call(TestFleet.at(0).m_CallerPort, Request);
+      CPPUNIT_ASSERT_EQUAL(200U, Response.m_Status);
+      CPPUNIT_ASSERT(Response.isComplete());
       CPPUNIT_ASSERT_EQUAL(std::string("/any?a=b%20c"),
-                           Answer.header("Seen-Target"));
+                           Response.header("Seen-Target"));
     }
   }
 };
--- a/Tests/Failures/ConfigurationTest.cpp
+++ b/Tests/Failures/ConfigurationTest.cpp
@@ -22,20 +22,20 @@
   CPPUNIT_TEST(testInvalidConfigurationIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
-  static Fleet::Options shape(int Instances) {
+  static Fleet::Options fleetOptions(int Instances) {
     Fleet::Options Out;
     Out.m_Instances = Instances;
     return Out;
   }
 
-  static int versionAt(Fleet &All, int Index) {
-    return All.status(Index).at("configuration_version").to_number<int>();
+  static int versionAt(Fleet &TestFleet, int Index) {
+    return TestFleet.status(Index).at("configuration_version").to_number<int>();
   }
 
-  static bool isInForce(Fleet &All, int Instances, int Version) {
+  static bool waitUntilInForce(Fleet &TestFleet, int Instances, int Version) {
     return eventually([&] {
       for (int I = 0; I < Instances; ++I)
-        if (versionAt(All, I) != Version)
+        if (versionAt(TestFleet, I) != Version)
           return false;
       return true;
     });
@@ -43,136 +43,145 @@
 
 public:
   void testConcurrentPublications() {
-    Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(3));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     for (int Base = 1; Base <= 5; ++Base) {
       std::vector<std::future<Reply>> Replies;
       for (int I = 0; I < 6; ++I)
         Replies.push_back(std::async(std::launch::async, [&, I, Base] {
           std::string Change = std::to_string(Base) + "-" + std::to_string(I);
-          return All.publish(I % 3, Base, Change,
-                             All.configuration() + "# " + Change + "\n");
+          return TestFleet.publish(I % 3, Base, Change,
+                                   TestFleet.configuration() + "# " + Change +
+                                       "\n");
         }));
-      int Won = 0;
+      int Accepted = 0;
       for (auto &Each : Replies) {
-        Reply Answer = Each.get();
-        Won += Answer.m_Status == 200;
-        if (Answer.m_Status == 200)
+        Reply Response = Each.get();
+        Accepted += Response.m_Status == 200;
+        if (Response.m_Status == 200)
           continue;
-        CPPUNIT_ASSERT_EQUAL(409U, Answer.m_Status);
+        CPPUNIT_ASSERT_EQUAL(409U, Response.m_Status);
         CPPUNIT_ASSERT_EQUAL("version " + std::to_string(Base + 1) + " stands",
-                             Answer.problem("detail"));
+                             Response.problem("detail"));
       }
-      CPPUNIT_ASSERT_EQUAL(1, Won);
-      CPPUNIT_ASSERT(isInForce(All, 3, Base + 1));
+      CPPUNIT_ASSERT_EQUAL(1, Accepted);
+      CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 3, Base + 1));
     }
   }
 
   void testPublicationResponseLost() {
-    Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    controlStandIn(All.platformPort(), {{"lose_answers", 1}});
-    std::string Text = All.configuration() + "# second\n";
-    Reply First = All.publish(0, 1, "change-2", Text);
+    Fleet TestFleet(fleetOptions(2));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    controlStandIn(TestFleet.platformPort(), {{"lose_answers", 1}});
+    std::string Text = TestFleet.configuration() + "# second\n";
+    Reply First = TestFleet.publish(0, 1, "change-2", Text);
     CPPUNIT_ASSERT_EQUAL(200U, First.m_Status);
     // The same change again, through another instance, is the same version.
-    Reply Again = All.publish(1, 1, "change-2", Text);
+    Reply Again = TestFleet.publish(1, 1, "change-2", Text);
     CPPUNIT_ASSERT_EQUAL(200U, Again.m_Status);
     CPPUNIT_ASSERT_EQUAL(First.m_Body, Again.m_Body);
-    CPPUNIT_ASSERT(isInForce(All, 2, 2));
+    CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 2, 2));
   }
 
   void testPlatformOutage() {
-    Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    controlStandIn(All.platformPort(), {{"down", true}});
-    Reply Refused = All.publish(0, 1, "in-outage", All.configuration());
+    Fleet TestFleet(fleetOptions(3));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    controlStandIn(TestFleet.platformPort(), {{"down", true}});
+    Reply Refused =
+        TestFleet.publish(0, 1, "in-outage", TestFleet.configuration());
     CPPUNIT_ASSERT_EQUAL(503U, Refused.m_Status);
     // An instance that starts in the outage learns it from a peer.
-    All.at(2).m_Process.kill();
-    All.start(2);
-    CPPUNIT_ASSERT(eventually(
-        [&] { return All.callOperatorApi(2, "/readyz").m_Status == 200; }));
-    CPPUNIT_ASSERT_EQUAL(1, versionAt(All, 2));
+    TestFleet.at(2).m_Process.kill();
+    TestFleet.start(2);
+    CPPUNIT_ASSERT(eventually([&] {
+      return TestFleet.callOperatorApi(2, "/readyz").m_Status == 200;
+    }));
+    CPPUNIT_ASSERT_EQUAL(1, versionAt(TestFleet, 2));
     // The highest tier is served there all the same.
-    Reply Served =
-        call(All.at(2).m_CallerPort, completionRequest("x", 2, true, "hold"));
+    Reply Served = call(TestFleet.at(2).m_CallerPort,
+                        completionRequest("x", 2, true, "hold"));
     CPPUNIT_ASSERT_EQUAL(200U, Served.m_Status);
     // One that can reach neither the store nor a peer serves nothing.
     for (int I = 0; I < 3; ++I)
-      All.at(I).m_Process.kill();
-    All.start(2);
-    CPPUNIT_ASSERT(eventually(
-        [&] { return All.callOperatorApi(2, "/healthz").m_Status == 200; }));
-    CPPUNIT_ASSERT_EQUAL(503U, All.callOperatorApi(2, "/readyz").m_Status);
+      TestFleet.at(I).m_Process.kill();
+    TestFleet.start(2);
+    CPPUNIT_ASSERT(eventually([&] {
+      return TestFleet.callOperatorApi(2, "/healthz").m_Status == 200;
+    }));
+    CPPUNIT_ASSERT_EQUAL(503U,
+                         TestFleet.callOperatorApi(2, "/readyz").m_Status);
     Reply NotReady =
-        call(All.at(2).m_CallerPort, completionRequest("x", 1, false));
+        call(TestFleet.at(2).m_CallerPort, completionRequest("x", 1, false));
     CPPUNIT_ASSERT_EQUAL(std::string("not-run"), NotReady.problem("outcome"));
     // After the outage everything goes on by itself.
-    controlStandIn(All.platformPort(), {{"down", false}});
-    All.start(0);
-    All.start(1);
-    CPPUNIT_ASSERT(isInForce(All, 3, 1));
+    controlStandIn(TestFleet.platformPort(), {{"down", false}});
+    TestFleet.start(0);
+    TestFleet.start(1);
+    CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 3, 1));
     CPPUNIT_ASSERT(eventually([&] {
-      return All.publish(1, 1, "after", All.configuration() + "# 2\n")
+      return TestFleet
+                 .publish(1, 1, "after", TestFleet.configuration() + "# 2\n")
                  .m_Status == 200;
     }));
-    CPPUNIT_ASSERT(isInForce(All, 3, 2));
+    CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 3, 2));
   }
 
   void testFrozenInstanceCatchesUp() {
-    Fleet All(shape(3));
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    All.at(1).m_Process.signal(SIGSTOP);
+    Fleet TestFleet(fleetOptions(3));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    TestFleet.at(1).m_Process.signal(SIGSTOP);
     // Its watch is cut, so that nothing waits for it in a socket's buffer.
-    controlStandIn(All.platformPort(), {{"down", true}});
-    controlStandIn(All.platformPort(), {{"down", false}});
+    controlStandIn(TestFleet.platformPort(), {{"down", true}});
+    controlStandIn(TestFleet.platformPort(), {{"down", false}});
     for (int Base = 1; Base <= 3; ++Base)
-      CPPUNIT_ASSERT_EQUAL(200U, All.publish(0, Base, std::to_string(Base),
-                                             All.configuration() + "# more\n")
-                                     .m_Status);
+      CPPUNIT_ASSERT_EQUAL(200U,
+                           TestFleet
+                               .publish(0, Base, std::to_string(Base),
+                                        TestFleet.configuration() + "# more\n")
+                               .m_Status);
     // While it slept the store went down: only peers can tell it.
-    controlStandIn(All.platformPort(), {{"down", true}});
-    All.at(1).m_Process.signal(SIGCONT);
-    CPPUNIT_ASSERT(isInForce(All, 3, 4));
+    controlStandIn(TestFleet.platformPort(), {{"down", true}});
+    TestFleet.at(1).m_Process.signal(SIGCONT);
+    CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 3, 4));
   }
 
   void testOldValueIsRejected() {
-    Fleet All(shape(2));
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    auto Counters = countersOf(All.platformPort());
+    Fleet TestFleet(fleetOptions(2));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    auto Counters = countersOf(TestFleet.platformPort());
     std::string Old(
         Counters.at("keys").at("/yardrill/configuration").as_string());
     CPPUNIT_ASSERT_EQUAL(
         200U,
-        All.publish(0, 1, "second", All.configuration() + "# 2\n").m_Status);
-    CPPUNIT_ASSERT(isInForce(All, 2, 2));
+        TestFleet.publish(0, 1, "second", TestFleet.configuration() + "# 2\n")
+            .m_Status);
+    CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 2, 2));
     // The store comes back with what it held before.
     controlStandIn(
-        All.platformPort(),
+        TestFleet.platformPort(),
         {{"put", {{"key", "/yardrill/configuration"}, {"value", Old}}}});
-    Reply Refused =
-        All.publish(0, 1, "from-old", All.configuration() + "# old\n");
+    Reply Refused = TestFleet.publish(0, 1, "from-old",
+                                      TestFleet.configuration() + "# old\n");
     CPPUNIT_ASSERT_EQUAL(409U, Refused.m_Status);
     for (int I = 0; I < 2; ++I)
-      CPPUNIT_ASSERT_EQUAL(2, versionAt(All, I));
+      CPPUNIT_ASSERT_EQUAL(2, versionAt(TestFleet, I));
     // Nor does an instance that starts now go back.
-    All.at(1).m_Process.kill();
-    All.start(1);
-    CPPUNIT_ASSERT(eventually([&] { return versionAt(All, 1) == 2; }));
+    TestFleet.at(1).m_Process.kill();
+    TestFleet.start(1);
+    CPPUNIT_ASSERT(eventually([&] { return versionAt(TestFleet, 1) == 2; }));
   }
 
   void testInvalidConfigurationIsRefused() {
-    Fleet All(shape(1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    Reply Refused =
-        All.publish(0, 1, "faulty", All.configuration() + "tears: []\n");
+    Fleet TestFleet(fleetOptions(1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    Reply Refused = TestFleet.publish(
+        0, 1, "faulty", TestFleet.configuration() + "tears: []\n");
     CPPUNIT_ASSERT_EQUAL(422U, Refused.m_Status);
     CPPUNIT_ASSERT(Refused.m_Body.find("is an unknown key") !=
                    std::string::npos);
-    CPPUNIT_ASSERT_EQUAL(1, versionAt(All, 0));
-    CPPUNIT_ASSERT_EQUAL(400U,
-                         All.publish(0, 1, "", All.configuration()).m_Status);
+    CPPUNIT_ASSERT_EQUAL(1, versionAt(TestFleet, 0));
+    CPPUNIT_ASSERT_EQUAL(
+        400U, TestFleet.publish(0, 1, "", TestFleet.configuration()).m_Status);
   }
 };
 
--- a/Tests/Failures/NotRunTest.cpp
+++ b/Tests/Failures/NotRunTest.cpp
@@ -28,71 +28,72 @@
 
 public:
   void testOverload() {
-    Fleet::Options Wanted;
-    Wanted.m_Instances = 2;
-    Wanted.m_Slots = 4;
-    Wanted.m_QueueLimit = 5;
-    Wanted.m_DeadlineMilliseconds[2] = 400;
-    Fleet All(Wanted);
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    controlStandIn(All.applicationPort(), {{"delay_ms", 100}});
+    Fleet::Options FleetOptions;
+    FleetOptions.m_Instances = 2;
+    FleetOptions.m_Slots = 4;
+    FleetOptions.m_QueueLimit = 5;
+    FleetOptions.m_DeadlineMilliseconds[2] = 400;
+    Fleet TestFleet(FleetOptions);
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    controlStandIn(TestFleet.applicationPort(), {{"delay_ms", 100}});
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 80; ++I)
-      Replies.push_back(callAsync(All.at(I % 2).m_CallerPort,
+      Replies.push_back(callAsync(TestFleet.at(I % 2).m_CallerPort,
                                   batchCall("load-" + std::to_string(I))));
-    std::set<std::string> Kinds;
+    std::set<std::string> ProblemTypes;
     for (int I = 0; I < 80; ++I) {
-      Reply Answer = Replies[static_cast<std::size_t>(I)].get();
-      CPPUNIT_ASSERT(Answer.isComplete());
-      std::int64_t Count =
-          executionsOf(All.applicationPort(), "load-" + std::to_string(I));
-      if (Answer.m_Status == 200) {
+      Reply Response = Replies[static_cast<std::size_t>(I)].get();
+      CPPUNIT_ASSERT(Response.isComplete());
+      std::int64_t Count = executionsOf(TestFleet.applicationPort(),
+                                        "load-" + std::to_string(I));
+      if (Response.m_Status == 200) {
         CPPUNIT_ASSERT_EQUAL(std::int64_t(1), Count);
         continue;
       }
-      CPPUNIT_ASSERT_EQUAL(503U, Answer.m_Status);
-      CPPUNIT_ASSERT_EQUAL(std::string("not-run"), Answer.problem("outcome"));
+      CPPUNIT_ASSERT_EQUAL(503U, Response.m_Status);
+      CPPUNIT_ASSERT_EQUAL(std::string("not-run"), Response.problem("outcome"));
       CPPUNIT_ASSERT_EQUAL(std::int64_t(0), Count);
-      CPPUNIT_ASSERT(std::stoi(Answer.header("Retry-After")) >= 1);
-      Kinds.insert(Answer.problem("type"));
+      CPPUNIT_ASSERT(std::stoi(Response.header("Retry-After")) >= 1);
+      ProblemTypes.insert(Response.problem("type"));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         Kinds.count("urn:yardrill:problem:queue-full"));
+                         ProblemTypes.count("urn:yardrill:problem:queue-full"));
     // Nothing is run afterwards either, after everybody was answered.
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     std::int64_t Calls =
-        countersOf(All.applicationPort()).at("calls").to_number<int>();
+        countersOf(TestFleet.applicationPort()).at("calls").to_number<int>();
     std::int64_t Executed = 0;
     for (int I = 0; I < 80; ++I)
-      Executed +=
-          executionsOf(All.applicationPort(), "load-" + std::to_string(I));
+      Executed += executionsOf(TestFleet.applicationPort(),
+                               "load-" + std::to_string(I));
     CPPUNIT_ASSERT_EQUAL(Calls, Executed);
   }
 
   void testRetryAfterIsJittered() {
-    Fleet::Options Wanted;
-    Wanted.m_Slots = 1;
-    Wanted.m_QueueLimit = 20;
-    Fleet All(Wanted);
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    controlStandIn(All.applicationPort(), {{"delay_ms", 300}});
+    Fleet::Options FleetOptions;
+    FleetOptions.m_Slots = 1;
+    FleetOptions.m_QueueLimit = 20;
+    Fleet TestFleet(FleetOptions);
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    controlStandIn(TestFleet.applicationPort(), {{"delay_ms", 300}});
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 50; ++I)
-      Replies.push_back(callAsync(All.at(0).m_CallerPort, batchCall("s")));
+      Replies.push_back(
+          callAsync(TestFleet.at(0).m_CallerPort, batchCall("s")));
     std::set<int> Seconds;
     for (auto &Each : Replies) {
-      Reply Answer = Each.get();
-      if (Answer.m_Status != 200)
-        Seconds.insert(std::stoi(Answer.header("Retry-After")));
+      Reply Response = Each.get();
+      if (Response.m_Status != 200)
+        Seconds.insert(std::stoi(Response.header("Retry-After")));
     }
     // Who was refused together must not come back together.
     CPPUNIT_ASSERT(Seconds.size() >= 2);
   }
 
   void testInvalidRequestsAreRefused() {
-    Fleet All(Fleet::Options{});
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    int Port = All.at(0).m_CallerPort;
+    Fleet TestFleet(Fleet::Options{});
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    int Port = TestFleet.at(0).m_CallerPort;
     auto NoKey = completionRequest("x", 1, false);
     NoKey.m_Headers.remove("Authorization");
     CPPUNIT_ASSERT_EQUAL(401U, call(Port, NoKey).m_Status);
@@ -109,12 +110,12 @@
           R"({"model":"assistant-1","prompt":"x","stream":1})"}) {
       auto Bad = completionRequest("x", 1, false);
       Bad.m_Body = Body;
-      Reply Answer = call(Port, Bad);
-      CPPUNIT_ASSERT_EQUAL(400U, Answer.m_Status);
-      CPPUNIT_ASSERT_EQUAL(std::string("not-run"), Answer.problem("outcome"));
+      Reply Response = call(Port, Bad);
+      CPPUNIT_ASSERT_EQUAL(400U, Response.m_Status);
+      CPPUNIT_ASSERT_EQUAL(std::string("not-run"), Response.problem("outcome"));
     }
     CPPUNIT_ASSERT_EQUAL(
-        0, countersOf(All.enginePort(0)).at("started").to_number<int>());
+        0, countersOf(TestFleet.enginePort(0)).at("started").to_number<int>());
   }
 };
 
--- a/Tests/Failures/ShutdownAndLeavingTest.cpp
+++ b/Tests/Failures/ShutdownAndLeavingTest.cpp
@@ -24,57 +24,60 @@
   CPPUNIT_TEST(testTargetLeavesByConfiguration);
   CPPUNIT_TEST_SUITE_END();
 
-  static Fleet::Options shape(int Instances, int Engines) {
+  static Fleet::Options fleetOptions(int Instances, int Engines) {
     Fleet::Options Out;
     Out.m_Instances = Instances;
     Out.m_Engines = Engines;
     return Out;
   }
 
-  static int startedAt(const Fleet &All, int Engine) {
-    return countersOf(All.enginePort(Engine)).at("started").to_number<int>();
+  static int startedRequests(const Fleet &TestFleet, int Engine) {
+    return countersOf(TestFleet.enginePort(Engine))
+        .at("started")
+        .to_number<int>();
   }
 
 public:
   void testStopCompletesRequestsInProgress() {
     for (bool IsPlatformDown : {false, true}) {
-      Fleet All(shape(3, 2));
-      CPPUNIT_ASSERT(All.waitUntilServing());
-      controlStandIn(All.applicationPort(), {{"delay_ms", 3000}});
+      Fleet TestFleet(fleetOptions(3, 2));
+      CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+      controlStandIn(TestFleet.applicationPort(), {{"delay_ms", 3000}});
       std::vector<std::future<Reply>> Streams;
       std::vector<std::future<Reply>> Calls;
       for (int I = 0; I < 12; ++I) {
-        Streams.push_back(callAsync(All.at(I % 3).m_CallerPort,
+        Streams.push_back(callAsync(TestFleet.at(I % 3).m_CallerPort,
                                     completionRequest("long", 800, true)));
         auto Keyed = applicationRequest("/transfers", "k" + std::to_string(I));
         Keyed.m_Headers.set("Idempotency-Key", std::to_string(I));
-        Calls.push_back(callAsync(All.at(I % 3).m_CallerPort, Keyed));
+        Calls.push_back(callAsync(TestFleet.at(I % 3).m_CallerPort, Keyed));
       }
       CPPUNIT_ASSERT(eventually([&] {
-        auto Counters = countersOf(All.applicationPort());
-        return startedAt(All, 0) + startedAt(All, 1) == 12 &&
+        auto Counters = countersOf(TestFleet.applicationPort());
+        return startedRequests(TestFleet, 0) + startedRequests(TestFleet, 1) ==
+                   12 &&
                Counters.at("calls").to_number<int>() == 12;
       }));
       if (IsPlatformDown)
-        controlStandIn(All.platformPort(), {{"down", true}});
+        controlStandIn(TestFleet.platformPort(), {{"down", true}});
       // Two are stopped together, then the last.
-      All.at(0).m_Process.signal(SIGTERM);
-      All.at(1).m_Process.signal(SIGTERM);
+      TestFleet.at(0).m_Process.signal(SIGTERM);
+      TestFleet.at(1).m_Process.signal(SIGTERM);
       std::this_thread::sleep_for(std::chrono::milliseconds(200));
-      All.at(2).m_Process.signal(SIGTERM);
+      TestFleet.at(2).m_Process.signal(SIGTERM);
       for (auto &Each : Streams) {
-        Reply Answer = Each.get();
-        CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-        CPPUNIT_ASSERT(Answer.isComplete());
-        CPPUNIT_ASSERT(Answer.m_Body.find("[DONE]") != std::string::npos);
+        Reply Response = Each.get();
+        CPPUNIT_ASSERT_EQUAL(200U, Response.m_Status);
+        CPPUNIT_ASSERT(Response.isComplete());
+        CPPUNIT_ASSERT(Response.m_Body.find("[DONE]") != std::string::npos);
       }
       for (auto &Each : Calls)
         CPPUNIT_ASSERT_EQUAL(200U, Each.get().m_Status);
       for (int I = 0; I < 3; ++I)
-        CPPUNIT_ASSERT_EQUAL(0, All.at(I).m_Process.wait());
+        CPPUNIT_ASSERT_EQUAL(0, TestFleet.at(I).m_Process.wait());
       // Stopped means that nothing new is accepted.
       CPPUNIT_ASSERT(
-          !call(All.at(0).m_CallerPort, completionRequest("x", 1, false))
+          !call(TestFleet.at(0).m_CallerPort, completionRequest("x", 1, false))
                .isComplete());
     }
   }
@@ -82,8 +85,8 @@
   /// A request whose bytes are still coming in when the stop begins.
   void testUploadInProgressGetsAResponse() {
     namespace asio = boost::asio;
-    Fleet All(shape(1, 1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(1, 1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     auto Request = applicationRequest("/holds", "upload", "0123456789");
     std::string Text = "POST " + Request.m_Target + " HTTP/1.1\r\n";
     for (const http::Header &H : Request.m_Headers)
@@ -92,30 +95,30 @@
     asio::io_context Context;
     asio::ip::tcp::socket Socket(Context);
     Socket.connect({asio::ip::make_address("127.0.0.1"),
-                    static_cast<std::uint16_t>(All.at(0).m_CallerPort)});
+                    static_cast<std::uint16_t>(TestFleet.at(0).m_CallerPort)});
     asio::write(Socket, asio::buffer(Text));
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
-    All.at(0).m_Process.signal(SIGTERM);
+    TestFleet.at(0).m_Process.signal(SIGTERM);
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     asio::write(Socket, asio::buffer(std::string("56789")));
-    std::string Answer;
+    std::string Response;
     boost::system::error_code Failure;
     while (!Failure) {
       char Buffer[1024];
-      Answer.append(Buffer, Socket.read_some(asio::buffer(Buffer), Failure));
+      Response.append(Buffer, Socket.read_some(asio::buffer(Buffer), Failure));
     }
     // Served or refused as not run, but answered.
-    CPPUNIT_ASSERT_MESSAGE(Answer,
-                           Answer.find("HTTP/1.1 200") == 0 ||
-                               Answer.find("\"not-run\"") != std::string::npos);
-    CPPUNIT_ASSERT_EQUAL(0, All.at(0).m_Process.wait());
+    CPPUNIT_ASSERT_MESSAGE(Response, Response.find("HTTP/1.1 200") == 0 ||
+                                         Response.find("\"not-run\"") !=
+                                             std::string::npos);
+    CPPUNIT_ASSERT_EQUAL(0, TestFleet.at(0).m_Process.wait());
   }
 
   void testLeadershipIsHandedOver() {
-    Fleet All(shape(2, 1));
-    CPPUNIT_ASSERT(All.waitUntilServing());
-    auto LeadsAny = [&](int Index) {
-      auto Status = All.status(Index);
+    Fleet TestFleet(fleetOptions(2, 1));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
+    auto IsLeaderOfAnyPool = [&](int Index) {
+      auto Status = TestFleet.status(Index);
       for (const auto &Pool : Status.at("pools").as_array())
         if (Pool.at("is_leader").as_bool())
           return true;
@@ -127,78 +130,81 @@
       boost::json::object Entry{
           {"kind", "scheduler"},
           {"name", Name},
-          {"address", "127.0.0.1:" + std::to_string(All.at(I).m_PeerPort)},
+          {"address",
+           "127.0.0.1:" + std::to_string(TestFleet.at(I).m_PeerPort)},
           {"state", "live"}};
       controlStandIn(
-          All.platformPort(),
+          TestFleet.platformPort(),
           {{"put",
             {{"key", "/platform/instances/" + Name}, {"value", Entry}}}});
     }
-    int Leader = LeadsAny(0) ? 0 : 1;
-    All.at(Leader).m_Process.signal(SIGTERM);
-    CPPUNIT_ASSERT_EQUAL(0, All.at(Leader).m_Process.wait());
+    int Leader = IsLeaderOfAnyPool(0) ? 0 : 1;
+    TestFleet.at(Leader).m_Process.signal(SIGTERM);
+    CPPUNIT_ASSERT_EQUAL(0, TestFleet.at(Leader).m_Process.wait());
     CPPUNIT_ASSERT(eventually([&] {
-      auto Status = All.status(1 - Leader);
+      auto Status = TestFleet.status(1 - Leader);
       for (const auto &Pool : Status.at("pools").as_array())
         if (Pool.at("leader_phase").as_string() != "hold" ||
             Pool.at("floor_tier").to_number<int>() != 3)
           return false;
       return true;
     }));
-    Reply Served = call(All.at(1 - Leader).m_CallerPort,
+    Reply Served = call(TestFleet.at(1 - Leader).m_CallerPort,
                         completionRequest("x", 2, false, "batch"));
     CPPUNIT_ASSERT_EQUAL(200U, Served.m_Status);
   }
 
   /// Sends work until engine 0 has had none for a while.
-  static void expectNoNewRequests(Fleet &All) {
-    auto IsQuiet = [&] {
-      int Before = startedAt(All, 0);
+  static void expectNoNewRequests(Fleet &TestFleet) {
+    auto HasNoNewRequests = [&] {
+      int Before = startedRequests(TestFleet, 0);
       for (int I = 0; I < 40; ++I)
-        CPPUNIT_ASSERT_EQUAL(200U, call(All.at(I % 2).m_CallerPort,
+        CPPUNIT_ASSERT_EQUAL(200U, call(TestFleet.at(I % 2).m_CallerPort,
                                         completionRequest("after", 1, false))
                                        .m_Status);
-      return startedAt(All, 0) == Before;
+      return startedRequests(TestFleet, 0) == Before;
     };
-    CPPUNIT_ASSERT(eventually(IsQuiet));
-    CPPUNIT_ASSERT(IsQuiet());
-    CPPUNIT_ASSERT(startedAt(All, 1) > 0);
+    CPPUNIT_ASSERT(eventually(HasNoNewRequests));
+    CPPUNIT_ASSERT(HasNoNewRequests());
+    CPPUNIT_ASSERT(startedRequests(TestFleet, 1) > 0);
   }
 
   void testTargetLeavesByInstanceList() {
-    Fleet All(shape(2, 2));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(2, 2));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     std::vector<std::future<Reply>> Streams;
     for (int I = 0; I < 8; ++I)
-      Streams.push_back(callAsync(All.at(I % 2).m_CallerPort,
+      Streams.push_back(callAsync(TestFleet.at(I % 2).m_CallerPort,
                                   completionRequest("long", 300, true)));
-    CPPUNIT_ASSERT(eventually([&] { return startedAt(All, 0) > 0; }));
+    CPPUNIT_ASSERT(
+        eventually([&] { return startedRequests(TestFleet, 0) > 0; }));
     boost::json::object Entry{
         {"kind", "target"},
         {"name", "engine-1"},
-        {"address", "127.0.0.1:" + std::to_string(All.enginePort(0))},
+        {"address", "127.0.0.1:" + std::to_string(TestFleet.enginePort(0))},
         {"state", "leaving"}};
-    controlStandIn(All.platformPort(),
+    controlStandIn(TestFleet.platformPort(),
                    {{"put",
                      {{"key", "/platform/instances/engine-1"},
                       {"value", Entry},
                       {"lag_ms", 500}}}});
-    expectNoNewRequests(All);
+    expectNoNewRequests(TestFleet);
     // What was in progress there is not cut.
     for (auto &Each : Streams)
       CPPUNIT_ASSERT(Each.get().isComplete());
     // With the platform down, what was heard stays in force.
-    controlStandIn(All.platformPort(), {{"down", true}});
-    expectNoNewRequests(All);
+    controlStandIn(TestFleet.platformPort(), {{"down", true}});
+    expectNoNewRequests(TestFleet);
   }
 
   void testTargetLeavesByConfiguration() {
-    Fleet All(shape(2, 2));
-    CPPUNIT_ASSERT(All.waitUntilServing());
+    Fleet TestFleet(fleetOptions(2, 2));
+    CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     CPPUNIT_ASSERT_EQUAL(
         200U,
-        All.publish(0, 1, "leave", All.configuration("engine-1")).m_Status);
-    expectNoNewRequests(All);
+        TestFleet.publish(0, 1, "leave", TestFleet.configuration("engine-1"))
+            .m_Status);
+    expectNoNewRequests(TestFleet);
   }
 };
 
--- a/Tests/Failures/TierOrderTest.cpp
+++ b/Tests/Failures/TierOrderTest.cpp
@@ -52,14 +52,14 @@
 }
 
 /// Merges all lines by time and follows what runs.
-static TierOrderReport checkTierOrder(const Fleet &All,
+static TierOrderReport checkTierOrder(const Fleet &TestFleet,
                                       const std::set<std::string> &Killed) {
   std::multimap<std::string, Fields> ByTime;
-  for (const std::string &Line : All.logLines()) {
+  for (const std::string &Line : TestFleet.logLines()) {
     Fields Found = fieldsOf(Line);
     // A killed process may leave half a line.
-    bool IsWhole = Found.count("tier") != 0 && Found.count("pool") != 0;
-    if (IsWhole && Found["pool"] == "assistant")
+    bool IsComplete = Found.count("tier") != 0 && Found.count("pool") != 0;
+    if (IsComplete && Found["pool"] == "assistant")
       ByTime.emplace(Found["time"], Found);
   }
   TierOrderReport Out;
@@ -83,9 +83,10 @@
     if (!IsEvicted && !IsRefused)
       continue;
     Out.m_HigherTierSheds += Tier < 3;
-    bool IsWrong = std::any_of(Running.begin(), Running.end(),
-                               [&](const auto &R) { return R.second > Tier; });
-    if (IsWrong && Out.m_Violations++ == 0)
+    bool IsViolation =
+        std::any_of(Running.begin(), Running.end(),
+                    [&](const auto &R) { return R.second > Tier; });
+    if (IsViolation && Out.m_Violations++ == 0)
       Out.m_FirstViolation = Time + " " + Request;
   }
   return Out;
@@ -104,16 +105,16 @@
   std::unique_ptr<Fleet> m_Fleet;
   std::set<std::string> m_Killed;
 
-  void start() {
-    Fleet::Options Wanted;
-    Wanted.m_Instances = InstanceCount;
-    Wanted.m_Slots = 6;
-    Wanted.m_QueueLimit = 6;
-    for (int &Deadline : Wanted.m_DeadlineMilliseconds)
+  void startFleet() {
+    Fleet::Options FleetOptions;
+    FleetOptions.m_Instances = InstanceCount;
+    FleetOptions.m_Slots = 6;
+    FleetOptions.m_QueueLimit = 6;
+    for (int &Deadline : FleetOptions.m_DeadlineMilliseconds)
       Deadline = 1200;
-    Wanted.m_EngineFlags = "--decode_rate=100";
+    FleetOptions.m_EngineFlags = "--decode_rate=100";
     m_Killed.clear();
-    m_Fleet = std::make_unique<Fleet>(Wanted);
+    m_Fleet = std::make_unique<Fleet>(FleetOptions);
     CPPUNIT_ASSERT(m_Fleet->waitUntilServing());
   }
 
@@ -125,7 +126,7 @@
     return Out.str();
   }
 
-  int leader() {
+  int leaderIndex() {
     for (int I = 0; I < InstanceCount; ++I) {
       auto Status = m_Fleet->status(I);
       if (Status.at("pools").as_array().at(0).at("is_leader").as_bool())
@@ -149,13 +150,13 @@
         std::mt19937 Random(Seed);
         while (!IsOver) {
           std::string Tier = Tiers[Seed % 3];
-          Reply Answer =
+          Reply Response =
               call(m_Fleet->at(static_cast<int>(Random() % InstanceCount))
                        .m_CallerPort,
                    completionRequest("x", 20 + static_cast<int>(Random() % 60),
                                      true, Tier));
           // A refused caller comes back, sooner than it was asked to.
-          if (Answer.m_Status != 200)
+          if (Response.m_Status != 200)
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
         }
       });
@@ -179,7 +180,7 @@
   void tearDown() override { m_Fleet.reset(); }
 
   void testBurst() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([] { pause(6000); });
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Out.m_Violations);
     // It must have come to sheds of higher tiers at all.
@@ -187,10 +188,10 @@
   }
 
   void testLeaderKilled() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       pause(3000);
-      int Leader = leader();
+      int Leader = leaderIndex();
       killInstance(Leader);
       pause(1000);
       m_Fleet->start(Leader);
@@ -201,10 +202,10 @@
   }
 
   void testMembersFrozen() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       pause(2500);
-      for (int Index : {leader(), (leader() + 1) % InstanceCount}) {
+      for (int Index : {leaderIndex(), (leaderIndex() + 1) % InstanceCount}) {
         m_Fleet->at(Index).m_Process.signal(SIGSTOP);
         pause(2500);
         m_Fleet->at(Index).m_Process.signal(SIGCONT);
@@ -216,7 +217,7 @@
   }
 
   void testPlatformDown() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       controlStandIn(m_Fleet->platformPort(), {{"down", true}});
       pause(7000);
@@ -228,10 +229,10 @@
   }
 
   void testSimultaneousFailures() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       pause(2500);
-      int Leader = leader();
+      int Leader = leaderIndex();
       int Other = (Leader + 1) % InstanceCount;
       controlStandIn(m_Fleet->platformPort(), {{"down", true}});
       m_Fleet->at(Other).m_Process.signal(SIGSTOP);
--- a/Tests/Sessions/SessionTest.cpp
+++ b/Tests/Sessions/SessionTest.cpp
@@ -27,7 +27,7 @@
 class SessionPlayer {
 public:
   explicit SessionPlayer(const YAML::Node &Session)
-      : m_Steps(Session["steps"]), m_Fleet(shapeOf(Session["fleet"])) {}
+      : m_Steps(Session["steps"]), m_Fleet(optionsOf(Session["fleet"])) {}
 
   std::string play() {
     CPPUNIT_ASSERT(m_Fleet.waitUntilServing());
@@ -37,17 +37,18 @@
   }
 
 private:
-  static Fleet::Options shapeOf(const YAML::Node &Node) {
+  static Fleet::Options optionsOf(const YAML::Node &Node) {
     Fleet::Options Out;
     Out.m_Instances = Node["instances"].as<int>();
     Out.m_Slots = Node["places"].as<int>(8);
     return Out;
   }
 
-  int portOf(const std::string &Who) {
-    if (Who == "platform")
+  int portOf(const std::string &StandIn) {
+    if (StandIn == "platform")
       return m_Fleet.platformPort();
-    return Who == "engine" ? m_Fleet.enginePort(0) : m_Fleet.applicationPort();
+    return StandIn == "engine" ? m_Fleet.enginePort(0)
+                               : m_Fleet.applicationPort();
   }
 
   void playStep(const YAML::Node &Step) {
@@ -75,16 +76,16 @@
       Request.m_Headers.set(Header.first.as<std::string>(),
                             Value == "$ticket" ? m_Ticket : Value);
     }
-    Reply Answer =
+    Reply Response =
         call(m_Fleet.at(Step["through"].as<int>(0)).m_CallerPort, Request);
-    m_Transcript += std::to_string(Answer.m_Status) + "\n";
-    for (const http::Header &H : Answer.m_Headers)
+    m_Transcript += std::to_string(Response.m_Status) + "\n";
+    for (const http::Header &H : Response.m_Headers)
       m_Transcript += H.m_Name + ": " + maskedValue(H) + "\n";
     m_Transcript +=
-        "\n" + std::regex_replace(Answer.m_Body, m_RequestId, "<request-id>");
-    if (!Answer.m_Body.empty() && Answer.m_Body.back() != '\n')
+        "\n" + std::regex_replace(Response.m_Body, m_RequestId, "<request-id>");
+    if (!Response.m_Body.empty() && Response.m_Body.back() != '\n')
       m_Transcript += "\n";
-    if (!Answer.isComplete())
+    if (!Response.isComplete())
       m_Transcript += "(broken off)\n";
   }
 
--- a/Tests/StandIns/Application.cpp
+++ b/Tests/StandIns/Application.cpp
@@ -9,15 +9,15 @@
 void Application::handle(http::Exchange &Call,
                          boost::asio::yield_context Yield) {
   ++m_Calls;
-  std::string Break = m_AbortPoint;
-  if (Break == "before-execution")
+  std::string AbortPoint = m_AbortPoint;
+  if (AbortPoint == "before-execution")
     return Call.abort();
   const std::string *Identity = Call.request().m_Headers.find("Test-Identity");
   std::size_t Count = 0;
   if (Identity)
     Count = ++m_Executions[*Identity];
   sleep(std::chrono::milliseconds(m_DelayMilliseconds), Yield);
-  if (Break == "after-execution")
+  if (AbortPoint == "after-execution")
     return Call.abort();
   std::string Body = Call.request().m_Body;
   http::ResponseHead Head;
@@ -28,7 +28,7 @@
   Head.m_Headers.set("Seen-Target", Call.request().m_Target);
   Head.m_ContentLength = Body.size();
   Call.startStream(Head, Yield);
-  if (Break == "within-answer") {
+  if (AbortPoint == "within-answer") {
     Call.sendBodyData(Body.substr(0, Body.size() / 2), Yield);
     return Call.abort();
   }
--- a/Tests/StandIns/ModelEngine.cpp
+++ b/Tests/StandIns/ModelEngine.cpp
@@ -53,10 +53,11 @@
   return json::serialize(Body.at("messages"));
 }
 
-static void waitForWakeUp(asio::steady_timer &Wake, asio::yield_context Yield) {
+static void waitForWakeUp(asio::steady_timer &Signal,
+                          asio::yield_context Yield) {
   boost::system::error_code Ignored;
-  Wake.expires_at(asio::steady_timer::time_point::max());
-  Wake.async_wait(Yield[Ignored]);
+  Signal.expires_at(asio::steady_timer::time_point::max());
+  Signal.async_wait(Yield[Ignored]);
 }
 
 void ModelEngine::handle(http::Exchange &Call, asio::yield_context Yield) {
@@ -68,72 +69,72 @@
                     Yield);
   if (Target.compare(0, CompletionsPath.size(), CompletionsPath) == 0)
     return resumeOrCancel(Call, Target.substr(CompletionsPath.size()), Yield);
-  std::shared_ptr<Job> Which = startJob(Call.request());
-  if (Which->m_IsStream)
-    sendStream(Call, Which, 0, Yield);
+  std::shared_ptr<Job> Current = startJob(Call.request());
+  if (Current->m_IsStream)
+    sendStream(Call, Current, 0, Yield);
   else
-    sendCompleteResponse(Call, Which, Yield);
+    sendCompleteResponse(Call, Current, Yield);
 }
 
 std::shared_ptr<ModelEngine::Job>
 ModelEngine::startJob(const http::RequestMessage &Request) {
   json::value Parsed = json::parse(Request.m_Body);
   const json::object &Body = Parsed.as_object();
-  auto Which = std::make_shared<Job>(m_Context);
-  Which->m_Prompt = promptOf(Body);
+  auto Current = std::make_shared<Job>(m_Context);
+  Current->m_Prompt = promptOf(Body);
   std::int64_t Tokens = 16;
   readIfPresent(Body, "max_tokens", Tokens);
-  readIfPresent(Body, "priority", Which->m_Priority);
-  readIfPresent(Body, "stream", Which->m_IsStream);
-  Which->m_RequestedTokens = static_cast<std::size_t>(Tokens);
+  readIfPresent(Body, "priority", Current->m_Priority);
+  readIfPresent(Body, "stream", Current->m_IsStream);
+  Current->m_RequestedTokens = static_cast<std::size_t>(Tokens);
   if (const std::string *Id = Request.m_Headers.find("Yardrill-Request-Id")) {
-    Which->m_Id = *Id;
-    m_Jobs[*Id] = Which;
+    Current->m_Id = *Id;
+    m_Jobs[*Id] = Current;
   }
   ++m_Started;
   asio::spawn(
       m_Context,
-      [this, Which](asio::yield_context Yield) { runJob(Which, Yield); },
+      [this, Current](asio::yield_context Yield) { runJob(Current, Yield); },
       asio::detached);
-  return Which;
+  return Current;
 }
 
-void ModelEngine::runJob(const std::shared_ptr<Job> &Which,
+void ModelEngine::runJob(const std::shared_ptr<Job> &Current,
                          asio::yield_context Yield) {
-  acquireSlot(Which, Yield);
-  if (!Which->m_IsCancelled)
-    prefill(*Which, Yield);
-  while (!Which->isDone()) {
+  acquireSlot(Current, Yield);
+  if (!Current->m_IsCancelled)
+    prefill(*Current, Yield);
+  while (!Current->isDone()) {
     double Seconds = m_SlowdownFactor / m_Settings.m_DecodeRate;
     sleep(std::chrono::microseconds(static_cast<std::int64_t>(Seconds * 1e6)),
           Yield);
     auto Limit = static_cast<std::size_t>(m_BreakAfterTokens);
-    Which->m_IsAborted =
-        m_BreakAfterTokens >= 0 && Which->m_ProducedTokens >= Limit;
-    if (!Which->m_IsAborted && !Which->m_IsCancelled)
-      ++Which->m_ProducedTokens;
-    Which->m_ReaderSignal.cancel();
+    Current->m_IsAborted =
+        m_BreakAfterTokens >= 0 && Current->m_ProducedTokens >= Limit;
+    if (!Current->m_IsAborted && !Current->m_IsCancelled)
+      ++Current->m_ProducedTokens;
+    Current->m_ReaderSignal.cancel();
   }
-  if (Which->m_HasSlot)
+  if (Current->m_HasSlot)
     releaseSlot();
-  bool IsWhole = Which->m_ProducedTokens == Which->m_RequestedTokens;
-  ++(IsWhole ? m_Finished : m_Cancelled);
+  bool IsComplete = Current->m_ProducedTokens == Current->m_RequestedTokens;
+  ++(IsComplete ? m_Finished : m_Cancelled);
   recordLoad();
 }
 
-void ModelEngine::acquireSlot(const std::shared_ptr<Job> &Which,
+void ModelEngine::acquireSlot(const std::shared_ptr<Job> &Current,
                               asio::yield_context Yield) {
   if (m_BusySlots < m_Settings.m_Slots) {
     ++m_BusySlots;
-    Which->m_HasSlot = true;
+    Current->m_HasSlot = true;
     return recordLoad();
   }
-  auto Place = m_Waiting.emplace(Which->m_Priority, Which);
+  auto Position = m_Waiting.emplace(Current->m_Priority, Current);
   recordLoad();
-  while (!Which->m_HasSlot && !Which->m_IsCancelled)
-    waitForWakeUp(Which->m_SlotSignal, Yield);
-  if (!Which->m_HasSlot)
-    m_Waiting.erase(Place);
+  while (!Current->m_HasSlot && !Current->m_IsCancelled)
+    waitForWakeUp(Current->m_SlotSignal, Yield);
+  if (!Current->m_HasSlot)
+    m_Waiting.erase(Position);
 }
 
 void ModelEngine::releaseSlot() {
@@ -164,9 +165,9 @@
   return IsCached;
 }
 
-void ModelEngine::prefill(Job &Which, asio::yield_context Yield) {
-  std::size_t Bytes = Which.m_Prompt.size();
-  if (touchPrefix(Which.m_Prompt))
+void ModelEngine::prefill(Job &Current, asio::yield_context Yield) {
+  std::size_t Bytes = Current.m_Prompt.size();
+  if (touchPrefix(Current.m_Prompt))
     Bytes -= std::min(Bytes, PrefixBytes);
   std::size_t Tokens = Bytes / BytesPerToken;
   m_PrefillTokens += Tokens;
@@ -180,76 +181,76 @@
 // Readers of a job
 //===----------------------------------------------------------------------===//
 
-void ModelEngine::handleReaderDisconnect(const std::shared_ptr<Job> &Which) {
-  if (Which->isDone())
+void ModelEngine::handleReaderDisconnect(const std::shared_ptr<Job> &Current) {
+  if (Current->isDone())
     return;
   if (m_LingerMilliseconds == 0)
-    return Which->cancel();
+    return Current->cancel();
   asio::spawn(
       m_Context,
-      [this, Which](asio::yield_context Yield) {
+      [this, Current](asio::yield_context Yield) {
         sleep(std::chrono::milliseconds(m_LingerMilliseconds), Yield);
-        if (Which->m_Readers == 0 && !Which->isDone())
-          Which->cancel();
+        if (Current->m_Readers == 0 && !Current->isDone())
+          Current->cancel();
       },
       asio::detached);
 }
 
 void ModelEngine::sendStream(http::Exchange &Call,
-                             const std::shared_ptr<Job> &Which,
+                             const std::shared_ptr<Job> &Current,
                              std::size_t Next, asio::yield_context Yield) {
-  bool IsGone = false;
-  Call.setDisconnectCallback([&IsGone, Which] {
-    IsGone = true;
-    Which->m_ReaderSignal.cancel();
+  bool IsDisconnected = false;
+  Call.setDisconnectCallback([&IsDisconnected, Current] {
+    IsDisconnected = true;
+    Current->m_ReaderSignal.cancel();
   });
-  ++Which->m_Readers;
+  ++Current->m_Readers;
   try {
     http::ResponseHead Head;
     Head.m_Status = 200;
     Head.m_Headers.set("Content-Type", "text/event-stream");
     Call.startStream(Head, Yield);
-    while (!IsGone) {
-      while (Next < Which->m_ProducedTokens) {
+    while (!IsDisconnected) {
+      while (Next < Current->m_ProducedTokens) {
         json::object Choice{{"index", 0},
-                            {"text", tokenOf(Which->m_Prompt, Next)}};
+                            {"text", tokenOf(Current->m_Prompt, Next)}};
         json::object Event{{"choices", json::array{Choice}}};
         ++Next;
         Call.sendBodyData("id: " + std::to_string(Next) +
                               "\ndata: " + json::serialize(Event) + "\n\n",
                           Yield);
       }
-      if (Which->isDone())
+      if (Current->isDone())
         break;
-      waitForWakeUp(Which->m_ReaderSignal, Yield);
+      waitForWakeUp(Current->m_ReaderSignal, Yield);
     }
-    if (!IsGone && Next == Which->m_RequestedTokens) {
+    if (!IsDisconnected && Next == Current->m_RequestedTokens) {
       Call.sendBodyData("data: [DONE]\n\n", Yield);
       Call.finishStream(Yield);
     }
   } catch (const std::exception &) {
-    IsGone = true;
+    IsDisconnected = true;
   }
   Call.setDisconnectCallback(nullptr);
-  --Which->m_Readers;
-  if (IsGone || Next != Which->m_RequestedTokens)
+  --Current->m_Readers;
+  if (IsDisconnected || Next != Current->m_RequestedTokens)
     Call.abort();
-  if (Which->m_Readers == 0)
-    handleReaderDisconnect(Which);
+  if (Current->m_Readers == 0)
+    handleReaderDisconnect(Current);
 }
 
 void ModelEngine::sendCompleteResponse(http::Exchange &Call,
-                                       const std::shared_ptr<Job> &Which,
+                                       const std::shared_ptr<Job> &Current,
                                        asio::yield_context Yield) {
-  Call.setDisconnectCallback([Which] { Which->cancel(); });
-  while (!Which->isDone())
-    waitForWakeUp(Which->m_ReaderSignal, Yield);
+  Call.setDisconnectCallback([Current] { Current->cancel(); });
+  while (!Current->isDone())
+    waitForWakeUp(Current->m_ReaderSignal, Yield);
   Call.setDisconnectCallback(nullptr);
-  if (Which->m_ProducedTokens != Which->m_RequestedTokens)
+  if (Current->m_ProducedTokens != Current->m_RequestedTokens)
     return Call.abort();
   std::string Text;
-  for (std::size_t I = 0; I < Which->m_RequestedTokens; ++I)
-    Text += tokenOf(Which->m_Prompt, I);
+  for (std::size_t I = 0; I < Current->m_RequestedTokens; ++I)
+    Text += tokenOf(Current->m_Prompt, I);
   json::object Choice{{"index", 0}, {"text", Text}};
   sendJson(Call, json::object{{"choices", json::array{Choice}}}, Yield);
 }
@@ -260,14 +261,14 @@
   if (Found == m_Jobs.end())
     return sendJson(Call, json::object{{"error", "no such request"}}, Yield,
                     404);
-  std::shared_ptr<Job> Which = Found->second;
+  std::shared_ptr<Job> Current = Found->second;
   if (Call.request().m_Method == "DELETE") {
-    Which->cancel();
+    Current->cancel();
     return sendJson(Call, json::object{{"cancelled", Id}}, Yield);
   }
   const std::string *Last = Call.request().m_Headers.find("Last-Event-ID");
   ++m_Resumed;
-  sendStream(Call, Which, Last ? std::stoul(*Last) : 0, Yield);
+  sendStream(Call, Current, Last ? std::stoul(*Last) : 0, Yield);
 }
 
 //===----------------------------------------------------------------------===//
@@ -281,16 +282,16 @@
 }
 
 json::object ModelEngine::delayedLoad() const {
-  auto Until = Clock::now() - std::chrono::milliseconds(m_LagMilliseconds);
+  auto Cutoff = Clock::now() - std::chrono::milliseconds(m_LagMilliseconds);
   LoadSample Last;
   for (const LoadSample &Each : m_LoadHistory)
-    if (Each.m_At <= Until)
+    if (Each.m_At <= Cutoff)
       Last = Each;
   return {{"running", Last.m_Running}, {"waiting", Last.m_Waiting}};
 }
 
 json::object ModelEngine::delayedCacheEvents(std::size_t After) const {
-  auto Until = Clock::now() - std::chrono::milliseconds(m_LagMilliseconds);
+  auto Cutoff = Clock::now() - std::chrono::milliseconds(m_LagMilliseconds);
   json::array Events;
   for (std::size_t I = After; I < m_CacheEvents.size(); ++I) {
     const CacheEvent &Each = m_CacheEvents[I];
@@ -298,7 +299,7 @@
     bool IsOmitted =
         m_OmitEveryNthEvent > 0 &&
         Number % static_cast<std::size_t>(m_OmitEveryNthEvent) == 0;
-    if (Each.m_At <= Until && !IsOmitted)
+    if (Each.m_At <= Cutoff && !IsOmitted)
       Events.push_back(json::object{{"number", Number},
                                     {"kind", Each.m_Kind},
                                     {"prefix", Each.m_Prefix}});
--- a/Tests/StandIns/ModelEngine.h
+++ b/Tests/StandIns/ModelEngine.h
@@ -57,18 +57,18 @@
 
   std::shared_ptr<Job> startJob(const http::RequestMessage &Request);
   /// Runs a job to its end, whoever reads it.
-  void runJob(const std::shared_ptr<Job> &Which,
+  void runJob(const std::shared_ptr<Job> &Current,
               boost::asio::yield_context Yield);
-  void acquireSlot(const std::shared_ptr<Job> &Which,
+  void acquireSlot(const std::shared_ptr<Job> &Current,
                    boost::asio::yield_context Yield);
   void releaseSlot();
-  void prefill(Job &Which, boost::asio::yield_context Yield);
-  void sendStream(http::Exchange &Call, const std::shared_ptr<Job> &Which,
+  void prefill(Job &Current, boost::asio::yield_context Yield);
+  void sendStream(http::Exchange &Call, const std::shared_ptr<Job> &Current,
                   std::size_t Next, boost::asio::yield_context Yield);
   void sendCompleteResponse(http::Exchange &Call,
-                            const std::shared_ptr<Job> &Which,
+                            const std::shared_ptr<Job> &Current,
                             boost::asio::yield_context Yield);
-  void handleReaderDisconnect(const std::shared_ptr<Job> &Which);
+  void handleReaderDisconnect(const std::shared_ptr<Job> &Current);
   void resumeOrCancel(http::Exchange &Call, const std::string &Id,
                       boost::asio::yield_context Yield);
   bool touchPrefix(const std::string &Prompt);
--- a/Tests/StandIns/ModelEngineTest.cpp
+++ b/Tests/StandIns/ModelEngineTest.cpp
@@ -99,8 +99,9 @@
 
   void testDelayedLoadAndCacheEvents() {
     auto EventCount = [&] {
-      Reply Answer = call(m_Port, makeRequest("GET", "/cache_events?after=0"));
-      return boost::json::parse(Answer.m_Body).at("events").as_array().size();
+      Reply Response =
+          call(m_Port, makeRequest("GET", "/cache_events?after=0"));
+      return boost::json::parse(Response.m_Body).at("events").as_array().size();
     };
     for (int I = 0; I < 3; ++I)
       CPPUNIT_ASSERT(
--- a/Tests/StandIns/Platform.cpp
+++ b/Tests/StandIns/Platform.cpp
@@ -60,9 +60,9 @@
       [this](asio::yield_context Yield) {
         while (true) {
           sleep(LeaseCheckPeriod, Yield);
-          auto All = m_Leases;
-          for (const auto &[Id, Which] : All)
-            if (Which.m_ExpiresAt <= Clock::now())
+          auto Leases = m_Leases;
+          for (const auto &[Id, HeldLease] : Leases)
+            if (HeldLease.m_ExpiresAt <= Clock::now())
               revokeLease(Id);
         }
       },
@@ -90,16 +90,17 @@
     return Call.abort();
   // Calls count when they arrive: one that met silence and goes on long after
   // its caller has left must not take the place of a later one.
-  bool IsOver = isOverRateLimit();
+  bool IsOverLimit = isOverRateLimit();
   while (m_IsUnresponsive)
     sleep(LeaseCheckPeriod, Yield);
-  if (IsOver)
+  if (IsOverLimit)
     return sendJson(Call, json::object{{"error", "rate limit"}}, Yield, 429);
   const http::RequestMessage Request = Call.request();
   if (startsWith(Request.m_Target, "/kv-watch"))
     return watch(Call, Yield);
-  bool IsLost = Request.m_Target == "/kv-txn" && m_ResponsesToDrop > 0;
-  if (IsLost) {
+  bool IsResponseDropped =
+      Request.m_Target == "/kv-txn" && m_ResponsesToDrop > 0;
+  if (IsResponseDropped) {
     --m_ResponsesToDrop;
     if (m_LateWriteMilliseconds > 0) {
       Call.abort();
@@ -108,10 +109,10 @@
       return;
     }
   }
-  Response Made = execute(Request);
-  if (IsLost)
+  Response Result = execute(Request);
+  if (IsResponseDropped)
     return Call.abort();
-  sendJson(Call, Made.m_Body, Yield, Made.m_Status);
+  sendJson(Call, Result.m_Body, Yield, Result.m_Status);
 }
 
 Platform::Response Platform::execute(const http::RequestMessage &Call) {
@@ -121,12 +122,12 @@
   if (startsWith(Target, "/kv-range?"))
     return readRange(parameter(Target, "pathPrefix"),
                      parameter(Target, "sinceRev"));
-  static const std::string Keep = "/kv-keep/";
-  if (startsWith(Target, Keep))
-    return keepLeaseAlive(toInteger(Target.substr(Keep.size())));
-  static const std::string End = "/kv-lease-end/";
-  if (startsWith(Target, End))
-    return handleRevokeLease(toInteger(Target.substr(End.size())));
+  static const std::string KeepAlivePath = "/kv-keep/";
+  if (startsWith(Target, KeepAlivePath))
+    return keepLeaseAlive(toInteger(Target.substr(KeepAlivePath.size())));
+  static const std::string RevokePath = "/kv-lease-end/";
+  if (startsWith(Target, RevokePath))
+    return handleRevokeLease(toInteger(Target.substr(RevokePath.size())));
   json::value Body = json::parse(Call.m_Body);
   if (Target == "/kv-txn")
     return transact(Body.as_object());
@@ -135,12 +136,12 @@
   return {404, {{"error", "no such call"}}};
 }
 
-json::object Platform::toJson(const std::string &Key, const Item &What) const {
+json::object Platform::toJson(const std::string &Key, const Item &Entry) const {
   return {{"privateKey", Key},
-          {"value", core::toBase64(What.m_Value)},
-          {"rev", What.m_ModRevision},
-          {"createRevision", What.m_ModRevision},
-          {"lease", What.m_Lease}};
+          {"value", core::toBase64(Entry.m_Value)},
+          {"rev", Entry.m_ModRevision},
+          {"createRevision", Entry.m_ModRevision},
+          {"lease", Entry.m_Lease}};
 }
 
 Platform::Response Platform::readItem(const std::string &Key) const {
@@ -156,16 +157,16 @@
                                        const std::string &After) const {
   json::array Found;
   bool HasMore = false;
-  for (auto Place = m_Items.lower_bound(Prefix); Place != m_Items.end();
-       ++Place) {
-    if (!startsWith(Place->first, Prefix))
+  for (auto Position = m_Items.lower_bound(Prefix); Position != m_Items.end();
+       ++Position) {
+    if (!startsWith(Position->first, Prefix))
       break;
-    if (!After.empty() && Place->first <= After)
+    if (!After.empty() && Position->first <= After)
       continue;
     HasMore = Found.size() >= static_cast<std::size_t>(m_MaxPageItems);
     if (HasMore)
       break;
-    Found.push_back(toJson(Place->first, Place->second));
+    Found.push_back(toJson(Position->first, Position->second));
   }
   return {200,
           {{"items", Found},
@@ -180,9 +181,9 @@
     const json::object &Condition = Each.as_object();
     std::string Key = textOf(Condition, "privateKey");
     auto Found = m_Items.find(Key);
-    std::int64_t Stands =
+    std::int64_t CurrentRevision =
         Found == m_Items.end() ? 0 : Found->second.m_ModRevision;
-    IsMet = IsMet && Stands == integerOf(Condition, "rev");
+    IsMet = IsMet && CurrentRevision == integerOf(Condition, "rev");
     if (Found != m_Items.end())
       Current.push_back(toJson(Key, Found->second));
   }
@@ -207,30 +208,30 @@
   return {200, {{"rev", m_Revision}}};
 }
 
-void Platform::applyChange(const std::string &Key, std::optional<Item> What) {
-  if (What)
-    m_Items[Key] = *What;
+void Platform::applyChange(const std::string &Key, std::optional<Item> Entry) {
+  if (Entry)
+    m_Items[Key] = *Entry;
   else
     m_Items.erase(Key);
-  m_Changes.push_back({m_Revision, Key, What});
+  m_Changes.push_back({m_Revision, Key, Entry});
   for (auto &Watcher : m_Watchers)
     Watcher->cancel();
 }
 
 Platform::Response Platform::grantLease(const json::object &Body) {
   std::int64_t Id = m_NextLease++;
-  std::chrono::milliseconds Length(integerOf(Body, "ttlMs"));
-  m_Leases[Id] = {Length, Clock::now() + Length};
-  return {200, {{"lease", Id}, {"ttlMs", Length.count()}}};
+  std::chrono::milliseconds TimeToLive(integerOf(Body, "ttlMs"));
+  m_Leases[Id] = {TimeToLive, Clock::now() + TimeToLive};
+  return {200, {{"lease", Id}, {"ttlMs", TimeToLive.count()}}};
 }
 
 Platform::Response Platform::keepLeaseAlive(std::int64_t Id) {
   auto Found = m_Leases.find(Id);
   if (Found == m_Leases.end())
     return {404, {}};
-  Lease &Which = Found->second;
-  Which.m_ExpiresAt = Clock::now() + Which.m_TimeToLive;
-  return {200, {{"ttlMs", Which.m_TimeToLive.count()}}};
+  Lease &HeldLease = Found->second;
+  HeldLease.m_ExpiresAt = Clock::now() + HeldLease.m_TimeToLive;
+  return {200, {{"ttlMs", HeldLease.m_TimeToLive.count()}}};
 }
 
 Platform::Response Platform::handleRevokeLease(std::int64_t Id) {
@@ -240,11 +241,11 @@
 
 void Platform::revokeLease(std::int64_t Id) {
   m_Leases.erase(Id);
-  std::vector<std::string> Ended;
-  for (const auto &[Key, What] : m_Items)
-    if (What.m_Lease == Id)
-      Ended.push_back(Key);
-  for (const std::string &Key : Ended) {
+  std::vector<std::string> HeldKeys;
+  for (const auto &[Key, Entry] : m_Items)
+    if (Entry.m_Lease == Id)
+      HeldKeys.push_back(Key);
+  for (const std::string &Key : HeldKeys) {
     ++m_Revision;
     applyChange(Key, std::nullopt);
   }
@@ -253,14 +254,14 @@
 json::array Platform::changesAfter(const std::string &Prefix,
                                    std::int64_t After) const {
   json::array Out;
-  for (const Change &What : m_Changes) {
-    if (What.m_Revision <= After || !startsWith(What.m_Key, Prefix))
+  for (const Change &Entry : m_Changes) {
+    if (Entry.m_Revision <= After || !startsWith(Entry.m_Key, Prefix))
       continue;
-    if (What.m_Item)
-      Out.push_back(toJson(What.m_Key, *What.m_Item));
+    if (Entry.m_Item)
+      Out.push_back(toJson(Entry.m_Key, *Entry.m_Item));
     else
-      Out.push_back(json::object{{"privateKey", What.m_Key},
-                                 {"rev", What.m_Revision},
+      Out.push_back(json::object{{"privateKey", Entry.m_Key},
+                                 {"rev", Entry.m_Revision},
                                  {"removed", true}});
   }
   return Out;
@@ -273,49 +274,50 @@
   if (After < m_CompactedRevision)
     return sendJson(Call, json::object{{"error", "history is gone"}}, Yield,
                     410);
-  auto Ends = Clock::now() +
-              std::chrono::milliseconds(toInteger(parameter(Target, "waitMs")));
-  auto Wake = std::make_shared<asio::steady_timer>(m_Context);
-  auto Place = m_Watchers.insert(m_Watchers.end(), Wake);
-  bool IsGone = false;
-  Call.setDisconnectCallback([&IsGone, Wake] {
-    IsGone = true;
-    Wake->cancel();
+  auto Deadline = Clock::now() + std::chrono::milliseconds(
+                                     toInteger(parameter(Target, "waitMs")));
+  auto Signal = std::make_shared<asio::steady_timer>(m_Context);
+  auto Position = m_Watchers.insert(m_Watchers.end(), Signal);
+  bool IsDisconnected = false;
+  Call.setDisconnectCallback([&IsDisconnected, Signal] {
+    IsDisconnected = true;
+    Signal->cancel();
   });
   ++m_OpenWatches;
   json::array Changes = changesAfter(Prefix, After);
-  while (!IsGone && !m_IsDown && Changes.empty() && Clock::now() < Ends) {
+  while (!IsDisconnected && !m_IsDown && Changes.empty() &&
+         Clock::now() < Deadline) {
     boost::system::error_code Ignored;
-    Wake->expires_at(Ends);
-    Wake->async_wait(Yield[Ignored]);
+    Signal->expires_at(Deadline);
+    Signal->async_wait(Yield[Ignored]);
     Changes = changesAfter(Prefix, After);
   }
   --m_OpenWatches;
-  m_Watchers.erase(Place);
-  if (IsGone || m_IsDown)
+  m_Watchers.erase(Position);
+  if (IsDisconnected || m_IsDown)
     return Call.abort();
   sendJson(Call,
            json::object{{"events", Changes}, {"storeRevision", m_Revision}},
            Yield);
 }
 
-void Platform::schedulePut(const json::object &Wanted) {
-  std::string Key(Wanted.at("key").as_string());
-  std::optional<Item> What;
-  if (const json::value *Value = Wanted.if_contains("value"))
-    What = Item{Value->is_string() ? std::string(Value->as_string())
-                                   : json::serialize(*Value)};
-  std::int64_t Lag = integerOf(Wanted, "lag_ms");
-  auto Later = [this, Key, What, Lag](asio::yield_context Yield) {
+void Platform::schedulePut(const json::object &PutSettings) {
+  std::string Key(PutSettings.at("key").as_string());
+  std::optional<Item> Entry;
+  if (const json::value *Value = PutSettings.if_contains("value"))
+    Entry = Item{Value->is_string() ? std::string(Value->as_string())
+                                    : json::serialize(*Value)};
+  std::int64_t Lag = integerOf(PutSettings, "lag_ms");
+  auto ApplyLater = [this, Key, Entry, Lag](asio::yield_context Yield) {
     if (Lag > 0)
       sleep(std::chrono::milliseconds(Lag), Yield);
     ++m_Revision;
-    std::optional<Item> Now = What;
+    std::optional<Item> Now = Entry;
     if (Now)
       Now->m_ModRevision = m_Revision;
     applyChange(Key, Now);
   };
-  asio::spawn(m_Context, Later, asio::detached);
+  asio::spawn(m_Context, ApplyLater, asio::detached);
 }
 
 void Platform::applySettings(const json::object &Settings) {
@@ -340,8 +342,8 @@
 
 json::object Platform::counters() const {
   json::object Keys;
-  for (const auto &[Key, What] : m_Items)
-    Keys[Key] = What.m_Value;
+  for (const auto &[Key, Entry] : m_Items)
+    Keys[Key] = Entry.m_Value;
   return {{"calls", m_Calls},
           {"writes", m_Writes},
           {"open_watches", m_OpenWatches},
--- a/Tests/StandIns/Platform.h
+++ b/Tests/StandIns/Platform.h
@@ -61,10 +61,10 @@
   void watch(http::Exchange &Call, boost::asio::yield_context Yield);
   boost::json::array changesAfter(const std::string &Prefix,
                                   std::int64_t After) const;
-  boost::json::object toJson(const std::string &Key, const Item &What) const;
-  void applyChange(const std::string &Key, std::optional<Item> What);
+  boost::json::object toJson(const std::string &Key, const Item &Entry) const;
+  void applyChange(const std::string &Key, std::optional<Item> Entry);
   void revokeLease(std::int64_t Id);
-  void schedulePut(const boost::json::object &Wanted);
+  void schedulePut(const boost::json::object &PutSettings);
   bool isOverRateLimit();
 
   std::map<std::string, Item> m_Items;
--- a/Tests/StandIns/StandIn.cpp
+++ b/Tests/StandIns/StandIn.cpp
@@ -30,8 +30,9 @@
   sendJson(Call, counters(), Yield);
 }
 
-void StandIn::sleep(std::chrono::microseconds Time, asio::yield_context Yield) {
-  asio::steady_timer Timer(m_Context, Time);
+void StandIn::sleep(std::chrono::microseconds Duration,
+                    asio::yield_context Yield) {
+  asio::steady_timer Timer(m_Context, Duration);
   boost::system::error_code Ignored;
   Timer.async_wait(Yield[Ignored]);
 }
--- a/Tests/StandIns/StandIn.h
+++ b/Tests/StandIns/StandIn.h
@@ -28,7 +28,8 @@
   virtual void applySettings(const boost::json::object &Settings) = 0;
   virtual boost::json::object counters() const = 0;
 
-  void sleep(std::chrono::microseconds Time, boost::asio::yield_context Yield);
+  void sleep(std::chrono::microseconds Duration,
+             boost::asio::yield_context Yield);
   static void sendJson(http::Exchange &Call, const boost::json::value &Body,
                        boost::asio::yield_context Yield, unsigned Status = 200);
   /// Takes the setting over when the control request names it.
--- a/Tests/StandIns/main.cpp
+++ b/Tests/StandIns/main.cpp
@@ -41,11 +41,11 @@
   gflags::ParseCommandLineFlags(&Count, &Arguments, true);
   std::signal(SIGPIPE, SIG_IGN);
   boost::asio::io_context Context(1);
-  auto Which = make(Count > 1 ? Arguments[1] : "", Context);
-  if (!Which) {
+  auto Server = make(Count > 1 ? Arguments[1] : "", Context);
+  if (!Server) {
     std::cerr << "usage: stand_in engine|application|platform --port=N\n";
     return 2;
   }
-  Which->listen(static_cast<std::uint16_t>(FLAGS_port));
+  Server->listen(static_cast<std::uint16_t>(FLAGS_port));
   Context.run();
 }
--- a/Tests/Traces/ReplayTest.cpp
+++ b/Tests/Traces/ReplayTest.cpp
@@ -25,7 +25,7 @@
   CPPUNIT_TEST(testModifiedTraceIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
-  static std::filesystem::path folder() {
+  static std::filesystem::path traceFolder() {
     const char *Source = std::getenv("YARDRILL_SOURCE");
     return std::filesystem::path(Source ? Source : ".") / "Tests/Traces";
   }
@@ -41,13 +41,14 @@
 public:
   void testAllTraces() {
     int Count = 0;
-    for (const auto &File : std::filesystem::directory_iterator(folder())) {
+    for (const auto &File :
+         std::filesystem::directory_iterator(traceFolder())) {
       if (File.path().extension() != ".trace")
         continue;
       ++Count;
       std::ifstream In(File.path());
-      std::string Stated;
-      std::getline(In, Stated);
+      std::string ExpectedOutcome;
+      std::getline(In, ExpectedOutcome);
       decision::ReplayResult Result = decision::replay(In);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(File.path(), Result.m_Expected,
                                    Result.m_Actual);
@@ -59,7 +60,7 @@
               << " dispatched_again=" << Result.m_DuplicateDispatches
               << " refused=" << Result.m_Refused
               << " refused_after_dispatch=" << Result.m_RefusedAfterDispatch;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(File.path(), Stated, Outcome.str());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(File.path(), ExpectedOutcome, Outcome.str());
       CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_DuplicateDispatches);
       CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_RefusedAfterDispatch);
     }
@@ -67,7 +68,8 @@
   }
 
   void testModifiedTraceIsDetected() {
-    for (const auto &File : std::filesystem::directory_iterator(folder())) {
+    for (const auto &File :
+         std::filesystem::directory_iterator(traceFolder())) {
       if (File.path().extension() != ".trace")
         continue;
       std::string Text = config::readFile(File.path());
