--- a/Tests/StandIns/Application.h
+++ b/Tests/StandIns/Application.h
@@ -1,4 +1,4 @@
-//===-- Application.h - A small application target ------------------------===//
+//===-- Application.h - Stand-in for an application target ----------------===//
 #ifndef YARDRILL_TESTS_STANDINS_APPLICATION_H
 #define YARDRILL_TESTS_STANDINS_APPLICATION_H
 
@@ -8,8 +8,9 @@
 
 namespace yardrill::standins {
 
-/// Counts how often it executed each identity (header `Test-Identity`) and
-/// echoes the body. It can break off at each point of a call.
+/// Echoes the body of a request and counts the executions of each identity
+/// (header `Test-Identity`). The setting "break" makes it close the connection
+/// at one point of a call.
 class Application final : public StandIn {
 public:
   using StandIn::StandIn;
@@ -22,7 +23,7 @@
 private:
   std::map<std::string, std::size_t> m_Executions;
   std::int64_t m_DelayMilliseconds = 0;
-  /// "" or "before-execution", "after-execution", "within-answer".
+  /// "", "before-execution", "after-execution" or "within-answer".
   std::string m_AbortPoint;
   std::size_t m_Calls = 0;
 };
--- a/Tests/StandIns/StandIn.h
+++ b/Tests/StandIns/StandIn.h
@@ -1,4 +1,4 @@
-//===-- StandIn.h - What all stand-ins share ------------------------------===//
+//===-- StandIn.h - Base class of the stand-ins ---------------------------===//
 #ifndef YARDRILL_TESTS_STANDINS_STANDIN_H
 #define YARDRILL_TESTS_STANDINS_STANDIN_H
 
@@ -12,17 +12,20 @@
 
 namespace yardrill::standins {
 
-/// One outside system, small and driven by a control path: POST /control takes
-/// a JSON object of settings, GET /control gives the counters.
+/// An HTTP server that replaces an external system in tests. POST /control
+/// applies the settings of a JSON object; it and GET /control return the
+/// counters.
 class StandIn {
 public:
   explicit StandIn(boost::asio::io_context &Context) : m_Context(Context) {}
   virtual ~StandIn() = default;
 
-  /// Listens on loopback.
+  /// Starts to accept connections on 127.0.0.1. \throws core::Error of kind
+  /// AddressInUse.
   void listen(std::uint16_t Port);
 
 protected:
+  /// Handles a call to any path but /control.
   virtual void handle(http::Exchange &Call,
                       boost::asio::yield_context Yield) = 0;
   virtual void applySettings(const boost::json::object &Settings) = 0;
@@ -32,7 +35,7 @@
              boost::asio::yield_context Yield);
   static void sendJson(http::Exchange &Call, const boost::json::value &Body,
                        boost::asio::yield_context Yield, unsigned Status = 200);
-  /// Takes the setting over when the control request names it.
+  /// Sets \p Out to the member \p Name of \p Settings if there is one.
   template <class T>
   static void readIfPresent(const boost::json::object &Settings,
                             const char *Name, T &Out) {
