--- a/Tests/StandIns/ModelEngine.cpp
+++ b/Tests/StandIns/ModelEngine.cpp
@@ -10,6 +10,7 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
+/// Length of the part of a prompt that the cache compares.
 static const std::size_t PrefixBytes = 1024;
 static const std::size_t BytesPerToken = 4;
 static const std::size_t MaxLoadSamples = 10000;
@@ -19,6 +20,7 @@
   explicit Job(asio::io_context &Context)
       : m_SlotSignal(Context), m_ReaderSignal(Context) {}
 
+  // Timers that never expire; cancelling one wakes the coroutines that wait.
   asio::steady_timer m_SlotSignal;
   asio::steady_timer m_ReaderSignal;
   std::string m_Id;
@@ -272,7 +274,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Late news
+// Delayed load and cache events
 //===----------------------------------------------------------------------===//
 
 void ModelEngine::recordLoad() {
--- a/Tests/StandIns/ModelEngineTest.cpp
+++ b/Tests/StandIns/ModelEngineTest.cpp
@@ -1,4 +1,4 @@
-//===-- ModelEngineTest.cpp - The engine stand-in does what it says -------===//
+//===-- ModelEngineTest.cpp - Tests of the model engine stand-in ----------===//
 #include "ModelEngine.h"
 
 #include "Fleet.h"
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(Waits(1));
     auto HighReply = callAsync(m_Port, High);
     CPPUNIT_ASSERT(Waits(2));
-    // The later one of the higher tier ends while the other still runs.
+    // The request of higher priority overtakes the one that came before it.
     CPPUNIT_ASSERT(HighReply.get().isComplete());
     CPPUNIT_ASSERT_EQUAL(2, countersOf(m_Port).at("finished").to_number<int>());
     CPPUNIT_ASSERT(LowReply.get().isComplete());
@@ -107,7 +107,7 @@
       CPPUNIT_ASSERT(
           call(m_Port, completionRequest(std::to_string(I), 1, false))
               .isComplete());
-    // Three stored, one evicted from a cache of two.
+    // Three events "stored" and one "evicted": the cache holds two prefixes.
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), EventCount());
     controlStandIn(m_Port, {{"gap_every", 2}});
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), EventCount());
