--- a/Tests/StandIns/Platform.cpp
+++ b/Tests/StandIns/Platform.cpp
@@ -13,7 +13,8 @@
 
 static const std::chrono::milliseconds LeaseCheckPeriod(50);
 
-/// One parameter of the query, decoded (RFC 3986, section 2.1); "" if missing.
+/// Returns a parameter of the query, percent-decoded (RFC 3986, section 2.1),
+/// or "".
 static std::string parameter(const std::string &Target,
                              const std::string &Name) {
   std::size_t At = Target.find('?');
@@ -88,8 +89,8 @@
     sleep(std::chrono::milliseconds(m_ResponseDelayMilliseconds), Yield);
   if (m_IsDown)
     return Call.abort();
-  // Calls count when they arrive: one that met silence and goes on long after
-  // its caller has left must not take the place of a later one.
+  // Counts a call on arrival: one that is held while the store is unresponsive
+  // must not use up the rate limit later, when its caller is gone.
   bool IsOverLimit = isOverRateLimit();
   while (m_IsUnresponsive)
     sleep(LeaseCheckPeriod, Yield);
@@ -334,7 +335,7 @@
     m_CompactedRevision = m_Revision;
     m_Changes.clear();
   }
-  // An outage ends the watches too.
+  // Wakes the watches so that they notice the outage and abort.
   if (m_IsDown)
     for (auto &Watcher : m_Watchers)
       Watcher->cancel();
--- a/Tests/StandIns/Platform.h
+++ b/Tests/StandIns/Platform.h
@@ -1,4 +1,4 @@
-//===-- Platform.h - A small key-value service and instance list ----------===//
+//===-- Platform.h - Stand-in for the metadata store ----------------------===//
 #ifndef YARDRILL_TESTS_STANDINS_PLATFORM_H
 #define YARDRILL_TESTS_STANDINS_PLATFORM_H
 
@@ -13,16 +13,18 @@
 
 namespace yardrill::standins {
 
-/// Speaks the calls of the users' metadata store: items, ranges in pages,
-/// conditional writes, leases, watches. The instance list is keys in it,
-/// written by control with a lag. Faults by control: outage, silence, slowness,
-/// a rate limit, answers lost after the write took effect, writes that take
-/// effect late, a history that is forgotten.
+/// Implements the calls of the users' metadata store: reads of items, ranges in
+/// pages, conditional writes, leases and watches. The instance list is a set of
+/// keys in the store; POST /control writes them, with a delay if wanted.
+///
+/// Faults that POST /control injects: an outage, no or slow responses, a rate
+/// limit, responses dropped after the write took effect, writes that take
+/// effect late, and the compaction of the history.
 class Platform final : public StandIn {
 public:
   using StandIn::StandIn;
 
-  /// Starts ending leases on time.
+  /// Starts the coroutine that revokes expired leases.
   void startLeaseExpiry();
 
 protected:
@@ -39,7 +41,7 @@
   struct Change {
     std::int64_t m_Revision = 0;
     std::string m_Key;
-    std::optional<Item> m_Item; ///< None: deleted.
+    std::optional<Item> m_Item; ///< Omitted for a removal.
   };
   struct Lease {
     std::chrono::milliseconds m_TimeToLive{};
@@ -47,24 +49,33 @@
   };
 
   struct Response {
-    unsigned m_Status = 200;
+    unsigned m_Status = 200; ///< HTTP status code.
     boost::json::object m_Body;
   };
 
+  /// Executes any call but a watch.
   Response execute(const http::RequestMessage &Call);
   Response readItem(const std::string &Key) const;
   Response readRange(const std::string &Prefix, const std::string &After) const;
+  /// Applies all changes of a transaction if all expected revisions match.
   Response transact(const boost::json::object &Body);
   Response grantLease(const boost::json::object &Body);
   Response keepLeaseAlive(std::int64_t Id);
   Response handleRevokeLease(std::int64_t Id);
+  /// Responds with the changes after a revision; waits for the first one until
+  /// the call's deadline.
   void watch(http::Exchange &Call, boost::asio::yield_context Yield);
   boost::json::array changesAfter(const std::string &Prefix,
                                   std::int64_t After) const;
   boost::json::object toJson(const std::string &Key, const Item &Entry) const;
+  /// Writes or removes an item at the present revision and wakes all watchers.
   void applyChange(const std::string &Key, std::optional<Item> Entry);
+  /// Removes a lease and the items attached to it.
   void revokeLease(std::int64_t Id);
+  /// Writes ("value") or removes ("key" alone) an item after "lag_ms".
   void schedulePut(const boost::json::object &PutSettings);
+  /// Counts a call that the rate limit admits. \returns whether the call
+  /// exceeds the limit.
   bool isOverRateLimit();
 
   std::map<std::string, Item> m_Items;
@@ -73,14 +84,16 @@
   std::list<std::shared_ptr<boost::asio::steady_timer>> m_Watchers;
   std::int64_t m_Revision = 1;
   std::int64_t m_NextLease = 1;
-  std::int64_t m_CompactedRevision = 0; ///< Changes up to it are forgotten.
+  /// Last revision whose changes are forgotten; watches from before get 410.
+  std::int64_t m_CompactedRevision = 0;
   std::int64_t m_MaxPageItems = 500;
-  bool m_IsDown = false;
-  bool m_IsUnresponsive = false; ///< Takes calls and never answers.
+  bool m_IsDown = false;         ///< Aborts all calls.
+  bool m_IsUnresponsive = false; ///< Accepts calls and holds their responses.
   std::int64_t m_ResponseDelayMilliseconds = 0;
-  std::int64_t m_ResponsesToDrop = 0; ///< Of so many next writes.
-  std::int64_t m_LateWriteMilliseconds =
-      0;                             ///< Lost writes take effect so late.
+  /// Number of coming transactions whose responses are dropped.
+  std::int64_t m_ResponsesToDrop = 0;
+  /// Delay after which a transaction takes effect if its response is dropped.
+  std::int64_t m_LateWriteMilliseconds = 0;
   std::int64_t m_CallsPerSecond = 0; ///< 0: no limit.
   std::deque<std::chrono::steady_clock::time_point> m_RecentCalls;
   std::size_t m_Calls = 0;
