--- a/Tests/Failures/AtMostOnceTest.cpp
+++ b/Tests/Failures/AtMostOnceTest.cpp
@@ -1,9 +1,8 @@
-//===-- AtMostOnceTest.cpp - Nothing runs twice, whatever fails -----------===//
+//===-- AtMostOnceTest.cpp - At-most-once execution under failures --------===//
 //
-// Brief, "What must always hold": every request is dispatched at most once; a
-// request that may not be repeated runs at most once over a caller's retries;
-// who is told "not run" truly was not run. The application's own count is the
-// judge.
+// Brief, "What must always hold": every request is dispatched at most once; one
+// that may not be repeated runs at most once over a caller's retries; one that
+// is refused as "not run" did not run. Checked by the application's own count.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -75,7 +74,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::int64_t(1), executions(TestFleet, "by-ticket"));
     CPPUNIT_ASSERT_EQUAL(std::int64_t(1), executions(TestFleet, "by-key"));
-    // The same key with another body is another request: refused.
+    // A key that is reused with another body is refused.
     Reply Other = call(TestFleet.at(1).m_CallerPort, withKey("by-key", "y"));
     CPPUNIT_ASSERT_EQUAL(422U, Other.m_Status);
     CPPUNIT_ASSERT_EQUAL(std::string("not-run"), Other.problem("outcome"));
@@ -129,7 +128,8 @@
       });
     };
     CPPUNIT_ASSERT(eventually(HasClaim));
-    // Its home knows that it did not run, so a retry anywhere runs it once.
+    // The owner of the claim knows that the request did not run, so a retry
+    // through any instance runs it once.
     for (int I : {1, 0, 1}) {
       Reply Again = call(TestFleet.at(I).m_CallerPort, withKey("late"));
       CPPUNIT_ASSERT_EQUAL(200U, Again.m_Status);
@@ -137,8 +137,8 @@
     }
   }
 
-  /// A claim that never took effect must not count as held: meanwhile
-  /// another instance may have won it.
+  /// Guards against counting a claim as held whose write never took effect:
+  /// another instance may have won it since.
   void testClaimWonByAnotherInstance() {
     Fleet TestFleet(fleetOptions(2));
     CPPUNIT_ASSERT(TestFleet.waitUntilServing());
@@ -163,7 +163,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("not-run"), Keyed.problem("outcome"));
     CPPUNIT_ASSERT(!Keyed.header("Retry-After").empty());
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), executions(TestFleet, "down"));
-    // Tickets do without the platform.
+    // Requests with tickets need no claim in the store.
     for (int I : {1, 0}) {
       Reply Ticketed =
           call(TestFleet.at(I).m_CallerPort, withTicket(Ticket, "ticket-down"));
@@ -197,7 +197,7 @@
       CPPUNIT_ASSERT_EQUAL(std::string("outcome-unknown"),
                            Again.problem("outcome"));
     }
-    // Nor does its successor at the same address run them.
+    // A new incarnation at the same address doesn't run them either.
     TestFleet.start(0);
     CPPUNIT_ASSERT(eventually([&] {
       return TestFleet.callOperatorApi(0, "/readyz").m_Status == 200;
@@ -223,8 +223,8 @@
     CPPUNIT_ASSERT(!First.get().isComplete());
     controlStandIn(TestFleet.platformPort(), {{"slow_ms", 0}});
     Reply Again = call(TestFleet.at(1).m_CallerPort, withKey("before"));
-    // Either the claim never stood, and it runs now; or it stands for the
-    // dead, and nobody will ever run it.
+    // If the claim was not recorded, the request runs now; if it was, the
+    // killed instance owns it and the request never runs.
     if (Again.m_Status == 200)
       CPPUNIT_ASSERT_EQUAL(std::int64_t(1), executions(TestFleet, "before"));
     else
@@ -243,7 +243,7 @@
     auto Running = callAsync(TestFleet.at(0).m_CallerPort, withKey("running"));
     CPPUNIT_ASSERT(
         eventually([&] { return executions(TestFleet, "running") == 1; }));
-    // These wait at instance 0 for its only place, and it is frozen.
+    // These wait for the only slot of instance 0, which is frozen next.
     auto Waiting = callAsync(TestFleet.at(0).m_CallerPort, withKey("waiting"));
     auto Ticketed =
         callAsync(TestFleet.at(0).m_CallerPort, withTicket(Ticket, "frozen"));
@@ -253,7 +253,7 @@
         callAsync(TestFleet.at(1).m_CallerPort, withKey("waiting"));
     auto AgainTicketed =
         callAsync(TestFleet.at(1).m_CallerPort, withTicket(Ticket, "frozen"));
-    // Longer than a peer's silence; the others count it as gone.
+    // Longer than the peer timeout, so that its peer counts it as gone.
     std::this_thread::sleep_for(std::chrono::seconds(4));
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), executions(TestFleet, "waiting"));
     TestFleet.at(0).m_Process.signal(SIGCONT);
@@ -284,7 +284,7 @@
         ++Calls;
         bool IsReported = First.m_Status == 502 &&
                           First.problem("outcome") == "outcome-unknown";
-        // Half an answer never looks whole.
+        // A truncated response never looks complete.
         CPPUNIT_ASSERT(IsReported || !First.isComplete());
       }
       controlStandIn(TestFleet.applicationPort(), {{"break", ""}});
@@ -292,7 +292,7 @@
       CPPUNIT_ASSERT_EQUAL(std::string("outcome-unknown"),
                            Again.problem("outcome"));
       CPPUNIT_ASSERT_EQUAL(Each.m_Executions, executions(TestFleet, Key));
-      // No second dispatch of anything, repeatable or not.
+      // Nothing is dispatched twice, not even a repeatable request.
       CPPUNIT_ASSERT_EQUAL(Calls, countersOf(TestFleet.applicationPort())
                                       .at("calls")
                                       .to_number<std::int64_t>());
@@ -302,8 +302,8 @@
   void testTargetUnreachable() {
     auto FleetOptions = fleetOptions(1);
     FleetOptions.m_DeadlineMilliseconds[1] = 1000;
-    // A fleet of one tier under pressure needs no floor: assist is not the
-    // lowest, so the request goes as batch.
+    // Sent as batch: the lowest tier may be shed without a permit, which a
+    // request of a higher tier would wait for.
     FleetOptions.m_DeadlineMilliseconds[2] = 1000;
     Fleet TestFleet(FleetOptions);
     CPPUNIT_ASSERT(TestFleet.waitUntilServing());
@@ -318,7 +318,7 @@
     TestFleet.startApplication();
     CPPUNIT_ASSERT(
         eventually([&] { return executions(TestFleet, "unreachable") == 0; }));
-    // What was refused as not run may be sent again, and runs once.
+    // A request that was refused as not run runs once when it is sent again.
     CPPUNIT_ASSERT(eventually([&] {
       return call(TestFleet.at(0).m_CallerPort, Request).m_Status == 200;
     }));
@@ -333,7 +333,7 @@
           call(TestFleet.at(0).m_CallerPort, applicationRequest(Path, "none"));
       CPPUNIT_ASSERT_EQUAL(428U, Response.m_Status);
     }
-    // Spellings that a target may read otherwise are refused.
+    // Paths that a target may normalize to another path are refused.
     for (const char *Path : {"//transfers/1", "/x/../transfers/1",
                              "/x%2f..%2ftransfers/1", "/./transfers/1"}) {
       Reply Response =
@@ -347,8 +347,8 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), executions(TestFleet, "none"));
   }
 
-  /// Identities sent again and again to any instance while instances die,
-  /// freeze and the platform fails.
+  /// Sends each identity several times, to random instances, while instances
+  /// are killed and frozen and the platform fails.
   void testStorm() {
     static const int IdentityCount = 120;
     static const int AttemptsPerIdentity = 4;
@@ -413,7 +413,7 @@
       if (AllNotRun)
         CPPUNIT_ASSERT_EQUAL(std::int64_t(0), Count);
     }
-    // The storm must not have been so strong that nothing was tested.
+    // Enough requests must have run for the checks above to mean something.
     CPPUNIT_ASSERT(ExecutedCount > IdentityCount / 4);
   }
 };
--- a/Tests/Failures/NotRunTest.cpp
+++ b/Tests/Failures/NotRunTest.cpp
@@ -1,7 +1,7 @@
-//===-- NotRunTest.cpp - "not run" is true, final and says when to return -===//
+//===-- NotRunTest.cpp - The outcome "not-run" is true --------------------===//
 //
-// Brief, "What must always hold": when a caller is refused with "not run", the
-// request truly did not run.
+// Brief, "What must always hold": a request that is refused as "not run" did
+// not run.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -58,7 +58,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
                          ProblemTypes.count("urn:yardrill:problem:queue-full"));
-    // Nothing is run afterwards either, after everybody was answered.
+    // No refused request runs after the last response either.
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     std::int64_t Calls =
         countersOf(TestFleet.applicationPort()).at("calls").to_number<int>();
@@ -86,7 +86,7 @@
       if (Response.m_Status != 200)
         Seconds.insert(std::stoi(Response.header("Retry-After")));
     }
-    // Who was refused together must not come back together.
+    // Callers that are refused at the same time must not retry all at once.
     CPPUNIT_ASSERT(Seconds.size() >= 2);
   }
 
