--- a/Tests/Failures/TierOrderTest.cpp
+++ b/Tests/Failures/TierOrderTest.cpp
@@ -1,7 +1,7 @@
-//===-- TierOrderTest.cpp - The tier order across real processes ----------===//
+//===-- TierOrderTest.cpp - Tier order across real processes --------------===//
 //
 // Brief, "What must always hold": a higher tier is never shed while a lower
-// tier still runs. The judge reads the logs of all instances.
+// tier still runs. Checked in the logs of all instances.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -25,12 +25,12 @@
 
 using Fields = std::map<std::string, std::string>;
 
-/// What the logs say of one pool.
+/// Counts of sheds, evictions and violations of the tier order in the logs.
 struct TierOrderReport {
-  std::size_t m_HigherTierSheds = 0;
+  std::size_t m_HigherTierSheds = 0; ///< In all tiers but the lowest.
   std::size_t m_Evictions = 0;
   std::size_t m_Violations = 0;
-  std::string m_FirstViolation;
+  std::string m_FirstViolation; ///< Time and request id.
 };
 
 } // namespace
@@ -51,13 +51,14 @@
          Kind == "tier-shed" || Kind == "target-unreachable";
 }
 
-/// Merges all lines by time and follows what runs.
+/// Merges the log lines of all instances by time and counts as a violation each
+/// shed of a request while one of a lower tier runs. Covers the pool assistant.
 static TierOrderReport checkTierOrder(const Fleet &TestFleet,
                                       const std::set<std::string> &Killed) {
   std::multimap<std::string, Fields> ByTime;
   for (const std::string &Line : TestFleet.logLines()) {
     Fields Found = fieldsOf(Line);
-    // A killed process may leave half a line.
+    // The last line of a killed process may be truncated.
     bool IsComplete = Found.count("tier") != 0 && Found.count("pool") != 0;
     if (IsComplete && Found["pool"] == "assistant")
       ByTime.emplace(Found["time"], Found);
@@ -68,8 +69,8 @@
     const std::string &Event = Line["event"];
     const std::string &Request = Line["request"];
     std::string Incarnation = Request.substr(0, Request.find('-'));
-    // What a killed process left running, nobody can know of; its engine ends
-    // it when the connection breaks.
+    // Ignores killed incarnations: no log tells when their requests end, which
+    // the engine cancels when the connection closes.
     if (Killed.count(Incarnation) != 0)
       continue;
     int Tier = std::stoi(Line["tier"]);
@@ -140,7 +141,8 @@
     m_Fleet->at(Index).m_Process.kill();
   }
 
-  /// Low tiers first, then a burst of all, while \p Disturb does its worst.
+  /// Sends requests of all tiers from many threads while \p InjectFailures
+  /// runs, then checks the tier order in the logs.
   TierOrderReport runUnderLoad(const std::function<void()> &InjectFailures) {
     std::atomic<bool> IsOver{false};
     std::vector<std::thread> Workers;
@@ -155,7 +157,7 @@
                        .m_CallerPort,
                    completionRequest("x", 20 + static_cast<int>(Random() % 60),
                                      true, Tier));
-          // A refused caller comes back, sooner than it was asked to.
+          // Retries sooner than Retry-After asks, to keep up the load.
           if (Response.m_Status != 200)
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
         }
@@ -183,7 +185,7 @@
     startFleet();
     TierOrderReport Out = runUnderLoad([] { pause(6000); });
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Out.m_Violations);
-    // It must have come to sheds of higher tiers at all.
+    // The check means something only if higher tiers were shed.
     CPPUNIT_ASSERT(Out.m_HigherTierSheds > 0);
   }
 
