--- a/Tests/Failures/ConfigurationTest.cpp
+++ b/Tests/Failures/ConfigurationTest.cpp
@@ -76,7 +76,7 @@
     std::string Text = TestFleet.configuration() + "# second\n";
     Reply First = TestFleet.publish(0, 1, "change-2", Text);
     CPPUNIT_ASSERT_EQUAL(200U, First.m_Status);
-    // The same change again, through another instance, is the same version.
+    // Publishing the change again through another instance adds no version.
     Reply Again = TestFleet.publish(1, 1, "change-2", Text);
     CPPUNIT_ASSERT_EQUAL(200U, Again.m_Status);
     CPPUNIT_ASSERT_EQUAL(First.m_Body, Again.m_Body);
@@ -90,18 +90,19 @@
     Reply Refused =
         TestFleet.publish(0, 1, "in-outage", TestFleet.configuration());
     CPPUNIT_ASSERT_EQUAL(503U, Refused.m_Status);
-    // An instance that starts in the outage learns it from a peer.
+    // An instance that starts during the outage gets the configuration from a
+    // peer.
     TestFleet.at(2).m_Process.kill();
     TestFleet.start(2);
     CPPUNIT_ASSERT(eventually([&] {
       return TestFleet.callOperatorApi(2, "/readyz").m_Status == 200;
     }));
     CPPUNIT_ASSERT_EQUAL(1, versionAt(TestFleet, 2));
-    // The highest tier is served there all the same.
+    // It serves the highest tier, which needs no command from a leader.
     Reply Served = call(TestFleet.at(2).m_CallerPort,
                         completionRequest("x", 2, true, "hold"));
     CPPUNIT_ASSERT_EQUAL(200U, Served.m_Status);
-    // One that can reach neither the store nor a peer serves nothing.
+    // An instance that reaches neither the store nor a peer serves nothing.
     for (int I = 0; I < 3; ++I)
       TestFleet.at(I).m_Process.kill();
     TestFleet.start(2);
@@ -113,7 +114,7 @@
     Reply NotReady =
         call(TestFleet.at(2).m_CallerPort, completionRequest("x", 1, false));
     CPPUNIT_ASSERT_EQUAL(std::string("not-run"), NotReady.problem("outcome"));
-    // After the outage everything goes on by itself.
+    // The fleet recovers after the outage without an operator.
     controlStandIn(TestFleet.platformPort(), {{"down", false}});
     TestFleet.start(0);
     TestFleet.start(1);
@@ -130,7 +131,7 @@
     Fleet TestFleet(fleetOptions(3));
     CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     TestFleet.at(1).m_Process.signal(SIGSTOP);
-    // Its watch is cut, so that nothing waits for it in a socket's buffer.
+    // Aborts its watch, so that no update is left in its socket's buffer.
     controlStandIn(TestFleet.platformPort(), {{"down", true}});
     controlStandIn(TestFleet.platformPort(), {{"down", false}});
     for (int Base = 1; Base <= 3; ++Base)
@@ -139,7 +140,7 @@
                                .publish(0, Base, std::to_string(Base),
                                         TestFleet.configuration() + "# more\n")
                                .m_Status);
-    // While it slept the store went down: only peers can tell it.
+    // The store is down when it resumes, so only peers can send the update.
     controlStandIn(TestFleet.platformPort(), {{"down", true}});
     TestFleet.at(1).m_Process.signal(SIGCONT);
     CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 3, 4));
@@ -156,7 +157,7 @@
         TestFleet.publish(0, 1, "second", TestFleet.configuration() + "# 2\n")
             .m_Status);
     CPPUNIT_ASSERT(waitUntilInForce(TestFleet, 2, 2));
-    // The store comes back with what it held before.
+    // The store reverts to an older value.
     controlStandIn(
         TestFleet.platformPort(),
         {{"put", {{"key", "/yardrill/configuration"}, {"value", Old}}}});
@@ -165,7 +166,7 @@
     CPPUNIT_ASSERT_EQUAL(409U, Refused.m_Status);
     for (int I = 0; I < 2; ++I)
       CPPUNIT_ASSERT_EQUAL(2, versionAt(TestFleet, I));
-    // Nor does an instance that starts now go back.
+    // An instance that starts now doesn't revert either.
     TestFleet.at(1).m_Process.kill();
     TestFleet.start(1);
     CPPUNIT_ASSERT(eventually([&] { return versionAt(TestFleet, 1) == 2; }));
--- a/Tests/Failures/ShutdownAndLeavingTest.cpp
+++ b/Tests/Failures/ShutdownAndLeavingTest.cpp
@@ -1,8 +1,7 @@
-//===-- ShutdownAndLeavingTest.cpp - Planned stops and leaving targets
-//----------===//
+//===-- ShutdownAndLeavingTest.cpp - Planned stops, leaving targets -------===//
 //
-// Brief, "What must always hold": a planned stop cuts no request in progress;
-// a target that is leaving receives no new work after a few seconds.
+// Brief, "What must always hold": a planned stop cuts no request in progress; a
+// target that is leaving receives no new work after a few seconds.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -60,7 +59,7 @@
       }));
       if (IsPlatformDown)
         controlStandIn(TestFleet.platformPort(), {{"down", true}});
-      // Two are stopped together, then the last.
+      // Two instances stop at the same time, then the last one.
       TestFleet.at(0).m_Process.signal(SIGTERM);
       TestFleet.at(1).m_Process.signal(SIGTERM);
       std::this_thread::sleep_for(std::chrono::milliseconds(200));
@@ -75,14 +74,15 @@
         CPPUNIT_ASSERT_EQUAL(200U, Each.get().m_Status);
       for (int I = 0; I < 3; ++I)
         CPPUNIT_ASSERT_EQUAL(0, TestFleet.at(I).m_Process.wait());
-      // Stopped means that nothing new is accepted.
+      // A stopped instance accepts no new requests.
       CPPUNIT_ASSERT(
           !call(TestFleet.at(0).m_CallerPort, completionRequest("x", 1, false))
                .isComplete());
     }
   }
 
-  /// A request whose bytes are still coming in when the stop begins.
+  /// Guards against dropping a request that is still being received when the
+  /// stop begins.
   void testUploadInProgressGetsAResponse() {
     namespace asio = boost::asio;
     Fleet TestFleet(fleetOptions(1, 1));
@@ -107,7 +107,7 @@
       char Buffer[1024];
       Response.append(Buffer, Socket.read_some(asio::buffer(Buffer), Failure));
     }
-    // Served or refused as not run, but answered.
+    // The request may be served or refused as not run.
     CPPUNIT_ASSERT_MESSAGE(Response, Response.find("HTTP/1.1 200") == 0 ||
                                          Response.find("\"not-run\"") !=
                                              std::string::npos);
@@ -124,7 +124,7 @@
           return true;
       return false;
     };
-    // The list lags: it still has both long after one has stopped.
+    // The instance list is stale: it still names both after one has stopped.
     for (int I = 0; I < 2; ++I) {
       std::string Name = "entry-" + std::to_string(I + 1);
       boost::json::object Entry{
@@ -154,7 +154,8 @@
     CPPUNIT_ASSERT_EQUAL(200U, Served.m_Status);
   }
 
-  /// Sends work until engine 0 has had none for a while.
+  /// Sends rounds of requests until one starts nothing at engine 0, and checks
+  /// that the next round doesn't either.
   static void expectNoNewRequests(Fleet &TestFleet) {
     auto HasNoNewRequests = [&] {
       int Before = startedRequests(TestFleet, 0);
@@ -189,10 +190,10 @@
                       {"value", Entry},
                       {"lag_ms", 500}}}});
     expectNoNewRequests(TestFleet);
-    // What was in progress there is not cut.
+    // Requests in progress at the leaving target are completed.
     for (auto &Each : Streams)
       CPPUNIT_ASSERT(Each.get().isComplete());
-    // With the platform down, what was heard stays in force.
+    // The target stays leaving while the platform is down.
     controlStandIn(TestFleet.platformPort(), {{"down", true}});
     expectNoNewRequests(TestFleet);
   }
