--- a/Tests/Suspension/SuspensionTest.cpp
+++ b/Tests/Suspension/SuspensionTest.cpp
@@ -1,10 +1,7 @@
-//===-- SuspensionTest.cpp - A machine that is suspended for seconds ------===//
+//===-- SuspensionTest.cpp - Suspension of a machine for seconds ----------===//
 //
-// What users saw: nothing yet; the platform says that a machine may be
-// suspended for seconds, and that this counts as a freeze of its processes.
-//
-// Order of events: a machine sleeps. Its peers miss it, others take its duties,
-// targets leave. It wakes; the clock that it reads has stood still.
+// Guards against processes that act on outdated state because their clocks and
+// timers stood still while the machine was suspended.
 //
 //===----------------------------------------------------------------------===//
 #include "GatewayFleet.h"
@@ -32,7 +29,8 @@
     CPPUNIT_ASSERT(core::steadyNow() - Before >= 7s);
   }
 
-  /// What is due is done at the next event, not after as much time awake.
+  /// A timer that expired during the suspension fires at the next tick after
+  /// it, not after the rest of its delay has passed again.
   void testOverdueTimersFireAfterResume() {
     asio::io_context Context;
     core::SteadyTimerService Timers(Context);
@@ -46,9 +44,9 @@
     CPPUNIT_ASSERT(HasFired);
   }
 
-  /// A gateway that slept for as long as it takes to be missed must not go on
-  /// counting on what it heard before. Here its peers slept as well, but they
-  /// are ended before they can say a word.
+  /// A gateway that was suspended for longer than the peer timeout must not use
+  /// the peer state that it received before. The peer is killed first, so that
+  /// it cannot report to the gateway after the suspension.
   void testPeerStateExpiresAfterResume() {
     GatewayFleet Fleet(2, 2);
     Fleet.startAll();
