--- a/Tests/Sessions/SessionTest.cpp
+++ b/Tests/Sessions/SessionTest.cpp
@@ -1,9 +1,9 @@
-//===-- SessionTest.cpp - Golden files of whole sessions ------------------===//
+//===-- SessionTest.cpp - Golden files of HTTP sessions -------------------===//
 //
-// Plays each Tests/Sessions/*.session.yaml against real processes and compares
-// the transcript with the golden file beside it. What differs from run to run
-// (ids, tickets, ports) is replaced by a name. To accept a new transcript, run
-// with YARDRILL_UPDATE_GOLDEN=1 and read the difference.
+// Guards against unintended changes of responses. Runs each *.session.yaml of
+// Tests/Sessions against real processes and compares the transcript, in which
+// request ids and Retry-After are masked, with the golden file. To accept a new
+// transcript, run with YARDRILL_UPDATE_GOLDEN=1 and review the difference.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -24,6 +24,7 @@
 
 namespace {
 
+/// Runs the steps of a session file against a fleet and writes the transcript.
 class SessionPlayer {
 public:
   explicit SessionPlayer(const YAML::Node &Session)
@@ -89,6 +90,7 @@
       m_Transcript += "(broken off)\n";
   }
 
+  /// Returns the value of a header without what differs between runs.
   std::string maskedValue(const http::Header &H) const {
     if (H.m_Name == "Retry-After")
       return "<seconds>";
--- a/Tests/Traces/ReplayTest.cpp
+++ b/Tests/Traces/ReplayTest.cpp
@@ -1,8 +1,8 @@
-//===-- ReplayTest.cpp - Recorded traces against stated outcomes ----------===//
+//===-- ReplayTest.cpp - Replay of recorded traces ------------------------===//
 //
-// Each Tests/Traces/*.trace was recorded by an instance under failure. Its
-// first line states the outcome; replaying its events must give the recorded
-// actions byte for byte, and they must add up to that outcome.
+// Guards against unintended changes of decisions. Each Tests/Traces/*.trace was
+// recorded under failures; its replay must give the recorded actions byte for
+// byte and the outcome that the first line states.
 //
 //===----------------------------------------------------------------------===//
 #include "LibDecision/Trace.h"
@@ -73,7 +73,7 @@
       if (File.path().extension() != ".trace")
         continue;
       std::string Text = config::readFile(File.path());
-      // One action less, and one event less.
+      // Erases one action and, in a second run, one event.
       for (const char *Start : {"\n{\"action\"", "\n{\"at\""}) {
         std::string Changed = Text;
         std::size_t At = Changed.rfind(Start, Changed.size() / 2);
@@ -83,9 +83,9 @@
         try {
           IsSame = decision::replay(In).isSame();
         } catch (const std::exception &) {
-          // An event about a request that never arrived.
+          // The core throws on an event of a request whose arrival was erased.
         }
-        // An event without actions may be one that changes nothing.
+        // The erased event may be one that changes nothing.
         bool IsAction = std::string(Start).find("action") != std::string::npos;
         CPPUNIT_ASSERT(!IsSame || !IsAction);
       }
