--- a/Tests/Failures/TierOrderTest.cpp
+++ b/Tests/Failures/TierOrderTest.cpp
@@ -69,8 +69,8 @@
     const std::string &Event = Line["event"];
     const std::string &Request = Line["request"];
     std::string Incarnation = Request.substr(0, Request.find('-'));
-    // Ignores killed incarnations: no log tells when their requests end, which
-    // the engine cancels when the connection closes.
+    // Ignores killed incarnations: they log no end of their requests, which the
+    // engine cancels when the connection closes.
     if (Killed.count(Incarnation) != 0)
       continue;
     int Tier = std::stoi(Line["tier"]);
@@ -157,7 +157,7 @@
                        .m_CallerPort,
                    completionRequest("x", 20 + static_cast<int>(Random() % 60),
                                      true, Tier));
-          // Retries sooner than Retry-After asks, to keep up the load.
+          // Retries sooner than Retry-After demands, to keep up the load.
           if (Response.m_Status != 200)
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
         }
--- a/Tests/StandIns/Platform.h
+++ b/Tests/StandIns/Platform.h
@@ -15,7 +15,7 @@
 
 /// Implements the calls of the users' metadata store: reads of items, ranges in
 /// pages, conditional writes, leases and watches. The instance list is a set of
-/// keys in the store; POST /control writes them, with a delay if wanted.
+/// keys in the store; POST /control writes them, optionally with a delay.
 ///
 /// Faults that POST /control injects: an outage, no or slow responses, a rate
 /// limit, responses dropped after the write took effect, writes that take
--- a/Tests/Suspension/SuspensionTest.cpp
+++ b/Tests/Suspension/SuspensionTest.cpp
@@ -29,8 +29,8 @@
     CPPUNIT_ASSERT(core::steadyNow() - Before >= 7s);
   }
 
-  /// A timer that expired during the suspension fires at the next tick after
-  /// it, not after the rest of its delay has passed again.
+  /// A timer that expired during the suspension fires at the next event of the
+  /// loop, not after the rest of its delay.
   void testOverdueTimersFireAfterResume() {
     asio::io_context Context;
     core::SteadyTimerService Timers(Context);
