--- a/Tests/Failures/BadInputTest.cpp
+++ b/Tests/Failures/BadInputTest.cpp
@@ -1,6 +1,7 @@
-//===-- BadInputTest.cpp - Garbage at the ports ---------------------------===//
+//===-- BadInputTest.cpp - Malformed input at the ports -------------------===//
 //
-// Whatever comes in, the process stays up and others are served.
+// Guards against malformed input that ends the process, leaks requests or keeps
+// other callers from being served.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -28,9 +29,9 @@
   int port() { return m_Fleet->at(0).m_CallerPort; }
 
   void expectServing() {
-    Reply Answer = call(port(), completionRequest("x", 2, true));
-    CPPUNIT_ASSERT_EQUAL(200U, Answer.m_Status);
-    CPPUNIT_ASSERT(Answer.isComplete());
+    Reply Response = call(port(), completionRequest("x", 2, true));
+    CPPUNIT_ASSERT_EQUAL(200U, Response.m_Status);
+    CPPUNIT_ASSERT(Response.isComplete());
   }
 
   static bool startsWith(const std::string &Text, const std::string &Start) {
@@ -39,11 +40,12 @@
 
 public:
   void setUp() override {
-    Fleet::Options Wanted;
-    Wanted.m_ExtraSettings = "callers:\n  header_bytes: 8192\n  body_bytes: "
-                             "100000\n  read_timeout_ms: 700\n"
-                             "  open_connections: 64\n";
-    m_Fleet = std::make_unique<Fleet>(Wanted);
+    Fleet::Options FleetOptions;
+    FleetOptions.m_ExtraSettings =
+        "callers:\n  header_bytes: 8192\n  body_bytes: "
+        "100000\n  read_timeout_ms: 700\n"
+        "  open_connections: 64\n";
+    m_Fleet = std::make_unique<Fleet>(FleetOptions);
     CPPUNIT_ASSERT(m_Fleet->waitUntilServing());
   }
   void tearDown() override { m_Fleet.reset(); }
@@ -65,7 +67,7 @@
     CPPUNIT_ASSERT(startsWith(
         sendRaw(port(), Start + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
         "HTTP/1.1 400"));
-    // A request that never ends is answered when its time is over.
+    // An incomplete request gets a response after the read timeout.
     CPPUNIT_ASSERT(startsWith(sendRaw(port(), Start), "HTTP/1.1 408"));
     CPPUNIT_ASSERT(
         startsWith(sendRaw(port(), Start + "Content-Length: 10\r\n\r\nabc"),
@@ -95,7 +97,8 @@
                       static_cast<std::uint16_t>(port())});
       boost::system::error_code Ignored;
       asio::write(Socket, asio::buffer(Bytes), Ignored);
-      // Every third is read to its end, the others are left in the middle.
+      // Sends every third input again and reads the response; the others are
+      // closed unread.
       if (I % 3 == 1)
         sendRaw(port(), Bytes);
     }
@@ -114,8 +117,8 @@
                            static_cast<std::uint16_t>(port())});
       asio::write(Slow.back(), asio::buffer(std::string("POST / HT")));
     }
-    // More than the limit of connections: those that are not accepted wait
-    // until the slow ones are answered 408.
+    // These are more than open_connections: further ones are accepted only when
+    // the slow ones have timed out with 408.
     expectServing();
   }
 
@@ -127,14 +130,14 @@
                                static_cast<std::uint16_t>(Peer));
     std::mt19937 Random(4);
     for (int I = 0; I < 300; ++I) {
-      std::string Noise(Random() % 3000, '\0');
-      for (char &C : Noise)
+      std::string Datagram(Random() % 3000, '\0');
+      for (char &C : Datagram)
         C = static_cast<char>(Random());
       if (I % 2 == 0)
-        Noise = std::string("YD") + peer::ProtocolVersion + Noise;
+        Datagram = std::string("YD") + peer::ProtocolVersion + Datagram;
       else if (I % 5 == 0)
-        Noise = "YD\x01" + Noise;
-      Socket.send_to(asio::buffer(Noise), To);
+        Datagram = "YD\x01" + Datagram;
+      Socket.send_to(asio::buffer(Datagram), To);
     }
     CPPUNIT_ASSERT(eventually([&] {
       std::string Metrics = m_Fleet->callOperatorApi(0, "/metrics").m_Body;
@@ -145,13 +148,13 @@
              Metrics.find("yardrill_open_connections ") != std::string::npos;
     }));
     CPPUNIT_ASSERT(m_Fleet->status(0).at("peers").as_array().empty());
-    // Nor does the peer port serve requests that are not signed.
+    // The peer port refuses requests without a valid signature.
     auto Forged = applicationRequest("/holds", "forged");
     Forged.m_Headers.set("Yardrill-Peer-Account", "box-office");
     Forged.m_Headers.set("Yardrill-Peer-Time", "1");
     Forged.m_Headers.set("Yardrill-Peer-Signature", std::string(64, '0'));
     CPPUNIT_ASSERT_EQUAL(403U, call(Peer, Forged).m_Status);
-    // The operators' port asks for its token.
+    // The operators' port refuses requests without its token.
     http::RequestMessage Bare;
     Bare.m_Method = "GET";
     Bare.m_Target = "/status";
--- a/Tests/Failures/TierOrderTest.cpp
+++ b/Tests/Failures/TierOrderTest.cpp
@@ -1,7 +1,7 @@
-//===-- TierOrderTest.cpp - The tier order across real processes ----------===//
+//===-- TierOrderTest.cpp - Tier order across real processes --------------===//
 //
 // Brief, "What must always hold": a higher tier is never shed while a lower
-// tier still runs. The judge reads the logs of all instances.
+// tier still runs. Checked in the logs of all instances.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -25,12 +25,12 @@
 
 using Fields = std::map<std::string, std::string>;
 
-/// What the logs say of one pool.
+/// Counts of sheds, evictions and violations of the tier order in the logs.
 struct TierOrderReport {
-  std::size_t m_HigherTierSheds = 0;
+  std::size_t m_HigherTierSheds = 0; ///< In all tiers but the lowest.
   std::size_t m_Evictions = 0;
   std::size_t m_Violations = 0;
-  std::string m_FirstViolation;
+  std::string m_FirstViolation; ///< Time and request id.
 };
 
 } // namespace
@@ -51,15 +51,16 @@
          Kind == "tier-shed" || Kind == "target-unreachable";
 }
 
-/// Merges all lines by time and follows what runs.
-static TierOrderReport checkTierOrder(const Fleet &All,
+/// Merges the log lines of all instances by time and counts as a violation each
+/// shed of a request while one of a lower tier runs. Covers the pool assistant.
+static TierOrderReport checkTierOrder(const Fleet &TestFleet,
                                       const std::set<std::string> &Killed) {
   std::multimap<std::string, Fields> ByTime;
-  for (const std::string &Line : All.logLines()) {
+  for (const std::string &Line : TestFleet.logLines()) {
     Fields Found = fieldsOf(Line);
-    // A killed process may leave half a line.
-    bool IsWhole = Found.count("tier") != 0 && Found.count("pool") != 0;
-    if (IsWhole && Found["pool"] == "assistant")
+    // The last line of a killed process may be truncated.
+    bool IsComplete = Found.count("tier") != 0 && Found.count("pool") != 0;
+    if (IsComplete && Found["pool"] == "assistant")
       ByTime.emplace(Found["time"], Found);
   }
   TierOrderReport Out;
@@ -68,8 +69,8 @@
     const std::string &Event = Line["event"];
     const std::string &Request = Line["request"];
     std::string Incarnation = Request.substr(0, Request.find('-'));
-    // What a killed process left running, nobody can know of; its engine ends
-    // it when the connection breaks.
+    // Ignores killed incarnations: they log no end of their requests, which the
+    // engine cancels when the connection closes.
     if (Killed.count(Incarnation) != 0)
       continue;
     int Tier = std::stoi(Line["tier"]);
@@ -83,9 +84,10 @@
     if (!IsEvicted && !IsRefused)
       continue;
     Out.m_HigherTierSheds += Tier < 3;
-    bool IsWrong = std::any_of(Running.begin(), Running.end(),
-                               [&](const auto &R) { return R.second > Tier; });
-    if (IsWrong && Out.m_Violations++ == 0)
+    bool IsViolation =
+        std::any_of(Running.begin(), Running.end(),
+                    [&](const auto &R) { return R.second > Tier; });
+    if (IsViolation && Out.m_Violations++ == 0)
       Out.m_FirstViolation = Time + " " + Request;
   }
   return Out;
@@ -104,16 +106,16 @@
   std::unique_ptr<Fleet> m_Fleet;
   std::set<std::string> m_Killed;
 
-  void start() {
-    Fleet::Options Wanted;
-    Wanted.m_Instances = InstanceCount;
-    Wanted.m_Slots = 6;
-    Wanted.m_QueueLimit = 6;
-    for (int &Deadline : Wanted.m_DeadlineMilliseconds)
+  void startFleet() {
+    Fleet::Options FleetOptions;
+    FleetOptions.m_Instances = InstanceCount;
+    FleetOptions.m_Slots = 6;
+    FleetOptions.m_QueueLimit = 6;
+    for (int &Deadline : FleetOptions.m_DeadlineMilliseconds)
       Deadline = 1200;
-    Wanted.m_EngineFlags = "--decode_rate=100";
+    FleetOptions.m_EngineFlags = "--decode_rate=100";
     m_Killed.clear();
-    m_Fleet = std::make_unique<Fleet>(Wanted);
+    m_Fleet = std::make_unique<Fleet>(FleetOptions);
     CPPUNIT_ASSERT(m_Fleet->waitUntilServing());
   }
 
@@ -125,7 +127,7 @@
     return Out.str();
   }
 
-  int leader() {
+  int leaderIndex() {
     for (int I = 0; I < InstanceCount; ++I) {
       auto Status = m_Fleet->status(I);
       if (Status.at("pools").as_array().at(0).at("is_leader").as_bool())
@@ -139,7 +141,8 @@
     m_Fleet->at(Index).m_Process.kill();
   }
 
-  /// Low tiers first, then a burst of all, while \p Disturb does its worst.
+  /// Sends requests of all tiers from many threads while \p InjectFailures
+  /// runs, then checks the tier order in the logs.
   TierOrderReport runUnderLoad(const std::function<void()> &InjectFailures) {
     std::atomic<bool> IsOver{false};
     std::vector<std::thread> Workers;
@@ -149,13 +152,13 @@
         std::mt19937 Random(Seed);
         while (!IsOver) {
           std::string Tier = Tiers[Seed % 3];
-          Reply Answer =
+          Reply Response =
               call(m_Fleet->at(static_cast<int>(Random() % InstanceCount))
                        .m_CallerPort,
                    completionRequest("x", 20 + static_cast<int>(Random() % 60),
                                      true, Tier));
-          // A refused caller comes back, sooner than it was asked to.
-          if (Answer.m_Status != 200)
+          // Retries sooner than Retry-After demands, to keep up the load.
+          if (Response.m_Status != 200)
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
         }
       });
@@ -179,18 +182,18 @@
   void tearDown() override { m_Fleet.reset(); }
 
   void testBurst() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([] { pause(6000); });
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Out.m_Violations);
-    // It must have come to sheds of higher tiers at all.
+    // The check means something only if higher tiers were shed.
     CPPUNIT_ASSERT(Out.m_HigherTierSheds > 0);
   }
 
   void testLeaderKilled() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       pause(3000);
-      int Leader = leader();
+      int Leader = leaderIndex();
       killInstance(Leader);
       pause(1000);
       m_Fleet->start(Leader);
@@ -201,10 +204,10 @@
   }
 
   void testMembersFrozen() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       pause(2500);
-      for (int Index : {leader(), (leader() + 1) % InstanceCount}) {
+      for (int Index : {leaderIndex(), (leaderIndex() + 1) % InstanceCount}) {
         m_Fleet->at(Index).m_Process.signal(SIGSTOP);
         pause(2500);
         m_Fleet->at(Index).m_Process.signal(SIGCONT);
@@ -216,7 +219,7 @@
   }
 
   void testPlatformDown() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       controlStandIn(m_Fleet->platformPort(), {{"down", true}});
       pause(7000);
@@ -228,10 +231,10 @@
   }
 
   void testSimultaneousFailures() {
-    start();
+    startFleet();
     TierOrderReport Out = runUnderLoad([&] {
       pause(2500);
-      int Leader = leader();
+      int Leader = leaderIndex();
       int Other = (Leader + 1) % InstanceCount;
       controlStandIn(m_Fleet->platformPort(), {{"down", true}});
       m_Fleet->at(Other).m_Process.signal(SIGSTOP);
--- a/Tests/Traces/ReplayTest.cpp
+++ b/Tests/Traces/ReplayTest.cpp
@@ -1,8 +1,8 @@
-//===-- ReplayTest.cpp - Recorded traces against stated outcomes ----------===//
+//===-- ReplayTest.cpp - Replay of recorded traces ------------------------===//
 //
-// Each Tests/Traces/*.trace was recorded by an instance under failure. Its
-// first line states the outcome; replaying its events must give the recorded
-// actions byte for byte, and they must add up to that outcome.
+// Guards against unintended changes of decisions. Each Tests/Traces/*.trace was
+// recorded under failures; its replay must give the recorded actions byte for
+// byte and the outcome that the first line states.
 //
 //===----------------------------------------------------------------------===//
 #include "LibDecision/Trace.h"
@@ -25,7 +25,7 @@
   CPPUNIT_TEST(testModifiedTraceIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
-  static std::filesystem::path folder() {
+  static std::filesystem::path traceFolder() {
     const char *Source = std::getenv("YARDRILL_SOURCE");
     return std::filesystem::path(Source ? Source : ".") / "Tests/Traces";
   }
@@ -41,13 +41,14 @@
 public:
   void testAllTraces() {
     int Count = 0;
-    for (const auto &File : std::filesystem::directory_iterator(folder())) {
+    for (const auto &File :
+         std::filesystem::directory_iterator(traceFolder())) {
       if (File.path().extension() != ".trace")
         continue;
       ++Count;
       std::ifstream In(File.path());
-      std::string Stated;
-      std::getline(In, Stated);
+      std::string ExpectedOutcome;
+      std::getline(In, ExpectedOutcome);
       decision::ReplayResult Result = decision::replay(In);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(File.path(), Result.m_Expected,
                                    Result.m_Actual);
@@ -59,7 +60,7 @@
               << " dispatched_again=" << Result.m_DuplicateDispatches
               << " refused=" << Result.m_Refused
               << " refused_after_dispatch=" << Result.m_RefusedAfterDispatch;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(File.path(), Stated, Outcome.str());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(File.path(), ExpectedOutcome, Outcome.str());
       CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_DuplicateDispatches);
       CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_RefusedAfterDispatch);
     }
@@ -67,11 +68,12 @@
   }
 
   void testModifiedTraceIsDetected() {
-    for (const auto &File : std::filesystem::directory_iterator(folder())) {
+    for (const auto &File :
+         std::filesystem::directory_iterator(traceFolder())) {
       if (File.path().extension() != ".trace")
         continue;
       std::string Text = config::readFile(File.path());
-      // One action less, and one event less.
+      // Erases one action and, in a second run, one event.
       for (const char *Start : {"\n{\"action\"", "\n{\"at\""}) {
         std::string Changed = Text;
         std::size_t At = Changed.rfind(Start, Changed.size() / 2);
@@ -81,9 +83,9 @@
         try {
           IsSame = decision::replay(In).isSame();
         } catch (const std::exception &) {
-          // An event about a request that never arrived.
+          // The core throws on an event of a request whose arrival was erased.
         }
-        // An event without actions may be one that changes nothing.
+        // The erased event may be one that changes nothing.
         bool IsAction = std::string(Start).find("action") != std::string::npos;
         CPPUNIT_ASSERT(!IsSame || !IsAction);
       }
