--- a/Bench/Baseline.h
+++ b/Bench/Baseline.h
@@ -14,14 +14,14 @@
 /// Each request goes to an engine's own queue at once.
 class Baseline final : public Scheduler {
 public:
-  Baseline(Simulation &Owner, BaselinePolicy How, unsigned Seed)
-      : Scheduler(Owner), m_Policy(How), m_Random(Seed),
+  Baseline(Simulation &Owner, BaselinePolicy Policy, unsigned Seed)
+      : Scheduler(Owner), m_Policy(Policy), m_Random(Seed),
         m_LocalLoad(16, std::vector<std::size_t>(EngineCount)),
         m_EngineOf(Owner.requests().size()) {}
 
   void requestArrived(std::size_t Index) override {
     std::size_t Instance = m_Owner.requests()[Index].m_Instance;
-    std::size_t Engine = choose(Instance);
+    std::size_t Engine = chooseEngine(Instance);
     m_EngineOf[Index] = Engine;
     ++m_LocalLoad[Instance][Engine];
     m_Owner.dispatch(Index, Engine);
@@ -31,10 +31,10 @@
   }
 
 private:
-  std::size_t any() { return m_Random() % EngineCount; }
+  std::size_t randomEngine() { return m_Random() % EngineCount; }
 
-  template <class Load> std::size_t least(Load &&LoadOf) {
-    std::size_t First = any();
+  template <class Load> std::size_t leastLoaded(Load &&LoadOf) {
+    std::size_t First = randomEngine();
     std::size_t Best = First;
     for (std::size_t I = 1; I < EngineCount; ++I) {
       std::size_t Next = (First + I) % EngineCount;
@@ -44,21 +44,21 @@
     return Best;
   }
 
-  std::size_t choose(std::size_t Instance) {
+  std::size_t chooseEngine(std::size_t Instance) {
     auto Reported = [this](std::size_t E) { return m_Owner.reportedLoad(E); };
     auto Own = [this, Instance](std::size_t E) {
       return m_LocalLoad[Instance][E];
     };
     switch (m_Policy) {
     case BaselinePolicy::Random:
-      return any();
+      return randomEngine();
     case BaselinePolicy::LeastReported:
-      return least(Reported);
+      return leastLoaded(Reported);
     case BaselinePolicy::LeastOwn:
-      return least(Own);
+      return leastLoaded(Own);
     case BaselinePolicy::TwoChoices: {
-      std::size_t A = any();
-      std::size_t B = any();
+      std::size_t A = randomEngine();
+      std::size_t B = randomEngine();
       return Reported(A) <= Reported(B) ? A : B;
     }
     }
--- a/Bench/ConfigurationCostProgram.cpp
+++ b/Bench/ConfigurationCostProgram.cpp
@@ -18,7 +18,7 @@
 
 using namespace yardrill;
 
-static constexpr int Runs = 9;
+static constexpr int Repetitions = 9;
 static constexpr std::size_t MaxBytes = 16UL * 1024 * 1024;
 
 /// As the operators write it, with names that repeat nowhere.
@@ -44,9 +44,9 @@
 }
 
 /// \returns the shortest of some runs, in milliseconds.
-static double cost(const std::function<void()> &What) {
+static double minMilliseconds(const std::function<void()> &What) {
   double Best = 1e9;
-  for (int I = 0; I < Runs; ++I) {
+  for (int I = 0; I < Repetitions; ++I) {
     auto Begin = std::chrono::steady_clock::now();
     What();
     std::chrono::duration<double, std::milli> Took =
@@ -69,11 +69,13 @@
     double Empty = megabytesInUse();
     auto Table = platform::parseConfiguration(After);
     double TableMb = megabytesInUse() - Empty;
-    double ReadMs = cost([&] { Table = platform::parseConfiguration(After); });
+    double ReadMs =
+        minMilliseconds([&] { Table = platform::parseConfiguration(After); });
     std::string Patch;
-    double PatchMs = cost([&] { Patch = gateway::makePatch(Before, After); });
+    double PatchMs =
+        minMilliseconds([&] { Patch = gateway::makePatch(Before, After); });
     double ApplyMs =
-        cost([&] { gateway::applyPatch(Before, Patch, MaxBytes); });
+        minMilliseconds([&] { gateway::applyPatch(Before, Patch, MaxBytes); });
     std::cout << Routes << ',' << static_cast<double>(After.size()) / 1e6 << ','
               << ReadMs << ',' << TableMb << ',' << Patch.size() << ','
               << PatchMs << ',' << ApplyMs << ','
--- a/Bench/LimitSearchProgram.cpp
+++ b/Bench/LimitSearchProgram.cpp
@@ -13,52 +13,53 @@
 using namespace yardrill;
 using namespace yardrill::tests;
 
-struct Size {
+struct FleetShape {
   std::size_t m_Instances;
   std::size_t m_Targets;
   double m_RequestsPerSecond;
   double m_Limit;
 };
 
-static void play(const Size &Of, RateLimitStrategy Way, std::uint64_t Days) {
-  double Worst = 0;
+static void simulateScenarios(const FleetShape &Shape,
+                              RateLimitStrategy Strategy, std::uint64_t Days) {
+  double MaxRatio = 0;
   double Served = 0;
   double Datagrams = 0;
   double EndKnown = 0;
-  std::uint64_t Broken = 0;
+  std::uint64_t Violations = 0;
   for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
-    RateLimitScenario Day{Of.m_Instances, Of.m_Targets, Of.m_RequestsPerSecond,
-                          Of.m_Limit};
+    RateLimitScenario Day{Shape.m_Instances, Shape.m_Targets,
+                          Shape.m_RequestsPerSecond, Shape.m_Limit};
     Day.m_Seed = Seed;
-    RateLimitResult Faulty = simulateRateLimit(Day, Way);
-    Worst = std::max(Worst, Faulty.m_MaxWindowRatio);
-    Broken += Faulty.m_MaxWindowRatio > 1 ? 1 : 0;
+    RateLimitResult Faulty = simulateRateLimit(Day, Strategy);
+    MaxRatio = std::max(MaxRatio, Faulty.m_MaxWindowRatio);
+    Violations += Faulty.m_MaxWindowRatio > 1 ? 1 : 0;
     Datagrams = std::max(Datagrams, Faulty.m_DatagramsPerSecond);
     Day.m_HasFaults = false;
-    RateLimitResult Calm = simulateRateLimit(Day, Way);
-    Served += Calm.m_ServedShare / static_cast<double>(Days);
-    EndKnown = std::max(EndKnown, Calm.m_LimitEndDelaySeconds);
+    RateLimitResult FaultFree = simulateRateLimit(Day, Strategy);
+    Served += FaultFree.m_ServedShare / static_cast<double>(Days);
+    EndKnown = std::max(EndKnown, FaultFree.m_LimitEndDelaySeconds);
   }
   std::printf("instances=%zu targets=%zu limit=%.2f way=%s days=%llu "
               "broken=%llu worst=%.2f served_calm=%.2f datagrams=%.1f "
               "end_known_s=%.2f\n",
-              Of.m_Instances, Of.m_Targets, Of.m_Limit, toString(Way),
-              static_cast<unsigned long long>(Days),
-              static_cast<unsigned long long>(Broken), Worst, Served, Datagrams,
-              EndKnown);
+              Shape.m_Instances, Shape.m_Targets, Shape.m_Limit,
+              toString(Strategy), static_cast<unsigned long long>(Days),
+              static_cast<unsigned long long>(Violations), MaxRatio, Served,
+              Datagrams, EndKnown);
 }
 
 int main(int Count, char **Arguments) {
   std::uint64_t Days =
       Count > 1 ? std::strtoull(Arguments[1], nullptr, 10) : 20;
-  const Size Sizes[] = {{6, 3, 25, 2},        {7, 9, 38, 1.4},
-                        {7, 9, 38, 0.3},      {74, 90, 570, 3},
-                        {295, 168, 900, 3},   {295, 3, 100, 2},
-                        {440, 900, 1000, 0.5}};
-  for (const Size &Each : Sizes)
-    for (RateLimitStrategy Way :
+  const FleetShape Sizes[] = {{6, 3, 25, 2},        {7, 9, 38, 1.4},
+                              {7, 9, 38, 0.3},      {74, 90, 570, 3},
+                              {295, 168, 900, 3},   {295, 3, 100, 2},
+                              {440, 900, 1000, 0.5}};
+  for (const FleetShape &Each : Sizes)
+    for (RateLimitStrategy Strategy :
          {RateLimitStrategy::Senders, RateLimitStrategy::OneSender,
           RateLimitStrategy::EqualParts, RateLimitStrategy::Alone})
-      play(Each, Way, Days);
+      simulateScenarios(Each, Strategy, Days);
   return 0;
 }
--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -24,12 +24,12 @@
   std::size_t Broken = 0;
   std::size_t Bad = 0;
   for (std::size_t Seed = 1; Seed <= Days; ++Seed) {
-    QuarantineScenario Day =
+    QuarantineScenario Scenario =
         randomQuarantineScenario(Seed, Number(2, 7), Number(3, 9));
-    Day.m_QuarantineThreshold = Number(4, Day.m_QuarantineThreshold);
-    Day.m_RetriesSuspects = Number(5, 0) != 0;
-    QuarantineResult Got = simulate(Day);
-    Bad += Day.m_BadContents;
+    Scenario.m_QuarantineThreshold = Number(4, Scenario.m_QuarantineThreshold);
+    Scenario.m_RetriesSuspects = Number(5, 0) != 0;
+    QuarantineResult Got = simulate(Scenario);
+    Bad += Scenario.m_BadContents;
     Broken += Got.m_LateSends > 3;
     if (Got.m_LateSends > Worst)
       std::printf("seed %zu: %zu late sends\n", Seed, Got.m_LateSends);
--- a/Bench/QuotaSearchProgram.cpp
+++ b/Bench/QuotaSearchProgram.cpp
@@ -18,47 +18,46 @@
 namespace {
 
 /// One day in so many has nothing but the largest requests.
-constexpr int LargestEvery = 4;
+constexpr int LargestOnlyPeriod = 4;
 
-struct PlayedDay {
-  QuotaScenario m_Day;
+struct SimulatedScenario {
+  QuotaScenario m_Scenario;
   QuotaScenarioResult m_Result;
 };
 
-PlayedDay playDay(QuotaScenario Day) {
-  QuotaScenarioResult Result = simulate(Day);
-  return {std::move(Day), Result};
+SimulatedScenario simulateScenario(QuotaScenario Scenario) {
+  QuotaScenarioResult Result = simulate(Scenario);
+  return {std::move(Scenario), Result};
 }
 
 void search(const QuotaDeployment &Deployment, int Days, int Generations,
             std::uint64_t Seed) {
-  PlayedDay Fullest;
-  int Broken = 0;
+  SimulatedScenario Worst;
+  int Violations = 0;
   double Sum = 0;
   for (int I = 0; I < Days; ++I) {
-    QuotaScenario Day = QuotaScenario::random(
+    QuotaScenario Scenario = QuotaScenario::random(
         Deployment, Seed * 1000003 + static_cast<std::uint64_t>(I));
-    Day.m_HasOnlyLargestRequests = I % LargestEvery == 0;
-    PlayedDay One = playDay(std::move(Day));
-    Broken += One.m_Result.isWithinTolerance() ? 0 : 1;
+    Scenario.m_HasOnlyLargestRequests = I % LargestOnlyPeriod == 0;
+    SimulatedScenario One = simulateScenario(std::move(Scenario));
+    Violations += One.m_Result.isWithinTolerance() ? 0 : 1;
     Sum += One.m_Result.usedTolerance();
-    if (I == 0 ||
-        One.m_Result.usedTolerance() > Fullest.m_Result.usedTolerance())
-      Fullest = std::move(One);
+    if (I == 0 || One.m_Result.usedTolerance() > Worst.m_Result.usedTolerance())
+      Worst = std::move(One);
   }
-  double Random = Fullest.m_Result.usedTolerance();
+  double Random = Worst.m_Result.usedTolerance();
   std::mt19937_64 Luck(Seed);
   for (int I = 0; I < Generations; ++I) {
-    PlayedDay One = playDay(Fullest.m_Day.mutated(Luck));
-    if (One.m_Result.usedTolerance() > Fullest.m_Result.usedTolerance())
-      Fullest = std::move(One);
+    SimulatedScenario One = simulateScenario(Worst.m_Scenario.mutated(Luck));
+    if (One.m_Result.usedTolerance() > Worst.m_Result.usedTolerance())
+      Worst = std::move(One);
   }
   std::cout << Deployment.m_Name << " instances=" << Deployment.m_Size
-            << " days=" << Days << " broken=" << Broken
+            << " days=" << Days << " broken=" << Violations
             << " mean_of_tolerance=" << Sum / Days
             << " most_of_tolerance=" << Random
-            << " bred=" << Fullest.m_Result.usedTolerance() << "\n    "
-            << Fullest.m_Day.describe() << std::endl;
+            << " bred=" << Worst.m_Result.usedTolerance() << "\n    "
+            << Worst.m_Scenario.describe() << std::endl;
 }
 
 } // namespace
--- a/Bench/RoutingProgram.cpp
+++ b/Bench/RoutingProgram.cpp
@@ -66,19 +66,19 @@
 static void compare(const WorkloadShape &Shape) {
   std::vector<std::pair<std::string,
                         std::function<Simulation::SchedulerFactory(unsigned)>>>
-      Ways;
+      Schedulers;
   for (auto [Name, How] :
        {std::make_pair("random", BaselinePolicy::Random),
         std::make_pair("least-reported", BaselinePolicy::LeastReported),
         std::make_pair("two-choices", BaselinePolicy::TwoChoices),
         std::make_pair("least-own", BaselinePolicy::LeastOwn)})
-    Ways.emplace_back(
+    Schedulers.emplace_back(
         Name, [How = How](unsigned Seed) -> Simulation::SchedulerFactory {
           return [How, Seed](Simulation &Owner) {
             return std::make_unique<Baseline>(Owner, How, Seed);
           };
         });
-  Ways.emplace_back(
+  Schedulers.emplace_back(
       "yardrill", [&](unsigned Seed) -> Simulation::SchedulerFactory {
         return [&Shape, Seed](Simulation &Owner) {
           CoreSchedulerSettings Settings{Shape.m_Instances, FLAGS_kept_places,
@@ -86,7 +86,7 @@
           return makeCoreScheduler(Owner, Settings, Seed);
         };
       });
-  for (const auto &[Name, SchedulerFactory] : Ways) {
+  for (const auto &[Name, SchedulerFactory] : Schedulers) {
     if (!FLAGS_only.empty() && FLAGS_only != Name)
       continue;
     SimulationResult Sum;
--- a/Bench/Simulation.cpp
+++ b/Bench/Simulation.cpp
@@ -40,7 +40,7 @@
 }
 
 void Simulation::at(core::Duration When, std::function<void()> What) {
-  m_Queue.push({When, m_NextOrder++, std::move(What)});
+  m_Tasks.push({When, m_NextSequence++, std::move(What)});
 }
 
 SimulationResult Simulation::run() {
@@ -55,11 +55,11 @@
      [this] { m_Scheduler->loseInstance(3); });
   reportLoads();
   core::Duration End = m_Requests.back().m_At + std::chrono::seconds(180);
-  while (!m_Queue.empty() && m_Queue.top().m_At <= End) {
-    ScheduledTask Next = m_Queue.top();
-    m_Queue.pop();
+  while (!m_Tasks.empty() && m_Tasks.top().m_At <= End) {
+    ScheduledTask Next = m_Tasks.top();
+    m_Tasks.pop();
     m_Now = Next.m_At;
-    Next.m_What();
+    Next.m_Function();
   }
   return m_Result;
 }
@@ -81,11 +81,12 @@
   if (What.m_IsCached)
     return;
   m_Result.m_PrefilledTokens += Which.m_Prefill;
-  bool IsElsewhere = false;
+  bool IsCachedElsewhere = false;
   for (std::size_t I = 0; I < EngineCount; ++I)
-    IsElsewhere = IsElsewhere || (I != Engine && Which.m_Prefix != 0 &&
-                                  m_Engines[I].hasPrefix(Which.m_Prefix));
-  if (IsElsewhere)
+    IsCachedElsewhere =
+        IsCachedElsewhere || (I != Engine && Which.m_Prefix != 0 &&
+                              m_Engines[I].hasPrefix(Which.m_Prefix));
+  if (IsCachedElsewhere)
     m_Result.m_WastedTokens += Which.m_Prefill;
 }
 
--- a/Bench/Simulation.h
+++ b/Bench/Simulation.h
@@ -80,10 +80,11 @@
 private:
   struct ScheduledTask {
     core::Duration m_At;
-    std::uint64_t m_Order;
-    std::function<void()> m_What;
+    std::uint64_t m_Sequence;
+    std::function<void()> m_Function;
     bool operator<(const ScheduledTask &Other) const {
-      return m_At != Other.m_At ? m_At > Other.m_At : m_Order > Other.m_Order;
+      return m_At != Other.m_At ? m_At > Other.m_At
+                                : m_Sequence > Other.m_Sequence;
     }
   };
   bool isInBurst(std::size_t Index) const {
@@ -103,8 +104,8 @@
   std::vector<int> m_EngineOf;
   std::vector<bool> m_IsCancelled;
   std::vector<bool> m_HasStarted;
-  std::priority_queue<ScheduledTask> m_Queue;
-  std::uint64_t m_NextOrder = 0;
+  std::priority_queue<ScheduledTask> m_Tasks;
+  std::uint64_t m_NextSequence = 0;
   core::Duration m_Now{};
   std::unique_ptr<Scheduler> m_Scheduler;
   SimulationResult m_Result;
--- a/Bench/StoreSpreadProgram.cpp
+++ b/Bench/StoreSpreadProgram.cpp
@@ -42,8 +42,8 @@
 }
 
 /// Plays one change from \p Before to \p After.
-static void play(std::size_t Instances, const char *What,
-                 const std::string &Before, const std::string &After) {
+static void measureChange(std::size_t Instances, const char *What,
+                          const std::string &Before, const std::string &After) {
   MirrorFleet Fleet;
   for (std::size_t I = 0; I < Instances; ++I) {
     auto &Each = Fleet.add(Revision(1), {Entry{Key, Before, Revision(1)}});
@@ -77,8 +77,8 @@
   std::string Large = configuration(2840, 0);
   std::string Changed = configuration(2840, 1000);
   for (std::size_t Instances : {24, 89, 220, 440}) {
-    play(Instances, "one-route", Large, Changed);
-    play(Instances, "1400-routes-more", Small, Large);
-    play(Instances, "all-of-it", "", Large);
+    measureChange(Instances, "one-route", Large, Changed);
+    measureChange(Instances, "1400-routes-more", Small, Large);
+    measureChange(Instances, "all-of-it", "", Large);
   }
 }
--- a/Tests/Soak/BackpressureChecker.cpp
+++ b/Tests/Soak/BackpressureChecker.cpp
@@ -23,17 +23,17 @@
                                              std::size_t Gateway,
                                              const ResponseBackpressure &What,
                                              TimePoint Now) {
-  NotifiedGateway &To = m_Notified[Incarnation][Gateway];
-  if (What.m_RequestsPerSecond && !To.m_Limit)
-    To.m_Limit = Now;
-  if (What.m_IsLeaving && !To.m_Leaving)
-    To.m_Leaving = Now;
-  if (!What.m_Backoff || Now + *What.m_Backoff <= To.m_BackoffEndsAt)
+  NotifiedGateway &Notified = m_Notified[Incarnation][Gateway];
+  if (What.m_RequestsPerSecond && !Notified.m_LimitSince)
+    Notified.m_LimitSince = Now;
+  if (What.m_IsLeaving && !Notified.m_LeavingSince)
+    Notified.m_LeavingSince = Now;
+  if (!What.m_Backoff || Now + *What.m_Backoff <= Notified.m_BackoffEndsAt)
     return;
   ++m_Backoffs;
-  To.m_BackoffStatedAt = Now;
-  To.m_BackoffEndsAt = Now + *What.m_Backoff;
-  To.m_RequestsInBackoff = 0;
+  Notified.m_BackoffStatedAt = Now;
+  Notified.m_BackoffEndsAt = Now + *What.m_Backoff;
+  Notified.m_RequestsInBackoff = 0;
 }
 
 void BackpressureChecker::requestArrived(const std::string &Incarnation,
@@ -42,20 +42,23 @@
                                          bool IsGatewayDisturbed) {
   if (IsGatewayDisturbed)
     return;
-  NotifiedGateway &To = m_Notified[Incarnation][Gateway];
-  bool IsInBackoff = Now > To.m_BackoffStatedAt + bounds::BackpressureSlack &&
-                     Now < To.m_BackoffEndsAt;
+  NotifiedGateway &Notified = m_Notified[Incarnation][Gateway];
+  bool IsInBackoff =
+      Now > Notified.m_BackoffStatedAt + bounds::BackpressureSlack &&
+      Now < Notified.m_BackoffEndsAt;
   if (IsInBackoff &&
-      ++To.m_RequestsInBackoff == bounds::MaxRequestsInBackoff + 1)
+      ++Notified.m_RequestsInBackoff == bounds::MaxRequestsInBackoff + 1)
     m_OnViolation("rest: " + Incarnation + " got too much of gateway " +
                   std::to_string(Gateway));
-  if (To.m_Leaving && SentAt > *To.m_Leaving + bounds::LeavingGracePeriod)
+  if (Notified.m_LeavingSince &&
+      SentAt > *Notified.m_LeavingSince + bounds::LeavingGracePeriod)
     m_OnViolation("leaving: " + Incarnation + " got a request of gateway " +
                   std::to_string(Gateway) +
                   " after it had said that it leaves");
   std::vector<LimitPeriod> &Of = m_Periods[Incarnation];
-  if (To.m_Limit && Now > *To.m_Limit + bounds::BackpressureSlack &&
-      !Of.empty() && !Of.back().m_End)
+  if (Notified.m_LimitSince &&
+      Now > *Notified.m_LimitSince + bounds::BackpressureSlack && !Of.empty() &&
+      !Of.back().m_End)
     Of.back().m_Arrivals.push_back(Now);
 }
 
@@ -67,8 +70,8 @@
 void BackpressureChecker::check(const std::string &Incarnation,
                                 const LimitPeriod &Of) const {
   double Window = std::chrono::duration<double>(bounds::LimitWindow).count();
-  double Most = bounds::LimitFactor * Of.m_RequestsPerSecond * Window +
-                bounds::LimitSlack;
+  double MaxRequests = bounds::LimitFactor * Of.m_RequestsPerSecond * Window +
+                       bounds::LimitSlack;
   TimePoint From = Of.m_Begin + bounds::SettleTime;
   auto First =
       std::lower_bound(Of.m_Arrivals.begin(), Of.m_Arrivals.end(), From);
@@ -76,11 +79,11 @@
     while (*Last - *First > bounds::LimitWindow)
       ++First;
     auto Count = static_cast<double>(Last - First + 1);
-    if (Count <= Most)
+    if (Count <= MaxRequests)
       continue;
     std::ostringstream Text;
     Text << "limit: " << Incarnation << " got " << Count << " in a window of "
-         << Most;
+         << MaxRequests;
     return m_OnViolation(Text.str());
   }
 }
--- a/Tests/Soak/BackpressureChecker.h
+++ b/Tests/Soak/BackpressureChecker.h
@@ -30,8 +30,8 @@
   /// Called with what was broken.
   using ViolationHandler = std::function<void(const std::string &)>;
 
-  explicit BackpressureChecker(ViolationHandler Hook)
-      : m_OnViolation(std::move(Hook)) {}
+  explicit BackpressureChecker(ViolationHandler OnViolation)
+      : m_OnViolation(std::move(OnViolation)) {}
 
   /// A run of a target names a limit from now on, or none.
   void rateLimitChanged(const std::string &Incarnation,
@@ -62,8 +62,8 @@
   };
   /// What one gateway was told by one run.
   struct NotifiedGateway {
-    std::optional<TimePoint> m_Limit;
-    std::optional<TimePoint> m_Leaving;
+    std::optional<TimePoint> m_LimitSince;
+    std::optional<TimePoint> m_LeavingSince;
     TimePoint m_BackoffStatedAt;
     TimePoint m_BackoffEndsAt;
     std::size_t m_RequestsInBackoff = 0;
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -201,11 +201,12 @@
 }
 
 std::size_t Callers::chooseGateway() {
-  std::vector<std::size_t> In;
+  std::vector<std::size_t> Available;
   for (std::size_t I = 0; I < m_Misses.size(); ++I)
     if (m_Misses[I] < MissesUntilRemoval)
-      In.push_back(I);
-  return In.empty() ? randomBelow(m_Misses.size()) : In[randomBelow(In.size())];
+      Available.push_back(I);
+  return Available.empty() ? randomBelow(m_Misses.size())
+                           : Available[randomBelow(Available.size())];
 }
 
 void Callers::runCaller(asio::yield_context Yield) {
@@ -218,16 +219,16 @@
 //===----------------------------------------------------------------------===//
 
 void Callers::runBalancer(std::size_t Gateway, asio::yield_context Yield) {
-  http::RequestMessage Ask;
-  Ask.m_Method = "GET";
-  Ask.m_Target = "/readyz";
-  Ask.m_Headers.set("Host", "h");
+  http::RequestMessage ReadinessRequest;
+  ReadinessRequest.m_Method = "GET";
+  ReadinessRequest.m_Target = "/readyz";
+  ReadinessRequest.m_Headers.set("Host", "h");
   for (; !m_IsStopped; tests::sleepFor(m_Context, BalancePeriod, Yield)) {
     unsigned Status = 0;
     try {
       auto Connection = http::ClientConnection::connect(
           m_Context, m_System.readinessAddress(Gateway), ConnectTime, Yield);
-      Connection->sendRequest(Ask, ConnectTime, Yield);
+      Connection->sendRequest(ReadinessRequest, ConnectTime, Yield);
       Status =
           Connection->readResponse(ConnectTime, ReadinessResponseLimit, Yield)
               .m_Head.m_Status;
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -341,52 +341,54 @@
                               const ResponseFaults &How,
                               asio::yield_context Yield) {
   for (std::size_t I = 0; I < m_Shape.m_TargetsPerPool; ++I) {
-    m_NewVersion.push_back(std::make_unique<SoakTarget>(
+    m_CanaryTargets.push_back(std::make_unique<SoakTarget>(
         m_Context, m_Checker, m_Random, nextTargetName(), Pool, Version));
-    m_NewVersion.back()->setResponseFaults(How);
-    put(m_NewVersion.back()->key(), m_NewVersion.back()->announcement(), Yield);
+    m_CanaryTargets.back()->setResponseFaults(How);
+    put(m_CanaryTargets.back()->key(), m_CanaryTargets.back()->announcement(),
+        Yield);
   }
 }
 
 void Deployment::promoteNewVersion(const std::string &Pool,
                                    asio::yield_context Yield) {
-  std::vector<std::string> Gone;
+  std::vector<std::string> RetiredKeys;
   for (auto &Each : m_Targets) {
     if (Each->pool() != Pool)
       continue;
     Each->retire();
-    Gone.push_back(Each->key());
+    RetiredKeys.push_back(Each->key());
     m_Retired.push_back(std::move(Each));
-    Each = std::move(m_NewVersion.back());
-    m_NewVersion.pop_back();
+    Each = std::move(m_CanaryTargets.back());
+    m_CanaryTargets.pop_back();
   }
   for (std::size_t I = 0; I < m_Targets.size(); ++I)
     installExitHook(I);
   tests::sleepFor(m_Context, AnnouncementExpiryTime, Yield);
-  for (const std::string &Key : Gone)
+  for (const std::string &Key : RetiredKeys)
     remove(Key, Yield);
 }
 
 void Deployment::discardNewVersion(asio::yield_context Yield) {
-  for (auto &Each : m_NewVersion) {
+  for (auto &Each : m_CanaryTargets) {
     Each->setLeavingInStore();
     put(Each->key(), Each->announcement(), Yield);
   }
   tests::sleepFor(m_Context, LeavingServiceTime, Yield);
-  for (auto &Each : m_NewVersion) {
+  for (auto &Each : m_CanaryTargets) {
     remove(Each->key(), Yield);
     Each->retire();
     m_Retired.push_back(std::move(Each));
   }
-  m_NewVersion.clear();
+  m_CanaryTargets.clear();
 }
 
 void Deployment::putRolloutOrder(const std::string &Pool,
                                  const std::string &Version,
-                                 std::chrono::seconds Bake,
+                                 std::chrono::seconds BakeTime,
                                  asio::yield_context Yield) {
-  json::object Text{
-      {"service", Pool}, {"targetVersion", Version}, {"bakeS", Bake.count()}};
+  json::object Text{{"service", Pool},
+                    {"targetVersion", Version},
+                    {"bakeS", BakeTime.count()}};
   put("op/rollout/" + Pool, json::serialize(Text), Yield);
 }
 
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -74,7 +74,7 @@
   /// As on one that was rolled back: the new ones leave.
   void discardNewVersion(boost::asio::yield_context Yield);
   void putRolloutOrder(const std::string &Pool, const std::string &Version,
-                       std::chrono::seconds Bake,
+                       std::chrono::seconds BakeTime,
                        boost::asio::yield_context Yield);
   /// What operators read; empty: nothing.
   std::string rolloutState(const std::string &Pool,
@@ -116,7 +116,7 @@
   tests::Process m_Store;
   std::vector<Gateway> m_Gateways;
   std::vector<std::unique_ptr<SoakTarget>> m_Targets;
-  std::vector<std::unique_ptr<SoakTarget>> m_NewVersion; ///< Under trial.
+  std::vector<std::unique_ptr<SoakTarget>> m_CanaryTargets; ///< Under trial.
   /// Stopped; faults that were under way on them still look at them.
   std::vector<std::unique_ptr<SoakTarget>> m_Retired;
   std::mt19937_64 &m_Random;
--- a/Tests/Soak/FaultPlan.cpp
+++ b/Tests/Soak/FaultPlan.cpp
@@ -45,8 +45,8 @@
 
 std::vector<Fault> drawFaults(std::uint64_t Seed, milliseconds Length) {
   std::mt19937_64 Random(Seed);
-  auto Draw = [&Random](std::uint64_t Least, std::uint64_t Spread) {
-    return milliseconds(Least + Random() % Spread);
+  auto Draw = [&Random](std::uint64_t Min, std::uint64_t Spread) {
+    return milliseconds(Min + Random() % Spread);
   };
   std::vector<Fault> Out;
   milliseconds At = Draw(MinGapMs, GapSpreadMs);
@@ -91,31 +91,31 @@
   FaultInjection(const Fault &What, Deployment &System,
                  InvariantChecker &Checker, asio::io_context &Context,
                  asio::yield_context Yield)
-      : m_What(What), m_System(System), m_Checker(Checker), m_Context(Context),
+      : m_Fault(What), m_System(System), m_Checker(Checker), m_Context(Context),
         m_Yield(std::move(Yield)),
-        m_Gateway(What.m_Selector % System.gateways()),
-        m_Index(What.m_Selector % System.targets()) {}
+        m_GatewayIndex(What.m_Selector % System.gateways()),
+        m_TargetIndex(What.m_Selector % System.targets()) {}
 
   void run();
 
 private:
-  void pause() { tests::sleepFor(m_Context, m_What.m_Length, m_Yield); }
+  void pause() { tests::sleepFor(m_Context, m_Fault.m_Length, m_Yield); }
   void freezeGateway() {
-    m_Checker.noteProcessDisturbance(m_Gateway, true);
-    m_System.signalGateway(m_Gateway, SIGSTOP);
+    m_Checker.noteProcessDisturbance(m_GatewayIndex, true);
+    m_System.signalGateway(m_GatewayIndex, SIGSTOP);
     pause();
-    m_System.signalGateway(m_Gateway, SIGCONT);
-    m_Checker.noteProcessDisturbance(m_Gateway, false);
+    m_System.signalGateway(m_GatewayIndex, SIGCONT);
+    m_Checker.noteProcessDisturbance(m_GatewayIndex, false);
   }
   void disturbStoreLink(tests::ProxyMode How, bool MustReset) {
-    m_Checker.noteStorePathDisturbance(m_Gateway, true);
-    tests::LoopbackProxy &Link = m_System.storeProxy(m_Gateway);
+    m_Checker.noteStorePathDisturbance(m_GatewayIndex, true);
+    tests::LoopbackProxy &Link = m_System.storeProxy(m_GatewayIndex);
     Link.setMode(How);
     if (MustReset)
       Link.resetAll();
     pause();
     Link.setMode(tests::ProxyMode::PassThrough);
-    m_Checker.noteStorePathDisturbance(m_Gateway, false);
+    m_Checker.noteStorePathDisturbance(m_GatewayIndex, false);
   }
   void disturbStore(const boost::json::object &Begin,
                     const boost::json::object &End) {
@@ -133,7 +133,7 @@
     m_Checker.noteStoreDisturbance(false);
   }
   void disturbTargetLink(tests::ProxyMode How, bool MustReset) {
-    SoakTarget &Which = m_System.target(m_Index);
+    SoakTarget &Which = m_System.target(m_TargetIndex);
     Which.setDisturbed(true);
     Which.proxy().setMode(How);
     if (MustReset)
@@ -144,51 +144,51 @@
   }
   void dropIdleConnections() {
     // Whatever is sent on them next is reset: any request may meet one.
-    SoakTarget &Which = m_System.target(m_Index);
+    SoakTarget &Which = m_System.target(m_TargetIndex);
     Which.setDisturbed(true);
     Which.proxy().resetIdle(IdleTime);
     pause();
     Which.setDisturbed(false);
   }
   void injectResponseFaults(const ResponseFaults &How) {
-    m_System.target(m_Index).setResponseFaults(How);
+    m_System.target(m_TargetIndex).setResponseFaults(How);
     pause();
-    m_System.target(m_Index).setResponseFaults({});
+    m_System.target(m_TargetIndex).setResponseFaults({});
   }
 
   void limit() {
-    SoakTarget &Which = m_System.target(m_Index);
-    Which.setLimit(static_cast<double>(m_What.m_Selector % MaxLimitTenths) /
+    SoakTarget &Which = m_System.target(m_TargetIndex);
+    Which.setLimit(static_cast<double>(m_Fault.m_Selector % MaxLimitTenths) /
                    10);
     pause();
     Which.setLimit(std::nullopt);
   }
 
-  const Fault &m_What;
+  const Fault &m_Fault;
   Deployment &m_System;
   InvariantChecker &m_Checker;
   asio::io_context &m_Context;
   asio::yield_context m_Yield;
-  std::size_t m_Gateway;
-  std::size_t m_Index;
+  std::size_t m_GatewayIndex;
+  std::size_t m_TargetIndex;
 };
 
 } // namespace
 
 void FaultInjection::run() {
-  switch (m_What.m_Kind) {
+  switch (m_Fault.m_Kind) {
   case FaultKind::KillGateway:
-    return m_System.killGateway(m_Gateway);
+    return m_System.killGateway(m_GatewayIndex);
   case FaultKind::KillAllGateways:
     for (std::size_t I = 0; I < m_System.gateways(); ++I)
       m_System.killGateway(I);
     return;
   case FaultKind::StopGateway:
-    return m_System.stopGateway(m_Gateway);
+    return m_System.stopGateway(m_GatewayIndex);
   case FaultKind::FreezeGateway:
     return freezeGateway();
   case FaultKind::ReloadGateway:
-    return m_System.signalGateway(m_Gateway, SIGHUP);
+    return m_System.signalGateway(m_GatewayIndex, SIGHUP);
   case FaultKind::StoreLinkDelayed:
     return disturbStoreLink(tests::ProxyMode::Delayed, false);
   case FaultKind::StoreLinkReset:
@@ -220,9 +220,9 @@
   case FaultKind::TargetIdleReset:
     return dropIdleConnections();
   case FaultKind::TargetCrashes:
-    return m_System.crashTarget(m_Index, m_What.m_Length, m_Yield);
+    return m_System.crashTarget(m_TargetIndex, m_Fault.m_Length, m_Yield);
   case FaultKind::TargetLeaves:
-    return m_System.replaceTarget(m_Index, m_Yield);
+    return m_System.replaceTarget(m_TargetIndex, m_Yield);
   case FaultKind::TargetFails:
     return injectResponseFaults({ResponseFaultShare, 0, 0, 0});
   case FaultKind::TargetRefuses:
@@ -238,9 +238,9 @@
   case FaultKind::TargetTires:
     return injectResponseFaults({0, 0, 0, 0, BackoffShare});
   case FaultKind::TargetSaysItLeaves:
-    m_System.target(m_Index).setLeavingInResponses();
+    m_System.target(m_TargetIndex).setLeavingInResponses();
     pause();
-    return m_System.crashTarget(m_Index, m_What.m_Length / 8, m_Yield);
+    return m_System.crashTarget(m_TargetIndex, m_Fault.m_Length / 8, m_Yield);
   }
 }
 
--- a/Tests/Soak/InvariantChecker.cpp
+++ b/Tests/Soak/InvariantChecker.cpp
@@ -50,7 +50,7 @@
 // Observations
 //===----------------------------------------------------------------------===//
 
-SentRequest *InvariantChecker::find(const std::string &Id) {
+SentRequest *InvariantChecker::findRequest(const std::string &Id) {
   auto Found = m_SentRequests.find(Id);
   return Found == m_SentRequests.end() ? nullptr : &Found->second;
 }
@@ -69,7 +69,7 @@
 void InvariantChecker::requestArrived(const std::string &Id,
                                       const std::string &Target,
                                       std::optional<TimePoint> LeavingSince) {
-  SentRequest *What = find(Id);
+  SentRequest *What = findRequest(Id);
   if (!What)
     return addViolation("unasked", "nobody sent " + Id);
   if (++What->m_Arrivals > 1)
@@ -83,24 +83,25 @@
 }
 
 void InvariantChecker::arrivedAtIncarnation(const std::string &Id,
-                                            const std::string &Run) {
-  const SentRequest *What = find(Id);
+                                            const std::string &Incarnation) {
+  const SentRequest *What = findRequest(Id);
   if (!What)
     return;
   const Gateway &At = m_Gateways[What->m_Gateway];
-  m_Backpressure.requestArrived(Run, What->m_Gateway, What->m_SentAt, m_Now(),
-                                !At.m_Process.hasEndedBefore(m_Now()));
+  m_Backpressure.requestArrived(Incarnation, What->m_Gateway, What->m_SentAt,
+                                m_Now(), !At.m_Process.hasEndedBefore(m_Now()));
 }
 
 void InvariantChecker::backpressureStated(const std::string &Id,
-                                          const std::string &Run,
+                                          const std::string &Incarnation,
                                           const ResponseBackpressure &What) {
-  if (const SentRequest *Of = find(Id))
-    m_Backpressure.backpressureStated(Run, Of->m_Gateway, What, m_Now());
+  if (const SentRequest *Of = findRequest(Id))
+    m_Backpressure.backpressureStated(Incarnation, Of->m_Gateway, What,
+                                      m_Now());
 }
 
 void InvariantChecker::requestExecuted(const std::string &Id) {
-  SentRequest *What = find(Id);
+  SentRequest *What = findRequest(Id);
   if (!What)
     return;
   m_ExecutedTokens[What->m_Account].push_back({m_Now(), What->m_Tokens});
@@ -111,7 +112,7 @@
 }
 
 void InvariantChecker::noteTargetDisturbance(const std::string &Id) {
-  if (SentRequest *What = find(Id))
+  if (SentRequest *What = findRequest(Id))
     What->m_IsTargetDisturbed = true;
 }
 
@@ -122,7 +123,7 @@
 void InvariantChecker::arrivedAtVersion(const std::string &Id,
                                         const std::string &Pool,
                                         const std::string &Version) {
-  const SentRequest *What = find(Id);
+  const SentRequest *What = findRequest(Id);
   bool IsUndisturbed = What && isUndisturbedSince(What->m_Gateway, m_Now());
   m_VersionArrivals.push_back({m_Now(), Pool, Version, IsUndisturbed});
 }
@@ -139,39 +140,39 @@
   return true;
 }
 
-void InvariantChecker::checkRollout(const RolloutOrder &Terms) {
-  if (!Terms.m_IsBad)
+void InvariantChecker::checkRollout(const RolloutOrder &Order) {
+  if (!Order.m_IsBad)
     return;
   double All = 0;
-  double Exposed = 0;
+  double CanaryRequests = 0;
   for (const VersionArrival &Each : m_VersionArrivals) {
-    bool IsWithin = Each.m_Pool == Terms.m_Pool &&
-                    Each.m_At >= Terms.m_OrderedAt &&
-                    Each.m_At <= Terms.m_Deadline;
+    bool IsWithin = Each.m_Pool == Order.m_Pool &&
+                    Each.m_At >= Order.m_OrderedAt &&
+                    Each.m_At <= Order.m_Deadline;
     All += IsWithin ? 1 : 0;
-    Exposed += IsWithin && Each.m_IsGatewayUndisturbed &&
-                       Each.m_Version == Terms.m_Version
-                   ? 1
-                   : 0;
+    CanaryRequests += IsWithin && Each.m_IsGatewayUndisturbed &&
+                              Each.m_Version == Order.m_Version
+                          ? 1
+                          : 0;
   }
-  if (Exposed > bounds::CanaryShare * All + bounds::CanarySlack) {
+  if (CanaryRequests > bounds::CanaryShare * All + bounds::CanarySlack) {
     std::ostringstream Text;
-    Text << Terms.m_Version << " got " << Exposed << " of " << All;
+    Text << Order.m_Version << " got " << CanaryRequests << " of " << All;
     addViolation("exposure", Text.str());
   }
   // Bad answers count since the store was last in trouble.
   std::size_t Bad = 0;
   std::optional<TimePoint> Last;
   for (const BadResponse &Each : m_BadResponses)
-    if (Each.m_Pool == Terms.m_Pool && Each.m_Version == Terms.m_Version &&
+    if (Each.m_Pool == Order.m_Pool && Each.m_Version == Order.m_Version &&
         m_Store.hasEndedBefore(Each.m_At) &&
         ++Bad == bounds::BadResponsesForRollback)
       Last = Each.m_At + bounds::RollbackTime;
   for (const VersionArrival &Each : m_VersionArrivals)
     if (Last && Each.m_At > *Last && Each.m_IsGatewayUndisturbed &&
-        Each.m_Pool == Terms.m_Pool && Each.m_Version == Terms.m_Version)
+        Each.m_Pool == Order.m_Pool && Each.m_Version == Order.m_Version)
       return addViolation("exposure",
-                          Terms.m_Version + " got requests too long");
+                          Order.m_Version + " got requests too long");
 }
 
 void InvariantChecker::responseReceived(const std::string &Id,
@@ -189,17 +190,17 @@
   ++m_LostResponses;
   SentRequest &What = m_SentRequests.at(Id);
   const Gateway &At = m_Gateways[What.m_Gateway];
-  auto Passed = m_Now() - What.m_SentAt;
+  auto Elapsed = m_Now() - What.m_SentAt;
   if (!At.m_Process.hasEndedBefore(What.m_SentAt))
     return;
-  if (Passed > What.m_TimeLimit + bounds::ResponseSlack)
+  if (Elapsed > What.m_TimeLimit + bounds::ResponseSlack)
     return addViolation("held",
                         Id + " had no answer at its time limit: " + How);
   // What had not ended when its time was over may be broken off.
-  bool IsOver = Passed >= What.m_TimeLimit;
-  bool IsOurs =
-      !IsOver && (What.m_Executions > 0 || Passed > bounds::EarlyLossSlack);
-  if (IsOurs && !What.m_IsTargetDisturbed)
+  bool IsOver = Elapsed >= What.m_TimeLimit;
+  bool IsGatewayFault =
+      !IsOver && (What.m_Executions > 0 || Elapsed > bounds::EarlyLossSlack);
+  if (IsGatewayFault && !What.m_IsTargetDisturbed)
     addViolation(At.m_IsStopping ? "stop" : "lost", Id + " ended: " + How);
 }
 
@@ -225,17 +226,18 @@
 
 void InvariantChecker::checkQuotas() {
   auto Window = std::chrono::duration<double>(bounds::QuotaWindow).count();
-  for (const auto &[Account, Terms] : m_Quotas) {
-    double Most = (Terms.m_TokensPerSecond * Window + Terms.m_Burst) *
-                      (1 + bounds::QuotaOvershoot) +
-                  bounds::QuotaSlack;
-    const TimeSeries &Run = m_ExecutedTokens[Account];
-    for (std::size_t I = 0; I < Run.size(); ++I) {
-      double Sum = sumFrom(Run, I, bounds::QuotaWindow);
-      if (Sum <= Most)
+  for (const auto &[Account, Quota] : m_Quotas) {
+    double MaxTokens = (Quota.m_TokensPerSecond * Window + Quota.m_Burst) *
+                           (1 + bounds::QuotaOvershoot) +
+                       bounds::QuotaSlack;
+    const TimeSeries &Executed = m_ExecutedTokens[Account];
+    for (std::size_t I = 0; I < Executed.size(); ++I) {
+      double Sum = sumFrom(Executed, I, bounds::QuotaWindow);
+      if (Sum <= MaxTokens)
         continue;
       std::ostringstream Text;
-      Text << Account << " ran " << Sum << " tokens in a window of " << Most;
+      Text << Account << " ran " << Sum << " tokens in a window of "
+           << MaxTokens;
       return addViolation("quota", Text.str());
     }
   }
@@ -243,44 +245,44 @@
 
 void InvariantChecker::checkRetries() {
   for (std::size_t I = 0; I < m_Repeats.size(); ++I) {
-    double Again = sumFrom(m_Repeats, I, bounds::RetryWindow);
+    double Repeats = sumFrom(m_Repeats, I, bounds::RetryWindow);
     auto First = std::lower_bound(
         m_Requests.begin(), m_Requests.end(), m_Repeats[I].m_At,
         [](const DataPoint &Each, TimePoint At) { return Each.m_At < At; });
-    double Asked =
+    double Sent =
         First == m_Requests.end()
             ? 0
             : sumFrom(m_Requests,
                       static_cast<std::size_t>(First - m_Requests.begin()),
                       bounds::RetryWindow);
-    if (Again <= bounds::RetryRatio * Asked + bounds::RetrySlack)
+    if (Repeats <= bounds::RetryRatio * Sent + bounds::RetrySlack)
       continue;
     std::ostringstream Text;
-    Text << Again << " repeats of " << Asked << " requests in a window";
+    Text << Repeats << " repeats of " << Sent << " requests in a window";
     return addViolation("retries", Text.str());
   }
 }
 
 void InvariantChecker::checkRecovery(TimePoint RecoveredAt) {
-  std::size_t Asked = 0;
+  std::size_t Sent = 0;
   std::size_t Served = 0;
   for (const auto &[Id, What] : m_SentRequests) {
     bool IsLimited = m_Quotas.count(What.m_Account) != 0;
     if (What.m_SentAt < RecoveredAt + bounds::SettleTime || IsLimited ||
         !What.m_Content.empty())
       continue;
-    ++Asked;
+    ++Sent;
     Served += What.m_Status && isSuccess(*What.m_Status) ? 1 : 0;
   }
   if (static_cast<double>(Served) >=
-      bounds::MinServedAfterRecovery * static_cast<double>(Asked))
+      bounds::MinServedAfterRecovery * static_cast<double>(Sent))
     return;
   std::ostringstream Text;
-  Text << Served << " of " << Asked << " served once all trouble was over";
+  Text << Served << " of " << Sent << " served once all trouble was over";
   addViolation("recovery", Text.str());
 }
 
-void InvariantChecker::checkContents() {
+void InvariantChecker::checkQuarantine() {
   for (const auto &[Content, Seen] : m_BadContents) {
     if (Seen.m_Exits.size() < bounds::ExitsForQuarantine)
       continue;
@@ -299,7 +301,7 @@
 
 void InvariantChecker::finish(TimePoint RecoveredAt) {
   m_Backpressure.finish();
-  checkContents();
+  checkQuarantine();
   checkQuotas();
   checkRetries();
   checkRecovery(RecoveredAt);
--- a/Tests/Soak/InvariantChecker.h
+++ b/Tests/Soak/InvariantChecker.h
@@ -110,9 +110,9 @@
 
 class InvariantChecker {
 public:
-  using Hook = std::function<TimePoint()>;
+  using NowFunction = std::function<TimePoint()>;
 
-  explicit InvariantChecker(std::size_t Gateways, Hook Now = Clock::now)
+  explicit InvariantChecker(std::size_t Gateways, NowFunction Now = Clock::now)
       : m_Now(std::move(Now)), m_Gateways(Gateways) {}
 
   // Trouble, which may overlap: of a gateway's process, of its way to the
@@ -159,13 +159,13 @@
                         const std::string &Version);
   void badResponseSent(const std::string &Pool, const std::string &Version);
   /// Checks a roll-out once its deadline is over.
-  void checkRollout(const RolloutOrder &Terms);
+  void checkRollout(const RolloutOrder &Order);
   /// Whether no trouble at all touched anything since.
   bool isFleetUndisturbedSince(TimePoint Since) const;
 
   void addViolation(const std::string &Rule, const std::string &What);
-  void setQuota(const std::string &Account, const AccountQuota &Terms) {
-    m_Quotas[Account] = Terms;
+  void setQuota(const std::string &Account, const AccountQuota &Quota) {
+    m_Quotas[Account] = Quota;
   }
   /// Checks what takes whole windows. \param RecoveredAt when all trouble
   /// ended.
@@ -189,8 +189,8 @@
   void checkQuotas();
   void checkRetries();
   void checkRecovery(TimePoint RecoveredAt);
-  void checkContents();
-  SentRequest *find(const std::string &Id);
+  void checkQuarantine();
+  SentRequest *findRequest(const std::string &Id);
 
   /// A request that came to a target of some version.
   struct VersionArrival {
@@ -217,7 +217,7 @@
     bool m_IsStopping = false;
   };
 
-  Hook m_Now;
+  NowFunction m_Now;
   std::vector<Gateway> m_Gateways;
   Disturbance m_Store;
   std::map<std::string, SentRequest> m_SentRequests;
--- a/Tests/Soak/Operator.cpp
+++ b/Tests/Soak/Operator.cpp
@@ -9,7 +9,7 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-static constexpr std::chrono::seconds Bake{7};
+static constexpr std::chrono::seconds BakeTime{7};
 static constexpr milliseconds OrderInterval{800};
 static constexpr milliseconds PollInterval{100};
 /// Beyond the deadline, and beyond all trouble: until then an order has ended.
@@ -44,9 +44,9 @@
   // An engine that fails within its streams, an application that answers 500.
   (Order.m_Pool == "app" ? How.m_FailShare : How.m_AbortShare) =
       Order.m_IsBad ? BadVersionFaultShare : 0;
-  m_System.putRolloutOrder(Order.m_Pool, Order.m_Version, Bake, Yield);
+  m_System.putRolloutOrder(Order.m_Pool, Order.m_Version, BakeTime, Yield);
   Order.m_OrderedAt = Clock::now();
-  Order.m_Deadline = Order.m_OrderedAt + Bake;
+  Order.m_Deadline = Order.m_OrderedAt + BakeTime;
   m_System.startVersion(Order.m_Pool, Order.m_Version, How, Yield);
   std::string State = awaitFinalState(Order, Yield);
   checkOutcome(Order, State);
--- a/Tests/Soak/SoakTarget.cpp
+++ b/Tests/Soak/SoakTarget.cpp
@@ -12,7 +12,7 @@
 
 namespace asio = boost::asio;
 
-static constexpr std::size_t Places = 4;
+static constexpr std::size_t Slots = 4;
 /// Requests that a target keeps beyond its places before it refuses.
 static constexpr std::size_t QueueLimit = 24;
 static constexpr std::chrono::milliseconds WorkTime{12};
@@ -72,7 +72,7 @@
       {"address", "127.0.0.1:" + std::to_string(m_Proxy->port())},
       {"zone", "hall"},
       {"version", m_Version},
-      {"slots", Places},
+      {"slots", Slots},
       {"coldLeftMs", 0},
       {"seq", 1},
       {"born", m_StartTime},
@@ -117,7 +117,7 @@
   m_Proxy->resetAll();
 }
 
-bool SoakTarget::happens(double Share) {
+bool SoakTarget::isFaultDrawn(double Share) {
   return std::uniform_real_distribution<double>(0, 1)(m_Random) < Share;
 }
 
@@ -143,17 +143,18 @@
 
 void SoakTarget::stateBackpressure(
     http::ResponseHead &Head, const std::string &Id,
-    std::optional<std::chrono::milliseconds> Rest) {
+    std::optional<std::chrono::milliseconds> Backoff) {
   ResponseBackpressure What;
   What.m_RequestsPerSecond = m_Limit;
   What.m_IsLeaving = m_IsLeavingInResponses;
-  What.m_Backoff = Rest;
+  What.m_Backoff = Backoff;
   if (m_Limit)
     Head.m_Headers.add("Server-Limit", std::to_string(*m_Limit));
   if (m_IsLeavingInResponses)
     Head.m_Headers.add("Server-Leaving", "1");
-  if (Rest)
-    Head.m_Headers.add("Retry-After", std::to_string(core::toSeconds(*Rest)));
+  if (Backoff)
+    Head.m_Headers.add("Retry-After",
+                       std::to_string(core::toSeconds(*Backoff)));
   m_Checker.backpressureStated(Id, incarnation(), What);
 }
 
@@ -167,14 +168,14 @@
     m_Checker.noteTargetDisturbance(Id);
   if (headerOf(Request, "Expect-Replica") != m_Name)
     return Call.sendResponse(refusal(421, Id), Yield);
-  if (m_Running.size() >= Places + QueueLimit ||
-      happens(m_ResponseFaults.m_RefuseShare)) {
+  if (m_Running.size() >= Slots + QueueLimit ||
+      isFaultDrawn(m_ResponseFaults.m_RefuseShare)) {
     m_Checker.noteTargetDisturbance(Id);
     http::ResponseMessage Out = refusal(503, Id);
     stateBackpressure(Out.m_Head, Id, std::nullopt);
     return Call.sendResponse(std::move(Out), Yield);
   }
-  if (happens(m_ResponseFaults.m_BackoffShare)) {
+  if (isFaultDrawn(m_ResponseFaults.m_BackoffShare)) {
     m_Checker.noteTargetDisturbance(Id);
     http::ResponseMessage Out = refusal(503, Id);
     stateBackpressure(Out.m_Head, Id,
@@ -183,28 +184,28 @@
                                                0, BackoffSpreadMs)(m_Random)));
     return Call.sendResponse(std::move(Out), Yield);
   }
-  std::string Bad = badContentOf(Request);
-  if (Request.m_Body != requestBodyOf(Bad.empty() ? Id : Bad))
+  std::string BadContent = badContentOf(Request);
+  if (Request.m_Body != requestBodyOf(BadContent.empty() ? Id : BadContent))
     m_Checker.addViolation("unasked", Id + " came with another body");
   if (headerOf(Request, "Tenant").empty())
     m_Checker.addViolation("unasked", Id + " came without its account");
-  auto Place = m_Running.insert(Id);
+  auto RunningEntry = m_Running.insert(Id);
   try {
-    if (!Bad.empty())
+    if (!BadContent.empty())
       m_Checker.noteTargetDisturbance(Id);
     serve(Call, Id, Yield);
   } catch (const core::Error &) {
     // Its caller left; what ran, ran.
   }
-  m_Running.erase(Place);
+  m_Running.erase(RunningEntry);
 }
 
 void SoakTarget::serve(http::Exchange &Call, const std::string &Id,
                        asio::yield_context Yield) {
   m_Checker.requestExecuted(Id);
-  bool MustAbort = happens(m_ResponseFaults.m_AbortShare);
-  bool MustFail = happens(m_ResponseFaults.m_FailShare);
-  bool MustHang = happens(m_ResponseFaults.m_HangShare);
+  bool MustAbort = isFaultDrawn(m_ResponseFaults.m_AbortShare);
+  bool MustFail = isFaultDrawn(m_ResponseFaults.m_FailShare);
+  bool MustHang = isFaultDrawn(m_ResponseFaults.m_HangShare);
   if (MustAbort || MustFail || MustHang) {
     m_Checker.noteTargetDisturbance(Id);
     m_Checker.badResponseSent(m_Pool, m_Version);
@@ -212,9 +213,9 @@
   tests::sleepFor(m_Context,
                   MustHang ? std::chrono::milliseconds(HangTime) : WorkTime,
                   Yield);
-  std::string Bad = badContentOf(Call.request());
-  if (!Bad.empty()) {
-    exitProcess(Bad);
+  std::string BadContent = badContentOf(Call.request());
+  if (!BadContent.empty()) {
+    exitProcess(BadContent);
     return Call.abort();
   }
   http::ResponseMessage Out;
--- a/Tests/Soak/SoakTarget.h
+++ b/Tests/Soak/SoakTarget.h
@@ -68,13 +68,13 @@
   }
   /// Adds what the target says of itself, and tells the ledger.
   void stateBackpressure(http::ResponseHead &Head, const std::string &Id,
-                         std::optional<std::chrono::milliseconds> Rest);
+                         std::optional<std::chrono::milliseconds> Backoff);
   void handle(http::Exchange &Call, boost::asio::yield_context Yield);
   void serve(http::Exchange &Call, const std::string &Id,
              boost::asio::yield_context Yield);
   void stream(http::Exchange &Call, const std::string &Id, bool MustAbort,
               boost::asio::yield_context Yield);
-  bool happens(double Share);
+  bool isFaultDrawn(double Share);
   /// \returns the content, if the request ends its target; else nothing.
   static std::string badContentOf(const http::RequestMessage &Request);
   void exitProcess(const std::string &Content);
