--- a/Tests/Soak/BackpressureChecker.cpp
+++ b/Tests/Soak/BackpressureChecker.cpp
@@ -48,13 +48,13 @@
       Now < Notified.m_BackoffEndsAt;
   if (IsInBackoff &&
       ++Notified.m_RequestsInBackoff == bounds::MaxRequestsInBackoff + 1)
-    m_OnViolation("rest: " + Incarnation + " got too much of gateway " +
+    m_OnViolation("rest: " + Incarnation +
+                  " got too many requests in a back-off from gateway " +
                   std::to_string(Gateway));
   if (Notified.m_LeavingSince &&
       SentAt > *Notified.m_LeavingSince + bounds::LeavingGracePeriod)
-    m_OnViolation("leaving: " + Incarnation + " got a request of gateway " +
-                  std::to_string(Gateway) +
-                  " after it had said that it leaves");
+    m_OnViolation("leaving: " + Incarnation + " got a request from gateway " +
+                  std::to_string(Gateway) + " after it stated that it leaves");
   std::vector<LimitPeriod> &Of = m_Periods[Incarnation];
   if (Notified.m_LimitSince &&
       Now > *Notified.m_LimitSince + bounds::BackpressureSlack && !Of.empty() &&
@@ -82,8 +82,8 @@
     if (Count <= MaxRequests)
       continue;
     std::ostringstream Text;
-    Text << "limit: " << Incarnation << " got " << Count << " in a window of "
-         << MaxRequests;
+    Text << "limit: " << Incarnation << " got " << Count
+         << " requests in a window, allowed " << MaxRequests;
     return m_OnViolation(Text.str());
   }
 }
--- a/Tests/Soak/BackpressureChecker.h
+++ b/Tests/Soak/BackpressureChecker.h
@@ -1,8 +1,7 @@
-//===-- BackpressureChecker.h - Whether the terms of targets were kept
-//------------===//
+//===-- BackpressureChecker.h - Whether gateways obey backpressure --------===//
 //
-// Targets state limits for all gateways together, ask single gateways for rest,
-// and say that they leave. Each is held against what arrives.
+// Targets state a rate limit for all gateways together, a back-off to a single
+// gateway, or that they leave. Compares what arrives with what was stated.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_SOAK_BACKPRESSURECHECKER_H
@@ -17,50 +16,55 @@
 
 namespace yardrill::soak {
 
-/// What one answer of a target says of it.
+/// Backpressure that one response of a target states.
 struct ResponseBackpressure {
   std::optional<double> m_RequestsPerSecond;
   std::optional<std::chrono::milliseconds> m_Backoff;
   bool m_IsLeaving = false;
 };
 
+/// The part of InvariantChecker that tracks the backpressure of each target
+/// incarnation.
 class BackpressureChecker {
 public:
   using TimePoint = std::chrono::steady_clock::time_point;
-  /// Called with what was broken.
+  /// Called with a description of each violation.
   using ViolationHandler = std::function<void(const std::string &)>;
 
   explicit BackpressureChecker(ViolationHandler OnViolation)
       : m_OnViolation(std::move(OnViolation)) {}
 
-  /// A run of a target names a limit from now on, or none.
+  /// Records that responses of the incarnation state this rate limit, or none,
+  /// from now on.
   void rateLimitChanged(const std::string &Incarnation,
                         std::optional<double> PerSecond, TimePoint Now);
-  /// A gateway got such an answer.
+  /// Records that a gateway was sent a response with this backpressure.
   void backpressureStated(const std::string &Incarnation, std::size_t Gateway,
                           const ResponseBackpressure &What, TimePoint Now);
-  /// A request came.
+  /// Checks a request that arrived at the incarnation.
+  /// \param SentAt when the caller sent it.
   /// \param IsGatewayDisturbed whether the gateway's process was disturbed
-  /// lately.
+  /// within
+  ///   SettleTime; such requests are not checked.
   void requestArrived(const std::string &Incarnation, std::size_t Gateway,
                       TimePoint SentAt, TimePoint Now, bool IsGatewayDisturbed);
-  /// What a gateway was told is gone with its process.
+  /// Discards the backpressure stated to a gateway, whose process exited.
   void forget(std::size_t Gateway);
-  /// Checks what takes whole windows.
+  /// Checks the rate limits, which need whole windows.
   void finish();
 
   std::size_t limits() const { return m_Limits; }
   std::size_t backoffs() const { return m_Backoffs; }
 
 private:
-  /// A time during which a run named one limit.
+  /// Time during which an incarnation stated one rate limit.
   struct LimitPeriod {
     double m_RequestsPerSecond = 0;
     TimePoint m_Begin;
     std::optional<TimePoint> m_End;
-    std::vector<TimePoint> m_Arrivals; ///< From those who were told.
+    std::vector<TimePoint> m_Arrivals; ///< From notified gateways.
   };
-  /// What one gateway was told by one run.
+  /// Backpressure that one incarnation stated to one gateway.
   struct NotifiedGateway {
     std::optional<TimePoint> m_LimitSince;
     std::optional<TimePoint> m_LeavingSince;
--- a/Tests/Soak/InvariantChecker.cpp
+++ b/Tests/Soak/InvariantChecker.cpp
@@ -5,7 +5,7 @@
 
 namespace yardrill::soak {
 
-/// These statuses promise that the request has not run and never will.
+/// Returns whether the status guarantees that the request is never executed.
 static bool isRefusal(unsigned Status) {
   return Status == 429 || Status == 503 || Status == 408 || Status == 421;
 }
@@ -13,7 +13,7 @@
 static bool isSuccess(unsigned Status) { return Status >= 200 && Status < 300; }
 
 //===----------------------------------------------------------------------===//
-// Trouble
+// Disturbances
 //===----------------------------------------------------------------------===//
 
 void InvariantChecker::Disturbance::change(bool Begins, TimePoint Now) {
@@ -71,7 +71,7 @@
                                       std::optional<TimePoint> LeavingSince) {
   SentRequest *What = findRequest(Id);
   if (!What)
-    return addViolation("unasked", "nobody sent " + Id);
+    return addViolation("unasked", "no caller sent " + Id);
   if (++What->m_Arrivals > 1)
     m_Repeats.push_back({m_Now()});
   if (!What->m_Content.empty() && isUndisturbedSince(What->m_Gateway, m_Now()))
@@ -79,7 +79,8 @@
   if (!LeavingSince || m_Now() <= *LeavingSince + bounds::LeavingGracePeriod)
     return;
   if (isUndisturbedSince(What->m_Gateway, *LeavingSince))
-    addViolation("leaving", Id + " came to " + Target + " after it left");
+    addViolation("leaving",
+                 Id + " arrived at target " + Target + " after it left");
 }
 
 void InvariantChecker::arrivedAtIncarnation(const std::string &Id,
@@ -106,9 +107,9 @@
     return;
   m_ExecutedTokens[What->m_Account].push_back({m_Now(), What->m_Tokens});
   if (++What->m_Executions > 1 && !What->isRetryable())
-    addViolation("once", Id + " ran again");
+    addViolation("once", Id + " was executed again, but is not idempotent");
   if (What->m_Status && isRefusal(*What->m_Status) && !What->isRetryable())
-    addViolation("refusal", Id + " ran after it was refused");
+    addViolation("refusal", Id + " was executed after it was refused");
 }
 
 void InvariantChecker::noteTargetDisturbance(const std::string &Id) {
@@ -157,10 +158,11 @@
   }
   if (CanaryRequests > bounds::CanaryShare * All + bounds::CanarySlack) {
     std::ostringstream Text;
-    Text << Order.m_Version << " got " << CanaryRequests << " of " << All;
+    Text << Order.m_Version << " received " << CanaryRequests << " requests of "
+         << All;
     addViolation("exposure", Text.str());
   }
-  // Bad answers count since the store was last in trouble.
+  // Only bad responses after the store's last disturbance count.
   std::size_t Bad = 0;
   std::optional<TimePoint> Last;
   for (const BadResponse &Each : m_BadResponses)
@@ -172,7 +174,8 @@
     if (Last && Each.m_At > *Last && Each.m_IsGatewayUndisturbed &&
         Each.m_Pool == Order.m_Pool && Each.m_Version == Order.m_Version)
       return addViolation("exposure",
-                          Order.m_Version + " got requests too long");
+                          Order.m_Version +
+                              " received requests after its rollback was due");
 }
 
 void InvariantChecker::responseReceived(const std::string &Id,
@@ -180,9 +183,9 @@
   SentRequest &What = m_SentRequests.at(Id);
   What.m_Status = Status;
   if (isRefusal(Status) && What.m_Executions > 0 && !What.isRetryable())
-    addViolation("refusal", Id + " was refused after it ran");
+    addViolation("refusal", Id + " was refused after it was executed");
   if (!What.m_IsProbe && (Status == 401 || Status == 404))
-    addViolation("denied", Id + " got " + std::to_string(Status));
+    addViolation("denied", Id + " got status " + std::to_string(Status));
 }
 
 void InvariantChecker::responseLost(const std::string &Id,
@@ -195,13 +198,14 @@
     return;
   if (Elapsed > What.m_TimeLimit + bounds::ResponseSlack)
     return addViolation("held",
-                        Id + " had no answer at its time limit: " + How);
-  // What had not ended when its time was over may be broken off.
+                        Id + " had no response at its time limit: " + How);
+  // A response that is incomplete at its time limit may be aborted.
   bool IsOver = Elapsed >= What.m_TimeLimit;
   bool IsGatewayFault =
       !IsOver && (What.m_Executions > 0 || Elapsed > bounds::EarlyLossSlack);
   if (IsGatewayFault && !What.m_IsTargetDisturbed)
-    addViolation(At.m_IsStopping ? "stop" : "lost", Id + " ended: " + How);
+    addViolation(At.m_IsStopping ? "stop" : "lost",
+                 Id + " lost its response: " + How);
 }
 
 void InvariantChecker::wrongResponse(const std::string &Id,
@@ -213,7 +217,7 @@
 // Windows
 //===----------------------------------------------------------------------===//
 
-/// Sum of the marks in [their First, First + Length).
+/// Returns the sum of the amounts from point \p First on, over \p Length.
 static double sumFrom(const std::vector<DataPoint> &TimeSeries,
                       std::size_t First, Clock::duration Length) {
   double Sum = 0;
@@ -236,7 +240,7 @@
       if (Sum <= MaxTokens)
         continue;
       std::ostringstream Text;
-      Text << Account << " ran " << Sum << " tokens in a window of "
+      Text << Account << " executed " << Sum << " tokens in a window, allowed "
            << MaxTokens;
       return addViolation("quota", Text.str());
     }
@@ -278,7 +282,8 @@
       bounds::MinServedAfterRecovery * static_cast<double>(Sent))
     return;
   std::ostringstream Text;
-  Text << Served << " of " << Sent << " served once all trouble was over";
+  Text << Served << " of " << Sent
+       << " requests served after the last disturbance";
   addViolation("recovery", Text.str());
 }
 
@@ -293,8 +298,9 @@
     if (static_cast<std::size_t>(Late) <= bounds::MaxSendsInQuarantine)
       continue;
     std::ostringstream Text;
-    Text << Content << " was sent " << Late << " times more, "
-         << Seen.m_Exits.size() << " targets ended";
+    Text << Content << " arrived " << Late
+         << " times after its quarantine was due, " << Seen.m_Exits.size()
+         << " targets exited";
     addViolation("quarantine", Text.str());
   }
 }
--- a/Tests/Soak/InvariantChecker.h
+++ b/Tests/Soak/InvariantChecker.h
@@ -1,8 +1,8 @@
-//===-- Ledger.h - What callers, targets and operators saw ----------------===//
+//===-- InvariantChecker.h - Checks the invariants of a soak --------------===//
 //
-// Every observation of a soak comes here, and every promise is checked here:
-// at once where one observation shows that it is broken, at the end where it
-// takes a whole window.
+// Collects what callers, targets and operators observe during a soak and checks
+// the system's invariants against it: immediately where a single observation
+// proves a violation, in finish() where a whole time window is needed.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_SOAK_INVARIANTCHECKER_H
@@ -25,67 +25,79 @@
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 
-/// The bounds that the promises are held to; as the platform states them.
+/// Bounds of the invariants, as the platform specifies them.
 namespace bounds {
-/// Without trouble for so long, an instance is bound by rules with a time.
+/// Time without a disturbance after which invariants with a time limit apply to
+/// a gateway again.
 inline constexpr std::chrono::milliseconds SettleTime{3000};
+/// Time within which a gateway applies an accepted configuration.
 inline constexpr std::chrono::milliseconds ConfigurationApplyTime{2000};
+/// Time after which a leaving target receives no new request.
 inline constexpr std::chrono::milliseconds LeavingGracePeriod{2000};
+/// Time after sending within which a request may be lost before it is executed.
 inline constexpr std::chrono::milliseconds EarlyLossSlack{200};
-/// Beyond the route's time limit.
+/// Time beyond the route's time limit by which a caller has a response.
 inline constexpr std::chrono::milliseconds ResponseSlack{500};
 inline constexpr std::chrono::milliseconds RollbackSlack{250};
+/// An account executes at most (rate x QuotaWindow + burst) x
+/// (1 + QuotaOvershoot) + QuotaSlack tokens in a QuotaWindow.
 inline constexpr std::chrono::seconds QuotaWindow{8};
 inline constexpr double QuotaOvershoot = 0.1;
-inline constexpr double QuotaSlack = 2800;
+inline constexpr double QuotaSlack = 2800; ///< Tokens.
+/// At most RetryRatio x requests + RetrySlack repeats in a RetryWindow.
 inline constexpr std::chrono::seconds RetryWindow{10};
 inline constexpr double RetryRatio = 0.2;
-inline constexpr double RetrySlack = 52;
+inline constexpr double RetrySlack = 52; ///< Requests.
+/// A bad canary receives at most CanaryShare x requests + CanarySlack.
 inline constexpr double CanaryShare = 0.1;
-inline constexpr double CanarySlack = 50;
+inline constexpr double CanarySlack = 50; ///< Requests.
+/// Time after BadResponsesForRollback bad responses by which a canary receives
+/// no more requests.
 inline constexpr std::chrono::milliseconds RollbackTime{5000};
 inline constexpr std::size_t BadResponsesForRollback = 50;
-/// Ends of targets under one content, after which it is to go to none.
+/// Number of targets that exit under one content before it is quarantined.
 inline constexpr std::size_t ExitsForQuarantine = 3;
-/// Sends of it later than the contact time after that.
+/// Arrivals allowed for a quarantined content once SettleTime has passed.
 inline constexpr std::size_t MaxSendsInQuarantine = 3;
-/// What a target gets in this time, of the limit that it names for all.
+/// A target receives at most LimitFactor x its rate limit x LimitWindow +
+/// LimitSlack requests in a LimitWindow.
 inline constexpr std::chrono::seconds LimitWindow{4};
 inline constexpr double LimitFactor = 1.5;
 inline constexpr double LimitSlack = 5;
-/// What is on its way when a target states its terms.
+/// Time allowed for requests in flight when a target states backpressure.
 inline constexpr std::chrono::milliseconds BackpressureSlack{500};
-/// To a target that asked a gateway for rest, within that.
+/// Requests that one gateway may send to a target during a back-off.
 inline constexpr std::size_t MaxRequestsInBackoff = 2;
-/// Part of the requests that must be served once all trouble is over.
+/// Share of the requests that are served once all disturbances have ended.
 inline constexpr double MinServedAfterRecovery = 0.9;
 } // namespace bounds
 
 enum class RequestKind { NonIdempotent, Idempotent, Stream, ResumableStream };
 
+/// Token quota of a client account.
 struct AccountQuota {
   double m_TokensPerSecond = 0;
-  double m_Burst = 0;
+  double m_Burst = 0; ///< Tokens.
 };
 
-/// One request of a caller.
+/// A request that a caller sent to a gateway, with what became known of it.
 struct SentRequest {
   std::string m_Id;
   RequestKind m_Kind = RequestKind::NonIdempotent;
   std::size_t m_Gateway = 0;
   std::string m_Account;
-  /// Of a request that ends its targets: all attempts alike. Empty: no other
-  /// attempt has its content.
+  /// Content under which targets exit, shared by all requests of a series;
+  /// empty for a request whose content is unique.
   std::string m_Content;
   double m_Tokens = 0;
   TimePoint m_SentAt;
   std::chrono::milliseconds m_TimeLimit{};
-  std::size_t m_Arrivals = 0;
-  std::size_t m_Executions = 0;
-  bool m_IsProbe = false; ///< Of the configuration: 404 may be right.
-  /// A target it came to broke off, failed or was disturbed.
+  std::size_t m_Arrivals = 0;   ///< At targets.
+  std::size_t m_Executions = 0; ///< By targets.
+  bool m_IsProbe = false; ///< Probes a route that need not exist yet (404).
+  /// Whether a target that received it aborted, failed or was disturbed.
   bool m_IsTargetDisturbed = false;
-  std::optional<unsigned> m_Status; ///< Of a refusal or a whole answer.
+  std::optional<unsigned> m_Status; ///< Status of a complete response.
 
   bool isRetryable() const {
     return m_Kind == RequestKind::Idempotent ||
@@ -93,21 +105,24 @@
   }
 };
 
-/// An order of the operator, as it went.
+/// A roll-out that the operator ordered.
 struct RolloutOrder {
   std::string m_Pool;
   std::string m_Version;
-  bool m_IsBad = false;
+  bool m_IsBad = false; ///< Whether the version sends bad responses.
   TimePoint m_OrderedAt;
   TimePoint m_Deadline;
 };
 
-/// Something counted at a moment.
+/// An amount observed at one point in time.
 struct DataPoint {
   TimePoint m_At;
   double m_Amount = 1;
 };
 
+/// Records observations and collects violations. Callers, SoakTarget,
+/// Deployment and Operator report to it; main prints the violations and the
+/// summary.
 class InvariantChecker {
 public:
   using NowFunction = std::function<TimePoint()>;
@@ -115,60 +130,64 @@
   explicit InvariantChecker(std::size_t Gateways, NowFunction Now = Clock::now)
       : m_Now(std::move(Now)), m_Gateways(Gateways) {}
 
-  // Trouble, which may overlap: of a gateway's process, of its way to the
+  // Disturbances, which may overlap: of a gateway's process, of its path to the
   // store, and of the store itself.
   void noteProcessDisturbance(std::size_t Gateway, bool Begins);
-  /// A new process runs there.
+  /// Discards the backpressure that the gateway's previous process knew.
   void gatewayRestarted(std::size_t Gateway) { m_Backpressure.forget(Gateway); }
   void noteStorePathDisturbance(std::size_t Gateway, bool Begins);
   void noteStoreDisturbance(bool Begins);
-  /// A planned stop has begun (or its process is gone, with false).
+  /// Records that a planned stop began, or (false) that the process exited.
   void setStopping(std::size_t Gateway, bool IsStopping);
-  /// Whether no trouble touched the gateway since \p Since, nor for the contact
-  /// time before.
+  /// Returns whether the gateway is not stopping and all its disturbances ended
+  /// at least SettleTime before \p Since.
   bool isUndisturbedSince(std::size_t Gateway, TimePoint Since) const;
 
-  // What callers see.
+  // Observations of callers.
   void requestSent(SentRequest What);
   void responseReceived(const std::string &Id, unsigned Status);
-  /// The connection ended, or the time was over, without a whole answer.
+  /// Records that the connection closed or the caller timed out before the
+  /// response was complete. \param How the error that the caller saw.
   void responseLost(const std::string &Id, const std::string &How);
-  /// An answer that is not the request's own, or not whole, but looks so.
+  /// Records a response that belongs to another request, or that is incomplete
+  /// although it ended regularly.
   void wrongResponse(const std::string &Id, const std::string &How);
 
-  // What targets see.
+  // Observations of targets.
+  /// \param LeavingSince when the target's announcement said that it leaves.
   void requestArrived(const std::string &Id, const std::string &Target,
                       std::optional<TimePoint> LeavingSince);
-  /// \param Run of the target.
   void arrivedAtIncarnation(const std::string &Id,
                             const std::string &Incarnation);
-  /// The answer to it said so.
+  /// Records the backpressure that the response to request \p Id stated.
   void backpressureStated(const std::string &Id, const std::string &Incarnation,
                           const ResponseBackpressure &What);
-  /// The target's run names that limit in all answers from now on.
+  /// Records the rate limit that all further responses of the incarnation
+  /// state.
   void rateLimitChanged(const std::string &Incarnation,
                         std::optional<double> PerSecond) {
     m_Backpressure.rateLimitChanged(Incarnation, PerSecond, m_Now());
   }
   void requestExecuted(const std::string &Id);
   void noteTargetDisturbance(const std::string &Id);
-  /// A target ends under a request of that content.
+  /// Records that a target exited under a request with that content.
   void targetExited(const std::string &Content);
-  /// A request came to a target of that version.
+  /// Records that a request arrived at a target of that version.
   void arrivedAtVersion(const std::string &Id, const std::string &Pool,
                         const std::string &Version);
   void badResponseSent(const std::string &Pool, const std::string &Version);
-  /// Checks a roll-out once its deadline is over.
+  /// Checks how many requests a bad canary received. Called after the
+  /// roll-out's deadline.
   void checkRollout(const RolloutOrder &Order);
-  /// Whether no trouble at all touched anything since.
+  /// Returns whether isUndisturbedSince() holds for every gateway.
   bool isFleetUndisturbedSince(TimePoint Since) const;
 
   void addViolation(const std::string &Rule, const std::string &What);
   void setQuota(const std::string &Account, const AccountQuota &Quota) {
     m_Quotas[Account] = Quota;
   }
-  /// Checks what takes whole windows. \param RecoveredAt when all trouble
-  /// ended.
+  /// Checks the invariants that need whole windows.
+  /// \param RecoveredAt when the last disturbance ended.
   void finish(TimePoint RecoveredAt);
 
   const std::vector<std::string> &violations() const { return m_Violations; }
@@ -192,12 +211,12 @@
   void checkQuarantine();
   SentRequest *findRequest(const std::string &Id);
 
-  /// A request that came to a target of some version.
+  /// Arrival of a request at a target of a version.
   struct VersionArrival {
     TimePoint m_At;
     std::string m_Pool;
     std::string m_Version;
-    bool m_IsGatewayUndisturbed = false; ///< The gateway that sent it.
+    bool m_IsGatewayUndisturbed = false;
   };
   struct BadResponse {
     TimePoint m_At;
@@ -205,10 +224,10 @@
     std::string m_Version;
   };
 
-  /// What targets saw of a content that ends them.
+  /// Exits and arrivals that targets observed for a bad content.
   struct BadContent {
     std::vector<TimePoint> m_Exits;
-    std::vector<TimePoint> m_Arrivals; ///< From gateways in touch.
+    std::vector<TimePoint> m_Arrivals; ///< From undisturbed gateways.
   };
 
   struct Gateway {
