--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -10,9 +10,9 @@
 
 namespace asio = boost::asio;
 
-/// Time limit of every route and deadline of every request.
+/// Timeout of every route and deadline of every request.
 static constexpr std::chrono::milliseconds TimeLimit{2000};
-/// A caller waits longer, to see whether an answer comes at all.
+/// Exceeds TimeLimit, to distinguish late responses from lost ones.
 static constexpr std::chrono::milliseconds ClientTimeout{3500};
 static constexpr std::chrono::milliseconds ConnectTime{500};
 static constexpr std::chrono::milliseconds BalancePeriod{500};
@@ -21,7 +21,7 @@
 static constexpr int MissesUntilRemoval = 2;
 static constexpr std::uint64_t MaxRequestsPerConnection = 40;
 static constexpr std::size_t ReadinessResponseLimit = 65536;
-/// For so long a bad caller repeats one request.
+/// Time for which a bad request is repeated with the same content.
 static constexpr std::chrono::seconds BadRequestRepeatTime{12};
 static constexpr std::uint64_t MaxBadRequestPauseMs = 600;
 
@@ -100,13 +100,13 @@
     std::string Piece = Connection.readBodyData(ClientTimeout, Yield);
     Out += Piece;
     if (All.compare(0, Out.size(), Out) != 0) {
-      m_Checker.wrongResponse(What.m_Id, "other bytes than its own");
-      throw core::Error(core::ErrorKind::Protocol, "wrong answer");
+      m_Checker.wrongResponse(What.m_Id, "body differs from the expected one");
+      throw core::Error(core::ErrorKind::Protocol, "unexpected response body");
     }
     if (!Piece.empty())
       continue;
     if (Out.size() != All.size())
-      m_Checker.wrongResponse(What.m_Id, "ended early, but looks whole");
+      m_Checker.wrongResponse(What.m_Id, "body ended early without an error");
     return Out;
   }
 }
@@ -122,7 +122,7 @@
     bool IsSuccess = Head.m_Status == 200;
     const std::string *Id = Head.m_Headers.find("Attempt-Id");
     if (Id && *Id != What.m_Id)
-      m_Checker.wrongResponse(What.m_Id, "is an answer to " + *Id);
+      m_Checker.wrongResponse(What.m_Id, "is the response to " + *Id);
     if (IsSuccess && !Head.m_Headers.find("Replica-Seal"))
       m_Checker.wrongResponse(What.m_Id, "is not signed");
     if (IsSuccess)
@@ -132,7 +132,7 @@
                Yield);
     else
       while (!Connection.readBodyData(ClientTimeout, Yield).empty()) {
-        // Of a failure only the status counts.
+        // The body of a failure is not checked.
       }
     m_Checker.responseReceived(What.m_Id, Head.m_Status);
     return Head.m_Status;
@@ -165,7 +165,7 @@
     auto Status = exchange(*Connection, What, Kind.m_Path, Yield);
     if (!Status || !Connection->isReusable() || m_IsStopped)
       return;
-    // Streams of a pause between requests, also longer than a connection rests.
+    // Pauses vary, so that connections also idle between requests.
     tests::sleepFor(m_Context,
                     std::chrono::milliseconds(randomBelow(MaxPauseMs)), Yield);
     if (!Connection->isReusable())
@@ -192,7 +192,7 @@
                        std::to_string(Series);
       exchange(*Connection, What, "/again/", Yield);
     } catch (const core::Error &) {
-      // Down, or just starting.
+      // The gateway is down or starting.
     }
     tests::sleepFor(
         m_Context, std::chrono::milliseconds(randomBelow(MaxBadRequestPauseMs)),
@@ -233,7 +233,7 @@
           Connection->readResponse(ConnectTime, ReadinessResponseLimit, Yield)
               .m_Head.m_Status;
     } catch (const core::Error &) {
-      // No answer is a miss.
+      // A missing response counts as a failed check.
     }
     m_Misses[Gateway] = Status == 200 ? 0 : m_Misses[Gateway] + 1;
   }
@@ -250,14 +250,15 @@
                   m_System.newestSentVersion() == Probed.m_Number;
   if (Status == 200)
     Seen = std::max(Seen, Probed.m_Number);
-  // Without any configuration it answers 503, which is right.
+  // 503 is valid while the gateway has no configuration.
   if (Status != 404 || !IsNewest)
     return;
   if (Seen >= Probed.m_Number)
-    return m_Checker.addViolation("configuration", Where + " went back");
+    return m_Checker.addViolation("configuration", Where + " was reverted");
   if (SentAt > Probed.m_AcceptedAt + bounds::ConfigurationApplyTime &&
       m_Checker.isUndisturbedSince(Gateway, Probed.m_AcceptedAt))
-    m_Checker.addViolation("configuration", Where + " is not in force");
+    m_Checker.addViolation("configuration",
+                           Where + " is not in effect in time");
 }
 
 void Callers::runProber(std::size_t Gateway, asio::yield_context Yield) {
@@ -277,7 +278,7 @@
       if (Status && RestartCount == m_System.restartCount(Gateway))
         checkProbe(Gateway, RestartCount, Probed, What.m_SentAt, *Status);
     } catch (const core::Error &) {
-      // Down, or just starting.
+      // The gateway is down or starting.
     }
   }
 }
--- a/Tests/Soak/Callers.h
+++ b/Tests/Soak/Callers.h
@@ -1,4 +1,4 @@
-//===-- Callers.h - Callers, the balancer and probes of a soak ------------===//
+//===-- Callers.h - Callers, balancers and probers of a soak --------------===//
 #ifndef YARDRILL_TESTS_SOAK_CALLERS_H
 #define YARDRILL_TESTS_SOAK_CALLERS_H
 
@@ -11,19 +11,20 @@
 
 namespace yardrill::soak {
 
-/// Sends requests through the gateways until it is told to stop, and compares
-/// every answer with what the target must have said.
+/// Runs coroutines that send requests through the gateways until stop(), and
+/// compares every response with the one that the target must have sent.
 class Callers {
 public:
   Callers(boost::asio::io_context &Context, InvariantChecker &Checker,
           Deployment &System, std::mt19937_64 &Random);
 
-  /// Starts \p Count callers, one prober and one balancer for each gateway.
+  /// Starts \p Count callers, and one prober and one balancer per gateway.
   void start(std::size_t Count);
-  /// Requests that end their targets, until no faults are to come any more.
+  /// Starts callers whose requests make targets exit; they run until
+  /// stopBadRequestCallers().
   void startBadRequestCallers(std::size_t Count);
   void stopBadRequestCallers() { m_AreBadRequestsStopped = true; }
-  /// Each ends after what it is doing now.
+  /// Makes every coroutine return after its current step.
   void stop() { m_IsStopped = true; }
   bool isIdle() const { return m_ActiveCoroutines == 0; }
 
@@ -32,20 +33,23 @@
 
   template <class Body> void spawn(Body What);
   void runCaller(boost::asio::yield_context Yield);
-  /// Requests over one connection, until it ends.
+  /// Sends requests over one connection until it closes.
   void useConnection(std::size_t Gateway, boost::asio::yield_context Yield);
-  /// One request that ends its targets, again and again, another one every some
-  /// seconds.
+  /// Repeats a request that makes its targets exit, and changes its content
+  /// every BadRequestRepeatTime.
   void sendBadRequests(std::size_t Number, boost::asio::yield_context Yield);
+  /// Requests the route that exists only in the newest configuration.
   void runProber(std::size_t Gateway, boost::asio::yield_context Yield);
-  /// Takes a gateway out after two misses, as the platform's balancer does.
+  /// Removes a gateway after two failed readiness checks in a row, as the
+  /// platform's balancer does.
   void runBalancer(std::size_t Gateway, boost::asio::yield_context Yield);
+  /// Returns a random gateway among those that are not removed, if any.
   std::size_t chooseGateway();
 
   SentRequest makeSentRequest(std::size_t Gateway, RequestKind Kind,
                               bool IsLimited);
-  /// Sends and compares. \returns the status, or nothing without a whole
-  /// answer; then the connection is of no more use.
+  /// Sends a request and checks its response. \returns the status, or nothing
+  /// if the response is incomplete; the connection can't be reused then.
   std::optional<unsigned> exchange(http::ClientConnection &Connection,
                                    const SentRequest &What,
                                    const std::string &Path,
@@ -53,6 +57,8 @@
   std::string readBody(http::ClientConnection &Connection,
                        const SentRequest &What, bool IsStream,
                        boost::asio::yield_context Yield);
+  /// Checks whether the gateway applies a configuration in time and never
+  /// reverts to an older one.
   void checkProbe(std::size_t Gateway, std::size_t RestartCount,
                   const AcceptedVersion &Probed, TimePoint SentAt,
                   unsigned Status);
@@ -62,8 +68,8 @@
   InvariantChecker &m_Checker;
   Deployment &m_System;
   std::mt19937_64 &m_Random;
-  std::vector<int> m_Misses; ///< Of readiness, in a row; by gateway.
-  /// Newest version seen in force, by gateway and life.
+  std::vector<int> m_Misses; ///< Failed readiness checks in a row, by gateway.
+  /// Newest version seen in effect, by gateway and restart count.
   std::map<std::pair<std::size_t, std::size_t>, std::uint64_t>
       m_NewestActiveVersion;
   std::uint64_t m_NextId = 1;
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -22,18 +22,18 @@
 static constexpr std::uint16_t PeerPort = 7600;
 static constexpr std::chrono::seconds StopGrace{8};
 static constexpr std::chrono::milliseconds RestartDelay{300};
-/// A target that a request has ended is back after this time.
+/// Time after which a target that exited under a bad content restarts.
 static constexpr std::chrono::milliseconds ExitedTargetDownTime{800};
-/// A leaving target serves on for so long after the store has taken its word.
+/// Time for which a target serves after the store accepted that it leaves.
 static constexpr std::chrono::milliseconds LeavingServiceTime{2600};
 static constexpr std::chrono::milliseconds LeavingExitDelay{600};
-/// Until the announcement of a target that was stopped without a word is gone.
+/// Time after which the announcement of a target that just stopped is removed.
 static constexpr std::chrono::milliseconds AnnouncementExpiryTime{1500};
 static constexpr std::chrono::seconds OperatorTimeout{20};
 static constexpr std::chrono::milliseconds PublishPollInterval{20};
 
-/// Each soak has a block of loopback addresses of its own, so that several can
-/// run at once.
+/// Derives a block of loopback addresses from the process id, so that several
+/// soaks can run at the same time.
 static std::string loopbackAddress(std::size_t Index) {
   auto Process = static_cast<unsigned>(getpid());
   std::ostringstream Out;
@@ -140,7 +140,7 @@
       controlStore({}, Yield);
       IsUp = true;
     } catch (const core::Error &) {
-      // The store's process is still starting.
+      // The store's process is still starting up.
     }
   }
   publish(Yield);
@@ -155,7 +155,7 @@
   if (!Which.m_Process.isRunning())
     return;
   Which.m_IsExitExpected = true;
-  // Before the signal: what callers see of it is excused.
+  // Before the signal, since callers may notice the exit immediately.
   m_Checker.noteProcessDisturbance(Index, true);
   Which.m_Process.kill();
   handleGatewayExit(Index, -SIGKILL);
@@ -180,7 +180,7 @@
   Gateway &Which = m_Gateways[Index];
   if (!Which.m_IsExitExpected)
     m_Checker.addViolation("exit", "gateway " + std::to_string(Index) +
-                                       " ended with " +
+                                       " exited unexpectedly with " +
                                        std::to_string(ExitCode));
   m_Checker.setStopping(Index, false);
   m_Checker.noteProcessDisturbance(Index, true);
@@ -247,15 +247,15 @@
           {"gapAimMs", 200},      {"resumable", IsResumable}};
 }
 
-/// None, 1,400 or 2,800 routes that nobody asks for: configurations grow and
-/// shrink between some hundred bytes and 0.4 MB.
+/// Returns the number of unused routes in a version. It varies, so that
+/// configurations grow and shrink between some hundred bytes and 0.4 MB.
 static std::uint64_t idleRoutes(std::uint64_t Version) {
   return Version % 3 * 1400;
 }
 
 void Deployment::publish(asio::yield_context Yield) {
-  // One operator: versions that overtook each other would leave the older one
-  // in the store, which no gateway goes back to.
+  // Serializes publications: if an older version overwrote a newer one in the
+  // store, no gateway would go back to it.
   while (m_IsPublishing)
     tests::sleepFor(m_Context, PublishPollInterval, Yield);
   m_IsPublishing = true;
@@ -265,7 +265,7 @@
       route("/again/", "idempotent", "app"),
       route("/stream/", "streaming", "engine"),
       route("/resume/", "streaming", "engine", true),
-      // Only this version has it.
+      // Exists in this version only; callers probe it.
       route("/probe-" + std::to_string(Number) + "/", "idempotent", "app")};
   for (std::uint64_t I = 0; I < idleRoutes(Number); ++I)
     Routes.push_back(
@@ -302,7 +302,7 @@
   std::string Key = Which.key();
   Which.setLeavingInResponses();
   Which.setLeavingInStore();
-  // Counted from the store's answer.
+  // Set again below, as the grace period starts at the store's response.
   put(Key, Which.announcement(), Yield);
   Which.setLeavingInStore();
   tests::sleepFor(m_Context, LeavingServiceTime, Yield);
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -1,4 +1,4 @@
-//===-- Deployment.h - The processes that a soak runs ---------------------===//
+//===-- Deployment.h - The system under test of a soak --------------------===//
 #ifndef YARDRILL_TESTS_SOAK_DEPLOYMENT_H
 #define YARDRILL_TESTS_SOAK_DEPLOYMENT_H
 
@@ -16,32 +16,34 @@
 struct DeploymentShape {
   std::size_t m_Gateways = 4;
   std::size_t m_TargetsPerPool = 4;
-  std::string m_Program; ///< The yardrill binary.
-  std::string m_StandIn; ///< The stand_in binary.
-  std::string m_Folder;  ///< For settings and logs; exists.
+  std::string m_Program; ///< Path of the yardrill binary.
+  std::string m_StandIn; ///< Path of the stand_in binary.
+  std::string m_Folder;  ///< Existing folder for settings and logs.
 };
 
-/// A version of the configuration that the store has taken.
+/// A configuration version that the store accepted.
 struct AcceptedVersion {
   std::uint64_t m_Number = 0;
   TimePoint m_AcceptedAt;
 };
 
-/// Gateways and the store's stand-in as processes of their own, each gateway on
-/// a loopback address of its own, with a proxy on its way to the store.
+/// Runs the store's stand-in and the gateways as processes, and the targets
+/// within this process. Each gateway has its own loopback address and reaches
+/// the store through its own proxy. Methods that take a yield
+/// context throw core::Error when the store can't be reached.
 class Deployment {
 public:
   Deployment(boost::asio::io_context &Context, InvariantChecker &Checker,
              const DeploymentShape &Shape, std::mt19937_64 &Random);
   ~Deployment();
 
-  /// Writes configuration and targets to the store and starts every gateway.
+  /// Starts every gateway, once the store holds the configuration and targets.
   void start(boost::asio::yield_context Yield);
 
   std::size_t gateways() const { return m_Gateways.size(); }
   boost::asio::ip::tcp::endpoint callerAddress(std::size_t Gateway) const;
   boost::asio::ip::tcp::endpoint readinessAddress(std::size_t Gateway) const;
-  /// Processes that ran there before the current one.
+  /// Number of processes of this gateway that preceded the current one.
   std::size_t restartCount(std::size_t Gateway) const {
     return m_Gateways[Gateway].m_Restarts;
   }
@@ -51,44 +53,49 @@
     return *m_Gateways[Gateway].m_StoreProxy;
   }
   const std::vector<AcceptedVersion> &versions() const { return m_Versions; }
-  /// May be in force before the store's answer says that it is accepted.
+  /// Returns the newest version sent to the store, which gateways may apply
+  /// before the store's response arrives here.
   std::uint64_t newestSentVersion() const { return m_NextVersion - 1; }
 
-  // Faults. A gateway that is down is left alone.
+  // Faults. They have no effect on a gateway that is down.
   void killGateway(std::size_t Gateway);
   void stopGateway(std::size_t Gateway);
   void signalGateway(std::size_t Gateway, int Signal);
   void freezeStore(bool IsFrozen);
+  /// Posts settings to the control endpoint of the store's stand-in.
   void controlStore(const boost::json::object &Settings,
                     boost::asio::yield_context Yield);
+  /// Publishes a new configuration version.
   void publish(boost::asio::yield_context Yield);
-  /// The target says that it leaves, ends, and another takes its place.
+  /// Makes the target announce that it leaves, then exit and restart.
   void replaceTarget(std::size_t Index, boost::asio::yield_context Yield);
-  /// Starts as many targets of another version as the pool has, beside them.
+  /// Starts canary targets of another version, as many as the pool has targets.
   void startVersion(const std::string &Pool, const std::string &Version,
                     const ResponseFaults &How,
                     boost::asio::yield_context Yield);
-  /// As on a completed order: the others of the pool are stopped at once.
+  /// Replaces the pool's targets by the canary targets, as after a completed
+  /// roll-out; the old ones stop at once.
   void promoteNewVersion(const std::string &Pool,
                          boost::asio::yield_context Yield);
-  /// As on one that was rolled back: the new ones leave.
+  /// Makes the canary targets leave, as after a roll-back.
   void discardNewVersion(boost::asio::yield_context Yield);
   void putRolloutOrder(const std::string &Pool, const std::string &Version,
                        std::chrono::seconds BakeTime,
                        boost::asio::yield_context Yield);
-  /// What operators read; empty: nothing.
+  /// Returns the roll-out state that operators read, as JSON; empty if none.
   std::string rolloutState(const std::string &Pool,
                            boost::asio::yield_context Yield);
-  /// It ends without a word and starts anew, every second time under the name
-  /// that it had.
+  /// Crashes the target and restarts it, alternately under a new name and under
+  /// the one it had.
   void crashTarget(std::size_t Index, std::chrono::milliseconds DownFor,
                    boost::asio::yield_context Yield);
 
-  /// Looks for processes that ended, and starts them again. To be called often.
+  /// Restarts processes that exited and kills those that exceed the stop grace.
+  /// Must be called periodically.
   void supervise();
 
 private:
-  /// Lets requests end the target at that place.
+  /// Makes the target at that index crash under bad contents.
   void installExitHook(std::size_t Index);
 
   struct Gateway {
@@ -98,7 +105,7 @@
     std::size_t m_Restarts = 0;
     bool m_IsExitExpected = false;
     TimePoint m_StoppingSince;
-    TimePoint m_StartsAt; ///< When it is down.
+    TimePoint m_StartsAt; ///< Restart time while it is down.
   };
 
   void writeSettings(std::size_t Index, bool IsFirstStart) const;
@@ -116,8 +123,9 @@
   tests::Process m_Store;
   std::vector<Gateway> m_Gateways;
   std::vector<std::unique_ptr<SoakTarget>> m_Targets;
-  std::vector<std::unique_ptr<SoakTarget>> m_CanaryTargets; ///< Under trial.
-  /// Stopped; faults that were under way on them still look at them.
+  std::vector<std::unique_ptr<SoakTarget>>
+      m_CanaryTargets; ///< Of the running roll-out.
+  /// Kept because faults in progress may still refer to them.
   std::vector<std::unique_ptr<SoakTarget>> m_Retired;
   std::mt19937_64 &m_Random;
   std::vector<AcceptedVersion> m_Versions;
--- a/Tests/Soak/FaultPlan.cpp
+++ b/Tests/Soak/FaultPlan.cpp
@@ -21,10 +21,10 @@
 static constexpr milliseconds IdleTime{100};
 static constexpr double BackoffShare = 0.5;
 static constexpr std::uint64_t BackpressureGapMs = 1500;
-/// Long enough for a whole window after the time in which all must know.
+/// Exceeds bounds::SettleTime, after which rate limits are checked.
 static constexpr std::uint64_t MinBackpressureMs = 4000;
 static constexpr std::uint64_t BackpressureSpreadMs = 8000;
-/// Limits are tenths of a request a second.
+/// Rate limits are multiples of 0.1 requests per second.
 static constexpr std::uint64_t MaxLimitTenths = 60;
 
 const char *toString(FaultKind Kind) {
@@ -85,7 +85,7 @@
 
 namespace {
 
-/// One fault under way.
+/// Injects one fault.
 class FaultInjection {
 public:
   FaultInjection(const Fault &What, Deployment &System,
@@ -143,7 +143,7 @@
     Which.setDisturbed(false);
   }
   void dropIdleConnections() {
-    // Whatever is sent on them next is reset: any request may meet one.
+    // Any next request may use one of these connections and be reset.
     SoakTarget &Which = m_System.target(m_TargetIndex);
     Which.setDisturbed(true);
     Which.proxy().resetIdle(IdleTime);
--- a/Tests/Soak/FaultPlan.h
+++ b/Tests/Soak/FaultPlan.h
@@ -1,4 +1,4 @@
-//===-- FaultPlan.h - The faults of a soak, drawn from its seed -----------===//
+//===-- FaultPlan.h - The fault schedule of a soak ------------------------===//
 #ifndef YARDRILL_TESTS_SOAK_FAULTPLAN_H
 #define YARDRILL_TESTS_SOAK_FAULTPLAN_H
 
@@ -38,11 +38,12 @@
   TargetBreaksOff,
   TargetIsMute,
   Publish,
-  // Drawn apart from those above.
+  // Backpressure, see drawBackpressureFaults().
   TargetLimits,
   TargetTires,
   TargetSaysItLeaves,
 };
+/// Number of kinds that drawFaults() uses.
 inline constexpr std::uint64_t RandomFaultKindCount =
     static_cast<std::uint64_t>(FaultKind::Publish) + 1;
 inline constexpr std::uint64_t FaultKindCount =
@@ -50,24 +51,27 @@
 
 const char *toString(FaultKind Kind);
 
+/// One scheduled fault.
 struct Fault {
-  std::chrono::milliseconds m_At{}; ///< After the soak's start.
+  std::chrono::milliseconds m_At{}; ///< Time after the soak's start.
   std::chrono::milliseconds m_Length{};
   FaultKind m_Kind = FaultKind::Publish;
-  std::size_t m_Selector = 0; ///< Gateway or target, modulo their number.
+  std::size_t m_Selector =
+      0; ///< Index of the gateway or target, modulo their number.
 };
 
-/// Faults in series that also overlap; the same for the same seed.
-/// \param Length when the last one has ended.
+/// Returns a random schedule in order of time, in which faults may overlap. It
+/// depends only on the arguments. \param Length time by which all have ended.
 std::vector<Fault> drawFaults(std::uint64_t Seed,
                               std::chrono::milliseconds Length);
 
-/// Terms that targets state beside them, drawn apart, so that a seed's faults
-/// stay what they were. In the order of their beginnings.
+/// Returns the schedule of backpressure that targets state, in order of time.
+/// Drawn separately, so that a seed keeps its schedule from drawFaults().
 std::vector<Fault> drawBackpressureFaults(std::uint64_t Seed,
                                           std::chrono::milliseconds Length);
 
-/// Brings about one fault, waits, and ends it.
+/// Injects a fault, waits for its length and removes it. Throws core::Error
+/// when the store can't be reached.
 void runFault(const Fault &What, Deployment &System, InvariantChecker &Checker,
               boost::asio::io_context &Context,
               boost::asio::yield_context Yield);
--- a/Tests/Soak/Operator.cpp
+++ b/Tests/Soak/Operator.cpp
@@ -12,9 +12,9 @@
 static constexpr std::chrono::seconds BakeTime{7};
 static constexpr milliseconds OrderInterval{800};
 static constexpr milliseconds PollInterval{100};
-/// Beyond the deadline, and beyond all trouble: until then an order has ended.
+/// Time after its deadline by which a roll-out must end, despite disturbances.
 static constexpr std::chrono::seconds MaxFinishDelay{25};
-/// The store's answer and the reading of it.
+/// Time to write the final state to the store and to read it here.
 static constexpr milliseconds StateSlack{400};
 static constexpr double BadVersionFaultShare = 0.5;
 
@@ -41,7 +41,7 @@
   Order.m_Version = "v" + std::to_string(m_NextVersion++);
   Order.m_IsBad = m_Random() % 2 == 0;
   ResponseFaults How;
-  // An engine that fails within its streams, an application that answers 500.
+  // A bad engine aborts its streams; a bad application responds with 500.
   (Order.m_Pool == "app" ? How.m_FailShare : How.m_AbortShare) =
       Order.m_IsBad ? BadVersionFaultShare : 0;
   m_System.putRolloutOrder(Order.m_Pool, Order.m_Version, BakeTime, Yield);
@@ -65,7 +65,7 @@
     try {
       Text = m_System.rolloutState(Order.m_Pool, Yield);
     } catch (const core::Error &) {
-      continue; // The store is away.
+      continue; // The store is unavailable.
     }
     if (Text.empty())
       continue;
@@ -83,11 +83,12 @@
   m_Completed += State == "completed" ? 1 : 0;
   m_RolledBack += State == "rolled_back" ? 1 : 0;
   if (State.empty())
-    return m_Checker.addViolation("roll-out", Order.m_Version + " has no end");
+    return m_Checker.addViolation("roll-out", Order.m_Version + " did not end");
   if (!m_Checker.isFleetUndisturbedSince(Order.m_OrderedAt))
     return;
   if (State != (Order.m_IsBad ? "rolled_back" : "completed"))
-    m_Checker.addViolation("roll-out", Order.m_Version + " ended as " + State);
+    m_Checker.addViolation("roll-out",
+                           Order.m_Version + " ended with state " + State);
   if (Clock::now() > Order.m_Deadline + StateSlack)
     m_Checker.addViolation("roll-out",
                            Order.m_Version + " ended after its deadline");
--- a/Tests/Soak/Operator.h
+++ b/Tests/Soak/Operator.h
@@ -1,4 +1,4 @@
-//===-- Operator.h - Orders roll-outs, one after the other ----------------===//
+//===-- Operator.h - Orders roll-outs one after the other -----------------===//
 #ifndef YARDRILL_TESTS_SOAK_OPERATOR_H
 #define YARDRILL_TESTS_SOAK_OPERATOR_H
 
@@ -6,8 +6,9 @@
 
 namespace yardrill::soak {
 
-/// Good and bad versions of both pools, drawn from a seed of its own: the
-/// schedule of the other faults stays what it was.
+/// Orders roll-outs of good and bad versions for both pools and checks their
+/// outcome. It draws from its own generator, so that a seed's fault schedule
+/// does not depend on it.
 class Operator {
 public:
   Operator(boost::asio::io_context &Context, InvariantChecker &Checker,
@@ -15,7 +16,7 @@
       : m_Context(Context), m_Checker(Checker), m_System(System),
         m_Random(Seed) {}
 
-  /// Orders until stop() is called; the one under way is seen to its end.
+  /// Orders roll-outs until stop() is called, and finishes the current one.
   void run(boost::asio::yield_context Yield);
   void stop() { m_IsStopped = true; }
   bool isIdle() const { return m_IsIdle; }
@@ -24,7 +25,7 @@
 
 private:
   void rollOut(boost::asio::yield_context Yield);
-  /// \returns the last state, once it is final or has taken too long.
+  /// \returns the final state, or an empty string after MaxFinishDelay.
   std::string awaitFinalState(const RolloutOrder &Order,
                               boost::asio::yield_context Yield);
   void checkOutcome(const RolloutOrder &Order, const std::string &State);
--- a/Tests/Soak/SoakTarget.cpp
+++ b/Tests/Soak/SoakTarget.cpp
@@ -13,11 +13,11 @@
 namespace asio = boost::asio;
 
 static constexpr std::size_t Slots = 4;
-/// Requests that a target keeps beyond its places before it refuses.
+/// Number of requests beyond Slots that a target accepts before it refuses.
 static constexpr std::size_t QueueLimit = 24;
 static constexpr std::chrono::milliseconds WorkTime{12};
 static constexpr std::chrono::milliseconds EventPause{15};
-/// Longer than any caller waits.
+/// Longer than the timeout of any caller.
 static constexpr std::chrono::seconds HangTime{6};
 static constexpr std::chrono::milliseconds MinBackoffTime{300};
 static constexpr int BackoffSpreadMs = 3000;
@@ -57,7 +57,8 @@
         handle(Call, Yield);
       },
       [this](unsigned Status) {
-        m_Checker.addViolation("unasked", "unreadable request at " + m_Name);
+        m_Checker.addViolation("unasked",
+                               "malformed request at target " + m_Name);
         http::ResponseMessage Out;
         Out.m_Head.m_Status = Status;
         return Out;
@@ -102,7 +103,7 @@
 }
 
 void SoakTarget::exitProcess(const std::string &Content) {
-  // Targets of a version under trial are not ended.
+  // Canary targets have no exit hook and never exit.
   if (m_IsExiting || m_IsRetired || !m_ExitHook)
     return;
   m_IsExiting = true;
@@ -186,16 +187,16 @@
   }
   std::string BadContent = badContentOf(Request);
   if (Request.m_Body != requestBodyOf(BadContent.empty() ? Id : BadContent))
-    m_Checker.addViolation("unasked", Id + " came with another body");
+    m_Checker.addViolation("unasked", Id + " arrived with a wrong body");
   if (headerOf(Request, "Tenant").empty())
-    m_Checker.addViolation("unasked", Id + " came without its account");
+    m_Checker.addViolation("unasked", Id + " arrived without its account");
   auto RunningEntry = m_Running.insert(Id);
   try {
     if (!BadContent.empty())
       m_Checker.noteTargetDisturbance(Id);
     serve(Call, Id, Yield);
   } catch (const core::Error &) {
-    // Its caller left; what ran, ran.
+    // The caller disconnected; the request counts as executed.
   }
   m_Running.erase(RunningEntry);
 }
@@ -249,7 +250,7 @@
   for (; Next <= eventCountOf(Id); ++Next) {
     std::string Event = eventOf(Id, Next);
     if (MustAbort && Next > 1) {
-      // Also partway through an event.
+      // Covers an abort within an event.
       Call.sendBodyData(Event.substr(0, Event.size() / 2), Yield);
       return Call.abort();
     }
--- a/Tests/Soak/SoakTarget.h
+++ b/Tests/Soak/SoakTarget.h
@@ -1,4 +1,4 @@
-//===-- SoakTarget.h - A target that tells the ledger what it saw ---------===//
+//===-- SoakTarget.h - A target that reports what it observes -------------===//
 #ifndef YARDRILL_TESTS_SOAK_SOAKTARGET_H
 #define YARDRILL_TESTS_SOAK_SOAKTARGET_H
 
@@ -13,60 +13,66 @@
 
 namespace yardrill::soak {
 
-/// Shares of the requests, 0 to 1.
+/// Shares of the requests (0 to 1) that a target handles wrongly.
 struct ResponseFaults {
-  double m_FailShare = 0;    ///< Runs, then answers 500.
-  double m_RefuseShare = 0;  ///< Does not run, and says so.
-  double m_AbortShare = 0;   ///< Runs, then breaks off within the answer.
-  double m_HangShare = 0;    ///< Runs and never answers.
-  double m_BackoffShare = 0; ///< Does not run, and asks for rest.
+  double m_FailShare = 0;    ///< Executed, then answered with 500.
+  double m_RefuseShare = 0;  ///< Not executed, as the 503 response says.
+  double m_AbortShare = 0;   ///< Executed, response aborted halfway.
+  double m_HangShare = 0;    ///< Executed, response after all timeouts.
+  double m_BackoffShare = 0; ///< Not executed; 503 with Retry-After.
 };
 
-/// What every answer of a target to the request holds; the caller compares.
+// Bodies are functions of the request's id, so that callers and targets can
+// compare what they receive with what was sent.
 std::string responseBodyOf(const std::string &Id);
 std::size_t eventCountOf(const std::string &Id);
 std::string eventOf(const std::string &Id, std::size_t Number);
 std::string requestBodyOf(const std::string &Id);
-/// Begins the contents of requests that end their targets.
+/// Prefix of the contents under which targets exit.
 extern const char BadContentPrefix[];
 
-/// Runs in the soak's own process, behind a proxy whose port is announced.
+/// A target within the soak's process, behind a proxy whose port it announces.
+/// Deployment owns it; faults are injected through its setters.
 class SoakTarget {
 public:
   SoakTarget(boost::asio::io_context &Context, InvariantChecker &Checker,
              std::mt19937_64 &Random, std::string Name, std::string Pool,
              std::string Version = "v1");
 
-  /// What the store holds for it.
+  /// Key of the target's announcement in the store.
   std::string key() const { return "servers/" + m_Name; }
+  /// Returns the announcement as JSON.
   std::string announcement() const;
   tests::LoopbackProxy &proxy() { return *m_Proxy; }
 
   void setResponseFaults(const ResponseFaults &How) { m_ResponseFaults = How; }
-  /// \p Hook ends its process and starts it anew; called once for each life.
+  /// \param Hook restarts the target; called once for each incarnation, when a
+  ///   request makes it exit.
   void setExitHook(std::function<void()> Hook) { m_ExitHook = std::move(Hook); }
-  /// Its connections are disturbed from now on (or not any more).
+  /// Sets whether its connections are disturbed, which excuses lost responses.
   void setDisturbed(bool IsDisturbed);
-  /// Names a limit in all answers, or none any more.
+  /// Sets the rate limit that all responses state, or none.
   void setLimit(std::optional<double> PerSecond);
-  /// Says in all answers that it leaves.
+  /// Makes all responses state that the target leaves.
   void setLeavingInResponses() { m_IsLeavingInResponses = true; }
-  /// The store has taken its word that it leaves.
+  /// Records that the announcement in the store says that the target leaves.
   void setLeavingInStore() { m_LeavingSince = Clock::now(); }
-  /// Starts anew at the same address, under another name or the one it had.
+  /// Starts a new incarnation at the same address under \p Name.
   void restart(std::string Name);
   const std::string &name() const { return m_Name; }
   const std::string &pool() const { return m_Pool; }
-  /// Stopped for good: whoever still plays a fault on it leaves it alone.
+  /// Stops the target for good. Faults in progress on it must check
+  /// isRetired().
   void retire();
   bool isRetired() const { return m_IsRetired; }
 
 private:
-  /// Of the store's entry and of one life.
+  /// Identifies the announcement's key and the incarnation.
   std::string incarnation() const {
     return m_Name + "@" + std::to_string(m_StartTime);
   }
-  /// Adds what the target says of itself, and tells the ledger.
+  /// Adds the target's backpressure to a response and reports it to the
+  /// checker.
   void stateBackpressure(http::ResponseHead &Head, const std::string &Id,
                          std::optional<std::chrono::milliseconds> Backoff);
   void handle(http::Exchange &Call, boost::asio::yield_context Yield);
@@ -74,8 +80,10 @@
              boost::asio::yield_context Yield);
   void stream(http::Exchange &Call, const std::string &Id, bool MustAbort,
               boost::asio::yield_context Yield);
+  /// Returns true with probability \p Share.
   bool isFaultDrawn(double Share);
-  /// \returns the content, if the request ends its target; else nothing.
+  /// \returns the content under which the target must exit; else an empty
+  /// string.
   static std::string badContentOf(const http::RequestMessage &Request);
   void exitProcess(const std::string &Content);
 
@@ -95,8 +103,8 @@
   bool m_IsExiting = false;
   std::optional<TimePoint> m_LeavingSince;
   bool m_IsLeavingInResponses = false;
-  std::optional<double> m_Limit;        ///< Requests a second.
-  std::multiset<std::string> m_Running; ///< Ids of requests under way.
+  std::optional<double> m_Limit;        ///< Requests per second.
+  std::multiset<std::string> m_Running; ///< Ids of running requests.
 };
 
 } // namespace yardrill::soak
--- a/Tests/Soak/main.cpp
+++ b/Tests/Soak/main.cpp
@@ -1,12 +1,13 @@
-//===-- main.cpp - A randomized soak of the real programs -----------------===//
+//===-- main.cpp - Randomized soak test of the real programs --------------===//
 //
 // usage: soak --yardrill=PROGRAM --stand_in=PROGRAM --folder=DIRECTORY
 //             [--seed=N] [--seconds=N] [--gateways=N] [--callers=N]
 //             [--norollouts] [--nofaults]
 //
-// Gateways and the store's stand-in are processes; targets, callers and proxies
-// live here. The seed repeats the schedule of faults. Exit code 0: nothing was
-// broken; 1: the violations are printed, and the folder holds every log.
+// Gateways and the store's stand-in run as processes; targets, callers and
+// proxies run in this one. A seed determines the schedule of faults. Exits with
+// 0 if no invariant was violated; else prints the violations and exits with 1.
+// The folder holds all logs.
 //
 //===----------------------------------------------------------------------===//
 #include "Callers.h"
@@ -23,28 +24,30 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_string(yardrill, "", "the yardrill program");
-DEFINE_string(stand_in, "", "the program of the stand-ins");
-DEFINE_string(folder, "", "for settings and logs; must exist");
-DEFINE_uint64(seed, 1, "of the schedule of faults");
-DEFINE_uint64(seconds, 20, "how long faults happen");
-DEFINE_uint64(gateways, 4, "gateway processes");
-DEFINE_uint64(targets, 4, "targets of each of the two pools");
-DEFINE_uint64(callers, 24, "callers");
-DEFINE_uint64(bad_callers, 2, "callers whose requests end their targets");
-DEFINE_bool(rollouts, true, "whether new versions are rolled out");
-DEFINE_bool(faults, true, "whether there are other faults");
+DEFINE_string(yardrill, "", "path of the yardrill program");
+DEFINE_string(stand_in, "", "path of the stand_in program");
+DEFINE_string(folder, "", "existing folder for settings and logs");
+DEFINE_uint64(seed, 1, "seed of the schedule of faults");
+DEFINE_uint64(seconds, 20, "length of the schedule of faults");
+DEFINE_uint64(gateways, 4, "number of gateway processes");
+DEFINE_uint64(targets, 4, "number of targets in each of the two pools");
+DEFINE_uint64(callers, 24, "number of callers");
+DEFINE_uint64(bad_callers, 2,
+              "number of callers whose requests make targets exit");
+DEFINE_bool(rollouts, true, "order roll-outs of new versions");
+DEFINE_bool(faults, true, "inject the scheduled faults");
 
 namespace asio = boost::asio;
 using namespace yardrill::soak;
 
 namespace {
 
-/// Before the first fault and after the last one.
+/// Time to start gateways and callers, each, before the first fault.
 constexpr std::chrono::milliseconds StartTime{1500};
+/// Time without faults in which the system must recover.
 constexpr std::chrono::milliseconds RecoveryTime{6000};
 constexpr std::chrono::milliseconds SupervisePeriod{20};
-/// Longer than any request is waited for.
+/// Exceeds the timeout of every caller.
 constexpr std::chrono::milliseconds LastResponseTime{4000};
 
 class Soak {
@@ -153,7 +156,7 @@
   Deployment m_System;
   Callers m_Callers;
   Operator m_Operator;
-  int m_ActiveFaults = 0; ///< Faults under way.
+  int m_ActiveFaults = 0; ///< Number of faults in progress.
 };
 
 } // namespace
