--- a/Bench/MembershipProgram.cpp
+++ b/Bench/MembershipProgram.cpp
@@ -44,9 +44,10 @@
     for (int I = 0; I < TicksPerSecond; ++I) {
       m_Now += TickPeriod;
       for (std::size_t J = 0; J < OtherPeerReportsPerTick; ++J)
-        report(1 + m_Next++ % (m_Fleet - 1), true);
+        report(1 + m_NextReporter++ % (m_Fleet - 1), true);
       for (std::size_t J = 0; J < GroupPeerReportsPerTick; ++J)
-        report(m_GroupPeerIndexes[m_Next++ % m_GroupPeerIndexes.size()], false);
+        report(m_GroupPeerIndexes[m_NextReporter++ % m_GroupPeerIndexes.size()],
+               false);
       m_Table.expire(m_Now);
       m_Sum += m_Table.groupPeers().size() + m_Table.followersBefore();
       if (I % 6 == 0)
@@ -89,7 +90,7 @@
   core::TimePoint m_Now{std::chrono::hours(1)};
   std::vector<std::size_t> m_GroupPeerIndexes;
   std::uint64_t m_Sequence = 0;
-  std::size_t m_Next = 0;
+  std::size_t m_NextReporter = 0;
   std::size_t m_Sum = 0;
 };
 
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -153,13 +153,13 @@
   static const struct {
     RequestKind m_Kind;
     const char *m_Path;
-  } Kinds[] = {{RequestKind::NonIdempotent, "/once/"},
-               {RequestKind::Idempotent, "/again/"},
-               {RequestKind::Stream, "/stream/"},
-               {RequestKind::ResumableStream, "/resume/"}};
+  } Routes[] = {{RequestKind::NonIdempotent, "/once/"},
+                {RequestKind::Idempotent, "/again/"},
+                {RequestKind::Stream, "/stream/"},
+                {RequestKind::ResumableStream, "/resume/"}};
   for (std::uint64_t Left = 1 + randomBelow(MaxRequestsPerConnection); Left > 0;
        --Left) {
-    const auto &Kind = Kinds[randomBelow(std::size(Kinds))];
+    const auto &Kind = Routes[randomBelow(std::size(Routes))];
     SentRequest What =
         makeSentRequest(Gateway, Kind.m_Kind, randomBelow(4) == 0);
     auto Status = exchange(*Connection, What, Kind.m_Path, Yield);
--- a/Tests/Soak/FaultPlan.cpp
+++ b/Tests/Soak/FaultPlan.cpp
@@ -99,11 +99,13 @@
   void run();
 
 private:
-  void pause() { tests::sleepFor(m_Context, m_Fault.m_Length, m_Yield); }
+  void sleepForFault() {
+    tests::sleepFor(m_Context, m_Fault.m_Length, m_Yield);
+  }
   void freezeGateway() {
     m_Checker.noteProcessDisturbance(m_GatewayIndex, true);
     m_System.signalGateway(m_GatewayIndex, SIGSTOP);
-    pause();
+    sleepForFault();
     m_System.signalGateway(m_GatewayIndex, SIGCONT);
     m_Checker.noteProcessDisturbance(m_GatewayIndex, false);
   }
@@ -113,7 +115,7 @@
     Link.setMode(How);
     if (MustReset)
       Link.resetAll();
-    pause();
+    sleepForFault();
     Link.setMode(tests::ProxyMode::PassThrough);
     m_Checker.noteStorePathDisturbance(m_GatewayIndex, false);
   }
@@ -121,14 +123,14 @@
                     const boost::json::object &End) {
     m_Checker.noteStoreDisturbance(true);
     m_System.controlStore(Begin, m_Yield);
-    pause();
+    sleepForFault();
     m_System.controlStore(End, m_Yield);
     m_Checker.noteStoreDisturbance(false);
   }
   void freezeStore() {
     m_Checker.noteStoreDisturbance(true);
     m_System.freezeStore(true);
-    pause();
+    sleepForFault();
     m_System.freezeStore(false);
     m_Checker.noteStoreDisturbance(false);
   }
@@ -138,7 +140,7 @@
     Which.proxy().setMode(How);
     if (MustReset)
       Which.proxy().resetAll();
-    pause();
+    sleepForFault();
     Which.proxy().setMode(tests::ProxyMode::PassThrough);
     Which.setDisturbed(false);
   }
@@ -147,20 +149,20 @@
     SoakTarget &Which = m_System.target(m_TargetIndex);
     Which.setDisturbed(true);
     Which.proxy().resetIdle(IdleTime);
-    pause();
+    sleepForFault();
     Which.setDisturbed(false);
   }
   void injectResponseFaults(const ResponseFaults &How) {
     m_System.target(m_TargetIndex).setResponseFaults(How);
-    pause();
+    sleepForFault();
     m_System.target(m_TargetIndex).setResponseFaults({});
   }
 
-  void limit() {
+  void limitRate() {
     SoakTarget &Which = m_System.target(m_TargetIndex);
     Which.setLimit(static_cast<double>(m_Fault.m_Selector % MaxLimitTenths) /
                    10);
-    pause();
+    sleepForFault();
     Which.setLimit(std::nullopt);
   }
 
@@ -234,12 +236,12 @@
   case FaultKind::Publish:
     return m_System.publish(m_Yield);
   case FaultKind::TargetLimits:
-    return limit();
+    return limitRate();
   case FaultKind::TargetTires:
     return injectResponseFaults({0, 0, 0, 0, BackoffShare});
   case FaultKind::TargetSaysItLeaves:
     m_System.target(m_TargetIndex).setLeavingInResponses();
-    pause();
+    sleepForFault();
     return m_System.crashTarget(m_TargetIndex, m_Fault.m_Length / 8, m_Yield);
   }
 }
--- a/Tests/Soak/InvariantCheckerTest.cpp
+++ b/Tests/Soak/InvariantCheckerTest.cpp
@@ -10,25 +10,25 @@
 
 class InvariantCheckerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(InvariantCheckerTest);
-  CPPUNIT_TEST(testQuietRunBreaksNothing);
-  CPPUNIT_TEST(testSecondRun);
-  CPPUNIT_TEST(testRefusalThatIsNotTrue);
-  CPPUNIT_TEST(testRequestThatNobodySent);
-  CPPUNIT_TEST(testDenied);
+  CPPUNIT_TEST(testUndisturbedRun);
+  CPPUNIT_TEST(testRepeatedExecution);
+  CPPUNIT_TEST(testExecutionAfterRefusal);
+  CPPUNIT_TEST(testUnknownRequest);
+  CPPUNIT_TEST(testDeniedRequest);
   CPPUNIT_TEST(testLeavingTarget);
-  CPPUNIT_TEST(testLostAnswer);
+  CPPUNIT_TEST(testLostResponse);
   CPPUNIT_TEST(testPlannedStop);
-  CPPUNIT_TEST(testHeldBeyondItsTime);
-  CPPUNIT_TEST(testTimeOverIsNotLost);
-  CPPUNIT_TEST(testTroubleExcuses);
+  CPPUNIT_TEST(testNoResponseAtTimeLimit);
+  CPPUNIT_TEST(testAbortAtTimeLimit);
+  CPPUNIT_TEST(testDisturbances);
   CPPUNIT_TEST(testQuota);
   CPPUNIT_TEST(testRetries);
   CPPUNIT_TEST(testRecovery);
-  CPPUNIT_TEST(testContentThatEndsTargets);
-  CPPUNIT_TEST(testLimitOfATarget);
-  CPPUNIT_TEST(testLimitCountsThoseWhoWereTold);
-  CPPUNIT_TEST(testRestOfATarget);
-  CPPUNIT_TEST(testTargetThatSaysItLeaves);
+  CPPUNIT_TEST(testQuarantine);
+  CPPUNIT_TEST(testRateLimit);
+  CPPUNIT_TEST(testRateLimitOfNotifiedGateways);
+  CPPUNIT_TEST(testBackoff);
+  CPPUNIT_TEST(testLeavingInResponses);
   CPPUNIT_TEST_SUITE_END();
 
   TimePoint m_Now{std::chrono::hours(1)};
@@ -47,29 +47,30 @@
     m_Checker.requestSent(What);
     return What.m_Id;
   }
-  void run(const std::string &Id) {
+  void arriveAndExecute(const std::string &Id) {
     m_Checker.requestArrived(Id, "i-1", std::nullopt);
     m_Checker.requestExecuted(Id);
   }
-  void expect(const std::string &Rule) {
+  void expectViolation(const std::string &Rule) {
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Checker.violations().size());
     CPPUNIT_ASSERT_EQUAL(Rule, m_Checker.violations()[0].substr(
                                    0, m_Checker.violations()[0].find(':')));
   }
-  void expectNothing() { CPPUNIT_ASSERT(m_Checker.violations().empty()); }
+  void expectNoViolation() { CPPUNIT_ASSERT(m_Checker.violations().empty()); }
 
   void arriveAtIncarnation(const std::string &Incarnation) {
     std::string Id = send();
     m_Checker.arrivedAtIncarnation(Id, Incarnation);
   }
-  void state(const std::string &Incarnation, const ResponseBackpressure &What) {
+  void stateBackpressure(const std::string &Incarnation,
+                         const ResponseBackpressure &What) {
     m_Checker.backpressureStated(send(), Incarnation, What);
   }
 
 public:
-  void testLimitOfATarget() {
+  void testRateLimit() {
     m_Checker.rateLimitChanged("r", 2);
-    state("r", {2.0, std::nullopt, false});
+    stateBackpressure("r", {2.0, std::nullopt, false});
     m_Now += seconds(4);
     // 1.5 x 2 x 4 + 5 in 4 s.
     for (int I = 0; I < 17; ++I) {
@@ -77,164 +78,164 @@
       arriveAtIncarnation("r");
     }
     m_Checker.finish(m_Now);
-    expectNothing();
+    expectNoViolation();
     m_Now += milliseconds(200);
     arriveAtIncarnation("r");
     m_Checker.finish(m_Now);
-    expect("limit");
+    expectViolation("limit");
   }
 
-  void testLimitCountsThoseWhoWereTold() {
+  void testRateLimitOfNotifiedGateways() {
     m_Checker.rateLimitChanged("r", 2);
     m_Now += seconds(4);
     for (int I = 0; I < 50; ++I)
       arriveAtIncarnation("r");
-    state("r", {2.0, std::nullopt, false});
+    stateBackpressure("r", {2.0, std::nullopt, false});
     m_Now += seconds(1);
     // It ended before they came.
     m_Checker.rateLimitChanged("r", std::nullopt);
     for (int I = 0; I < 50; ++I)
       arriveAtIncarnation("r");
     m_Checker.finish(m_Now);
-    expectNothing();
+    expectNoViolation();
   }
 
-  void testRestOfATarget() {
+  void testBackoff() {
     m_Now += seconds(10);
-    state("r", {std::nullopt, seconds(3), false});
+    stateBackpressure("r", {std::nullopt, seconds(3), false});
     for (int I = 0; I < 5; ++I)
       arriveAtIncarnation("r");
     m_Now += milliseconds(600);
     arriveAtIncarnation("r");
     arriveAtIncarnation("r");
-    expectNothing();
+    expectNoViolation();
     // A shorter one does not end it.
-    state("r", {std::nullopt, milliseconds(100), false});
+    stateBackpressure("r", {std::nullopt, milliseconds(100), false});
     arriveAtIncarnation("r");
-    expect("rest");
+    expectViolation("rest");
     m_Now += seconds(3);
     arriveAtIncarnation("r");
-    expect("rest");
+    expectViolation("rest");
   }
 
-  void testTargetThatSaysItLeaves() {
+  void testLeavingInResponses() {
     m_Now += seconds(10);
-    state("r", {std::nullopt, std::nullopt, true});
+    stateBackpressure("r", {std::nullopt, std::nullopt, true});
     m_Now += seconds(2);
     arriveAtIncarnation("r");
-    expectNothing();
+    expectNoViolation();
     m_Now += milliseconds(1);
     arriveAtIncarnation("r");
-    expect("leaving");
+    expectViolation("leaving");
     m_Checker.gatewayRestarted(0);
     arriveAtIncarnation("r");
-    expect("leaving");
+    expectViolation("leaving");
   }
 
-  void testQuietRunBreaksNothing() {
+  void testUndisturbedRun() {
     for (int I = 0; I < 100; ++I) {
       m_Now += milliseconds(100);
       std::string Id = send();
-      run(Id);
+      arriveAndExecute(Id);
       m_Checker.responseReceived(Id, 200);
     }
     m_Checker.finish(m_Now - seconds(5));
-    expectNothing();
+    expectNoViolation();
   }
 
-  void testSecondRun() {
+  void testRepeatedExecution() {
     std::string Again = send(RequestKind::Idempotent);
-    run(Again);
-    run(Again);
-    expectNothing();
+    arriveAndExecute(Again);
+    arriveAndExecute(Again);
+    expectNoViolation();
     std::string Once = send(RequestKind::Stream);
-    run(Once);
-    run(Once);
-    expect("once");
+    arriveAndExecute(Once);
+    arriveAndExecute(Once);
+    expectViolation("once");
   }
 
-  void testRefusalThatIsNotTrue() {
+  void testExecutionAfterRefusal() {
     std::string Id = send();
     m_Checker.responseReceived(Id, 503);
-    expectNothing();
-    run(Id);
-    expect("refusal");
+    expectNoViolation();
+    arriveAndExecute(Id);
+    expectViolation("refusal");
   }
 
-  void testRequestThatNobodySent() {
+  void testUnknownRequest() {
     m_Checker.requestArrived("forged", "i-1", std::nullopt);
-    expect("unasked");
+    expectViolation("unasked");
   }
 
-  void testDenied() {
+  void testDeniedRequest() {
     m_Checker.responseReceived(send(), 404);
-    expect("denied");
+    expectViolation("denied");
   }
 
   void testLeavingTarget() {
     TimePoint LeftAt = m_Now;
     m_Now += milliseconds(1900);
     m_Checker.requestArrived(send(), "i-1", LeftAt);
-    expectNothing();
+    expectNoViolation();
     m_Now += milliseconds(200);
     m_Checker.requestArrived(send(), "i-1", LeftAt);
-    expect("leaving");
+    expectViolation("leaving");
   }
 
-  void testLostAnswer() {
+  void testLostResponse() {
     std::string Untouched = send();
     m_Now += milliseconds(100);
     m_Checker.responseLost(Untouched, "reset");
     std::string OfTarget = send();
-    run(OfTarget);
+    arriveAndExecute(OfTarget);
     m_Checker.noteTargetDisturbance(OfTarget);
     m_Checker.responseLost(OfTarget, "reset");
-    expectNothing();
+    expectNoViolation();
     std::string Id = send();
-    run(Id);
+    arriveAndExecute(Id);
     m_Checker.responseLost(Id, "reset");
-    expect("lost");
+    expectViolation("lost");
   }
 
   void testPlannedStop() {
     m_Checker.setStopping(0, true);
     std::string Id = send();
-    run(Id);
+    arriveAndExecute(Id);
     m_Checker.responseLost(Id, "reset");
-    expect("stop");
+    expectViolation("stop");
   }
 
-  void testHeldBeyondItsTime() {
+  void testNoResponseAtTimeLimit() {
     std::string Id = send();
-    run(Id);
+    arriveAndExecute(Id);
     m_Checker.noteTargetDisturbance(Id);
     m_Now += milliseconds(2600);
     m_Checker.responseLost(Id, "time-out");
-    expect("held");
+    expectViolation("held");
   }
 
-  void testTimeOverIsNotLost() {
+  void testAbortAtTimeLimit() {
     // A target that the request reached late begins its answer too late.
     std::string Late = send(RequestKind::Stream);
-    run(Late);
+    arriveAndExecute(Late);
     m_Now += milliseconds(2200);
     m_Checker.responseLost(Late, "reset");
-    expectNothing();
+    expectNoViolation();
     std::string Early = send(RequestKind::Stream);
-    run(Early);
+    arriveAndExecute(Early);
     m_Now += milliseconds(1900);
     m_Checker.responseLost(Early, "reset");
-    expect("lost");
+    expectViolation("lost");
   }
 
-  void testTroubleExcuses() {
+  void testDisturbances() {
     m_Checker.noteProcessDisturbance(0, true);
     m_Checker.responseLost(send(), "reset");
     m_Checker.noteProcessDisturbance(0, false);
     TimePoint LeftAt = m_Now;
     m_Now += milliseconds(2500);
     m_Checker.requestArrived(send(), "i-1", LeftAt);
-    expectNothing();
+    expectNoViolation();
     // The other gateway had no trouble, and later this one has none either.
     CPPUNIT_ASSERT(m_Checker.isUndisturbedSince(1, m_Now));
     CPPUNIT_ASSERT(!m_Checker.isUndisturbedSince(0, m_Now));
@@ -247,27 +248,27 @@
     m_Checker.setQuota("limited", {100, 100});
     // (100 x 8 + 100) x 1.1 + 2,800 tokens are allowed in 8 s.
     for (int I = 0; I < 38; ++I)
-      run(send(RequestKind::NonIdempotent, "limited"));
+      arriveAndExecute(send(RequestKind::NonIdempotent, "limited"));
     m_Checker.finish(m_Now);
-    expect("quota");
+    expectViolation("quota");
   }
 
   void testRetries() {
     for (int I = 0; I < 53; ++I) {
       std::string Id = send(RequestKind::Idempotent);
-      run(Id);
-      run(Id);
+      arriveAndExecute(Id);
+      arriveAndExecute(Id);
       m_Checker.responseReceived(Id, 200);
     }
     m_Checker.finish(m_Now);
     // 53 of 53: a fifth of them and 52 are allowed.
-    expectNothing();
+    expectNoViolation();
     std::string Id = send(RequestKind::Idempotent);
     for (int I = 0; I < 14; ++I)
-      run(Id);
+      arriveAndExecute(Id);
     m_Checker.responseReceived(Id, 200);
     m_Checker.finish(m_Now);
-    expect("retries");
+    expectViolation("retries");
   }
 
   void testRecovery() {
@@ -278,14 +279,14 @@
       m_Checker.responseReceived(send(), 200);
     m_Checker.responseReceived(send(), 503);
     m_Checker.finish(RecoveredAt);
-    expectNothing();
+    expectNoViolation();
     m_Checker.responseReceived(send(), 503);
     m_Checker.finish(RecoveredAt);
-    expect("recovery");
+    expectViolation("recovery");
   }
 
-  void testContentThatEndsTargets() {
-    auto Come = [this](std::size_t Gateway) {
+  void testQuarantine() {
+    auto arriveAt = [this](std::size_t Gateway) {
       SentRequest What;
       What.m_Id = "a" + std::to_string(++m_Next);
       What.m_Kind = RequestKind::Idempotent;
@@ -296,23 +297,23 @@
       m_Checker.requestArrived(What.m_Id, "i-1", std::nullopt);
     };
     for (int I = 0; I < 3; ++I) {
-      Come(0);
+      arriveAt(0);
       m_Checker.targetExited("bad");
     }
     // Within the contact time, and by a gateway out of touch, it may.
     for (int I = 0; I < 9; ++I)
-      Come(0);
+      arriveAt(0);
     m_Now += bounds::SettleTime + milliseconds(1);
     m_Checker.noteProcessDisturbance(1, true);
     for (int I = 0; I < 9; ++I)
-      Come(1);
+      arriveAt(1);
     for (int I = 0; I < 3; ++I)
-      Come(0);
+      arriveAt(0);
     m_Checker.finish(m_Now);
-    expectNothing();
-    Come(0);
+    expectNoViolation();
+    arriveAt(0);
     m_Checker.finish(m_Now);
-    expect("quarantine");
+    expectViolation("quarantine");
   }
 };
 
