--- a/Tests/Soak/InvariantCheckerTest.cpp
+++ b/Tests/Soak/InvariantCheckerTest.cpp
@@ -1,5 +1,9 @@
-//===-- InvariantCheckerTest.cpp - Each check of the soak notices what it is for
-//----===//
+//===-- InvariantCheckerTest.cpp - The soak's checks report violations ----===//
+//
+// Guards against a soak that passes because a check misses its violation, or
+// that fails because a check ignores a disturbance.
+//
+//===----------------------------------------------------------------------===//
 #include "InvariantChecker.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -72,7 +76,7 @@
     m_Checker.rateLimitChanged("r", 2);
     stateBackpressure("r", {2.0, std::nullopt, false});
     m_Now += seconds(4);
-    // 1.5 x 2 x 4 + 5 in 4 s.
+    // At most 1.5 x 2 x 4 + 5 = 17 requests are allowed in 4 s.
     for (int I = 0; I < 17; ++I) {
       m_Now += milliseconds(200);
       arriveAtIncarnation("r");
@@ -92,7 +96,7 @@
       arriveAtIncarnation("r");
     stateBackpressure("r", {2.0, std::nullopt, false});
     m_Now += seconds(1);
-    // It ended before they came.
+    // The limit ends before the next requests arrive.
     m_Checker.rateLimitChanged("r", std::nullopt);
     for (int I = 0; I < 50; ++I)
       arriveAtIncarnation("r");
@@ -109,7 +113,7 @@
     arriveAtIncarnation("r");
     arriveAtIncarnation("r");
     expectNoViolation();
-    // A shorter one does not end it.
+    // A shorter back-off does not end the current one.
     stateBackpressure("r", {std::nullopt, milliseconds(100), false});
     arriveAtIncarnation("r");
     expectViolation("rest");
@@ -215,7 +219,7 @@
   }
 
   void testAbortAtTimeLimit() {
-    // A target that the request reached late begins its answer too late.
+    // The request may have reached its target too late to be served in time.
     std::string Late = send(RequestKind::Stream);
     arriveAndExecute(Late);
     m_Now += milliseconds(2200);
@@ -236,7 +240,7 @@
     m_Now += milliseconds(2500);
     m_Checker.requestArrived(send(), "i-1", LeftAt);
     expectNoViolation();
-    // The other gateway had no trouble, and later this one has none either.
+    // The other gateway is undisturbed, and so is this one after SettleTime.
     CPPUNIT_ASSERT(m_Checker.isUndisturbedSince(1, m_Now));
     CPPUNIT_ASSERT(!m_Checker.isUndisturbedSince(0, m_Now));
     CPPUNIT_ASSERT(m_Checker.isUndisturbedSince(0, m_Now + seconds(1)));
@@ -246,7 +250,7 @@
 
   void testQuota() {
     m_Checker.setQuota("limited", {100, 100});
-    // (100 x 8 + 100) x 1.1 + 2,800 tokens are allowed in 8 s.
+    // (100 x 8 + 100) x 1.1 + 2,800 = 3,790 tokens are allowed in 8 s.
     for (int I = 0; I < 38; ++I)
       arriveAndExecute(send(RequestKind::NonIdempotent, "limited"));
     m_Checker.finish(m_Now);
@@ -261,7 +265,7 @@
       m_Checker.responseReceived(Id, 200);
     }
     m_Checker.finish(m_Now);
-    // 53 of 53: a fifth of them and 52 are allowed.
+    // 53 repeats of 53 requests: 0.2 x 53 + 52 are allowed.
     expectNoViolation();
     std::string Id = send(RequestKind::Idempotent);
     for (int I = 0; I < 14; ++I)
@@ -300,7 +304,7 @@
       arriveAt(0);
       m_Checker.targetExited("bad");
     }
-    // Within the contact time, and by a gateway out of touch, it may.
+    // Arrivals within SettleTime or from a disturbed gateway are allowed.
     for (int I = 0; I < 9; ++I)
       arriveAt(0);
     m_Now += bounds::SettleTime + milliseconds(1);
