--- a/Bench/ConfigurationCostProgram.cpp
+++ b/Bench/ConfigurationCostProgram.cpp
@@ -24,7 +24,7 @@
 /// As the operators write it, with names that repeat nowhere.
 static std::string configuration(std::size_t Routes, std::size_t Changed) {
   std::mt19937 Random(1);
-  auto Name = [&Random] {
+  auto RandomName = [&Random] {
     std::string Out;
     for (int I = 0; I < 7; ++I)
       Out += static_cast<char>('a' + Random() % 26);
@@ -33,8 +33,8 @@
   std::string Out = R"({"version":7,"routes":[)";
   for (std::size_t I = 0; I < Routes; ++I) {
     Out += I == 0 ? "" : ",";
-    Out += R"({"name":"r-)" + Name() + R"(","host":")" + Name() +
-           R"(.example","pathPrefix":"/)" + Name() +
+    Out += R"({"name":"r-)" + RandomName() + R"(","host":")" + RandomName() +
+           R"(.example","pathPrefix":"/)" + RandomName() +
            R"(/","routeKind":"idempotent","timeoutMs":)" +
            (I == Changed ? "4000" : "8000") +
            R"(,"sloMs":100,"priority":3,"service":"pool","maxAttempts":2,)"
--- a/Bench/DecisionCostProgram.cpp
+++ b/Bench/DecisionCostProgram.cpp
@@ -43,10 +43,10 @@
     handleEvent(ConfigurationAccepted{config::FleetConfiguration::parse(
         configuration(Targets), "bench", core::ConfigurationVersion(1))});
     for (int I = 0; I < Targets * 8 + Queued; ++I)
-      arrive();
+      handleArrival();
   }
 
-  std::int64_t arrive() {
+  std::int64_t handleArrival() {
     RequestArrived What;
     What.m_Request = core::RequestId(++m_Last);
     What.m_Tier = core::TierNumber(1);
@@ -102,7 +102,7 @@
       std::vector<std::int64_t> Arrivals;
       std::vector<std::int64_t> Ends;
       for (int I = 0; I < Decisions; ++I) {
-        Arrivals.push_back(Core.arrive());
+        Arrivals.push_back(Core.handleArrival());
         Ends.push_back(Core.end());
       }
       print("arrival", Targets, Queued, Arrivals);
--- a/Bench/FleetCutProgram.cpp
+++ b/Bench/FleetCutProgram.cpp
@@ -34,20 +34,21 @@
   std::size_t MinSubsetSize = Pool;
   std::size_t MaxSubsetSize = 0;
   std::size_t MaxGroupSize = 0;
-  std::size_t Sum = 0;
+  std::size_t SubsetSizes = 0;
   for (const auto &[Address, Hall] : All) {
     FleetSubset Subset(Address, All, FleetSubset::groupSizeFor(Fleet, Pool));
     std::size_t SubsetSize = 0;
-    for (std::size_t Rank = 0; Rank < Pool; ++Rank)
-      SubsetSize += Subset.isInSubset(Rank, Pool) ? 1 : 0;
+    for (std::size_t TargetIndex = 0; TargetIndex < Pool; ++TargetIndex)
+      SubsetSize += Subset.isInSubset(TargetIndex, Pool) ? 1 : 0;
     MinSubsetSize = std::min(MinSubsetSize, SubsetSize);
     MaxSubsetSize = std::max(MaxSubsetSize, SubsetSize);
-    Sum += SubsetSize;
+    SubsetSizes += SubsetSize;
     MaxGroupSize = std::max(MaxGroupSize, Subset.groupMembers().size());
   }
   std::cout << "instances=" << Fleet << " targets=" << Pool
             << " own_least=" << MinSubsetSize << " own_most=" << MaxSubsetSize
-            << " sharers=" << Sum / Pool << " heard=" << MaxGroupSize << "\n";
+            << " sharers=" << SubsetSizes / Pool << " heard=" << MaxGroupSize
+            << "\n";
 }
 
 int main() {
--- a/Bench/LimitSearchProgram.cpp
+++ b/Bench/LimitSearchProgram.cpp
@@ -23,30 +23,31 @@
 static void simulateScenarios(const FleetShape &Shape,
                               RateLimitStrategy Strategy, std::uint64_t Days) {
   double MaxRatio = 0;
-  double Served = 0;
-  double Datagrams = 0;
-  double EndKnown = 0;
+  double ServedShare = 0;
+  double MaxDatagrams = 0;
+  double MaxLimitEndDelay = 0;
   std::uint64_t Violations = 0;
   for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
-    RateLimitScenario Day{Shape.m_Instances, Shape.m_Targets,
-                          Shape.m_RequestsPerSecond, Shape.m_Limit};
-    Day.m_Seed = Seed;
-    RateLimitResult Faulty = simulateRateLimit(Day, Strategy);
+    RateLimitScenario Scenario{Shape.m_Instances, Shape.m_Targets,
+                               Shape.m_RequestsPerSecond, Shape.m_Limit};
+    Scenario.m_Seed = Seed;
+    RateLimitResult Faulty = simulateRateLimit(Scenario, Strategy);
     MaxRatio = std::max(MaxRatio, Faulty.m_MaxWindowRatio);
     Violations += Faulty.m_MaxWindowRatio > 1 ? 1 : 0;
-    Datagrams = std::max(Datagrams, Faulty.m_DatagramsPerSecond);
-    Day.m_HasFaults = false;
-    RateLimitResult FaultFree = simulateRateLimit(Day, Strategy);
-    Served += FaultFree.m_ServedShare / static_cast<double>(Days);
-    EndKnown = std::max(EndKnown, FaultFree.m_LimitEndDelaySeconds);
+    MaxDatagrams = std::max(MaxDatagrams, Faulty.m_DatagramsPerSecond);
+    Scenario.m_HasFaults = false;
+    RateLimitResult FaultFree = simulateRateLimit(Scenario, Strategy);
+    ServedShare += FaultFree.m_ServedShare / static_cast<double>(Days);
+    MaxLimitEndDelay =
+        std::max(MaxLimitEndDelay, FaultFree.m_LimitEndDelaySeconds);
   }
   std::printf("instances=%zu targets=%zu limit=%.2f way=%s days=%llu "
               "broken=%llu worst=%.2f served_calm=%.2f datagrams=%.1f "
               "end_known_s=%.2f\n",
               Shape.m_Instances, Shape.m_Targets, Shape.m_Limit,
               toString(Strategy), static_cast<unsigned long long>(Days),
-              static_cast<unsigned long long>(Violations), MaxRatio, Served,
-              Datagrams, EndKnown);
+              static_cast<unsigned long long>(Violations), MaxRatio,
+              ServedShare, MaxDatagrams, MaxLimitEndDelay);
 }
 
 int main(int Count, char **Arguments) {
--- a/Bench/LoadProgram.cpp
+++ b/Bench/LoadProgram.cpp
@@ -96,12 +96,13 @@
   }
 }
 
-static std::int64_t percentile(std::vector<std::int64_t> Values, double Part) {
+static std::int64_t percentile(std::vector<std::int64_t> Values,
+                               double Quantile) {
   if (Values.empty())
     return 0;
   std::sort(Values.begin(), Values.end());
-  auto Index =
-      static_cast<std::size_t>(Part * static_cast<double>(Values.size() - 1));
+  auto Index = static_cast<std::size_t>(Quantile *
+                                        static_cast<double>(Values.size() - 1));
   return Values[Index];
 }
 
--- a/Bench/QuotaSearchProgram.cpp
+++ b/Bench/QuotaSearchProgram.cpp
@@ -39,18 +39,20 @@
     QuotaScenario Scenario = QuotaScenario::random(
         Deployment, Seed * 1000003 + static_cast<std::uint64_t>(I));
     Scenario.m_HasOnlyLargestRequests = I % LargestOnlyPeriod == 0;
-    SimulatedScenario One = simulateScenario(std::move(Scenario));
-    Violations += One.m_Result.isWithinTolerance() ? 0 : 1;
-    Sum += One.m_Result.usedTolerance();
-    if (I == 0 || One.m_Result.usedTolerance() > Worst.m_Result.usedTolerance())
-      Worst = std::move(One);
+    SimulatedScenario Candidate = simulateScenario(std::move(Scenario));
+    Violations += Candidate.m_Result.isWithinTolerance() ? 0 : 1;
+    Sum += Candidate.m_Result.usedTolerance();
+    if (I == 0 ||
+        Candidate.m_Result.usedTolerance() > Worst.m_Result.usedTolerance())
+      Worst = std::move(Candidate);
   }
   double Random = Worst.m_Result.usedTolerance();
   std::mt19937_64 Luck(Seed);
   for (int I = 0; I < Generations; ++I) {
-    SimulatedScenario One = simulateScenario(Worst.m_Scenario.mutated(Luck));
-    if (One.m_Result.usedTolerance() > Worst.m_Result.usedTolerance())
-      Worst = std::move(One);
+    SimulatedScenario Candidate =
+        simulateScenario(Worst.m_Scenario.mutated(Luck));
+    if (Candidate.m_Result.usedTolerance() > Worst.m_Result.usedTolerance())
+      Worst = std::move(Candidate);
   }
   std::cout << Deployment.m_Name << " instances=" << Deployment.m_Size
             << " days=" << Days << " broken=" << Violations
--- a/Bench/RoutingProgram.cpp
+++ b/Bench/RoutingProgram.cpp
@@ -32,17 +32,17 @@
 using namespace yardrill;
 using namespace yardrill::bench;
 
-static double percentile(std::vector<double> Values, double Part) {
+static double percentile(std::vector<double> Values, double Quantile) {
   if (Values.empty())
     return 0;
   std::sort(Values.begin(), Values.end());
   return Values[static_cast<std::size_t>(
-      Part * static_cast<double>(Values.size() - 1))];
+      Quantile * static_cast<double>(Values.size() - 1))];
 }
 
-static void print(const std::string &Workload, const std::string &How,
+static void print(const std::string &Workload, const std::string &Policy,
                   const SimulationResult &Sum) {
-  std::cout << "workload=" << Workload << " way=" << How;
+  std::cout << "workload=" << Workload << " way=" << Policy;
   for (int T = 1; T < 4; ++T)
     std::cout << " in_time_" << T << '='
               << std::round(1000 * Sum.m_InTime[T] / Sum.m_Arrived[T]) / 1000;
@@ -67,15 +67,15 @@
   std::vector<std::pair<std::string,
                         std::function<Simulation::SchedulerFactory(unsigned)>>>
       Schedulers;
-  for (auto [Name, How] :
+  for (auto [Name, Policy] :
        {std::make_pair("random", BaselinePolicy::Random),
         std::make_pair("least-reported", BaselinePolicy::LeastReported),
         std::make_pair("two-choices", BaselinePolicy::TwoChoices),
         std::make_pair("least-own", BaselinePolicy::LeastOwn)})
     Schedulers.emplace_back(
-        Name, [How = How](unsigned Seed) -> Simulation::SchedulerFactory {
-          return [How, Seed](Simulation &Owner) {
-            return std::make_unique<Baseline>(Owner, How, Seed);
+        Name, [Policy = Policy](unsigned Seed) -> Simulation::SchedulerFactory {
+          return [Policy, Seed](Simulation &Owner) {
+            return std::make_unique<Baseline>(Owner, Policy, Seed);
           };
         });
   Schedulers.emplace_back(
--- a/Bench/Simulation.cpp
+++ b/Bench/Simulation.cpp
@@ -25,7 +25,7 @@
 
 Simulation::Simulation(std::vector<Request> Requests, unsigned Seed,
                        const SchedulerFactory &Factory)
-    : m_Requests(std::move(Requests)), m_Reported(EngineCount),
+    : m_Requests(std::move(Requests)), m_ReportedLoads(EngineCount),
       m_EngineOf(m_Requests.size(), -1), m_IsCancelled(m_Requests.size()),
       m_HasStarted(m_Requests.size()) {
   std::mt19937_64 Random(Seed + 1000);
@@ -66,7 +66,7 @@
 
 void Simulation::reportLoads() {
   for (std::size_t I = 0; I < EngineCount; ++I)
-    m_Reported[I] = m_Engines[I].load();
+    m_ReportedLoads[I] = m_Engines[I].load();
   at(m_Now + ReportPeriod, [this] { reportLoads(); });
 }
 
--- a/Bench/Simulation.h
+++ b/Bench/Simulation.h
@@ -74,7 +74,7 @@
 
   const std::vector<Request> &requests() const { return m_Requests; }
   std::size_t reportedLoad(std::size_t Engine) const {
-    return m_Reported[Engine];
+    return m_ReportedLoads[Engine];
   }
 
 private:
@@ -100,7 +100,7 @@
   std::vector<Request> m_Requests;
   std::vector<double> m_Speeds;
   std::vector<EngineModel> m_Engines;
-  std::vector<std::size_t> m_Reported;
+  std::vector<std::size_t> m_ReportedLoads;
   std::vector<int> m_EngineOf;
   std::vector<bool> m_IsCancelled;
   std::vector<bool> m_HasStarted;
--- a/Bench/StoreSpreadProgram.cpp
+++ b/Bench/StoreSpreadProgram.cpp
@@ -57,16 +57,17 @@
                                      {Entry{Key, After, Revision(2)}});
   auto Took = Fleet.runUntil(
       [&] { return Fleet.haveAllDelivered(Key, Revision(2)); }, SpreadTimeout);
-  double Spent = processorMs() - Begin;
-  std::size_t Most = 0;
-  std::size_t All = 0;
+  double ProcessorMs = processorMs() - Begin;
+  std::size_t MaxBytesSent = 0;
+  std::size_t TotalBytesSent = 0;
   for (std::size_t I = 0; I < Instances; ++I) {
-    Most = std::max(Most, Fleet.instance(I).bytesSent());
-    All += Fleet.instance(I).bytesSent();
+    MaxBytesSent = std::max(MaxBytesSent, Fleet.instance(I).bytesSent());
+    TotalBytesSent += Fleet.instance(I).bytesSent();
   }
   std::cout << Instances << ',' << What << ',' << After.size() << ','
-            << Took.count() << ',' << All / Instances << ',' << Most << ','
-            << Spent / static_cast<double>(Instances) << std::endl;
+            << Took.count() << ',' << TotalBytesSent / Instances << ','
+            << MaxBytesSent << ','
+            << ProcessorMs / static_cast<double>(Instances) << std::endl;
 }
 
 int main() {
--- a/Bench/Workload.cpp
+++ b/Bench/Workload.cpp
@@ -29,9 +29,9 @@
 
 std::vector<Request> makeWorkload(const WorkloadShape &Shape, unsigned Seed) {
   std::mt19937_64 Random(Seed);
-  std::uniform_real_distribution<double> Part(0, 1);
+  std::uniform_real_distribution<double> Unit(0, 1);
   // Lengths spread by a factor of about four around the kind's own.
-  std::lognormal_distribution<double> Spread(0, 0.35);
+  std::lognormal_distribution<double> LengthFactor(0, 0.35);
   std::vector<Request> All;
   core::Duration Now{};
   while (true) {
@@ -41,7 +41,7 @@
     Now += core::Duration(static_cast<std::int64_t>(Gap(Random) * 1e6));
     if (Now >= Shape.m_Length)
       return All;
-    double Draw = Part(Random);
+    double Draw = Unit(Random);
     const RequestProfile *Kind = &Shape.m_Kinds.back();
     for (const RequestProfile &Each : Shape.m_Kinds) {
       if (Draw < Each.m_Share) {
@@ -56,7 +56,7 @@
     Next.m_Account = static_cast<std::uint32_t>(Random() % Shape.m_Accounts);
     Next.m_Prefill = Kind->m_Prefill;
     Next.m_Output =
-        static_cast<std::uint32_t>(Kind->m_Output * Spread(Random)) + 1;
+        static_cast<std::uint32_t>(Kind->m_Output * LengthFactor(Random)) + 1;
     Next.m_Deadline = Kind->m_Deadline;
     if (Kind->m_Prefixes != 0)
       Next.m_Prefix = Kind->m_Tier * 1000UL + Random() % Kind->m_Prefixes;
