--- a/Bench/Baseline.h
+++ b/Bench/Baseline.h
@@ -1,5 +1,4 @@
-//===-- Baseline.h - Ways of deciding to compare with
-//----------------------===//
+//===-- Baseline.h - Load balancers to compare yardrill with --------------===//
 #ifndef YARDRILL_BENCH_BASELINE_H
 #define YARDRILL_BENCH_BASELINE_H
 
@@ -9,9 +8,15 @@
 
 namespace yardrill::bench {
 
-enum class BaselinePolicy { Random, LeastReported, TwoChoices, LeastOwn };
+enum class BaselinePolicy {
+  Random,
+  LeastReported, ///< Least load in the engines' last reports.
+  TwoChoices,    ///< Less reported load of two random engines.
+  LeastOwn       ///< Fewest requests of the deciding instance.
+};
 
-/// Each request goes to an engine's own queue at once.
+/// Dispatches each request immediately to the queue of the engine that its
+/// policy selects.
 class Baseline final : public Scheduler {
 public:
   Baseline(Simulation &Owner, BaselinePolicy Policy, unsigned Seed)
--- a/Bench/ConfigurationCostProgram.cpp
+++ b/Bench/ConfigurationCostProgram.cpp
@@ -1,8 +1,8 @@
-//===-- ConfigurationCostProgram.cpp - What a change of the routes costs --===//
+//===-- ConfigurationCostProgram.cpp - Costs of a configuration change ----===//
 //
-// For configurations of several sizes: processor time to read one, to make and
-// to apply the patch for one changed route, bytes of the patch, and memory of
-// the table that is in force.
+// Prints for configurations of several sizes: the time to parse one, to create
+// and to apply the patch for one changed route, the size of the patch, and the
+// memory of the parsed route table.
 //
 //===----------------------------------------------------------------------===//
 #include "LibGateway/ValuePatch.h"
@@ -21,7 +21,7 @@
 static constexpr int Repetitions = 9;
 static constexpr std::size_t MaxBytes = 16UL * 1024 * 1024;
 
-/// As the operators write it, with names that repeat nowhere.
+/// Returns a configuration with unique random names.
 static std::string configuration(std::size_t Routes, std::size_t Changed) {
   std::mt19937 Random(1);
   auto RandomName = [&Random] {
@@ -43,7 +43,7 @@
   return Out + R"(],"services":[{"name":"pool","maxConns":590}]})";
 }
 
-/// \returns the shortest of some runs, in milliseconds.
+/// Returns the shortest time of several repetitions, in milliseconds.
 static double minMilliseconds(const std::function<void()> &What) {
   double Best = 1e9;
   for (int I = 0; I < Repetitions; ++I) {
--- a/Bench/ContentDigestProgram.cpp
+++ b/Bench/ContentDigestProgram.cpp
@@ -1,7 +1,8 @@
-//===-- ContentDigestProgram.cpp - What it costs to know a request again --===//
+//===-- ContentDigestProgram.cpp - Time of a quarantine content digest ----===//
 //
-// Usage: content_digest. Prints nanoseconds a digest for bodies of several
-// sizes: none, the means of the deployments' kinds of request, and a large one.
+// Usage: content_digest. Prints nanoseconds per digest for bodies of several
+// sizes: empty, the mean sizes of the deployments' request kinds, and a large
+// one.
 //
 //===----------------------------------------------------------------------===//
 #include "LibQuarantine/ContentDigest.h"
--- a/Bench/CoreScheduler.cpp
+++ b/Bench/CoreScheduler.cpp
@@ -38,7 +38,7 @@
   void requestArrived(std::size_t Index) override {
     const Request &Which = m_Owner.requests()[Index];
     std::size_t Instance = Which.m_Instance;
-    // The balancer no longer sends to an instance that is gone.
+    // The balancer skips lost instances.
     while (m_IsLost[Instance])
       Instance = (Instance + 1) % m_Cores.size();
     m_InstanceOf[Index] = Instance;
@@ -69,7 +69,7 @@
 
   void loseInstance(std::size_t Instance) override {
     m_IsLost[Instance] = true;
-    // Its callers' connections break, and the engines cancel what it ran.
+    // Its connections break, so the engines cancel its requests.
     for (const auto &[Index, Owner] : m_InstanceOf)
       if (Owner == Instance && m_Dispatched.count(Index) != 0)
         m_Owner.cancel(Index);
--- a/Bench/CoreScheduler.h
+++ b/Bench/CoreScheduler.h
@@ -1,5 +1,4 @@
-//===-- Cores.h - Real decision cores that talk to each other
-//--------------===//
+//===-- CoreScheduler.h - Schedules with decision cores -------------------===//
 #ifndef YARDRILL_BENCH_CORESCHEDULER_H
 #define YARDRILL_BENCH_CORESCHEDULER_H
 
@@ -7,14 +6,15 @@
 
 namespace yardrill::bench {
 
+/// Settings of the cores, as in a fleet's configuration.
 struct CoreSchedulerSettings {
   std::size_t m_Instances = 1;
-  unsigned m_ReservedSlots = 0; ///< Of each engine, for tier 1.
+  unsigned m_ReservedSlots = 0; ///< Slots of each engine reserved for tier 1.
   double m_PrefillWeight = 0;
 };
 
-/// yardrill's own way of deciding: one core for each instance, whose messages
-/// take a millisecond.
+/// Creates yardrill's scheduler: one DecisionCore per instance, which exchange
+/// messages with MessageDelay.
 std::unique_ptr<Scheduler>
 makeCoreScheduler(Simulation &Owner, const CoreSchedulerSettings &Settings,
                   unsigned Seed);
--- a/Bench/DecisionCostProgram.cpp
+++ b/Bench/DecisionCostProgram.cpp
@@ -1,7 +1,8 @@
-//===-- DecisionCostProgram.cpp - Processor time of single decisions ------===//
+//===-- DecisionCostProgram.cpp - Latency of single decisions -------------===//
 //
-// Prints the median and the 99th percentile of one arrival and of one end (with
-// the dispatch of the next in the queue) for each size of queue and fleet.
+// Prints the median and 99th percentile for an arriving request and for a
+// finished one (which dispatches the next from the queue), by number of queued
+// requests and targets.
 //
 //===----------------------------------------------------------------------===//
 #include "LibDecision/DecisionCore.h"
@@ -12,7 +13,7 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_bool(policy, false, "with a policy program");
+DEFINE_bool(policy, false, "configure a policy program");
 
 using namespace yardrill;
 using namespace yardrill::decision;
@@ -35,7 +36,7 @@
 
 namespace {
 
-/// One core with its queue filled to a given length.
+/// A decision core with all slots taken and a queue of a given length.
 class LoadedCore {
 public:
   LoadedCore(int Targets, int Queued) {
--- a/Bench/EngineModel.h
+++ b/Bench/EngineModel.h
@@ -1,8 +1,7 @@
-//===-- EngineModel.h - A model engine, small enough to read --------------===//
+//===-- EngineModel.h - Deterministic model of an inference engine --------===//
 //
-// A number of places; waiting by priority; a bounded cache of prompt prefixes,
-// least recently used goes first; a speed of its own. Batching effects are left
-// out. Times are exact; nothing is drawn at random.
+// Models slots, a queue by tier, an LRU cache of prompt prefixes and a speed
+// per engine. Batching effects are not modelled. Simulation drives it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_BENCH_ENGINEMODEL_H
@@ -19,31 +18,35 @@
 
 namespace yardrill::bench {
 
-inline constexpr double PrefillRate = 4000; ///< Tokens a second at speed 1.
-inline constexpr double DecodeRate = 40;    ///< Of one stream, at speed 1.
+inline constexpr double PrefillRate = 4000; ///< Tokens per second at speed 1.
+inline constexpr double DecodeRate = 40;    ///< Tokens per second and stream.
 
-/// What starting a request means.
+/// A request that an engine started, with its service times.
 struct StartedRequest {
-  std::size_t m_Request = 0;
-  bool m_IsCached = false;
-  core::Duration m_Prefill{}; ///< Until the first token.
+  std::size_t m_Request = 0;  ///< Index of the request.
+  bool m_IsCached = false;    ///< Whether its prefix was cached.
+  core::Duration m_Prefill{}; ///< Time to the first token.
   core::Duration m_Total{};
 };
 
+/// One engine. Requests are identified by their index in the workload.
 class EngineModel {
 public:
+  /// \param Speed relative to PrefillRate and DecodeRate.
   EngineModel(double Speed, std::size_t Slots, std::size_t CachedPrefixes)
       : m_Speed(Speed), m_Slots(Slots), m_CachedPrefixes(CachedPrefixes) {}
 
+  /// Sets a factor on the service times of requests started from now on.
   void setSlowness(double Slowness) { m_Slowness = Slowness; }
   void enqueue(std::size_t Index, const Request &What);
-  /// Starts the next waiting request, if a place is free.
+  /// Starts the first request in the queue if a slot is free.
   std::optional<StartedRequest> startNext(const std::vector<Request> &All);
   void finishRequest() { --m_Running; }
-  /// \returns false when it does not wait here.
+  /// Removes a request from the queue. \returns false if it is not queued.
   bool cancelWaiting(std::size_t Index, const Request &What);
 
   bool hasPrefix(std::uint64_t Prefix) const;
+  /// Returns the number of running and queued requests.
   std::size_t load() const { return m_Running + m_Waiting.size(); }
 
 private:
--- a/Bench/FleetCutProgram.cpp
+++ b/Bench/FleetCutProgram.cpp
@@ -1,7 +1,7 @@
-//===-- FleetCutProgram.cpp - What each instance works with, by sizes -----===//
+//===-- FleetCutProgram.cpp - Subset sizes by fleet and pool size ---------===//
 //
-// For each size of fleet and pool: the targets that one instance works with,
-// how many instances share one of them, and how many of these it hears from.
+// Prints for each size of fleet and pool: the smallest and largest subset of an
+// instance, the mean number of instances per target, and the largest group.
 //
 //===----------------------------------------------------------------------===//
 #include "LibRouting/FleetSubset.h"
@@ -15,7 +15,7 @@
 static const std::size_t FleetSizes[] = {6, 24, 89, 295, 440};
 static const std::size_t PoolSizes[] = {3,   8,   18,   48,   90,   140,
                                         160, 222, 1000, 4000, 12000};
-/// As in the deployments of hundreds of instances.
+/// Number in deployments of hundreds of instances.
 static constexpr std::size_t DataHalls = 5;
 
 static FleetSubset::Fleet fleetOf(std::size_t Size) {
--- a/Bench/LimitSearchProgram.cpp
+++ b/Bench/LimitSearchProgram.cpp
@@ -1,7 +1,8 @@
-//===-- LimitSearchProgram.cpp - Limits of targets, by way and fleet ------===//
+//===-- LimitSearchProgram.cpp - Rate limits by strategy and fleet size ---===//
 //
-// Prints for each way and size of fleet the worst sum over what is allowed, and
-// what limited targets got of what they take. Usage: limit_search [DAYS]
+// Usage: limit_search [DAYS]. Simulates DAYS scenarios for each rate limit
+// strategy and fleet. Prints the worst ratio of received to allowed requests,
+// and the share of their limit that targets received without faults.
 //
 //===----------------------------------------------------------------------===//
 #include "RateLimitSimulation.h"
--- a/Bench/LoadProgram.cpp
+++ b/Bench/LoadProgram.cpp
@@ -1,8 +1,8 @@
-//===-- LoadProgram.cpp - Bounded load on one loopback port ---------------===//
+//===-- LoadProgram.cpp - Closed-loop load on one loopback port -----------===//
 //
-// Sends streamed completions (or application calls) with a fixed number of
-// callers and prints one line of key=value: latencies of the first piece and of
-// the whole answer, and requests a second.
+// Sends streamed completions or application calls from a fixed number of
+// callers and prints one line of key=value: latencies to the first body data
+// and to the end of the response, and requests per second.
 //
 //===----------------------------------------------------------------------===//
 #include "LibCore/Error.h"
@@ -16,21 +16,22 @@
 #include <vector>
 
 DEFINE_int32(port, 0, "port on loopback");
-DEFINE_string(label, "", "printed first");
-DEFINE_uint64(callers, 1, "calls at one time");
-DEFINE_uint64(requests, 1000, "calls in all");
-DEFINE_int32(tokens, 8, "tokens of each answer");
-DEFINE_int32(prompt_bytes, 200, "size of each prompt");
+DEFINE_string(label, "", "label of the printed line");
+DEFINE_uint64(callers, 1, "number of concurrent callers");
+DEFINE_uint64(requests, 1000, "total number of requests");
+DEFINE_int32(tokens, 8, "tokens per response");
+DEFINE_int32(prompt_bytes, 200, "size of each prompt in bytes");
 DEFINE_string(path, "/v1/completions", "path to call");
-DEFINE_string(tier, "", "tier to ask for");
+DEFINE_string(tier, "", "requested tier; empty: the account's default");
 DEFINE_string(key, "box-office-secret", "bearer key");
-DEFINE_bool(keyed, false, "an Idempotency-Key of its own on each call");
-DEFINE_bool(fresh, false, "a new connection for each call");
+DEFINE_bool(keyed, false, "send a unique Idempotency-Key with each request");
+DEFINE_bool(fresh, false, "open a new connection for each request");
 
 using namespace yardrill;
 
 namespace {
 
+/// Latencies of one response.
 struct Sample {
   core::Duration m_First{};
   core::Duration m_Total{};
--- a/Bench/MembershipProgram.cpp
+++ b/Bench/MembershipProgram.cpp
@@ -1,8 +1,8 @@
-//===-- MembershipProgram.cpp - What knowing the others costs an instance -===//
+//===-- MembershipProgram.cpp - Processor time of the peer table ----------===//
 //
-// One instance of a fleet takes the reports of the others, as often as they
-// come at rest, and looks at what it knows as often as it does. Processor time
-// of one simulated second, best of several.
+// Feeds one instance the load reports of an idle fleet and reads its peer table
+// at the usual rate. Prints the processor time of a simulated second, the best
+// of several rounds.
 //
 //===----------------------------------------------------------------------===//
 #include "LibGateway/PeerTable.h"
@@ -19,7 +19,7 @@
 static constexpr int Rounds = 7;
 static constexpr milliseconds TickPeriod{40};
 static constexpr int TicksPerSecond = 25;
-/// Reports a second: of each near peer; and of all far ones, each every 2.5 s.
+/// Each group peer reports 10 times per second, each other peer every 2.5 s.
 static constexpr std::size_t GroupPeerReportsPerSecond = 10;
 static constexpr double OtherPeerReportSeconds = 2.5;
 
--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -1,8 +1,10 @@
-//===-- QuarantineSearchProgram.cpp - Bad requests over many days ---------===//
+//===-- QuarantineSearchProgram.cpp - Random quarantine scenarios ---------===//
 //
-// Usage: quarantine_search DAYS INSTANCES TARGETS [REFUSED_FROM [SENT_ON]].
-// Plays so many drawn days in the model, of that size, and prints sums, for one
-// of the ways to deal with a request under which targets end.
+// Usage: quarantine_search DAYS INSTANCES TARGETS [THRESHOLD [RETRY_SUSPECTS]].
+// Simulates DAYS random scenarios of that fleet size and prints their sums.
+// THRESHOLD is the number of incarnations that exit before a content is
+// refused; RETRY_SUSPECTS other than 0 retries an attempt after its target
+// exited.
 //
 //===----------------------------------------------------------------------===//
 #include "QuarantineSimulation.h"
--- a/Bench/QuotaSearchProgram.cpp
+++ b/Bench/QuotaSearchProgram.cpp
@@ -1,10 +1,10 @@
-//===-- QuotaSearchProgram.cpp - Breeds days towards a quota's bound ------===//
+//===-- QuotaSearchProgram.cpp - Searches for the worst quota scenario ----===//
 //
 // Usage: quota_search [DAYS [GENERATIONS [SEED [DEPLOYMENT]]]]
 //
-// Plays DAYS random days on each deployment, and breeds the fullest of them for
-// GENERATIONS more. Prints of each the part of the tolerance that was used; a
-// quota is broken above 1.
+// Simulates DAYS random scenarios for each deployment and mutates the worst one
+// for GENERATIONS. Prints the used share of the tolerance, which violates the
+// quota above 1.
 //
 //===----------------------------------------------------------------------===//
 #include "QuotaScenario.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// One day in so many has nothing but the largest requests.
+/// One in this many scenarios has the largest requests only.
 constexpr int LargestOnlyPeriod = 4;
 
 struct SimulatedScenario {
--- a/Bench/RoutingProgram.cpp
+++ b/Bench/RoutingProgram.cpp
@@ -1,11 +1,9 @@
-//===-- RoutingProgram.cpp - Who runs, where and when, compared -----------===//
+//===-- RoutingProgram.cpp - Compares schedulers on simulated engines -----===//
 //
-// Drives real decision cores, several instances, and baselines through the
-// same workloads before the same engine models, and prints one line of
-// key=value for each way of deciding, averaged over the seeds: the share
-// answered in time by tier, wasted prefill, first token, refusals. One engine
-// slows to a third in the middle; reports of load are two seconds old; an
-// instance is lost in the burst.
+// Runs yardrill's decision cores and baseline load balancers on the same
+// simulated workloads and engines. Prints a line of key=value per scheduler,
+// summed over the seeds: the share answered in time by tier, wasted prefill,
+// time to first token and refusals. Simulation.h lists the simulated faults.
 //
 //===----------------------------------------------------------------------===//
 #include "Baseline.h"
@@ -20,14 +18,14 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_uint32(seeds, 6, "workloads of each kind");
+DEFINE_uint32(seeds, 6, "number of seeds per workload");
 DEFINE_string(workload, "", "trust-sale or club-evening; empty: both");
-DEFINE_double(load, 1, "times the workload's own rate");
+DEFINE_double(load, 1, "factor on the workload's rate");
 DEFINE_uint32(kept_places, 1,
-              "yardrill: places of each engine kept for tier 1");
+              "yardrill: slots of each engine reserved for tier 1");
 DEFINE_double(prefill_weight, 25, "yardrill: weight of a prefill token");
-DEFINE_string(write_workload, "", "write the first workload to this file");
-DEFINE_string(only, "", "run only this way of deciding");
+DEFINE_string(write_workload, "", "file to write the first workload to");
+DEFINE_string(only, "", "run this scheduler only");
 
 using namespace yardrill;
 using namespace yardrill::bench;
--- a/Bench/Simulation.h
+++ b/Bench/Simulation.h
@@ -1,5 +1,9 @@
-//===-- Simulation.h - Workloads before engine models, in model time
-//-------===//
+//===-- Simulation.h - Simulated engines under a workload -----------------===//
+//
+// Discrete-event simulation of a workload, engine models and a scheduler. The
+// routing bench compares schedulers with it.
+//
+//===----------------------------------------------------------------------===//
 #ifndef YARDRILL_BENCH_SIMULATION_H
 #define YARDRILL_BENCH_SIMULATION_H
 
@@ -16,27 +20,30 @@
 
 inline constexpr std::size_t EngineCount = 12;
 inline constexpr std::size_t EngineSlots = 8;
-/// Of messages between instances, and of an engine's word that it cancelled.
+/// Delay of messages between instances, and of an engine's cancellation.
 inline constexpr core::Duration MessageDelay = std::chrono::milliseconds(1);
 
-/// Sums over one or several runs, by tier where there are four.
+/// Sums over one or several runs; arrays are indexed by tier, 1 to 3.
 struct SimulationResult {
-  double m_InTime[4] = {};
+  double m_InTime[4] = {}; ///< Requests that met their deadline.
   double m_Arrived[4] = {};
-  double m_InTimeInBurst[4] = {}; ///< Of those that arrived in the burst.
+  double m_InTimeInBurst[4] = {}; ///< Requests of the burst in time.
   double m_ArrivedInBurst[4] = {};
+  /// Prefill tokens of requests cancelled while running, and of requests whose
+  /// prefix only another engine had cached.
   double m_WastedTokens = 0;
   double m_PrefilledTokens = 0;
   double m_Refused = 0;
   double m_Evicted = 0;
-  std::vector<double> m_FirstToken[4];
+  std::vector<double> m_FirstToken[4]; ///< Times to first token, seconds.
 
   void add(const SimulationResult &Other);
 };
 
 class Simulation;
 
-/// One way of deciding. It calls back Simulation::dispatch and refuse.
+/// Decides which engine executes a request, and when. It receives events of the
+/// simulation and calls Simulation::dispatch(), cancel() and refuse().
 class Scheduler {
 public:
   explicit Scheduler(Simulation &Owner) : m_Owner(Owner) {}
@@ -51,9 +58,9 @@
   Simulation &m_Owner;
 };
 
-/// Plays one workload under one way of deciding. One engine slows to a third in
-/// the middle; reports of load are two seconds old; an instance is lost in the
-/// burst.
+/// Simulates one workload under one scheduler. One engine slows down to a third
+/// of its speed halfway, load reports are up to two seconds old, and an
+/// instance is lost during the burst.
 class Simulation {
 public:
   using SchedulerFactory =
@@ -63,8 +70,11 @@
              const SchedulerFactory &Factory);
 
   SimulationResult run();
+  /// Schedules a task at a time after the start.
   void at(core::Duration When, std::function<void()> What);
+  /// Returns the simulated time since the start.
   core::Duration now() const { return m_Now; }
+  /// Returns the simulated time as a steady-clock reading.
   core::TimePoint steadyNow() const {
     return core::TimePoint(std::chrono::hours(1)) + m_Now;
   }
--- a/Bench/StoreSpreadProgram.cpp
+++ b/Bench/StoreSpreadProgram.cpp
@@ -1,9 +1,9 @@
-//===-- StoreSpreadProgram.cpp - How changes reach a fleet of some size ---===//
+//===-- StoreSpreadProgram.cpp - Propagation time of a store change -------===//
 //
-// Six instances hear from the store, as in a large fleet; the others hear from
-// their peers, over links of 10 Mbit/s. Prints, for each number of instances
-// and routes, when the last one has a change, what it costs in bytes, and the
-// processor time of one instance (one process carries all of them).
+// Six instances follow the store, as in a large fleet; the others receive the
+// change from peers over links of 10 Mbit/s. Prints, for each number of
+// instances and size of change, when the last instance has it, the bytes sent,
+// and the processor time per instance (all run in this process).
 //
 //===----------------------------------------------------------------------===//
 #include "LibCore/Log.h"
@@ -41,7 +41,7 @@
   return 1e3 * static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-/// Plays one change from \p Before to \p After.
+/// Propagates a change from \p Before to \p After and prints its costs.
 static void measureChange(std::size_t Instances, const char *What,
                           const std::string &Before, const std::string &After) {
   MirrorFleet Fleet;
--- a/Bench/Workload.cpp
+++ b/Bench/Workload.cpp
@@ -30,7 +30,7 @@
 std::vector<Request> makeWorkload(const WorkloadShape &Shape, unsigned Seed) {
   std::mt19937_64 Random(Seed);
   std::uniform_real_distribution<double> Unit(0, 1);
-  // Lengths spread by a factor of about four around the kind's own.
+  // Varies output lengths by a factor of about four.
   std::lognormal_distribution<double> LengthFactor(0, 0.35);
   std::vector<Request> All;
   core::Duration Now{};
--- a/Bench/Workload.h
+++ b/Bench/Workload.h
@@ -1,6 +1,6 @@
-//===-- Workload.h - Requests of a burst, from a seed ---------------------===//
+//===-- Workload.h - Random workloads with a burst ------------------------===//
 //
-// Format when written as text, one request a line (docs/MEASUREMENTS.md):
+// Text format, one request per line (docs/MEASUREMENTS.md):
 // arrival in microseconds, tier, account, prefill tokens, output tokens,
 // deadline in microseconds after arrival, prefix (0: none), instance.
 //
@@ -17,43 +17,47 @@
 
 namespace yardrill::bench {
 
+/// One request of a workload.
 struct Request {
-  core::Duration m_At{};
+  core::Duration m_At{}; ///< Arrival after the start.
   std::uint32_t m_Tier = 1;
   std::uint32_t m_Account = 0;
-  std::uint32_t m_Prefill = 0;
-  std::uint32_t m_Output = 0;
-  core::Duration m_Deadline{};
-  std::uint64_t m_Prefix = 0;
+  std::uint32_t m_Prefill = 0; ///< Tokens.
+  std::uint32_t m_Output = 0;  ///< Tokens.
+  core::Duration m_Deadline{}; ///< After the arrival.
+  std::uint64_t m_Prefix = 0;  ///< Prompt prefix; 0: none.
   std::size_t m_Instance = 0;
 };
 
 /// One kind of request in a mix.
 struct RequestProfile {
   std::uint32_t m_Tier;
-  double m_Share; ///< Of all arrivals.
+  double m_Share; ///< Share of all arrivals, 0 to 1.
   std::uint32_t m_Prefill;
   std::uint32_t m_Output;
   core::Duration m_Deadline;
-  std::uint64_t m_Prefixes; ///< How many share their prompts; 0: none shared.
+  std::uint64_t m_Prefixes; ///< Number of prompt prefixes; 0: none shared.
 };
 
+/// Parameters of a random workload.
 struct WorkloadShape {
   std::string m_Name;
   std::vector<RequestProfile> m_Kinds;
-  double m_Rate = 0;  ///< Arrivals a second outside the burst.
-  double m_Burst = 3; ///< Times that in the middle third.
+  double m_Rate = 0;  ///< Arrivals per second outside the burst.
+  double m_Burst = 3; ///< Factor on the rate in the middle third.
   core::Duration m_Length = std::chrono::seconds(600);
   std::size_t m_Instances = 7;
   std::uint32_t m_Accounts = 5;
 };
 
-/// The Trust's sale: listings and disputes beside long seller summaries.
+/// Returns the Trust's sale: listings and disputes beside long seller
+/// summaries.
 WorkloadShape trustSale();
-/// The club's tournament evening: questions and critical positions beside long
-/// annotations over shared game records.
+/// Returns the club's tournament evening: questions and critical positions
+/// beside long annotations over shared game records.
 WorkloadShape clubEvening();
 
+/// Returns the requests in order of arrival; the same for the same seed.
 std::vector<Request> makeWorkload(const WorkloadShape &Shape, unsigned Seed);
 void writeWorkload(std::ostream &Out, const std::vector<Request> &Requests);
 
