--- a/Meta/Precompiled.h
+++ b/Meta/Precompiled.h
@@ -1,6 +1,7 @@
-//===-- Precompiled.h - Costly headers, compiled once ---------------------===//
+//===-- Precompiled.h - Precompiled header of all targets -----------------===//
 //
-// Sources still include what they use; this file only makes that cheap.
+// Contains headers that are slow to compile. Sources include what they use
+// nevertheless, so that they compile without it.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_META_PRECOMPILED_H
--- a/Tests/Meta/AccountsTest.py
+++ b/Tests/Meta/AccountsTest.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-"""Tests of Meta/losses, Meta/bound and Meta/quota, worked out by hand."""
+"""Tests Meta/losses and Meta/bound against results computed by hand, and that
+Meta/quota loads."""
 import importlib.machinery
 import importlib.util
 import os
@@ -58,8 +59,8 @@
                   "windows": [dict(half, name="8"), dict(half, name="10")]}
         causes = LOSSES.account(report, {"classes": KINDS}, self.requests())
         self.assertAlmostEqual(sum(causes.values()), 0.15 + 0.15 + 0.08 + 0.03)
-        # Late ones lose half: 2 x 1 of 2 x 1 + 3 x 2 + 1 x 2. One of the two was seen
-        # here.
+        # Late requests lose half of their worth: 2 x 1 of 2 x 1 + 3 x 2 + 1 x 2. The
+        # log contains one of the two.
         self.assertAlmostEqual(causes[LOSSES.LATE["waited"]], (0.15 + 0.15 + 0.08) / 10)
         self.assertAlmostEqual(causes[LOSSES.UNSEEN["late"]], (0.15 + 0.15 + 0.08) / 10)
         self.assertAlmostEqual(causes["price: machines"], 0.03)
@@ -85,18 +86,19 @@
 
     def test_twice_the_room(self):
         day = {"faults": [{"kind": "burst", "at": 0.0, "for_s": 4.0, "x": 2.0}]}
-        # Half in time; there is never room for those that waited.
+        # Half are served in time; there is no capacity left for the waiting ones.
         self.assertAlmostEqual(BOUND.bound(self.SITE, day)[1], 0.5)
 
     def test_what_waited_is_served_late(self):
         day = {"faults": [{"kind": "srv_crash", "at": 0.0, "for_s": 0.5, "share": 1.0}],
                "traffic": [{"per_s": 5.0, "mix": {"k": 1.0}}]}
-        # Of 20 requests 2.5 wait, and find room within their second.
+        # 2.5 of 20 requests wait, and are served late but within their deadline.
         self.assertAlmostEqual(BOUND.bound(self.SITE, day)[1], (17.5 * 2 + 2.5) / 40)
 
     def test_no_instance_no_service(self):
         day = {"closing": {"kind": "kill_all", "down_s": 1.0}}
-        # All of the first second after the end; full engines never make up.
+        # The first second after the end is lost; the engines have no spare capacity
+        # to catch up.
         self.assertAlmostEqual(BOUND.bound(self.SITE, day)[1], 50 / 60)
 
 
--- a/Tests/Meta/MutationsTest.py
+++ b/Tests/Meta/MutationsTest.py
@@ -1,6 +1,6 @@
-"""Each proof can still be taken out of the code: what a mutation replaces stands
-once in the file that it names. Code that moves would leave proofs behind that
-nobody can run."""
+"""Checks that every mutation still applies: the text that it replaces must occur
+exactly once in its file. Guards against changes of the code that leave mutations
+behind which Meta/prove can't apply."""
 import os
 import sys
 
