--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -3,8 +3,8 @@
 // Usage: quarantine_search DAYS INSTANCES TARGETS [THRESHOLD [RETRY_SUSPECTS]].
 // Simulates DAYS random scenarios of that fleet size and prints their sums.
 // THRESHOLD is the number of incarnations that exit before a content is
-// refused; RETRY_SUSPECTS other than 0 retries an attempt after its target
-// exited.
+// refused; RETRY_SUSPECTS other than 0 retries an attempt immediately after its
+// target exited, even if others exited under its content before.
 //
 //===----------------------------------------------------------------------===//
 #include "QuarantineSimulation.h"
