--- a/Bench/Baseline.h
+++ b/Bench/Baseline.h
@@ -51,7 +51,7 @@
 
   std::size_t chooseEngine(std::size_t Instance) {
     auto Reported = [this](std::size_t E) { return m_Owner.reportedLoad(E); };
-    auto Own = [this, Instance](std::size_t E) {
+    auto LocalLoad = [this, Instance](std::size_t E) {
       return m_LocalLoad[Instance][E];
     };
     switch (m_Policy) {
@@ -60,7 +60,7 @@
     case BaselinePolicy::LeastReported:
       return leastLoaded(Reported);
     case BaselinePolicy::LeastOwn:
-      return leastLoaded(Own);
+      return leastLoaded(LocalLoad);
     case BaselinePolicy::TwoChoices: {
       std::size_t A = randomEngine();
       std::size_t B = randomEngine();
--- a/Bench/CoreScheduler.cpp
+++ b/Bench/CoreScheduler.cpp
@@ -140,19 +140,20 @@
   }
 
   void perform(std::size_t Instance, const decision::Action &What) {
-    if (const auto *Go = std::get_if<decision::Dispatch>(&What)) {
-      std::size_t Index = Go->m_Request.value() - 1;
+    if (const auto *Assignment = std::get_if<decision::Dispatch>(&What)) {
+      std::size_t Index = Assignment->m_Request.value() - 1;
       m_Dispatched.insert(Index);
-      m_Owner.dispatch(Index, std::stoul(Go->m_Target.value().substr(1)));
+      m_Owner.dispatch(Index,
+                       std::stoul(Assignment->m_Target.value().substr(1)));
     }
-    if (const auto *No = std::get_if<decision::Refuse>(&What)) {
-      m_Owner.refuse(No->m_Request.value() - 1);
-      if (No->m_ValidUntil != 0)
+    if (const auto *Refusal = std::get_if<decision::Refuse>(&What)) {
+      m_Owner.refuse(Refusal->m_Request.value() - 1);
+      if (Refusal->m_ValidUntil != 0)
         send(instanceRef(Instance),
-             decision::RefusalSettled{No->m_Request, true});
+             decision::RefusalSettled{Refusal->m_Request, true});
     }
-    if (const auto *Cut = std::get_if<decision::Cancel>(&What))
-      m_Owner.cancel(Cut->m_Request.value() - 1);
+    if (const auto *Eviction = std::get_if<decision::Cancel>(&What))
+      m_Owner.cancel(Eviction->m_Request.value() - 1);
     if (const auto *Order = std::get_if<decision::SendThresholdCommand>(&What))
       send(Order->m_To, Order->m_Command);
     if (const auto *Report = std::get_if<decision::SendThresholdReport>(&What))
--- a/Bench/DecisionCostProgram.cpp
+++ b/Bench/DecisionCostProgram.cpp
@@ -73,8 +73,8 @@
     std::vector<Action> Actions = m_Core.handle(What, m_Now);
     auto Elapsed = std::chrono::steady_clock::now() - Start;
     for (const Action &Each : Actions)
-      if (const auto *Go = std::get_if<Dispatch>(&Each))
-        m_Running.push_back(Go->m_Request);
+      if (const auto *Assignment = std::get_if<Dispatch>(&Each))
+        m_Running.push_back(Assignment->m_Request);
     return std::chrono::duration_cast<std::chrono::nanoseconds>(Elapsed)
         .count();
   }
--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -23,7 +23,7 @@
   std::size_t Days = Number(1, 100);
   QuarantineResult Sum;
   std::size_t Worst = 0;
-  std::size_t Broken = 0;
+  std::size_t Violations = 0;
   std::size_t Bad = 0;
   for (std::size_t Seed = 1; Seed <= Days; ++Seed) {
     QuarantineScenario Scenario =
@@ -32,7 +32,7 @@
     Scenario.m_RetriesSuspects = Number(5, 0) != 0;
     QuarantineResult Got = simulate(Scenario);
     Bad += Scenario.m_BadContents;
-    Broken += Got.m_LateSends > 3;
+    Violations += Got.m_LateSends > 3;
     if (Got.m_LateSends > Worst)
       std::printf("seed %zu: %zu late sends\n", Seed, Got.m_LateSends);
     Worst = std::max(Worst, Got.m_LateSends);
@@ -49,7 +49,7 @@
     return static_cast<double>(Part) / static_cast<double>(Whole);
   };
   std::printf("%zu days: %zu with more than 3 late sends, at most %zu\n", Days,
-              Broken, Worst);
+              Violations, Worst);
   std::printf("%.2f targets ended for each bad content\n",
               Of(Sum.m_ExitsUnderBad, Bad));
   std::printf("of %zu innocent attempts %.3f %% broken, %zu lost, of them %zu "
@@ -59,5 +59,5 @@
               Sum.m_HarmlessLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
   std::printf("a day %.1f writes to the store, %.0f datagrams\n",
               Of(Sum.m_StoreWrites, Days), Of(Sum.m_Datagrams, Days));
-  return Broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+  return Violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/Bench/QuotaSearchProgram.cpp
+++ b/Bench/QuotaSearchProgram.cpp
@@ -47,10 +47,10 @@
       Worst = std::move(Candidate);
   }
   double Random = Worst.m_Result.usedTolerance();
-  std::mt19937_64 Luck(Seed);
+  std::mt19937_64 Generator(Seed);
   for (int I = 0; I < Generations; ++I) {
     SimulatedScenario Candidate =
-        simulateScenario(Worst.m_Scenario.mutated(Luck));
+        simulateScenario(Worst.m_Scenario.mutated(Generator));
     if (Candidate.m_Result.usedTolerance() > Worst.m_Result.usedTolerance())
       Worst = std::move(Candidate);
   }
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -93,19 +93,19 @@
 std::string Callers::readBody(http::ClientConnection &Connection,
                               const SentRequest &What, bool IsStream,
                               asio::yield_context Yield) {
-  std::string All =
+  std::string Expected =
       IsStream ? allEventsOf(What.m_Id) : responseBodyOf(What.m_Id);
   std::string Out;
   while (true) {
-    std::string Piece = Connection.readBodyData(ClientTimeout, Yield);
-    Out += Piece;
-    if (All.compare(0, Out.size(), Out) != 0) {
+    std::string Data = Connection.readBodyData(ClientTimeout, Yield);
+    Out += Data;
+    if (Expected.compare(0, Out.size(), Out) != 0) {
       m_Checker.wrongResponse(What.m_Id, "body differs from the expected one");
       throw core::Error(core::ErrorKind::Protocol, "unexpected response body");
     }
-    if (!Piece.empty())
+    if (!Data.empty())
       continue;
-    if (Out.size() != All.size())
+    if (Out.size() != Expected.size())
       m_Checker.wrongResponse(What.m_Id, "body ended early without an error");
     return Out;
   }
--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -402,11 +402,11 @@
       m_Context, toTcp("127.0.0.1", static_cast<std::uint16_t>(m_StorePort)),
       OperatorTimeout, Yield);
   Connection->sendRequest(Request, OperatorTimeout, Yield);
-  auto Answer =
+  auto Response =
       Connection->readResponse(OperatorTimeout, std::size_t(1) << 20, Yield);
-  if (Answer.m_Head.m_Status != 200)
+  if (Response.m_Head.m_Status != 200)
     return "";
-  json::value Item = json::parse(Answer.m_Body);
+  json::value Item = json::parse(Response.m_Body);
   return core::fromBase64(std::string(Item.at("value").as_string()));
 }
 
