--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -50,14 +50,15 @@
   };
   std::printf("%zu days: %zu with more than 3 late sends, at most %zu\n", Days,
               Violations, Worst);
-  std::printf("%.2f targets ended for each bad content\n",
+  std::printf("%.2f targets exited per bad content\n",
               Of(Sum.m_ExitsUnderBad, Bad));
-  std::printf("of %zu innocent attempts %.3f %% broken, %zu lost, of them %zu "
-              "wrongly refused (%zu popular)\n",
-              Sum.m_HarmlessAttempts,
-              100 * Of(Sum.m_HarmlessInterrupted, Sum.m_HarmlessAttempts),
-              Sum.m_HarmlessLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
-  std::printf("a day %.1f writes to the store, %.0f datagrams\n",
+  std::printf(
+      "of %zu harmless attempts %.3f %% interrupted, %zu lost, of them %zu "
+      "wrongly refused (%zu popular)\n",
+      Sum.m_HarmlessAttempts,
+      100 * Of(Sum.m_HarmlessInterrupted, Sum.m_HarmlessAttempts),
+      Sum.m_HarmlessLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
+  std::printf("per day %.1f writes to the store, %.0f datagrams\n",
               Of(Sum.m_StoreWrites, Days), Of(Sum.m_Datagrams, Days));
   return Violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/Tests/Soak/Callers.h
+++ b/Tests/Soak/Callers.h
@@ -26,6 +26,7 @@
   void stopBadRequestCallers() { m_AreBadRequestsStopped = true; }
   /// Makes every coroutine return after its current step.
   void stop() { m_IsStopped = true; }
+  /// Returns whether all coroutines have returned.
   bool isIdle() const { return m_ActiveCoroutines == 0; }
 
 private:
@@ -33,7 +34,7 @@
 
   template <class Body> void spawn(Body What);
   void runCaller(boost::asio::yield_context Yield);
-  /// Sends requests over one connection until it closes.
+  /// Sends up to MaxRequestsPerConnection requests over one connection.
   void useConnection(std::size_t Gateway, boost::asio::yield_context Yield);
   /// Repeats a request that makes its targets exit, and changes its content
   /// every BadRequestRepeatTime.
@@ -43,7 +44,7 @@
   /// Removes a gateway after two failed readiness checks in a row, as the
   /// platform's balancer does.
   void runBalancer(std::size_t Gateway, boost::asio::yield_context Yield);
-  /// Returns a random gateway among those that are not removed, if any.
+  /// Returns a random gateway that is not removed, or any if all are.
   std::size_t chooseGateway();
 
   SentRequest makeSentRequest(std::size_t Gateway, RequestKind Kind,
--- a/Tests/Soak/Operator.h
+++ b/Tests/Soak/Operator.h
@@ -19,6 +19,7 @@
   /// Orders roll-outs until stop() is called, and finishes the current one.
   void run(boost::asio::yield_context Yield);
   void stop() { m_IsStopped = true; }
+  /// Returns whether run() is not running.
   bool isIdle() const { return m_IsIdle; }
   std::size_t completed() const { return m_Completed; }
   std::size_t rolledBack() const { return m_RolledBack; }
