--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -29,8 +29,8 @@
 
 /// Runs the store's stand-in and the gateways as processes, and the targets
 /// within this process. Each gateway has its own loopback address and reaches
-/// the store through its own proxy. Methods that take a yield
-/// context throw core::Error when the store can't be reached.
+/// the store through its own proxy. Methods that take a yield context throw
+/// core::Error when the store can't be reached.
 class Deployment {
 public:
   Deployment(boost::asio::io_context &Context, InvariantChecker &Checker,
--- a/Tests/Soak/FaultPlan.h
+++ b/Tests/Soak/FaultPlan.h
@@ -56,8 +56,8 @@
   std::chrono::milliseconds m_At{}; ///< Time after the soak's start.
   std::chrono::milliseconds m_Length{};
   FaultKind m_Kind = FaultKind::Publish;
-  std::size_t m_Selector =
-      0; ///< Index of the gateway or target, modulo their number.
+  /// Selects the gateway or target: its index, modulo their number.
+  std::size_t m_Selector = 0;
 };
 
 /// Returns a random schedule in order of time, in which faults may overlap. It
--- a/Tests/Soak/main.cpp
+++ b/Tests/Soak/main.cpp
@@ -1,8 +1,8 @@
 //===-- main.cpp - Randomized soak test of the real programs --------------===//
 //
 // usage: soak --yardrill=PROGRAM --stand_in=PROGRAM --folder=DIRECTORY
-//             [--seed=N] [--seconds=N] [--gateways=N] [--callers=N]
-//             [--norollouts] [--nofaults]
+//             [--seed=N] [--seconds=N] [--gateways=N] [--targets=N]
+//             [--callers=N] [--bad_callers=N] [--norollouts] [--nofaults]
 //
 // Gateways and the store's stand-in run as processes; targets, callers and
 // proxies run in this one. A seed determines the schedule of faults. Exits with
