--- a/Bench/ConfigurationCostProgram.cpp
+++ b/Bench/ConfigurationCostProgram.cpp
@@ -1,8 +1,8 @@
-//===-- ConfigurationCostProgram.cpp - What a change of the routes costs --===//
+//===-- ConfigurationCostProgram.cpp - Costs of a configuration change ----===//
 //
-// For configurations of several sizes: processor time to read one, to make and
-// to apply the patch for one changed route, bytes of the patch, and memory of
-// the table that is in force.
+// Prints for configurations of several sizes: the time to parse one, to create
+// and to apply the patch for one changed route, the size of the patch, and the
+// memory of the parsed route table.
 //
 //===----------------------------------------------------------------------===//
 #include "LibGateway/ValuePatch.h"
@@ -18,13 +18,13 @@
 
 using namespace yardrill;
 
-static constexpr int Runs = 9;
+static constexpr int Repetitions = 9;
 static constexpr std::size_t MaxBytes = 16UL * 1024 * 1024;
 
-/// As the operators write it, with names that repeat nowhere.
+/// Returns a configuration with unique random names.
 static std::string configuration(std::size_t Routes, std::size_t Changed) {
   std::mt19937 Random(1);
-  auto Name = [&Random] {
+  auto RandomName = [&Random] {
     std::string Out;
     for (int I = 0; I < 7; ++I)
       Out += static_cast<char>('a' + Random() % 26);
@@ -33,8 +33,8 @@
   std::string Out = R"({"version":7,"routes":[)";
   for (std::size_t I = 0; I < Routes; ++I) {
     Out += I == 0 ? "" : ",";
-    Out += R"({"name":"r-)" + Name() + R"(","host":")" + Name() +
-           R"(.example","pathPrefix":"/)" + Name() +
+    Out += R"({"name":"r-)" + RandomName() + R"(","host":")" + RandomName() +
+           R"(.example","pathPrefix":"/)" + RandomName() +
            R"(/","routeKind":"idempotent","timeoutMs":)" +
            (I == Changed ? "4000" : "8000") +
            R"(,"sloMs":100,"priority":3,"service":"pool","maxAttempts":2,)"
@@ -43,10 +43,10 @@
   return Out + R"(],"services":[{"name":"pool","maxConns":590}]})";
 }
 
-/// \returns the shortest of some runs, in milliseconds.
-static double cost(const std::function<void()> &What) {
+/// Returns the shortest time of several repetitions, in milliseconds.
+static double minMilliseconds(const std::function<void()> &What) {
   double Best = 1e9;
-  for (int I = 0; I < Runs; ++I) {
+  for (int I = 0; I < Repetitions; ++I) {
     auto Begin = std::chrono::steady_clock::now();
     What();
     std::chrono::duration<double, std::milli> Took =
@@ -69,11 +69,13 @@
     double Empty = megabytesInUse();
     auto Table = platform::parseConfiguration(After);
     double TableMb = megabytesInUse() - Empty;
-    double ReadMs = cost([&] { Table = platform::parseConfiguration(After); });
+    double ReadMs =
+        minMilliseconds([&] { Table = platform::parseConfiguration(After); });
     std::string Patch;
-    double PatchMs = cost([&] { Patch = gateway::makePatch(Before, After); });
+    double PatchMs =
+        minMilliseconds([&] { Patch = gateway::makePatch(Before, After); });
     double ApplyMs =
-        cost([&] { gateway::applyPatch(Before, Patch, MaxBytes); });
+        minMilliseconds([&] { gateway::applyPatch(Before, Patch, MaxBytes); });
     std::cout << Routes << ',' << static_cast<double>(After.size()) / 1e6 << ','
               << ReadMs << ',' << TableMb << ',' << Patch.size() << ','
               << PatchMs << ',' << ApplyMs << ','
--- a/Bench/DecisionCostProgram.cpp
+++ b/Bench/DecisionCostProgram.cpp
@@ -1,7 +1,8 @@
-//===-- DecisionCostProgram.cpp - Processor time of single decisions ------===//
+//===-- DecisionCostProgram.cpp - Latency of single decisions -------------===//
 //
-// Prints the median and the 99th percentile of one arrival and of one end (with
-// the dispatch of the next in the queue) for each size of queue and fleet.
+// Prints the median and 99th percentile for an arriving request and for a
+// finished one (which dispatches the next from the queue), by number of queued
+// requests and targets.
 //
 //===----------------------------------------------------------------------===//
 #include "LibDecision/DecisionCore.h"
@@ -12,7 +13,7 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_bool(policy, false, "with a policy program");
+DEFINE_bool(policy, false, "configure a policy program");
 
 using namespace yardrill;
 using namespace yardrill::decision;
@@ -35,7 +36,7 @@
 
 namespace {
 
-/// One core with its queue filled to a given length.
+/// A decision core with all slots taken and a queue of a given length.
 class LoadedCore {
 public:
   LoadedCore(int Targets, int Queued) {
@@ -43,10 +44,10 @@
     handleEvent(ConfigurationAccepted{config::FleetConfiguration::parse(
         configuration(Targets), "bench", core::ConfigurationVersion(1))});
     for (int I = 0; I < Targets * 8 + Queued; ++I)
-      arrive();
+      handleArrival();
   }
 
-  std::int64_t arrive() {
+  std::int64_t handleArrival() {
     RequestArrived What;
     What.m_Request = core::RequestId(++m_Last);
     What.m_Tier = core::TierNumber(1);
@@ -72,8 +73,8 @@
     std::vector<Action> Actions = m_Core.handle(What, m_Now);
     auto Elapsed = std::chrono::steady_clock::now() - Start;
     for (const Action &Each : Actions)
-      if (const auto *Go = std::get_if<Dispatch>(&Each))
-        m_Running.push_back(Go->m_Request);
+      if (const auto *Assignment = std::get_if<Dispatch>(&Each))
+        m_Running.push_back(Assignment->m_Request);
     return std::chrono::duration_cast<std::chrono::nanoseconds>(Elapsed)
         .count();
   }
@@ -102,7 +103,7 @@
       std::vector<std::int64_t> Arrivals;
       std::vector<std::int64_t> Ends;
       for (int I = 0; I < Decisions; ++I) {
-        Arrivals.push_back(Core.arrive());
+        Arrivals.push_back(Core.handleArrival());
         Ends.push_back(Core.end());
       }
       print("arrival", Targets, Queued, Arrivals);
--- a/Bench/LimitSearchProgram.cpp
+++ b/Bench/LimitSearchProgram.cpp
@@ -1,7 +1,8 @@
-//===-- LimitSearchProgram.cpp - Limits of targets, by way and fleet ------===//
+//===-- LimitSearchProgram.cpp - Rate limits by strategy and fleet size ---===//
 //
-// Prints for each way and size of fleet the worst sum over what is allowed, and
-// what limited targets got of what they take. Usage: limit_search [DAYS]
+// Usage: limit_search [DAYS]. Simulates DAYS scenarios for each rate limit
+// strategy and fleet. Prints the worst ratio of received to allowed requests,
+// and the share of their limit that targets received without faults.
 //
 //===----------------------------------------------------------------------===//
 #include "RateLimitSimulation.h"
@@ -13,52 +14,54 @@
 using namespace yardrill;
 using namespace yardrill::tests;
 
-struct Size {
+struct FleetShape {
   std::size_t m_Instances;
   std::size_t m_Targets;
   double m_RequestsPerSecond;
   double m_Limit;
 };
 
-static void play(const Size &Of, RateLimitStrategy Way, std::uint64_t Days) {
-  double Worst = 0;
-  double Served = 0;
-  double Datagrams = 0;
-  double EndKnown = 0;
-  std::uint64_t Broken = 0;
+static void simulateScenarios(const FleetShape &Shape,
+                              RateLimitStrategy Strategy, std::uint64_t Days) {
+  double MaxRatio = 0;
+  double ServedShare = 0;
+  double MaxDatagrams = 0;
+  double MaxLimitEndDelay = 0;
+  std::uint64_t Violations = 0;
   for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
-    RateLimitScenario Day{Of.m_Instances, Of.m_Targets, Of.m_RequestsPerSecond,
-                          Of.m_Limit};
-    Day.m_Seed = Seed;
-    RateLimitResult Faulty = simulateRateLimit(Day, Way);
-    Worst = std::max(Worst, Faulty.m_MaxWindowRatio);
-    Broken += Faulty.m_MaxWindowRatio > 1 ? 1 : 0;
-    Datagrams = std::max(Datagrams, Faulty.m_DatagramsPerSecond);
-    Day.m_HasFaults = false;
-    RateLimitResult Calm = simulateRateLimit(Day, Way);
-    Served += Calm.m_ServedShare / static_cast<double>(Days);
-    EndKnown = std::max(EndKnown, Calm.m_LimitEndDelaySeconds);
+    RateLimitScenario Scenario{Shape.m_Instances, Shape.m_Targets,
+                               Shape.m_RequestsPerSecond, Shape.m_Limit};
+    Scenario.m_Seed = Seed;
+    RateLimitResult Faulty = simulateRateLimit(Scenario, Strategy);
+    MaxRatio = std::max(MaxRatio, Faulty.m_MaxWindowRatio);
+    Violations += Faulty.m_MaxWindowRatio > 1 ? 1 : 0;
+    MaxDatagrams = std::max(MaxDatagrams, Faulty.m_DatagramsPerSecond);
+    Scenario.m_HasFaults = false;
+    RateLimitResult FaultFree = simulateRateLimit(Scenario, Strategy);
+    ServedShare += FaultFree.m_ServedShare / static_cast<double>(Days);
+    MaxLimitEndDelay =
+        std::max(MaxLimitEndDelay, FaultFree.m_LimitEndDelaySeconds);
   }
   std::printf("instances=%zu targets=%zu limit=%.2f way=%s days=%llu "
               "broken=%llu worst=%.2f served_calm=%.2f datagrams=%.1f "
               "end_known_s=%.2f\n",
-              Of.m_Instances, Of.m_Targets, Of.m_Limit, toString(Way),
-              static_cast<unsigned long long>(Days),
-              static_cast<unsigned long long>(Broken), Worst, Served, Datagrams,
-              EndKnown);
+              Shape.m_Instances, Shape.m_Targets, Shape.m_Limit,
+              toString(Strategy), static_cast<unsigned long long>(Days),
+              static_cast<unsigned long long>(Violations), MaxRatio,
+              ServedShare, MaxDatagrams, MaxLimitEndDelay);
 }
 
 int main(int Count, char **Arguments) {
   std::uint64_t Days =
       Count > 1 ? std::strtoull(Arguments[1], nullptr, 10) : 20;
-  const Size Sizes[] = {{6, 3, 25, 2},        {7, 9, 38, 1.4},
-                        {7, 9, 38, 0.3},      {74, 90, 570, 3},
-                        {295, 168, 900, 3},   {295, 3, 100, 2},
-                        {440, 900, 1000, 0.5}};
-  for (const Size &Each : Sizes)
-    for (RateLimitStrategy Way :
+  const FleetShape Sizes[] = {{6, 3, 25, 2},        {7, 9, 38, 1.4},
+                              {7, 9, 38, 0.3},      {74, 90, 570, 3},
+                              {295, 168, 900, 3},   {295, 3, 100, 2},
+                              {440, 900, 1000, 0.5}};
+  for (const FleetShape &Each : Sizes)
+    for (RateLimitStrategy Strategy :
          {RateLimitStrategy::Senders, RateLimitStrategy::OneSender,
           RateLimitStrategy::EqualParts, RateLimitStrategy::Alone})
-      play(Each, Way, Days);
+      simulateScenarios(Each, Strategy, Days);
   return 0;
 }
--- a/Bench/MembershipProgram.cpp
+++ b/Bench/MembershipProgram.cpp
@@ -1,8 +1,8 @@
-//===-- MembershipProgram.cpp - What knowing the others costs an instance -===//
+//===-- MembershipProgram.cpp - Processor time of the peer table ----------===//
 //
-// One instance of a fleet takes the reports of the others, as often as they
-// come at rest, and looks at what it knows as often as it does. Processor time
-// of one simulated second, best of several.
+// Feeds one instance the load reports of an idle fleet and reads its peer table
+// at the usual rate. Prints the processor time of a simulated second, the best
+// of several rounds.
 //
 //===----------------------------------------------------------------------===//
 #include "LibGateway/PeerTable.h"
@@ -19,7 +19,7 @@
 static constexpr int Rounds = 7;
 static constexpr milliseconds TickPeriod{40};
 static constexpr int TicksPerSecond = 25;
-/// Reports a second: of each near peer; and of all far ones, each every 2.5 s.
+/// Each group peer reports 10 times per second, each other peer every 2.5 s.
 static constexpr std::size_t GroupPeerReportsPerSecond = 10;
 static constexpr double OtherPeerReportSeconds = 2.5;
 
@@ -44,9 +44,10 @@
     for (int I = 0; I < TicksPerSecond; ++I) {
       m_Now += TickPeriod;
       for (std::size_t J = 0; J < OtherPeerReportsPerTick; ++J)
-        report(1 + m_Next++ % (m_Fleet - 1), true);
+        report(1 + m_NextReporter++ % (m_Fleet - 1), true);
       for (std::size_t J = 0; J < GroupPeerReportsPerTick; ++J)
-        report(m_GroupPeerIndexes[m_Next++ % m_GroupPeerIndexes.size()], false);
+        report(m_GroupPeerIndexes[m_NextReporter++ % m_GroupPeerIndexes.size()],
+               false);
       m_Table.expire(m_Now);
       m_Sum += m_Table.groupPeers().size() + m_Table.followersBefore();
       if (I % 6 == 0)
@@ -89,7 +90,7 @@
   core::TimePoint m_Now{std::chrono::hours(1)};
   std::vector<std::size_t> m_GroupPeerIndexes;
   std::uint64_t m_Sequence = 0;
-  std::size_t m_Next = 0;
+  std::size_t m_NextReporter = 0;
   std::size_t m_Sum = 0;
 };
 
--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -1,8 +1,10 @@
-//===-- QuarantineSearchProgram.cpp - Bad requests over many days ---------===//
+//===-- QuarantineSearchProgram.cpp - Random quarantine scenarios ---------===//
 //
-// Usage: quarantine_search DAYS INSTANCES TARGETS [REFUSED_FROM [SENT_ON]].
-// Plays so many drawn days in the model, of that size, and prints sums, for one
-// of the ways to deal with a request under which targets end.
+// Usage: quarantine_search DAYS INSTANCES TARGETS [THRESHOLD [RETRY_SUSPECTS]].
+// Simulates DAYS random scenarios of that fleet size and prints their sums.
+// THRESHOLD is the number of incarnations that exit before a content is
+// refused; RETRY_SUSPECTS other than 0 retries an attempt immediately after its
+// target exited, even if others exited under its content before.
 //
 //===----------------------------------------------------------------------===//
 #include "QuarantineSimulation.h"
@@ -21,16 +23,16 @@
   std::size_t Days = Number(1, 100);
   QuarantineResult Sum;
   std::size_t Worst = 0;
-  std::size_t Broken = 0;
+  std::size_t Violations = 0;
   std::size_t Bad = 0;
   for (std::size_t Seed = 1; Seed <= Days; ++Seed) {
-    QuarantineScenario Day =
+    QuarantineScenario Scenario =
         randomQuarantineScenario(Seed, Number(2, 7), Number(3, 9));
-    Day.m_QuarantineThreshold = Number(4, Day.m_QuarantineThreshold);
-    Day.m_RetriesSuspects = Number(5, 0) != 0;
-    QuarantineResult Got = simulate(Day);
-    Bad += Day.m_BadContents;
-    Broken += Got.m_LateSends > 3;
+    Scenario.m_QuarantineThreshold = Number(4, Scenario.m_QuarantineThreshold);
+    Scenario.m_RetriesSuspects = Number(5, 0) != 0;
+    QuarantineResult Got = simulate(Scenario);
+    Bad += Scenario.m_BadContents;
+    Violations += Got.m_LateSends > 3;
     if (Got.m_LateSends > Worst)
       std::printf("seed %zu: %zu late sends\n", Seed, Got.m_LateSends);
     Worst = std::max(Worst, Got.m_LateSends);
@@ -47,15 +49,16 @@
     return static_cast<double>(Part) / static_cast<double>(Whole);
   };
   std::printf("%zu days: %zu with more than 3 late sends, at most %zu\n", Days,
-              Broken, Worst);
-  std::printf("%.2f targets ended for each bad content\n",
+              Violations, Worst);
+  std::printf("%.2f targets exited per bad content\n",
               Of(Sum.m_ExitsUnderBad, Bad));
-  std::printf("of %zu innocent attempts %.3f %% broken, %zu lost, of them %zu "
-              "wrongly refused (%zu popular)\n",
-              Sum.m_HarmlessAttempts,
-              100 * Of(Sum.m_HarmlessInterrupted, Sum.m_HarmlessAttempts),
-              Sum.m_HarmlessLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
-  std::printf("a day %.1f writes to the store, %.0f datagrams\n",
+  std::printf(
+      "of %zu harmless attempts %.3f %% interrupted, %zu lost, of them %zu "
+      "wrongly refused (%zu popular)\n",
+      Sum.m_HarmlessAttempts,
+      100 * Of(Sum.m_HarmlessInterrupted, Sum.m_HarmlessAttempts),
+      Sum.m_HarmlessLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
+  std::printf("per day %.1f writes to the store, %.0f datagrams\n",
               Of(Sum.m_StoreWrites, Days), Of(Sum.m_Datagrams, Days));
-  return Broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+  return Violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/Bench/RoutingProgram.cpp
+++ b/Bench/RoutingProgram.cpp
@@ -1,11 +1,9 @@
-//===-- RoutingProgram.cpp - Who runs, where and when, compared -----------===//
+//===-- RoutingProgram.cpp - Compares schedulers on simulated engines -----===//
 //
-// Drives real decision cores, several instances, and baselines through the
-// same workloads before the same engine models, and prints one line of
-// key=value for each way of deciding, averaged over the seeds: the share
-// answered in time by tier, wasted prefill, first token, refusals. One engine
-// slows to a third in the middle; reports of load are two seconds old; an
-// instance is lost in the burst.
+// Runs yardrill's decision cores and baseline load balancers on the same
+// simulated workloads and engines. Prints a line of key=value per scheduler,
+// summed over the seeds: the share answered in time by tier, wasted prefill,
+// time to first token and refusals. Simulation.h lists the simulated faults.
 //
 //===----------------------------------------------------------------------===//
 #include "Baseline.h"
@@ -20,29 +18,29 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_uint32(seeds, 6, "workloads of each kind");
+DEFINE_uint32(seeds, 6, "number of seeds per workload");
 DEFINE_string(workload, "", "trust-sale or club-evening; empty: both");
-DEFINE_double(load, 1, "times the workload's own rate");
+DEFINE_double(load, 1, "factor on the workload's rate");
 DEFINE_uint32(kept_places, 1,
-              "yardrill: places of each engine kept for tier 1");
+              "yardrill: slots of each engine reserved for tier 1");
 DEFINE_double(prefill_weight, 25, "yardrill: weight of a prefill token");
-DEFINE_string(write_workload, "", "write the first workload to this file");
-DEFINE_string(only, "", "run only this way of deciding");
+DEFINE_string(write_workload, "", "file to write the first workload to");
+DEFINE_string(only, "", "run this scheduler only");
 
 using namespace yardrill;
 using namespace yardrill::bench;
 
-static double percentile(std::vector<double> Values, double Part) {
+static double percentile(std::vector<double> Values, double Quantile) {
   if (Values.empty())
     return 0;
   std::sort(Values.begin(), Values.end());
   return Values[static_cast<std::size_t>(
-      Part * static_cast<double>(Values.size() - 1))];
+      Quantile * static_cast<double>(Values.size() - 1))];
 }
 
-static void print(const std::string &Workload, const std::string &How,
+static void print(const std::string &Workload, const std::string &Policy,
                   const SimulationResult &Sum) {
-  std::cout << "workload=" << Workload << " way=" << How;
+  std::cout << "workload=" << Workload << " way=" << Policy;
   for (int T = 1; T < 4; ++T)
     std::cout << " in_time_" << T << '='
               << std::round(1000 * Sum.m_InTime[T] / Sum.m_Arrived[T]) / 1000;
@@ -66,19 +64,19 @@
 static void compare(const WorkloadShape &Shape) {
   std::vector<std::pair<std::string,
                         std::function<Simulation::SchedulerFactory(unsigned)>>>
-      Ways;
-  for (auto [Name, How] :
+      Schedulers;
+  for (auto [Name, Policy] :
        {std::make_pair("random", BaselinePolicy::Random),
         std::make_pair("least-reported", BaselinePolicy::LeastReported),
         std::make_pair("two-choices", BaselinePolicy::TwoChoices),
         std::make_pair("least-own", BaselinePolicy::LeastOwn)})
-    Ways.emplace_back(
-        Name, [How = How](unsigned Seed) -> Simulation::SchedulerFactory {
-          return [How, Seed](Simulation &Owner) {
-            return std::make_unique<Baseline>(Owner, How, Seed);
+    Schedulers.emplace_back(
+        Name, [Policy = Policy](unsigned Seed) -> Simulation::SchedulerFactory {
+          return [Policy, Seed](Simulation &Owner) {
+            return std::make_unique<Baseline>(Owner, Policy, Seed);
           };
         });
-  Ways.emplace_back(
+  Schedulers.emplace_back(
       "yardrill", [&](unsigned Seed) -> Simulation::SchedulerFactory {
         return [&Shape, Seed](Simulation &Owner) {
           CoreSchedulerSettings Settings{Shape.m_Instances, FLAGS_kept_places,
@@ -86,7 +84,7 @@
           return makeCoreScheduler(Owner, Settings, Seed);
         };
       });
-  for (const auto &[Name, SchedulerFactory] : Ways) {
+  for (const auto &[Name, SchedulerFactory] : Schedulers) {
     if (!FLAGS_only.empty() && FLAGS_only != Name)
       continue;
     SimulationResult Sum;
--- a/Bench/StoreSpreadProgram.cpp
+++ b/Bench/StoreSpreadProgram.cpp
@@ -1,9 +1,9 @@
-//===-- StoreSpreadProgram.cpp - How changes reach a fleet of some size ---===//
+//===-- StoreSpreadProgram.cpp - Propagation time of a store change -------===//
 //
-// Six instances hear from the store, as in a large fleet; the others hear from
-// their peers, over links of 10 Mbit/s. Prints, for each number of instances
-// and routes, when the last one has a change, what it costs in bytes, and the
-// processor time of one instance (one process carries all of them).
+// Six instances follow the store, as in a large fleet; the others receive the
+// change from peers over links of 10 Mbit/s. Prints, for each number of
+// instances and size of change, when the last instance has it, the bytes sent,
+// and the processor time per instance (all run in this process).
 //
 //===----------------------------------------------------------------------===//
 #include "LibCore/Log.h"
@@ -41,9 +41,9 @@
   return 1e3 * static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-/// Plays one change from \p Before to \p After.
-static void play(std::size_t Instances, const char *What,
-                 const std::string &Before, const std::string &After) {
+/// Propagates a change from \p Before to \p After and prints its costs.
+static void measureChange(std::size_t Instances, const char *What,
+                          const std::string &Before, const std::string &After) {
   MirrorFleet Fleet;
   for (std::size_t I = 0; I < Instances; ++I) {
     auto &Each = Fleet.add(Revision(1), {Entry{Key, Before, Revision(1)}});
@@ -57,16 +57,17 @@
                                      {Entry{Key, After, Revision(2)}});
   auto Took = Fleet.runUntil(
       [&] { return Fleet.haveAllDelivered(Key, Revision(2)); }, SpreadTimeout);
-  double Spent = processorMs() - Begin;
-  std::size_t Most = 0;
-  std::size_t All = 0;
+  double ProcessorMs = processorMs() - Begin;
+  std::size_t MaxBytesSent = 0;
+  std::size_t TotalBytesSent = 0;
   for (std::size_t I = 0; I < Instances; ++I) {
-    Most = std::max(Most, Fleet.instance(I).bytesSent());
-    All += Fleet.instance(I).bytesSent();
+    MaxBytesSent = std::max(MaxBytesSent, Fleet.instance(I).bytesSent());
+    TotalBytesSent += Fleet.instance(I).bytesSent();
   }
   std::cout << Instances << ',' << What << ',' << After.size() << ','
-            << Took.count() << ',' << All / Instances << ',' << Most << ','
-            << Spent / static_cast<double>(Instances) << std::endl;
+            << Took.count() << ',' << TotalBytesSent / Instances << ','
+            << MaxBytesSent << ','
+            << ProcessorMs / static_cast<double>(Instances) << std::endl;
 }
 
 int main() {
@@ -77,8 +78,8 @@
   std::string Large = configuration(2840, 0);
   std::string Changed = configuration(2840, 1000);
   for (std::size_t Instances : {24, 89, 220, 440}) {
-    play(Instances, "one-route", Large, Changed);
-    play(Instances, "1400-routes-more", Small, Large);
-    play(Instances, "all-of-it", "", Large);
+    measureChange(Instances, "one-route", Large, Changed);
+    measureChange(Instances, "1400-routes-more", Small, Large);
+    measureChange(Instances, "all-of-it", "", Large);
   }
 }
--- a/Tests/Soak/InvariantChecker.cpp
+++ b/Tests/Soak/InvariantChecker.cpp
@@ -5,7 +5,7 @@
 
 namespace yardrill::soak {
 
-/// These statuses promise that the request has not run and never will.
+/// Returns whether the status guarantees that the request is never executed.
 static bool isRefusal(unsigned Status) {
   return Status == 429 || Status == 503 || Status == 408 || Status == 421;
 }
@@ -13,7 +13,7 @@
 static bool isSuccess(unsigned Status) { return Status >= 200 && Status < 300; }
 
 //===----------------------------------------------------------------------===//
-// Trouble
+// Disturbances
 //===----------------------------------------------------------------------===//
 
 void InvariantChecker::Disturbance::change(bool Begins, TimePoint Now) {
@@ -50,7 +50,7 @@
 // Observations
 //===----------------------------------------------------------------------===//
 
-SentRequest *InvariantChecker::find(const std::string &Id) {
+SentRequest *InvariantChecker::findRequest(const std::string &Id) {
   auto Found = m_SentRequests.find(Id);
   return Found == m_SentRequests.end() ? nullptr : &Found->second;
 }
@@ -69,9 +69,9 @@
 void InvariantChecker::requestArrived(const std::string &Id,
                                       const std::string &Target,
                                       std::optional<TimePoint> LeavingSince) {
-  SentRequest *What = find(Id);
+  SentRequest *What = findRequest(Id);
   if (!What)
-    return addViolation("unasked", "nobody sent " + Id);
+    return addViolation("unasked", "no caller sent " + Id);
   if (++What->m_Arrivals > 1)
     m_Repeats.push_back({m_Now()});
   if (!What->m_Content.empty() && isUndisturbedSince(What->m_Gateway, m_Now()))
@@ -79,39 +79,41 @@
   if (!LeavingSince || m_Now() <= *LeavingSince + bounds::LeavingGracePeriod)
     return;
   if (isUndisturbedSince(What->m_Gateway, *LeavingSince))
-    addViolation("leaving", Id + " came to " + Target + " after it left");
+    addViolation("leaving",
+                 Id + " arrived at target " + Target + " after it left");
 }
 
 void InvariantChecker::arrivedAtIncarnation(const std::string &Id,
-                                            const std::string &Run) {
-  const SentRequest *What = find(Id);
+                                            const std::string &Incarnation) {
+  const SentRequest *What = findRequest(Id);
   if (!What)
     return;
   const Gateway &At = m_Gateways[What->m_Gateway];
-  m_Backpressure.requestArrived(Run, What->m_Gateway, What->m_SentAt, m_Now(),
-                                !At.m_Process.hasEndedBefore(m_Now()));
+  m_Backpressure.requestArrived(Incarnation, What->m_Gateway, What->m_SentAt,
+                                m_Now(), !At.m_Process.hasEndedBefore(m_Now()));
 }
 
 void InvariantChecker::backpressureStated(const std::string &Id,
-                                          const std::string &Run,
+                                          const std::string &Incarnation,
                                           const ResponseBackpressure &What) {
-  if (const SentRequest *Of = find(Id))
-    m_Backpressure.backpressureStated(Run, Of->m_Gateway, What, m_Now());
+  if (const SentRequest *Of = findRequest(Id))
+    m_Backpressure.backpressureStated(Incarnation, Of->m_Gateway, What,
+                                      m_Now());
 }
 
 void InvariantChecker::requestExecuted(const std::string &Id) {
-  SentRequest *What = find(Id);
+  SentRequest *What = findRequest(Id);
   if (!What)
     return;
   m_ExecutedTokens[What->m_Account].push_back({m_Now(), What->m_Tokens});
   if (++What->m_Executions > 1 && !What->isRetryable())
-    addViolation("once", Id + " ran again");
+    addViolation("once", Id + " was executed again, but is not idempotent");
   if (What->m_Status && isRefusal(*What->m_Status) && !What->isRetryable())
-    addViolation("refusal", Id + " ran after it was refused");
+    addViolation("refusal", Id + " was executed after it was refused");
 }
 
 void InvariantChecker::noteTargetDisturbance(const std::string &Id) {
-  if (SentRequest *What = find(Id))
+  if (SentRequest *What = findRequest(Id))
     What->m_IsTargetDisturbed = true;
 }
 
@@ -122,7 +124,7 @@
 void InvariantChecker::arrivedAtVersion(const std::string &Id,
                                         const std::string &Pool,
                                         const std::string &Version) {
-  const SentRequest *What = find(Id);
+  const SentRequest *What = findRequest(Id);
   bool IsUndisturbed = What && isUndisturbedSince(What->m_Gateway, m_Now());
   m_VersionArrivals.push_back({m_Now(), Pool, Version, IsUndisturbed});
 }
@@ -139,39 +141,41 @@
   return true;
 }
 
-void InvariantChecker::checkRollout(const RolloutOrder &Terms) {
-  if (!Terms.m_IsBad)
+void InvariantChecker::checkRollout(const RolloutOrder &Order) {
+  if (!Order.m_IsBad)
     return;
   double All = 0;
-  double Exposed = 0;
+  double CanaryRequests = 0;
   for (const VersionArrival &Each : m_VersionArrivals) {
-    bool IsWithin = Each.m_Pool == Terms.m_Pool &&
-                    Each.m_At >= Terms.m_OrderedAt &&
-                    Each.m_At <= Terms.m_Deadline;
+    bool IsWithin = Each.m_Pool == Order.m_Pool &&
+                    Each.m_At >= Order.m_OrderedAt &&
+                    Each.m_At <= Order.m_Deadline;
     All += IsWithin ? 1 : 0;
-    Exposed += IsWithin && Each.m_IsGatewayUndisturbed &&
-                       Each.m_Version == Terms.m_Version
-                   ? 1
-                   : 0;
+    CanaryRequests += IsWithin && Each.m_IsGatewayUndisturbed &&
+                              Each.m_Version == Order.m_Version
+                          ? 1
+                          : 0;
   }
-  if (Exposed > bounds::CanaryShare * All + bounds::CanarySlack) {
+  if (CanaryRequests > bounds::CanaryShare * All + bounds::CanarySlack) {
     std::ostringstream Text;
-    Text << Terms.m_Version << " got " << Exposed << " of " << All;
+    Text << Order.m_Version << " received " << CanaryRequests << " requests of "
+         << All;
     addViolation("exposure", Text.str());
   }
-  // Bad answers count since the store was last in trouble.
+  // Only bad responses after the store's last disturbance count.
   std::size_t Bad = 0;
   std::optional<TimePoint> Last;
   for (const BadResponse &Each : m_BadResponses)
-    if (Each.m_Pool == Terms.m_Pool && Each.m_Version == Terms.m_Version &&
+    if (Each.m_Pool == Order.m_Pool && Each.m_Version == Order.m_Version &&
         m_Store.hasEndedBefore(Each.m_At) &&
         ++Bad == bounds::BadResponsesForRollback)
       Last = Each.m_At + bounds::RollbackTime;
   for (const VersionArrival &Each : m_VersionArrivals)
     if (Last && Each.m_At > *Last && Each.m_IsGatewayUndisturbed &&
-        Each.m_Pool == Terms.m_Pool && Each.m_Version == Terms.m_Version)
+        Each.m_Pool == Order.m_Pool && Each.m_Version == Order.m_Version)
       return addViolation("exposure",
-                          Terms.m_Version + " got requests too long");
+                          Order.m_Version +
+                              " received requests after its rollback was due");
 }
 
 void InvariantChecker::responseReceived(const std::string &Id,
@@ -179,9 +183,9 @@
   SentRequest &What = m_SentRequests.at(Id);
   What.m_Status = Status;
   if (isRefusal(Status) && What.m_Executions > 0 && !What.isRetryable())
-    addViolation("refusal", Id + " was refused after it ran");
+    addViolation("refusal", Id + " was refused after it was executed");
   if (!What.m_IsProbe && (Status == 401 || Status == 404))
-    addViolation("denied", Id + " got " + std::to_string(Status));
+    addViolation("denied", Id + " got status " + std::to_string(Status));
 }
 
 void InvariantChecker::responseLost(const std::string &Id,
@@ -189,18 +193,19 @@
   ++m_LostResponses;
   SentRequest &What = m_SentRequests.at(Id);
   const Gateway &At = m_Gateways[What.m_Gateway];
-  auto Passed = m_Now() - What.m_SentAt;
+  auto Elapsed = m_Now() - What.m_SentAt;
   if (!At.m_Process.hasEndedBefore(What.m_SentAt))
     return;
-  if (Passed > What.m_TimeLimit + bounds::ResponseSlack)
+  if (Elapsed > What.m_TimeLimit + bounds::ResponseSlack)
     return addViolation("held",
-                        Id + " had no answer at its time limit: " + How);
-  // What had not ended when its time was over may be broken off.
-  bool IsOver = Passed >= What.m_TimeLimit;
-  bool IsOurs =
-      !IsOver && (What.m_Executions > 0 || Passed > bounds::EarlyLossSlack);
-  if (IsOurs && !What.m_IsTargetDisturbed)
-    addViolation(At.m_IsStopping ? "stop" : "lost", Id + " ended: " + How);
+                        Id + " had no response at its time limit: " + How);
+  // A response that is incomplete at its time limit may be aborted.
+  bool IsOver = Elapsed >= What.m_TimeLimit;
+  bool IsGatewayFault =
+      !IsOver && (What.m_Executions > 0 || Elapsed > bounds::EarlyLossSlack);
+  if (IsGatewayFault && !What.m_IsTargetDisturbed)
+    addViolation(At.m_IsStopping ? "stop" : "lost",
+                 Id + " lost its response: " + How);
 }
 
 void InvariantChecker::wrongResponse(const std::string &Id,
@@ -212,7 +217,7 @@
 // Windows
 //===----------------------------------------------------------------------===//
 
-/// Sum of the marks in [their First, First + Length).
+/// Returns the sum of the amounts from point \p First on, over \p Length.
 static double sumFrom(const std::vector<DataPoint> &TimeSeries,
                       std::size_t First, Clock::duration Length) {
   double Sum = 0;
@@ -225,17 +230,18 @@
 
 void InvariantChecker::checkQuotas() {
   auto Window = std::chrono::duration<double>(bounds::QuotaWindow).count();
-  for (const auto &[Account, Terms] : m_Quotas) {
-    double Most = (Terms.m_TokensPerSecond * Window + Terms.m_Burst) *
-                      (1 + bounds::QuotaOvershoot) +
-                  bounds::QuotaSlack;
-    const TimeSeries &Run = m_ExecutedTokens[Account];
-    for (std::size_t I = 0; I < Run.size(); ++I) {
-      double Sum = sumFrom(Run, I, bounds::QuotaWindow);
-      if (Sum <= Most)
+  for (const auto &[Account, Quota] : m_Quotas) {
+    double MaxTokens = (Quota.m_TokensPerSecond * Window + Quota.m_Burst) *
+                           (1 + bounds::QuotaOvershoot) +
+                       bounds::QuotaSlack;
+    const TimeSeries &Executed = m_ExecutedTokens[Account];
+    for (std::size_t I = 0; I < Executed.size(); ++I) {
+      double Sum = sumFrom(Executed, I, bounds::QuotaWindow);
+      if (Sum <= MaxTokens)
         continue;
       std::ostringstream Text;
-      Text << Account << " ran " << Sum << " tokens in a window of " << Most;
+      Text << Account << " executed " << Sum << " tokens in a window, allowed "
+           << MaxTokens;
       return addViolation("quota", Text.str());
     }
   }
@@ -243,44 +249,45 @@
 
 void InvariantChecker::checkRetries() {
   for (std::size_t I = 0; I < m_Repeats.size(); ++I) {
-    double Again = sumFrom(m_Repeats, I, bounds::RetryWindow);
+    double Repeats = sumFrom(m_Repeats, I, bounds::RetryWindow);
     auto First = std::lower_bound(
         m_Requests.begin(), m_Requests.end(), m_Repeats[I].m_At,
         [](const DataPoint &Each, TimePoint At) { return Each.m_At < At; });
-    double Asked =
+    double Sent =
         First == m_Requests.end()
             ? 0
             : sumFrom(m_Requests,
                       static_cast<std::size_t>(First - m_Requests.begin()),
                       bounds::RetryWindow);
-    if (Again <= bounds::RetryRatio * Asked + bounds::RetrySlack)
+    if (Repeats <= bounds::RetryRatio * Sent + bounds::RetrySlack)
       continue;
     std::ostringstream Text;
-    Text << Again << " repeats of " << Asked << " requests in a window";
+    Text << Repeats << " repeats of " << Sent << " requests in a window";
     return addViolation("retries", Text.str());
   }
 }
 
 void InvariantChecker::checkRecovery(TimePoint RecoveredAt) {
-  std::size_t Asked = 0;
+  std::size_t Sent = 0;
   std::size_t Served = 0;
   for (const auto &[Id, What] : m_SentRequests) {
     bool IsLimited = m_Quotas.count(What.m_Account) != 0;
     if (What.m_SentAt < RecoveredAt + bounds::SettleTime || IsLimited ||
         !What.m_Content.empty())
       continue;
-    ++Asked;
+    ++Sent;
     Served += What.m_Status && isSuccess(*What.m_Status) ? 1 : 0;
   }
   if (static_cast<double>(Served) >=
-      bounds::MinServedAfterRecovery * static_cast<double>(Asked))
+      bounds::MinServedAfterRecovery * static_cast<double>(Sent))
     return;
   std::ostringstream Text;
-  Text << Served << " of " << Asked << " served once all trouble was over";
+  Text << Served << " of " << Sent
+       << " requests served after the last disturbance";
   addViolation("recovery", Text.str());
 }
 
-void InvariantChecker::checkContents() {
+void InvariantChecker::checkQuarantine() {
   for (const auto &[Content, Seen] : m_BadContents) {
     if (Seen.m_Exits.size() < bounds::ExitsForQuarantine)
       continue;
@@ -291,15 +298,16 @@
     if (static_cast<std::size_t>(Late) <= bounds::MaxSendsInQuarantine)
       continue;
     std::ostringstream Text;
-    Text << Content << " was sent " << Late << " times more, "
-         << Seen.m_Exits.size() << " targets ended";
+    Text << Content << " arrived " << Late
+         << " times after its quarantine was due, " << Seen.m_Exits.size()
+         << " targets exited";
     addViolation("quarantine", Text.str());
   }
 }
 
 void InvariantChecker::finish(TimePoint RecoveredAt) {
   m_Backpressure.finish();
-  checkContents();
+  checkQuarantine();
   checkQuotas();
   checkRetries();
   checkRecovery(RecoveredAt);
