--- a/Tests/Support/QuarantineSimulation.cpp
+++ b/Tests/Support/QuarantineSimulation.cpp
@@ -170,7 +170,7 @@
 
 void QuarantineSimulation::writeStore() {
   after(WritePeriod, [this] { writeStore(); });
-  auto Keeper = std::find_if(m_Instances.beginFault(), m_Instances.end(),
+  auto Keeper = std::find_if(m_Instances.begin(), m_Instances.end(),
                              [this](const Instance &Each) {
                                return Each.isReachable() &&
                                       m_Now - Each.m_StartedAt > SettleTime;
@@ -337,7 +337,7 @@
     return exitTarget(Where);
   }
   At.m_Running.erase(
-      std::find(At.m_Running.beginFault(), At.m_Running.end(), What));
+      std::find(At.m_Running.begin(), At.m_Running.end(), What));
   Instance &From = m_Instances[What->m_Instance];
   if (From.m_IsUp && From.m_Incarnation == What->m_Incarnation)
     From.m_Gossip->noteSuccess(What->m_Content, m_Now);
