--- a/Tests/Support/ChangingStore.h
+++ b/Tests/Support/ChangingStore.h
@@ -45,11 +45,11 @@
       std::lock_guard<std::mutex> Lock(m_Mutex);
       if (m_Changes.empty())
         continue;
-      m_Last = m_Changes.back().m_ModRevision;
+      m_LastRevision = m_Changes.back().m_ModRevision;
       Notify(std::exchange(m_Changes, {}));
     }
   }
-  platform::Revision lastRevision() const override { return m_Last; }
+  platform::Revision lastRevision() const override { return m_LastRevision; }
   platform::SwapResult compareAndSwap(const platform::CompareAndSwap &Swap,
                                       platform::CallClass,
                                       boost::asio::yield_context) override {
@@ -90,7 +90,7 @@
   boost::asio::io_context &m_Context;
   std::map<std::string, platform::Revision> m_Revisions;
   std::map<std::string, std::string> m_Values;
-  platform::Revision m_Last{9};
+  platform::Revision m_LastRevision{9};
   std::int64_t m_NextRevision = 10;
   std::mutex m_Mutex;
   std::vector<platform::Entry> m_Changes;
--- a/Tests/Support/ExitingTarget.h
+++ b/Tests/Support/ExitingTarget.h
@@ -46,17 +46,17 @@
 /// no longer, and is back under another name; its announcement changes later.
 class ExitingTarget {
 public:
-  ExitingTarget(asio::io_context &Context, SharedStore &Store, ArrivalLog &Book,
+  ExitingTarget(asio::io_context &Context, SharedStore &Store, ArrivalLog &Log,
                 std::size_t Number)
-      : m_Context(Context), m_Store(Store), m_ArrivalLog(Book),
-        m_Number(Number), m_Acceptor(Context), m_Port(0) {
+      : m_Context(Context), m_Store(Store), m_ArrivalLog(Log), m_Number(Number),
+        m_Acceptor(Context), m_Port(0) {
     listen();
     announce();
   }
 
   /// From now on, in answers that begin then.
-  void setBackpressure(ScriptedBackpressure Terms) {
-    m_Backpressure = std::move(Terms);
+  void setBackpressure(ScriptedBackpressure Backpressure) {
+    m_Backpressure = std::move(Backpressure);
   }
   /// Announces itself once more, under the same name.
   void reannounce() { announce(); }
@@ -64,21 +64,22 @@
 
   /// Ends for a reason of its own.
   void simulateExit() {
-    std::string Gone = key();
+    std::string OldKey = key();
     m_Acceptor.close();
     for (const auto &Each : m_Sockets)
       if (auto Socket = Each.lock())
         reset(*Socket);
     m_Sockets.clear();
     ++m_Incarnation;
-    auto Back = std::make_shared<asio::steady_timer>(m_Context, DownTime);
-    Back->async_wait([this, Back, Gone](boost::system::error_code Failure) {
-      if (Failure)
-        return;
-      m_Store.remove(Gone);
-      listen();
-      announce();
-    });
+    auto Restart = std::make_shared<asio::steady_timer>(m_Context, DownTime);
+    Restart->async_wait(
+        [this, Restart, OldKey](boost::system::error_code Failure) {
+          if (Failure)
+            return;
+          m_Store.remove(OldKey);
+          listen();
+          announce();
+        });
   }
   /// Resets what runs here, and goes on.
   void resetConnections() {
@@ -139,7 +140,7 @@
     boost::system::error_code Ignored;
     Timer.async_wait(Yield[Ignored]);
   }
-  void endUnderRequest() {
+  void exitUnderRequest() {
     {
       std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
       m_ArrivalLog.m_Exits.push_back(core::steadyNow());
@@ -150,40 +151,41 @@
     beast::flat_buffer Buffer;
     boost::system::error_code Failure;
     while (true) {
-      Request Read;
-      beast::http::async_read(*Socket, Buffer, Read, Yield[Failure]);
+      Request Received;
+      beast::http::async_read(*Socket, Buffer, Received, Yield[Failure]);
       if (Failure)
         return;
       {
         std::lock_guard<std::mutex> Lock(m_ArrivalLog.m_Mutex);
         m_ArrivalLog.m_Arrivals.push_back(
-            {core::steadyNow(), Read.body(), m_Number});
+            {core::steadyNow(), Received.body(), m_Number});
       }
-      std::string Answer =
-          completeResponse(Read, "answer", "200 OK",
+      std::string Response =
+          completeResponse(Received, "answer", "200 OK",
                            "Replica-Seal: s\r\n" + m_Backpressure.m_Headers);
-      if (Read["Expect-Replica"] != name())
-        Answer = completeResponse(Read, "", "421 Misdirected Request", "");
+      if (Received["Expect-Replica"] != name())
+        Response =
+            completeResponse(Received, "", "421 Misdirected Request", "");
       else if (m_Backpressure.m_RefusesRequests)
-        Answer =
-            completeResponse(Read, "", "503 Service Unavailable",
+        Response =
+            completeResponse(Received, "", "503 Service Unavailable",
                              "Not-Executed: 1\r\n" + m_Backpressure.m_Headers);
-      else if (Read.target().starts_with("/stream/")) {
-        std::string First = streamHead(Read) + chunk("id: 1\ndata: a\n\n");
-        if (Read["Last-Event-Id"].empty())
+      else if (Received.target().starts_with("/stream/")) {
+        std::string First = streamHead(Received) + chunk("id: 1\ndata: a\n\n");
+        if (Received["Last-Event-Id"].empty())
           asio::async_write(*Socket, asio::buffer(First), Yield[Failure]);
-        Answer = chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
-        if (!Read["Last-Event-Id"].empty())
-          Answer = streamHead(Read) + Answer;
+        Response = chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
+        if (!Received["Last-Event-Id"].empty())
+          Response = streamHead(Received) + Response;
       }
       if (!m_Backpressure.m_RefusesRequests)
         work(Yield);
       if (!Socket->is_open())
         return;
-      if (Read.body() == ExitRequestBody ||
-          Read.body() == MidStreamExitRequestBody)
-        return endUnderRequest();
-      asio::async_write(*Socket, asio::buffer(Answer), Yield[Failure]);
+      if (Received.body() == ExitRequestBody ||
+          Received.body() == MidStreamExitRequestBody)
+        return exitUnderRequest();
+      asio::async_write(*Socket, asio::buffer(Response), Yield[Failure]);
       if (Failure)
         return;
     }
--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -36,7 +36,7 @@
   return Name;
 }
 
-static std::vector<std::string> words(const std::string &Text) {
+static std::vector<std::string> splitWords(const std::string &Text) {
   std::istringstream In(Text);
   std::vector<std::string> Out;
   for (std::string Word; In >> Word;)
@@ -58,7 +58,7 @@
     std::vector<std::string> Command = {
         StandIn, "engine", "--port=" + std::to_string(m_EnginePorts.back()),
         "--places=" + std::to_string(Wanted.m_Slots)};
-    for (const std::string &Flag : words(Wanted.m_EngineFlags))
+    for (const std::string &Flag : splitWords(Wanted.m_EngineFlags))
       Command.push_back(Flag);
     m_Engines.emplace_back(Command, Log);
   }
@@ -188,7 +188,7 @@
 bool Fleet::waitUntilServing() {
   bool IsPublished = eventually(
       [&] { return publish(0, 0, "first", configuration()).m_Status == 200; });
-  auto IsOpen = [this](int Index) {
+  auto IsReady = [this](int Index) {
     json::object Status = status(Index);
     std::size_t Peers = Status.at("peers").as_array().size();
     const json::array &Pools = Status.at("pools").as_array();
@@ -198,7 +198,7 @@
            });
   };
   for (int I = 0; IsPublished && I < m_Options.m_Instances; ++I)
-    if (!eventually([&] { return IsOpen(I); }))
+    if (!eventually([&] { return IsReady(I); }))
       return false;
   return IsPublished;
 }
@@ -253,9 +253,9 @@
   return Out;
 }
 
-std::string completionText(const Reply &Answer) {
+std::string completionText(const Reply &Response) {
   std::string Text;
-  std::istringstream In(Answer.m_Body);
+  std::istringstream In(Response.m_Body);
   for (std::string Line; std::getline(In, Line);) {
     if (Line.compare(0, 6, "data: ") == 0)
       Line = Line.substr(6);
@@ -276,8 +276,8 @@
 }
 
 std::string issueTicket(int CallerPort) {
-  Reply Answer = call(CallerPort, callerRequest("/v1/tickets", ""));
-  json::value Parsed = json::parse(Answer.m_Body);
+  Reply Response = call(CallerPort, callerRequest("/v1/tickets", ""));
+  json::value Parsed = json::parse(Response.m_Body);
   return std::string(Parsed.at("tickets").as_array().at(0).as_string());
 }
 
--- a/Tests/Support/Fleet.h
+++ b/Tests/Support/Fleet.h
@@ -91,7 +91,7 @@
                                        bool IsStream,
                                        const std::string &Tier = "");
 /// The text of a completion's answer, streamed or not.
-std::string completionText(const Reply &Answer);
+std::string completionText(const Reply &Response);
 /// How often the application executed \p Identity.
 std::int64_t executionsOf(int ApplicationPort, const std::string &Identity);
 std::string issueTicket(int CallerPort);
--- a/Tests/Support/GatewayFixture.h
+++ b/Tests/Support/GatewayFixture.h
@@ -63,9 +63,9 @@
   int m_CallerPort = 0;
   int m_ReadinessPort = 0;
 
-  void addTarget(ScriptedTarget::Script Make) {
+  void addTarget(ScriptedTarget::Script Respond) {
     m_Targets.push_back(
-        std::make_unique<ScriptedTarget>(m_Context, std::move(Make)));
+        std::make_unique<ScriptedTarget>(m_Context, std::move(Respond)));
     std::size_t Number = m_Targets.size();
     m_Store.m_Content.push_back(
         {keyOf(Number), announcement(Number, 1), platform::Revision(2)});
@@ -73,12 +73,12 @@
   static std::string keyOf(std::size_t Number) {
     return "servers/i-" + std::to_string(Number);
   }
-  std::string announcement(std::size_t Number, std::int64_t Birth) const {
+  std::string announcement(std::size_t Number, std::int64_t StartTime) const {
     return R"({"service":"app","address":"127.0.0.1:)" +
            std::to_string(m_Targets.at(Number - 1)->port()) +
            R"(","zone":"hall","version":"v1","slots":4,"state":"ready",)"
            R"("coldLeftMs":0,"seq":1,"born":)" +
-           std::to_string(Birth) + "}";
+           std::to_string(StartTime) + "}";
   }
   static config::Endpoint local(int Port) {
     return {"127.0.0.1", static_cast<std::uint16_t>(Port)};
@@ -109,10 +109,10 @@
       CPPUNIT_ASSERT(eventually([this] { return readiness() == 200; }));
   }
   unsigned readiness() const {
-    http::RequestMessage Ask;
-    Ask.m_Method = "GET";
-    Ask.m_Target = "/readyz";
-    return call(m_ReadinessPort, Ask).m_Status;
+    http::RequestMessage Message;
+    Message.m_Method = "GET";
+    Message.m_Target = "/readyz";
+    return call(m_ReadinessPort, Message).m_Status;
   }
   static http::RequestMessage request(const std::string &Target,
                                       const std::string &Key = "key") {
--- a/Tests/Support/GatewayFleet.cpp
+++ b/Tests/Support/GatewayFleet.cpp
@@ -34,10 +34,10 @@
   m_Thread.join();
 }
 
-void GatewayFleet::runOnTargetThread(const std::function<void()> &What) {
+void GatewayFleet::runOnTargetThread(const std::function<void()> &Task) {
   std::promise<void> Done;
   asio::post(m_Context, [&] {
-    What();
+    Task();
     Done.set_value();
   });
   Done.get_future().wait();
@@ -90,12 +90,12 @@
 }
 
 bool GatewayFleet::waitUntilReady() {
-  http::RequestMessage Ask;
-  Ask.m_Method = "GET";
-  Ask.m_Target = "/readyz";
+  http::RequestMessage Message;
+  Message.m_Method = "GET";
+  Message.m_Target = "/readyz";
   return eventually([&] {
     for (std::size_t I = 0; I < m_Instances.size(); ++I)
-      if (call(m_Instances[I].m_ReadinessPort, Ask).m_Status != 200 ||
+      if (call(m_Instances[I].m_ReadinessPort, Message).m_Status != 200 ||
           metric(I, "yardrill_peers") + 1 !=
               static_cast<double>(m_Instances.size()) ||
           metric(I, "yardrill_targets") !=
@@ -125,15 +125,16 @@
 }
 
 double GatewayFleet::metric(std::size_t Gateway, const std::string &Name) {
-  http::RequestMessage Ask;
-  Ask.m_Method = "GET";
-  Ask.m_Target = "/metrics";
-  Reply Got = call(m_Instances[Gateway].m_MetricsPort, Ask);
+  http::RequestMessage Message;
+  Message.m_Method = "GET";
+  Message.m_Target = "/metrics";
+  Reply Response = call(m_Instances[Gateway].m_MetricsPort, Message);
   std::string Line = "\n" + Name + " ";
-  std::size_t At = ("\n" + Got.m_Body).find(Line);
+  std::size_t At = ("\n" + Response.m_Body).find(Line);
   return At == std::string::npos
              ? 0
-             : std::strtod(Got.m_Body.c_str() + At + Line.size() - 1, nullptr);
+             : std::strtod(Response.m_Body.c_str() + At + Line.size() - 1,
+                           nullptr);
 }
 
 std::size_t GatewayFleet::arrivalsOf(const std::string &Body) {
--- a/Tests/Support/GatewayFleet.h
+++ b/Tests/Support/GatewayFleet.h
@@ -31,7 +31,7 @@
   bool waitUntilReady();
 
   /// Runs \p What where the targets run, and waits for it.
-  void runOnTargetThread(const std::function<void()> &What);
+  void runOnTargetThread(const std::function<void()> &Task);
   std::size_t size() const { return m_Instances.size(); }
   SharedStore &store() { return m_Store; }
   ExitingTarget &target(std::size_t Index) { return *m_Targets[Index]; }
@@ -70,7 +70,7 @@
   ArrivalLog m_ArrivalLog;
   std::vector<Instance> m_Instances;
   std::vector<std::unique_ptr<ExitingTarget>> m_Targets;
-  asio::executor_work_guard<asio::io_context::executor_type> m_Work{
+  asio::executor_work_guard<asio::io_context::executor_type> m_WorkGuard{
       m_Context.get_executor()};
   std::thread m_Thread;
 };
--- a/Tests/Support/LoopbackProxy.cpp
+++ b/Tests/Support/LoopbackProxy.cpp
@@ -17,7 +17,7 @@
 /// Added to each piece while the proxy delays.
 static constexpr std::chrono::milliseconds AddedDelay{120};
 /// How often a cut is looked at.
-static constexpr std::chrono::milliseconds HoldStep{10};
+static constexpr std::chrono::milliseconds CutPollPeriod{10};
 
 /// Of a limited link: what is not yet through must not seem to be.
 static constexpr int LimitedBufferBytes = 16384;
@@ -41,9 +41,9 @@
       asio::detached);
 }
 
-void LoopbackProxy::setMode(ProxyMode How) {
-  m_Passage = How;
-  if (How == ProxyMode::Closed)
+void LoopbackProxy::setMode(ProxyMode Mode) {
+  m_Mode = Mode;
+  if (Mode == ProxyMode::Closed)
     m_Acceptor.close();
   else if (!m_Acceptor.is_open())
     listen();
@@ -61,89 +61,94 @@
 
 void LoopbackProxy::resetIdle(std::chrono::milliseconds Idle) {
   for (const auto &Weak : m_Connections) {
-    ConnectionHandle Which = Weak.lock();
-    if (Which && Clock::now() - Which->m_LastByte >= Idle)
-      Which->reset();
+    ConnectionHandle Connection = Weak.lock();
+    if (Connection && Clock::now() - Connection->m_LastByte >= Idle)
+      Connection->reset();
   }
 }
 
 void LoopbackProxy::accept(asio::yield_context Yield) {
   while (true) {
-    auto Which = std::make_shared<ProxiedConnection>(m_Context);
+    auto Connection = std::make_shared<ProxiedConnection>(m_Context);
     error_code Failure;
-    m_Acceptor.async_accept(Which->m_Downstream, Yield[Failure]);
+    m_Acceptor.async_accept(Connection->m_Downstream, Yield[Failure]);
     if (Failure)
       return;
     m_Connections.remove_if([](const auto &Weak) { return Weak.expired(); });
-    m_Connections.push_back(Which);
+    m_Connections.push_back(Connection);
     asio::spawn(
         m_Context,
-        [this, Which](asio::yield_context Inner) { connect(Which, Inner); },
+        [this, Connection](asio::yield_context Inner) {
+          connect(Connection, Inner);
+        },
         asio::detached);
   }
 }
 
-void LoopbackProxy::connect(const ConnectionHandle &Which,
+void LoopbackProxy::connect(const ConnectionHandle &Connection,
                             asio::yield_context Yield) {
   error_code Failure;
-  Which->m_LastByte = Clock::now();
-  if (m_Passage == ProxyMode::Reset)
-    return Which->reset();
+  Connection->m_LastByte = Clock::now();
+  if (m_Mode == ProxyMode::Reset)
+    return Connection->reset();
   if (m_ResponseRate > 0) {
-    Which->m_Upstream.open(tcp::v4());
-    Which->m_Upstream.set_option(
+    Connection->m_Upstream.open(tcp::v4());
+    Connection->m_Upstream.set_option(
         asio::socket_base::receive_buffer_size(LimitedBufferBytes));
   }
-  Which->m_Upstream.async_connect(loopback(m_ToPort), Yield[Failure]);
+  Connection->m_Upstream.async_connect(loopback(m_ToPort), Yield[Failure]);
   if (Failure)
-    return Which->reset();
+    return Connection->reset();
   error_code Ignored;
-  Which->m_Downstream.set_option(tcp::no_delay(true), Ignored);
-  Which->m_Upstream.set_option(tcp::no_delay(true), Ignored);
+  Connection->m_Downstream.set_option(tcp::no_delay(true), Ignored);
+  Connection->m_Upstream.set_option(tcp::no_delay(true), Ignored);
   asio::spawn(
       m_Context,
-      [this, Which](asio::yield_context Inner) { pump(Which, false, Inner); },
+      [this, Connection](asio::yield_context Inner) {
+        pump(Connection, false, Inner);
+      },
       asio::detached);
-  pump(Which, true, Yield);
+  pump(Connection, true, Yield);
 }
 
 bool LoopbackProxy::isCut(bool IsForward) const {
-  return m_Passage == ProxyMode::CutBoth ||
-         m_Passage ==
-             (IsForward ? ProxyMode::CutForward : ProxyMode::CutBackward);
+  return m_Mode == ProxyMode::CutBoth ||
+         m_Mode == (IsForward ? ProxyMode::CutForward : ProxyMode::CutBackward);
 }
 
-void LoopbackProxy::hold(bool IsForward, asio::yield_context Yield) {
-  if (m_Passage == ProxyMode::Delayed)
+void LoopbackProxy::holdBack(bool IsForward, asio::yield_context Yield) {
+  if (m_Mode == ProxyMode::Delayed)
     sleepFor(m_Context, AddedDelay, Yield);
   while (isCut(IsForward))
-    sleepFor(m_Context, HoldStep, Yield);
+    sleepFor(m_Context, CutPollPeriod, Yield);
 }
 
 void LoopbackProxy::waitForLink(std::size_t Size, asio::yield_context Yield) {
-  std::chrono::duration<double> Takes(static_cast<double>(Size) /
-                                      m_ResponseRate);
+  std::chrono::duration<double> TransferTime(static_cast<double>(Size) /
+                                             m_ResponseRate);
   m_LinkFreeAt = std::max(m_LinkFreeAt, Clock::now()) +
-                 std::chrono::duration_cast<Clock::duration>(Takes);
+                 std::chrono::duration_cast<Clock::duration>(TransferTime);
   asio::steady_timer Timer(m_Context, m_LinkFreeAt);
   error_code Ignored;
   Timer.async_wait(Yield[Ignored]);
 }
 
-void LoopbackProxy::pump(const ConnectionHandle &Which, bool IsForward,
+void LoopbackProxy::pump(const ConnectionHandle &Connection, bool IsForward,
                          asio::yield_context Yield) {
-  tcp::socket &From = IsForward ? Which->m_Downstream : Which->m_Upstream;
-  tcp::socket &To = IsForward ? Which->m_Upstream : Which->m_Downstream;
+  tcp::socket &From =
+      IsForward ? Connection->m_Downstream : Connection->m_Upstream;
+  tcp::socket &To =
+      IsForward ? Connection->m_Upstream : Connection->m_Downstream;
   std::array<char, BufferBytes> Buffer;
   while (true) {
     error_code Failure;
     std::size_t Size =
         From.async_read_some(asio::buffer(Buffer), Yield[Failure]);
     // An end is held back by a cut like bytes are.
-    hold(IsForward, Yield);
+    holdBack(IsForward, Yield);
     if (!IsForward && m_ResponseRate > 0)
       waitForLink(Size, Yield);
-    Which->m_LastByte = Clock::now();
+    Connection->m_LastByte = Clock::now();
     error_code Ignored;
     if (Failure == asio::error::eof) {
       To.shutdown(tcp::socket::shutdown_send, Ignored);
@@ -152,7 +157,7 @@
     if (!Failure)
       asio::async_write(To, asio::buffer(Buffer, Size), Yield[Failure]);
     if (Failure)
-      return Which->reset();
+      return Connection->reset();
   }
 }
 
--- a/Tests/Support/LoopbackProxy.h
+++ b/Tests/Support/LoopbackProxy.h
@@ -29,7 +29,7 @@
   LoopbackProxy(boost::asio::io_context &Context, int Port, int ToPort);
 
   int port() const { return m_Port; }
-  void setMode(ProxyMode How);
+  void setMode(ProxyMode Mode);
   /// All answers together pass at this rate, each connection in its turn, as
   /// over the link of a small machine. 0: as fast as they come.
   void limitResponseRate(double BytesPerSecond) {
@@ -53,10 +53,11 @@
 
   void listen();
   void accept(boost::asio::yield_context Yield);
-  void connect(const ConnectionHandle &Which, boost::asio::yield_context Yield);
-  void pump(const ConnectionHandle &Which, bool IsForward,
+  void connect(const ConnectionHandle &Connection,
+               boost::asio::yield_context Yield);
+  void pump(const ConnectionHandle &Connection, bool IsForward,
             boost::asio::yield_context Yield);
-  void hold(bool IsForward, boost::asio::yield_context Yield);
+  void holdBack(bool IsForward, boost::asio::yield_context Yield);
   bool isCut(bool IsForward) const;
   /// Until \p Size more bytes have passed the limited link.
   void waitForLink(std::size_t Size, boost::asio::yield_context Yield);
@@ -66,7 +67,7 @@
   int m_ToPort;
   boost::asio::ip::tcp::acceptor m_Acceptor;
   std::list<std::weak_ptr<ProxiedConnection>> m_Connections;
-  ProxyMode m_Passage = ProxyMode::PassThrough;
+  ProxyMode m_Mode = ProxyMode::PassThrough;
   double m_ResponseRate = 0;
   std::chrono::steady_clock::time_point m_LinkFreeAt;
 };
--- a/Tests/Support/MirrorFleet.cpp
+++ b/Tests/Support/MirrorFleet.cpp
@@ -15,9 +15,9 @@
 using std::chrono::milliseconds;
 
 /// As often as a real instance looks at its peers' reports.
-static constexpr milliseconds BeatPeriod{40};
+static constexpr milliseconds FetchPeriod{40};
 static constexpr milliseconds RunStep{5};
-static constexpr std::size_t ChangesKept = 4096;
+static constexpr std::size_t MaxChanges = 4096;
 static const char SentCounter[] = "\nyardrill_peer_transfer_bytes_sent_total ";
 
 static config::Endpoint freeEndpoint() {
@@ -26,8 +26,8 @@
 
 MirrorInstance::MirrorInstance(asio::io_context &Context)
     : m_Endpoint(freeEndpoint()), m_ProxyEndpoint(freeEndpoint()),
-      m_Mirror(ChangesKept), m_Fetcher(Context, m_Endpoint, m_Codec, m_Mirror,
-                                       m_Metrics, SmallLinkRate),
+      m_Mirror(MaxChanges), m_Fetcher(Context, m_Endpoint, m_Codec, m_Mirror,
+                                      m_Metrics, SmallLinkRate),
       m_Link(Context, m_ProxyEndpoint.m_Port, m_Endpoint.m_Port) {
   m_Mirror.subscribe([this](const Entry &Change) {
     m_Delivered[Change.m_Key] = Change.m_ModRevision;
@@ -66,7 +66,7 @@
 }
 
 void MirrorFleet::fetchPeriodically(asio::yield_context Yield) {
-  for (;; sleepFor(m_Context, BeatPeriod, Yield))
+  for (;; sleepFor(m_Context, FetchPeriod, Yield))
     for (const auto &Each : m_Instances)
       fetchFromPeers(*Each);
 }
@@ -88,14 +88,14 @@
 }
 
 milliseconds MirrorFleet::runUntil(const std::function<bool()> &Condition,
-                                   milliseconds Most) {
+                                   milliseconds Timeout) {
   auto Begin = Clock::now();
   milliseconds Passed{0};
-  while (!Condition() && Passed < Most) {
+  while (!Condition() && Passed < Timeout) {
     m_Context.run_for(RunStep);
     Passed = std::chrono::duration_cast<milliseconds>(Clock::now() - Begin);
   }
-  return std::min(Passed, Most);
+  return std::min(Passed, Timeout);
 }
 
 } // namespace yardrill::tests
--- a/Tests/Support/MirrorFleet.h
+++ b/Tests/Support/MirrorFleet.h
@@ -63,7 +63,7 @@
   void runFor(std::chrono::milliseconds Time) { m_Context.run_for(Time); }
   /// \returns how long it took, or \p Most if it did not happen in that time.
   std::chrono::milliseconds runUntil(const std::function<bool()> &Condition,
-                                     std::chrono::milliseconds Most);
+                                     std::chrono::milliseconds Timeout);
 
 private:
   void fetchPeriodically(boost::asio::yield_context Yield);
--- a/Tests/Support/QuarantineSimulation.cpp
+++ b/Tests/Support/QuarantineSimulation.cpp
@@ -61,26 +61,27 @@
 
 class QuarantineSimulation {
 public:
-  explicit QuarantineSimulation(const QuarantineScenario &Day)
-      : m_Scenario(Day), m_Random(Day.m_Seed) {}
+  explicit QuarantineSimulation(const QuarantineScenario &Scenario)
+      : m_Scenario(Scenario), m_Random(Scenario.m_Seed) {}
 
   QuarantineResult run();
 
 private:
   struct Event {
     TimePoint m_At;
-    std::uint64_t m_Number;
+    std::uint64_t m_Sequence;
     std::function<void()> m_Action;
     bool operator<(const Event &Other) const {
-      return std::tie(Other.m_At, Other.m_Number) < std::tie(m_At, m_Number);
+      return std::tie(Other.m_At, Other.m_Sequence) <
+             std::tie(m_At, m_Sequence);
     }
   };
 
-  void after(Duration Delay, std::function<void()> Do) {
-    m_Events.push({m_Now + Delay, m_NextEvent++, std::move(Do)});
+  void after(Duration Delay, std::function<void()> Action) {
+    m_Events.push({m_Now + Delay, m_NextEvent++, std::move(Action)});
   }
   double draw() { return std::uniform_real_distribution<double>()(m_Random); }
-  std::size_t drawBelow(std::size_t Most) { return m_Random() % Most; }
+  std::size_t drawBelow(std::size_t Max) { return m_Random() % Max; }
   Duration drawInterval(double Rate) {
     return core::fromSeconds(std::exponential_distribution<>(Rate)(m_Random));
   }
@@ -88,23 +89,23 @@
   void startInstance(std::size_t Index);
   void upkeep(std::size_t Index);
   void sendObservations(std::size_t From, std::size_t To,
-                        const std::vector<Observation> &Seen);
+                        const std::vector<Observation> &Observations);
   void writeStore();
   void readStore(std::size_t Index);
   void beginFault(const QuarantineFaultEvent &What);
   void end(const QuarantineFaultEvent &What,
-           const std::vector<std::size_t> &Whom);
+           const std::vector<std::size_t> &Affected);
   void generateHarmless();
   void generateBad(std::size_t Number);
   void arrive(const RequestHandle &What);
   void send(const RequestHandle &What);
-  void finish(std::size_t Where, quarantine::IncarnationHash Run,
+  void finish(std::size_t Where, quarantine::IncarnationHash Incarnation,
               const RequestHandle &What);
   void exitTarget(std::size_t Where);
-  void handleInterruption(quarantine::IncarnationHash Run,
+  void handleInterruption(quarantine::IncarnationHash Incarnation,
                           const RequestHandle &What);
   void recordSend(const Request &What);
-  bool isInTouch(const Instance &Which) const;
+  bool isConnected(const Instance &Which) const;
   bool isRefused(const Request &What) const;
   void refuse(const Request &What);
 
@@ -123,20 +124,22 @@
   TimePoint m_StoreRecoveredAt{};
   std::map<ContentDigest, std::vector<TimePoint>> m_Exits; ///< Of bad ones.
   std::map<ContentDigest, std::size_t> m_LateSends;
-  QuarantineResult m_Outcome;
+  QuarantineResult m_Result;
 };
 
 void QuarantineSimulation::startInstance(std::size_t Index) {
   Instance &Which = m_Instances[Index];
   quarantine::GossipHooks Hooks;
-  Hooks.m_Broadcast = [this, Index](const std::vector<Observation> &Seen) {
+  Hooks.m_Broadcast = [this,
+                       Index](const std::vector<Observation> &Observations) {
     for (std::size_t To = 0; To < m_Instances.size(); ++To)
       if (To != Index)
-        sendObservations(Index, To, Seen);
+        sendObservations(Index, To, Observations);
   };
-  Hooks.m_SendToSample = [this, Index](const std::vector<Observation> &Seen) {
+  Hooks.m_SendToSample = [this,
+                          Index](const std::vector<Observation> &Observations) {
     for (int I = 0; I < 2; ++I)
-      sendObservations(Index, drawBelow(m_Instances.size()), Seen);
+      sendObservations(Index, drawBelow(m_Instances.size()), Observations);
   };
   Which.m_Gossip = std::make_unique<Gossip>(Hooks);
   Which.m_IsUp = true;
@@ -153,13 +156,14 @@
 }
 
 void QuarantineSimulation::sendObservations(
-    std::size_t From, std::size_t To, const std::vector<Observation> &Seen) {
-  ++m_Outcome.m_Datagrams;
+    std::size_t From, std::size_t To,
+    const std::vector<Observation> &Observations) {
+  ++m_Result.m_Datagrams;
   if (m_Instances[From].m_IsCut || draw() < m_Scenario.m_DatagramLoss)
     return;
-  after(core::fromSeconds(0.0005 + 0.003 * draw()), [this, To, Seen] {
+  after(core::fromSeconds(0.0005 + 0.003 * draw()), [this, To, Observations] {
     if (m_Instances[To].isReachable())
-      m_Instances[To].m_Gossip->merge(Seen, m_Now);
+      m_Instances[To].m_Gossip->merge(Observations, m_Now);
   });
 }
 
@@ -170,18 +174,17 @@
 
 void QuarantineSimulation::writeStore() {
   after(WritePeriod, [this] { writeStore(); });
-  auto Keeper = std::find_if(m_Instances.begin(), m_Instances.end(),
-                             [this](const Instance &Each) {
-                               return Each.isReachable() &&
-                                      m_Now - Each.m_StartedAt > SettleTime;
-                             });
-  if (!m_IsStoreUp || Keeper == m_Instances.end())
+  auto Writer = std::find_if(
+      m_Instances.begin(), m_Instances.end(), [this](const Instance &Each) {
+        return Each.isReachable() && m_Now - Each.m_StartedAt > SettleTime;
+      });
+  if (!m_IsStoreUp || Writer == m_Instances.end())
     return;
-  std::string Text = Keeper->m_Gossip->storedText();
+  std::string Text = Writer->m_Gossip->storedText();
   if (Text == m_Store)
     return;
   m_Store = Text;
-  ++m_Outcome.m_StoreWrites;
+  ++m_Result.m_StoreWrites;
   for (std::size_t I = 0; I < m_Instances.size(); ++I)
     after(core::fromSeconds(0.02 + 0.3 * draw()), [this, I] { readStore(I); });
 }
@@ -191,16 +194,16 @@
 //===----------------------------------------------------------------------===//
 
 void QuarantineSimulation::beginFault(const QuarantineFaultEvent &What) {
-  std::vector<std::size_t> Whom;
-  bool IsOfTargets = What.m_Kind == QuarantineFaultKind::ExitTargets;
-  std::size_t Count = IsOfTargets ? m_Targets.size() : m_Instances.size();
+  std::vector<std::size_t> Affected;
+  bool AffectsTargets = What.m_Kind == QuarantineFaultKind::ExitTargets;
+  std::size_t Count = AffectsTargets ? m_Targets.size() : m_Instances.size();
   for (std::size_t I = 0; I < Count; ++I)
     if (draw() < What.m_Share)
-      Whom.push_back(I);
+      Affected.push_back(I);
   if (What.m_Kind == QuarantineFaultKind::StoreDown)
     m_IsStoreUp = false;
-  for (std::size_t I : Whom) {
-    if (IsOfTargets)
+  for (std::size_t I : Affected) {
+    if (AffectsTargets)
       exitTarget(I);
     if (What.m_Kind == QuarantineFaultKind::Kill)
       m_Instances[I].m_IsUp = false;
@@ -210,18 +213,18 @@
   Duration Length = What.m_Kind == QuarantineFaultKind::Kill
                         ? RestartTime
                         : Duration(What.m_Length);
-  after(Length, [this, What, Whom] { end(What, Whom); });
+  after(Length, [this, What, Affected] { end(What, Affected); });
 }
 
 void QuarantineSimulation::end(const QuarantineFaultEvent &What,
-                               const std::vector<std::size_t> &Whom) {
+                               const std::vector<std::size_t> &Affected) {
   if (What.m_Kind == QuarantineFaultKind::StoreDown) {
     m_IsStoreUp = true;
     m_StoreRecoveredAt = m_Now;
     for (std::size_t I = 0; I < m_Instances.size(); ++I)
       readStore(I);
   }
-  for (std::size_t I : Whom) {
+  for (std::size_t I : Affected) {
     if (What.m_Kind == QuarantineFaultKind::Kill)
       startInstance(I);
     if (What.m_Kind != QuarantineFaultKind::Cut)
@@ -232,7 +235,7 @@
   }
 }
 
-bool QuarantineSimulation::isInTouch(const Instance &Which) const {
+bool QuarantineSimulation::isConnected(const Instance &Which) const {
   return Which.isReachable() && m_IsStoreUp &&
          m_Now - Which.m_RecoveredAt >= m_Scenario.m_ContactTime &&
          m_Now - m_StoreRecoveredAt >= m_Scenario.m_ContactTime;
@@ -274,7 +277,7 @@
     return;
   What->m_Incarnation = At.m_Incarnation;
   What->m_Sends = 0;
-  m_Outcome.m_HarmlessAttempts += What->m_Kind != Kind::Bad;
+  m_Result.m_HarmlessAttempts += What->m_Kind != Kind::Bad;
   send(What);
 }
 
@@ -285,16 +288,16 @@
 }
 
 void QuarantineSimulation::refuse(const Request &What) {
-  m_Outcome.m_HarmlessLost += What.m_Kind != Kind::Bad;
-  m_Outcome.m_WronglyRefused += What.m_Kind != Kind::Bad;
-  m_Outcome.m_PopularRefused += What.m_Kind == Kind::Popular;
+  m_Result.m_HarmlessLost += What.m_Kind != Kind::Bad;
+  m_Result.m_WronglyRefused += What.m_Kind != Kind::Bad;
+  m_Result.m_PopularRefused += What.m_Kind == Kind::Popular;
 }
 
 void QuarantineSimulation::recordSend(const Request &What) {
-  const std::vector<TimePoint> &Ends = m_Exits[What.m_Content];
-  if (Ends.size() >= Third &&
-      m_Now > Ends[Third - 1] + m_Scenario.m_ContactTime &&
-      isInTouch(m_Instances[What.m_Instance]))
+  const std::vector<TimePoint> &Exits = m_Exits[What.m_Content];
+  if (Exits.size() >= Third &&
+      m_Now > Exits[Third - 1] + m_Scenario.m_ContactTime &&
+      isConnected(m_Instances[What.m_Instance]))
     ++m_LateSends[What.m_Content];
 }
 
@@ -320,24 +323,23 @@
     Time =
         What->m_Kind == Kind::Popular ? Duration(60ms) : drawInterval(1) + 50ms;
   auto Index = static_cast<std::size_t>(Where - m_Targets.data());
-  after(Time, [this, Index, Run = Where->m_IncarnationHash, What] {
-    finish(Index, Run, What);
+  after(Time, [this, Index, Incarnation = Where->m_IncarnationHash, What] {
+    finish(Index, Incarnation, What);
   });
 }
 
 void QuarantineSimulation::finish(std::size_t Where,
-                                  quarantine::IncarnationHash Run,
+                                  quarantine::IncarnationHash Incarnation,
                                   const RequestHandle &What) {
   Target &At = m_Targets[Where];
-  if (At.m_IncarnationHash != Run || !At.m_IsUp)
+  if (At.m_IncarnationHash != Incarnation || !At.m_IsUp)
     return;
   if (What->m_Kind == Kind::Bad) {
     m_Exits[What->m_Content].push_back(m_Now);
-    ++m_Outcome.m_ExitsUnderBad;
+    ++m_Result.m_ExitsUnderBad;
     return exitTarget(Where);
   }
-  At.m_Running.erase(
-      std::find(At.m_Running.begin(), At.m_Running.end(), What));
+  At.m_Running.erase(std::find(At.m_Running.begin(), At.m_Running.end(), What));
   Instance &From = m_Instances[What->m_Instance];
   if (From.m_IsUp && From.m_Incarnation == What->m_Incarnation)
     From.m_Gossip->noteSuccess(What->m_Content, m_Now);
@@ -348,11 +350,11 @@
   if (!Which.m_IsUp)
     return;
   Which.m_IsUp = false;
-  std::vector<RequestHandle> Broken;
-  Broken.swap(Which.m_Running);
-  for (const RequestHandle &Each : Broken)
-    after(ProbeTime, [this, Run = Which.m_IncarnationHash, Each] {
-      handleInterruption(Run, Each);
+  std::vector<RequestHandle> Interrupted;
+  Interrupted.swap(Which.m_Running);
+  for (const RequestHandle &Each : Interrupted)
+    after(ProbeTime, [this, Incarnation = Which.m_IncarnationHash, Each] {
+      handleInterruption(Incarnation, Each);
     });
   after(m_Scenario.m_DownTime, [this, Where] {
     m_Targets[Where].m_IncarnationHash = m_NextIncarnation++;
@@ -360,20 +362,20 @@
   });
 }
 
-void QuarantineSimulation::handleInterruption(quarantine::IncarnationHash Run,
-                                              const RequestHandle &What) {
-  m_Outcome.m_HarmlessInterrupted += What->m_Kind != Kind::Bad;
+void QuarantineSimulation::handleInterruption(
+    quarantine::IncarnationHash Incarnation, const RequestHandle &What) {
+  m_Result.m_HarmlessInterrupted += What->m_Kind != Kind::Bad;
   Instance &At = m_Instances[What->m_Instance];
   bool IsGone = !At.m_IsUp || At.m_Incarnation != What->m_Incarnation;
   if (!IsGone) {
-    At.m_Gossip->noteTargetExit(What->m_Content, Run, m_Now);
-    bool IsSentOn = m_Scenario.m_RetriesSuspects ||
-                    !At.m_Gossip->table().isSuspect(What->m_Content);
-    if (What->m_Sends < MaxSends && IsSentOn)
+    At.m_Gossip->noteTargetExit(What->m_Content, Incarnation, m_Now);
+    bool IsRetried = m_Scenario.m_RetriesSuspects ||
+                     !At.m_Gossip->table().isSuspect(What->m_Content);
+    if (What->m_Sends < MaxSends && IsRetried)
       return send(What);
   }
   if (What->m_RetriesLeft == 0) {
-    m_Outcome.m_HarmlessLost += What->m_Kind != Kind::Bad;
+    m_Result.m_HarmlessLost += What->m_Kind != Kind::Bad;
     return;
   }
   --What->m_RetriesLeft;
@@ -404,26 +406,25 @@
     Next.m_Action();
   }
   for (const auto &[Content, Count] : m_LateSends)
-    m_Outcome.m_LateSends = std::max(m_Outcome.m_LateSends, Count);
-  return m_Outcome;
+    m_Result.m_LateSends = std::max(m_Result.m_LateSends, Count);
+  return m_Result;
 }
 
 } // namespace
 
-QuarantineResult simulate(const QuarantineScenario &Day) {
-  return QuarantineSimulation(Day).run();
+QuarantineResult simulate(const QuarantineScenario &Scenario) {
+  return QuarantineSimulation(Scenario).run();
 }
 
 QuarantineScenario randomQuarantineScenario(std::uint64_t Seed,
                                             std::size_t Instances,
                                             std::size_t Targets) {
   std::mt19937_64 Random(Seed);
-  auto Draw = [&Random](double Least, double Most) {
-    return std::uniform_real_distribution<double>(Least, Most)(Random);
+  auto Draw = [&Random](double Min, double Max) {
+    return std::uniform_real_distribution<double>(Min, Max)(Random);
   };
-  auto Milliseconds = [&Draw](double Least, double Most) {
-    return std::chrono::milliseconds(
-        static_cast<std::int64_t>(Draw(Least, Most)));
+  auto Milliseconds = [&Draw](double Min, double Max) {
+    return std::chrono::milliseconds(static_cast<std::int64_t>(Draw(Min, Max)));
   };
   QuarantineScenario Out;
   Out.m_Seed = Seed;
--- a/Tests/Support/QuarantineSimulation.h
+++ b/Tests/Support/QuarantineSimulation.h
@@ -73,7 +73,7 @@
   std::size_t m_Datagrams = 0;
 };
 
-QuarantineResult simulate(const QuarantineScenario &Day);
+QuarantineResult simulate(const QuarantineScenario &Scenario);
 
 /// A day of that size with faults drawn from the seed.
 QuarantineScenario randomQuarantineScenario(std::uint64_t Seed,
--- a/Tests/Support/QuotaScenario.cpp
+++ b/Tests/Support/QuotaScenario.cpp
@@ -66,18 +66,17 @@
   std::ostringstream Out;
   Out << Names[static_cast<int>(Event.m_Kind)]
       << " at=" << core::toSeconds(Event.m_At) << " share=" << Event.m_Share
-      << " for=" << core::toSeconds(Event.m_Time);
+      << " for=" << core::toSeconds(Event.m_Duration);
   return Out.str();
 }
 
-static QuotaFaultEvent drawEvent(std::mt19937_64 &Random) {
-  auto Between = [&Random](milliseconds Least, milliseconds Most) {
-    std::uniform_int_distribution<std::int64_t> Draw(Least.count(),
-                                                     Most.count());
+static QuotaFaultEvent randomFaultEvent(std::mt19937_64 &Random) {
+  auto Between = [&Random](milliseconds Min, milliseconds Max) {
+    std::uniform_int_distribution<std::int64_t> Draw(Min.count(), Max.count());
     return milliseconds(Draw(Random));
   };
-  auto Share = [&Random](double Least, double Most) {
-    return std::uniform_real_distribution<double>(Least, Most)(Random);
+  auto Share = [&Random](double Min, double Max) {
+    return std::uniform_real_distribution<double>(Min, Max)(Random);
   };
   QuotaFaultEvent Out;
   Out.m_At = Between(FirstFault, LastFault);
@@ -87,19 +86,19 @@
   case QuotaFaultKind::Kill:
     // Mass kills are the most frequent of those that matter.
     Out.m_Share = std::bernoulli_distribution(0.4)(Random) ? 1 : Share(0.1, 1);
-    Out.m_Time = Between(milliseconds(500), milliseconds(2500));
+    Out.m_Duration = Between(milliseconds(500), milliseconds(2500));
     break;
   case QuotaFaultKind::Cut:
     Out.m_Share = Share(0.05, 0.35);
-    Out.m_Time = Between(milliseconds(3000), milliseconds(9000));
+    Out.m_Duration = Between(milliseconds(3000), milliseconds(9000));
     break;
   case QuotaFaultKind::Split:
     Out.m_Share = Share(0.05, 0.5);
-    Out.m_Time = Between(milliseconds(3000), milliseconds(9000));
+    Out.m_Duration = Between(milliseconds(3000), milliseconds(9000));
     break;
   case QuotaFaultKind::Freeze:
     Out.m_Share = Share(0.05, 0.25);
-    Out.m_Time = Between(milliseconds(500), milliseconds(4000));
+    Out.m_Duration = Between(milliseconds(500), milliseconds(4000));
     break;
   case QuotaFaultKind::Add:
     Out.m_Share = Share(0.25, 0.5);
@@ -120,8 +119,8 @@
   Out.m_Limit = std::exp(Logarithm(Random));
   Out.m_Load = std::uniform_real_distribution<double>(1.2, 6)(Random);
   std::uniform_int_distribution<std::size_t> Count(1, MaxEvents);
-  for (std::size_t Left = Count(Random); Left > 0; --Left)
-    Out.m_Events.push_back(drawEvent(Random));
+  for (std::size_t Remaining = Count(Random); Remaining > 0; --Remaining)
+    Out.m_Events.push_back(randomFaultEvent(Random));
   return Out;
 }
 
@@ -133,12 +132,12 @@
     break;
   case 1:
     if (Out.m_Events.size() < MaxEvents)
-      Out.m_Events.push_back(drawEvent(Random));
+      Out.m_Events.push_back(randomFaultEvent(Random));
     break;
   default:
     std::uniform_int_distribution<std::size_t> Which(0,
                                                      Out.m_Events.size() - 1);
-    Out.m_Events[Which(Random)] = drawEvent(Random);
+    Out.m_Events[Which(Random)] = randomFaultEvent(Random);
     break;
   }
   return Out;
@@ -157,27 +156,27 @@
 
 class ScenarioRunner {
 public:
-  explicit ScenarioRunner(const QuotaScenario &Day)
-      : m_Scenario(Day), m_Random(Day.m_Seed),
-        m_Simulation({Day.m_Deployment->m_Size,
-                      {account(Day.m_Limit)},
-                      Day.m_Deployment->m_Tolerance,
-                      Day.m_Seed}) {}
+  explicit ScenarioRunner(const QuotaScenario &Scenario)
+      : m_Scenario(Scenario), m_Random(Scenario.m_Seed),
+        m_Simulation({Scenario.m_Deployment->m_Size,
+                      {account(Scenario.m_Limit)},
+                      Scenario.m_Deployment->m_Tolerance,
+                      Scenario.m_Seed}) {}
 
   QuotaScenarioResult simulate() {
-    std::vector<QuotaFaultEvent> Left = m_Scenario.m_Events;
+    std::vector<QuotaFaultEvent> Remaining = m_Scenario.m_Events;
     core::TimePoint Begin = m_Simulation.now();
     while (m_Simulation.now() < Begin + Length) {
       m_Simulation.advance(QuotaSimulation::StepTime);
-      for (auto Each = Left.begin(); Each != Left.end();) {
+      for (auto Each = Remaining.begin(); Each != Remaining.end();) {
         if (Begin + Each->m_At > m_Simulation.now()) {
           ++Each;
           continue;
         }
         injectFault(*Each);
-        Each = Left.erase(Each);
+        Each = Remaining.erase(Each);
       }
-      demand();
+      sendRequests();
     }
     return result();
   }
@@ -195,31 +194,31 @@
     return Kind.m_MeanPromptTokens + Kind.m_MeanResponseTokens;
   }
 
-  double drawTokens(double Mean, double Spread, double Most) {
-    if (Spread <= 0 || Mean <= 0)
+  double drawTokens(double Mean, double LogStdDev, double Max) {
+    if (LogStdDev <= 0 || Mean <= 0)
       return Mean;
     std::lognormal_distribution<double> Tokens(
-        std::log(Mean) - Spread * Spread / 2, Spread);
-    return std::min(Most, Tokens(m_Random));
+        std::log(Mean) - LogStdDev * LogStdDev / 2, LogStdDev);
+    return std::min(Max, Tokens(m_Random));
   }
 
-  void demandLargest() {
+  void sendLargestRequests() {
     double Tokens = m_Scenario.m_Deployment->largestRequest();
     std::uniform_int_distribution<std::size_t> Where(0,
                                                      m_Simulation.size() - 1);
     std::poisson_distribution<int> Count(
         m_Scenario.m_Limit * m_Scenario.m_Load / Tokens *
         core::toSeconds(QuotaSimulation::StepTime));
-    for (int Left = Count(m_Random); Left > 0; --Left)
+    for (int Remaining = Count(m_Random); Remaining > 0; --Remaining)
       m_Simulation.request(Where(m_Random), 0,
                            static_cast<std::uint32_t>(Tokens));
   }
 
-  void demand() {
+  void sendRequests() {
     if (m_Scenario.m_HasOnlyLargestRequests)
-      return demandLargest();
+      return sendLargestRequests();
     // Answers vary as their sheets say.
-    static constexpr double AnswerSpread = 1.5;
+    static constexpr double ResponseLogStdDev = 1.5;
     double Mean = 0;
     for (const QuotaRequestKind &Each : m_Scenario.m_Deployment->m_Kinds)
       Mean += Each.m_Share * meanTokens(Each);
@@ -229,10 +228,10 @@
                                                      m_Simulation.size() - 1);
     for (const QuotaRequestKind &Each : m_Scenario.m_Deployment->m_Kinds) {
       std::poisson_distribution<int> Count(Rate * Each.m_Share);
-      for (int Left = Count(m_Random); Left > 0; --Left) {
-        double Tokens = drawTokens(Each.m_MeanPromptTokens, Each.m_Spread,
+      for (int Remaining = Count(m_Random); Remaining > 0; --Remaining) {
+        double Tokens = drawTokens(Each.m_MeanPromptTokens, Each.m_LogStdDev,
                                    Each.m_MaxPromptTokens) +
-                        drawTokens(Each.m_MeanResponseTokens, AnswerSpread,
+                        drawTokens(Each.m_MeanResponseTokens, ResponseLogStdDev,
                                    Each.m_MaxResponseTokens);
         m_Simulation.request(Where(m_Random), 0,
                              static_cast<std::uint32_t>(Tokens));
@@ -249,20 +248,20 @@
         m_Simulation.add();
       return;
     }
-    std::bernoulli_distribution IsStruck(Event.m_Share);
-    std::vector<std::size_t> Struck;
+    std::bernoulli_distribution IsAffected(Event.m_Share);
+    std::vector<std::size_t> Affected;
     for (std::size_t I = 0; I < m_Simulation.size(); ++I)
-      if (IsStruck(m_Random))
-        Struck.push_back(I);
+      if (IsAffected(m_Random))
+        Affected.push_back(I);
     if (Event.m_Kind == QuotaFaultKind::Split)
-      return m_Simulation.split(Struck, Event.m_Time);
-    for (std::size_t Each : Struck) {
+      return m_Simulation.split(Affected, Event.m_Duration);
+    for (std::size_t Each : Affected) {
       if (Event.m_Kind == QuotaFaultKind::Kill)
-        m_Simulation.kill(Each, Event.m_Time);
+        m_Simulation.kill(Each, Event.m_Duration);
       if (Event.m_Kind == QuotaFaultKind::Cut)
-        m_Simulation.cut(Each, Event.m_Time);
+        m_Simulation.cut(Each, Event.m_Duration);
       if (Event.m_Kind == QuotaFaultKind::Freeze)
-        m_Simulation.freeze(Each, Event.m_Time);
+        m_Simulation.freeze(Each, Event.m_Duration);
     }
   }
 
@@ -276,11 +275,11 @@
     Out.m_AllowedTokens =
         Out.m_BoundTokens +
         Tolerance.tokens({m_Scenario.m_Limit, m_Scenario.m_Limit});
-    const std::vector<TokenGrant> &Draws = m_Simulation.grants(0);
-    Out.m_MaxTokens = maxInWindow(Draws, Tolerance.m_Window);
+    const std::vector<TokenGrant> &Grants = m_Simulation.grants(0);
+    Out.m_MaxTokens = maxInWindow(Grants, Tolerance.m_Window);
     auto Refused = static_cast<double>(m_Simulation.refused(0));
     Out.m_RefusedShare =
-        Refused / std::max(1.0, Refused + static_cast<double>(Draws.size()));
+        Refused / std::max(1.0, Refused + static_cast<double>(Grants.size()));
     return Out;
   }
 
@@ -291,8 +290,8 @@
 
 } // namespace
 
-QuotaScenarioResult simulate(const QuotaScenario &Day) {
-  return ScenarioRunner(Day).simulate();
+QuotaScenarioResult simulate(const QuotaScenario &Scenario) {
+  return ScenarioRunner(Scenario).simulate();
 }
 
 } // namespace yardrill::tests
--- a/Tests/Support/QuotaScenario.h
+++ b/Tests/Support/QuotaScenario.h
@@ -23,7 +23,7 @@
 struct QuotaRequestKind {
   double m_Share = 0;            ///< Of all requests.
   double m_MeanPromptTokens = 0; ///< Tokens.
-  double m_Spread = 0;           ///< Of the logarithm.
+  double m_LogStdDev = 0;        ///< Of the logarithm.
   double m_MaxPromptTokens = 0;
   double m_MeanResponseTokens = 0;
   double m_MaxResponseTokens = 0;
@@ -50,7 +50,7 @@
   core::Duration m_At{}; ///< From the day's begin.
   QuotaFaultKind m_Kind = QuotaFaultKind::Kill;
   double m_Share = 1; ///< Of the instances; Add: of the spare ones.
-  core::Duration m_Time{};
+  core::Duration m_Duration{};
 };
 
 std::string toString(const QuotaFaultEvent &Event);
@@ -85,7 +85,7 @@
   }
 };
 
-QuotaScenarioResult simulate(const QuotaScenario &Day);
+QuotaScenarioResult simulate(const QuotaScenario &Scenario);
 
 } // namespace yardrill::tests
 
--- a/Tests/Support/QuotaSimulation.cpp
+++ b/Tests/Support/QuotaSimulation.cpp
@@ -14,7 +14,7 @@
 using routing::DistributedQuota;
 using routing::QuotaStep;
 
-/// Of datagrams, each on its way for one step.
+/// Instance datagrams, each on its way for one step.
 static constexpr double LossShare = 0.01;
 /// From a process' start until it has read what the store holds.
 static constexpr std::chrono::milliseconds MinReadTime{50};
@@ -52,18 +52,18 @@
 
 } // namespace
 
-double maxInWindow(const std::vector<TokenGrant> &Draws,
+double maxInWindow(const std::vector<TokenGrant> &Grants,
                    core::Duration Window) {
-  double Most = 0;
+  double Max = 0;
   double Sum = 0;
   std::size_t First = 0;
-  for (const TokenGrant &Last : Draws) {
+  for (const TokenGrant &Last : Grants) {
     Sum += Last.m_Tokens;
-    while (Last.m_At - Draws[First].m_At > Window)
-      Sum -= Draws[First++].m_Tokens;
-    Most = std::max(Most, Sum);
+    while (Last.m_At - Grants[First].m_At > Window)
+      Sum -= Grants[First++].m_Tokens;
+    Max = std::max(Max, Sum);
   }
-  return Most;
+  return Max;
 }
 
 struct QuotaSimulation::Model {
@@ -95,7 +95,7 @@
   std::vector<std::vector<TokenGrant>> m_Grants;
   std::vector<std::array<std::size_t, 2>> m_Refused; ///< 1: cut off.
 
-  bool isReached(const ModelInstance &From, const ModelInstance &To) const {
+  bool canReach(const ModelInstance &From, const ModelInstance &To) const {
     bool IsSplit = (From.m_SplitUntil > m_Now) != (To.m_SplitUntil > m_Now);
     return !IsSplit && From.m_CutUntil <= m_Now && To.m_CutUntil <= m_Now;
   }
@@ -110,13 +110,12 @@
           m_Now + drawDuration(MinDetectionTime, MaxDetectionTime);
   }
 
-  core::Duration drawDuration(core::Duration Least, core::Duration Most) {
-    std::uniform_int_distribution<std::int64_t> Draw(Least.count(),
-                                                     Most.count());
+  core::Duration drawDuration(core::Duration Min, core::Duration Max) {
+    std::uniform_int_distribution<std::int64_t> Draw(Min.count(), Max.count());
     return core::Duration(Draw(m_Random));
   }
 
-  void add(bool IsFirst) {
+  void add(bool IsFirstStart) {
     std::size_t Index = m_Instances.size();
     ModelInstance New;
     New.m_Address = {"10.1." + std::to_string(Index / 200) + "." +
@@ -125,31 +124,32 @@
     m_Indexes.emplace(New.m_Address, Index);
     m_StoredInstances.push_back(New.m_Address);
     m_Instances.push_back(std::move(New));
-    start(m_Instances.back(), IsFirst);
+    start(m_Instances.back(), IsFirstStart);
   }
 
-  void start(ModelInstance &Of, bool IsFirst) {
-    Of.m_Quota = std::make_unique<DistributedQuota>(
-        Of.m_Address, m_Settings.m_Tolerance, IsFirst, m_Random());
-    Of.m_HasRead = false;
-    Of.m_ReadsAt = m_Now;
-    if (!IsFirst)
-      Of.m_ReadsAt += drawDuration(MinReadTime, MaxReadTime);
+  void start(ModelInstance &Instance, bool IsFirstStart) {
+    Instance.m_Quota = std::make_unique<DistributedQuota>(
+        Instance.m_Address, m_Settings.m_Tolerance, IsFirstStart, m_Random());
+    Instance.m_HasRead = false;
+    Instance.m_ReadsAt = m_Now;
+    if (!IsFirstStart)
+      Instance.m_ReadsAt += drawDuration(MinReadTime, MaxReadTime);
   }
 
   /// Tells it the list of instances, and the accounts.
-  void readStore(ModelInstance &Of) {
-    Of.m_Quota->setRing(routing::ConsistentHashRing(m_StoredInstances), m_Now);
-    if (!Of.m_HasRead)
-      Of.m_Quota->setAccounts(m_Settings.m_Accounts, m_Now);
-    Of.m_HasRead = true;
-    Of.m_ReadsAt = core::TimePoint::max();
+  void readStore(ModelInstance &Instance) {
+    Instance.m_Quota->setRing(routing::ConsistentHashRing(m_StoredInstances),
+                              m_Now);
+    if (!Instance.m_HasRead)
+      Instance.m_Quota->setAccounts(m_Settings.m_Accounts, m_Now);
+    Instance.m_HasRead = true;
+    Instance.m_ReadsAt = core::TimePoint::max();
   }
 
   void send(std::size_t To, const Datagram &What) {
     std::uniform_real_distribution<double> Chance(0, 1);
     ModelInstance &Receiver = m_Instances[To];
-    if (Receiver.m_Quota && isReached(m_Instances[What.m_From], Receiver) &&
+    if (Receiver.m_Quota && canReach(m_Instances[What.m_From], Receiver) &&
         Chance(m_Random) >= LossShare)
       Receiver.m_Inbox.push_back(What);
   }
@@ -158,44 +158,44 @@
     ModelInstance &At = m_Instances[Instance];
     if (!At.m_Quota || !At.m_HasRead)
       return;
-    PendingAcquisition Open;
-    Open.m_Instance = Instance;
-    Open.m_Account = Request.m_Account;
-    Open.m_Acquisition.m_Account =
+    PendingAcquisition Pending;
+    Pending.m_Instance = Instance;
+    Pending.m_Account = Request.m_Account;
+    Pending.m_Acquisition.m_Account =
         routing::hashOf(m_Settings.m_Accounts[Request.m_Account].m_Name);
-    Open.m_Acquisition.m_Tokens = Request.m_Tokens;
+    Pending.m_Acquisition.m_Tokens = Request.m_Tokens;
     std::uint64_t Id = m_NextAcquisition++;
     PendingAcquisition &Placed =
-        m_Pending.emplace(Id, std::move(Open)).first->second;
-    settle(Id, At.m_Quota->begin(Placed.m_Acquisition, m_Now));
+        m_Pending.emplace(Id, std::move(Pending)).first->second;
+    applyStep(Id, At.m_Quota->begin(Placed.m_Acquisition, m_Now));
   }
 
-  void settle(std::uint64_t Id, QuotaStep Step) {
-    PendingAcquisition &Open = m_Pending.at(Id);
+  void applyStep(std::uint64_t Id, QuotaStep Step) {
+    PendingAcquisition &Pending = m_Pending.at(Id);
     if (Step == QuotaStep::Ask) {
-      Open.m_SentAt = m_Now;
-      Datagram Ask;
-      Ask.m_From = Open.m_Instance;
-      Ask.m_Acquisition = Id;
-      Ask.m_Request = {Open.m_Acquisition.m_Account,
-                       Open.m_Acquisition.m_Tokens, 0};
-      return send(m_Indexes.at(Open.m_Acquisition.m_RemainingOwners.back()),
-                  Ask);
+      Pending.m_SentAt = m_Now;
+      Datagram Request;
+      Request.m_From = Pending.m_Instance;
+      Request.m_Acquisition = Id;
+      Request.m_Request = {Pending.m_Acquisition.m_Account,
+                           Pending.m_Acquisition.m_Tokens, 0};
+      return send(m_Indexes.at(Pending.m_Acquisition.m_RemainingOwners.back()),
+                  Request);
     }
-    bool IsCutOff = m_Instances[Open.m_Instance].m_CutUntil > m_Now;
+    bool IsCutOff = m_Instances[Pending.m_Instance].m_CutUntil > m_Now;
     if (Step == QuotaStep::Granted)
-      m_Grants[Open.m_Account].push_back(
-          {m_Now, Open.m_Acquisition.m_Tokens, IsCutOff,
-           Open.m_Acquisition.m_Source == routing::QuotaSource::Isolated});
+      m_Grants[Pending.m_Account].push_back(
+          {m_Now, Pending.m_Acquisition.m_Tokens, IsCutOff,
+           Pending.m_Acquisition.m_Source == routing::QuotaSource::Isolated});
     else
-      ++m_Refused[Open.m_Account][IsCutOff ? 1 : 0];
+      ++m_Refused[Pending.m_Account][IsCutOff ? 1 : 0];
     m_Pending.erase(Id);
   }
 
-  routing::QuotaResponse charge(DistributedQuota &Book,
-                                const routing::QuotaRequest &Ask) {
+  routing::QuotaResponse charge(DistributedQuota &Quota,
+                                const routing::QuotaRequest &Request) {
     routing::QuotaResponse Out;
-    if (Book.charge(Ask.m_Account, Ask.m_Tokens, m_Now))
+    if (Quota.charge(Request.m_Account, Request.m_Tokens, m_Now))
       Out.m_Verdict = routing::QuotaVerdict::Granted;
     return Out;
   }
@@ -212,48 +212,48 @@
   }
 
   void handleDatagram(std::size_t Instance, const Datagram &What) {
-    DistributedQuota &Book = *m_Instances[Instance].m_Quota;
+    DistributedQuota &Quota = *m_Instances[Instance].m_Quota;
     if (!What.m_IsResponse) {
-      Datagram Answer;
-      Answer.m_From = Instance;
-      Answer.m_Acquisition = What.m_Acquisition;
-      Answer.m_IsResponse = true;
-      Answer.m_Request = What.m_Request;
-      Answer.m_IsCharge = What.m_IsCharge;
-      Answer.m_Response = What.m_IsCharge
-                              ? charge(Book, What.m_Request)
-                              : Book.handleRequest(What.m_Request, m_Now);
-      return send(What.m_From, Answer);
+      Datagram Response;
+      Response.m_From = Instance;
+      Response.m_Acquisition = What.m_Acquisition;
+      Response.m_IsResponse = true;
+      Response.m_Request = What.m_Request;
+      Response.m_IsCharge = What.m_IsCharge;
+      Response.m_Response = What.m_IsCharge
+                                ? charge(Quota, What.m_Request)
+                                : Quota.handleRequest(What.m_Request, m_Now);
+      return send(What.m_From, Response);
     }
     if (What.m_IsCharge) {
       if (What.m_Response.m_Verdict == routing::QuotaVerdict::Granted)
-        Book.settleCharge(What.m_Request.m_Account, What.m_Request.m_Tokens,
-                          m_Now);
+        Quota.settleCharge(What.m_Request.m_Account, What.m_Request.m_Tokens,
+                           m_Now);
       return;
     }
-    auto Open = m_Pending.find(What.m_Acquisition);
+    auto Pending = m_Pending.find(What.m_Acquisition);
     const config::Endpoint &Owner = m_Instances[What.m_From].m_Address;
-    bool IsWaitedFor =
-        Open != m_Pending.end() &&
-        Open->second.m_Acquisition.m_RemainingOwners.back() == Owner;
-    if (IsWaitedFor)
-      return settle(What.m_Acquisition,
-                    Book.handleResponse(Open->second.m_Acquisition,
-                                        What.m_Response, m_Now));
-    Book.cacheGrant(Owner, What.m_Request.m_Account, What.m_Response.m_Tokens,
-                    m_Now);
+    bool IsPending =
+        Pending != m_Pending.end() &&
+        Pending->second.m_Acquisition.m_RemainingOwners.back() == Owner;
+    if (IsPending)
+      return applyStep(What.m_Acquisition,
+                       Quota.handleResponse(Pending->second.m_Acquisition,
+                                            What.m_Response, m_Now));
+    Quota.cacheGrant(Owner, What.m_Request.m_Account, What.m_Response.m_Tokens,
+                     m_Now);
   }
 
   void expirePending() {
     std::vector<std::uint64_t> Late;
-    for (const auto &[Id, Open] : m_Pending)
-      if (m_Now - Open.m_SentAt > DistributedQuota::ResponseTimeout &&
-          m_Instances[Open.m_Instance].m_FrozenUntil <= m_Now)
+    for (const auto &[Id, Pending] : m_Pending)
+      if (m_Now - Pending.m_SentAt > DistributedQuota::ResponseTimeout &&
+          m_Instances[Pending.m_Instance].m_FrozenUntil <= m_Now)
         Late.push_back(Id);
     for (std::uint64_t Id : Late) {
-      PendingAcquisition &Open = m_Pending.at(Id);
-      DistributedQuota &Book = *m_Instances[Open.m_Instance].m_Quota;
-      settle(Id, Book.handleTimeout(Open.m_Acquisition, m_Now));
+      PendingAcquisition &Pending = m_Pending.at(Id);
+      DistributedQuota &Quota = *m_Instances[Pending.m_Instance].m_Quota;
+      applyStep(Id, Quota.handleTimeout(Pending.m_Acquisition, m_Now));
     }
   }
 
@@ -283,9 +283,9 @@
         continue;
       Each.m_Quota->setListConfirmed(!hasDetectedCut(Each));
       // It hears of added ones from the others, and reads the store at a start.
-      bool IsTold = !Each.m_HasRead ||
-                    std::max(Each.m_CutUntil, Each.m_SplitUntil) <= m_Now;
-      if (Each.m_ReadsAt <= m_Now && IsTold)
+      bool CanRead = !Each.m_HasRead ||
+                     std::max(Each.m_CutUntil, Each.m_SplitUntil) <= m_Now;
+      if (Each.m_ReadsAt <= m_Now && CanRead)
         readStore(Each);
       for (const CallerRequest &Late :
            std::exchange(Each.m_DelayedRequests, {}))
@@ -342,9 +342,9 @@
   Killed.m_DelayedRequests.clear();
   Killed.m_FrozenUntil = core::TimePoint();
   Killed.m_DownUntil = now() + Down;
-  auto &Open = m_Model->m_Pending;
-  for (auto Each = Open.begin(); Each != Open.end();)
-    Each = Each->second.m_Instance == Instance ? Open.erase(Each)
+  auto &Pending = m_Model->m_Pending;
+  for (auto Each = Pending.begin(); Each != Pending.end();)
+    Each = Each->second.m_Instance == Instance ? Pending.erase(Each)
                                                : std::next(Each);
 }
 
--- a/Tests/Support/QuotaSimulation.h
+++ b/Tests/Support/QuotaSimulation.h
@@ -28,7 +28,8 @@
 };
 
 /// \returns the tokens of the fullest window. \param Draws in order of time.
-double maxInWindow(const std::vector<TokenGrant> &Draws, core::Duration Window);
+double maxInWindow(const std::vector<TokenGrant> &Grants,
+                   core::Duration Window);
 
 struct QuotaSimulationSettings {
   std::size_t m_Size = 6;
--- a/Tests/Support/RateLimitSimulation.cpp
+++ b/Tests/Support/RateLimitSimulation.cpp
@@ -85,8 +85,9 @@
 
 class RateLimitSimulation {
 public:
-  RateLimitSimulation(const RateLimitScenario &Day, RateLimitStrategy Strategy)
-      : m_Scenario(Day), m_Strategy(Strategy), m_Random(Day.m_Seed) {}
+  RateLimitSimulation(const RateLimitScenario &Scenario,
+                      RateLimitStrategy Strategy)
+      : m_Scenario(Scenario), m_Strategy(Strategy), m_Random(Scenario.m_Seed) {}
 
   RateLimitResult run();
 
@@ -105,9 +106,9 @@
   bool chance(double Share) {
     return std::uniform_real_distribution<double>(0, 1)(m_Random) < Share;
   }
-  core::Duration drawDuration(core::Duration Longest) {
+  core::Duration drawDuration(core::Duration Max) {
     return core::Duration(std::uniform_int_distribution<std::int64_t>(
-        0, core::Duration(Longest).count())(m_Random));
+        0, core::Duration(Max).count())(m_Random));
   }
   std::size_t drawIndex(std::size_t Count) {
     return std::uniform_int_distribution<std::size_t>(0, Count - 1)(m_Random);
@@ -123,14 +124,14 @@
     return m_Now >= m_Start + LimitFrom && m_Now < m_Start + LimitUntil;
   }
 
-  void start(std::size_t Index, const FleetSubset::Fleet &List);
-  void setKnownFleet(std::size_t Index, FleetSubset::Fleet List);
+  void start(std::size_t Index, const FleetSubset::Fleet &KnownFleet);
+  void setKnownFleet(std::size_t Index, FleetSubset::Fleet KnownFleet);
   std::size_t sendersOf(std::size_t Index,
-                        const routing::TargetIncarnation &Run);
+                        const routing::TargetIncarnation &Incarnation);
   void sendRequest();
   void handleResponse(const Response &What);
   void sendReports(std::size_t From,
-                   const std::vector<routing::BackpressureReport> &Terms);
+                   const std::vector<routing::BackpressureReport> &Reports);
   void deliver();
   void injectFault();
   void applyFleetUpdates();
@@ -158,22 +159,22 @@
 
 std::size_t
 RateLimitSimulation::sendersOf(std::size_t Index,
-                               const routing::TargetIncarnation &Run) {
+                               const routing::TargetIncarnation &Incarnation) {
   const ModelInstance &Own = m_Instances[Index];
-  std::size_t Sharers =
+  std::size_t SubsetSize =
       Own.m_Subset.subsetInstances(m_Scenario.m_Targets).size();
-  std::size_t Order =
-      Own.m_Subset.rendezvousRank(Run.hash(), m_Scenario.m_Targets);
+  std::size_t Rank =
+      Own.m_Subset.rendezvousRank(Incarnation.hash(), m_Scenario.m_Targets);
   switch (m_Strategy) {
   case RateLimitStrategy::Senders: {
     std::size_t Senders =
-        std::min(routing::SharedRateLimit::MaxSenders, Sharers);
-    return Order < Senders ? Senders : 0;
+        std::min(routing::SharedRateLimit::MaxSenders, SubsetSize);
+    return Rank < Senders ? Senders : 0;
   }
   case RateLimitStrategy::OneSender:
-    return Order == 0 ? 1 : 0;
+    return Rank == 0 ? 1 : 0;
   case RateLimitStrategy::EqualParts:
-    return Sharers;
+    return SubsetSize;
   case RateLimitStrategy::Alone:
     return 1;
   }
@@ -181,23 +182,23 @@
 }
 
 void RateLimitSimulation::setKnownFleet(std::size_t Index,
-                                        FleetSubset::Fleet List) {
+                                        FleetSubset::Fleet KnownFleet) {
   ModelInstance &Own = m_Instances[Index];
-  Own.m_KnownFleet = std::move(List);
+  Own.m_KnownFleet = std::move(KnownFleet);
   Own.m_Subset = FleetSubset(addressOf(Index), Own.m_KnownFleet, m_GroupSize);
   Own.m_ThrottleTable->invalidateSenders();
 }
 
 void RateLimitSimulation::start(std::size_t Index,
-                                const FleetSubset::Fleet &List) {
+                                const FleetSubset::Fleet &KnownFleet) {
   ModelInstance &Own = m_Instances[Index];
   Own.m_ThrottleTable = std::make_unique<TargetThrottleTable>(
-      [this, Index](const routing::TargetIncarnation &Run) {
-        return sendersOf(Index, Run);
+      [this, Index](const routing::TargetIncarnation &Incarnation) {
+        return sendersOf(Index, Incarnation);
       });
   Own.m_LimitKnownAt.assign(m_Limited, TimePoint::max());
   ++Own.m_Incarnation;
-  setKnownFleet(Index, List);
+  setKnownFleet(Index, KnownFleet);
 }
 
 void RateLimitSimulation::sendRequest() {
@@ -206,18 +207,18 @@
   if (!isUp(Own))
     return;
   // As a dispatcher that finds the limited ones the least busy.
-  std::vector<std::size_t> Open;
+  std::vector<std::size_t> Candidates;
   for (std::size_t Target = 0; Target < m_Limited; ++Target)
     if (Own.m_Subset.isInSubset(Target * m_Scenario.m_Targets / m_Limited,
                                 m_Scenario.m_Targets) &&
         Own.m_ThrottleTable->acceptsRequests(incarnationOf(Target), m_Now))
-      Open.push_back(Target);
-  if (Open.empty())
+      Candidates.push_back(Target);
+  if (Candidates.empty())
     return;
-  std::size_t Target = Open[drawIndex(Open.size())];
+  std::size_t Target = Candidates[drawIndex(Candidates.size())];
   Own.m_ThrottleTable->recordSent(incarnationOf(Target), m_Now);
-  bool IsTold = Own.m_LimitKnownAt[Target] < m_Now - InFlightTime;
-  if (IsTold && Own.m_ExemptUntil < m_Now)
+  bool IsLimitKnown = Own.m_LimitKnownAt[Target] < m_Now - InFlightTime;
+  if (IsLimitKnown && Own.m_ExemptUntil < m_Now)
     m_Arrivals[Target].push_back({m_Now, Index});
   m_SentWhileLimited[Target] += isLimited() ? 1 : 0;
   m_Responses.push_back(
@@ -228,28 +229,28 @@
   ModelInstance &Own = m_Instances[What.m_Instance];
   if (!Own.m_IsMember || Own.m_Incarnation != What.m_Incarnation)
     return;
-  routing::TargetBackpressure Terms;
+  routing::TargetBackpressure Backpressure;
   if (isLimited()) {
-    Terms.m_RequestsPerSecond = m_Scenario.m_Limit;
+    Backpressure.m_RequestsPerSecond = m_Scenario.m_Limit;
     Own.m_LimitKnownAt[What.m_Target] =
         std::min(Own.m_LimitKnownAt[What.m_Target], m_Now);
   }
-  routing::TargetIncarnation Run = incarnationOf(What.m_Target);
-  if (Own.m_ThrottleTable->update(Run, Terms, m_Now))
-    sendReports(What.m_Instance, {Own.m_ThrottleTable->reportOf(Run)});
+  routing::TargetIncarnation Incarnation = incarnationOf(What.m_Target);
+  if (Own.m_ThrottleTable->update(Incarnation, Backpressure, m_Now))
+    sendReports(What.m_Instance, {Own.m_ThrottleTable->reportOf(Incarnation)});
 }
 
 void RateLimitSimulation::sendReports(
-    std::size_t From, const std::vector<routing::BackpressureReport> &Terms) {
+    std::size_t From, const std::vector<routing::BackpressureReport> &Reports) {
   ModelInstance &Own = m_Instances[From];
-  if (Terms.empty() || isCut(Own))
+  if (Reports.empty() || isCut(Own))
     return;
   for (const config::Endpoint &To :
        Own.m_Subset.subsetInstances(m_Scenario.m_Targets)) {
     std::size_t Index = m_Indexes.at(To);
     if (Index == From || chance(LossShare))
       continue;
-    for (const routing::BackpressureReport &Each : Terms)
+    for (const routing::BackpressureReport &Each : Reports)
       m_Datagrams.push_back({m_Now + Step + drawDuration(MaxDelay) / 10 +
                                  (chance(LateShare) ? drawDuration(MaxDelay)
                                                     : core::Duration::zero()),
@@ -258,12 +259,12 @@
 }
 
 void RateLimitSimulation::deliver() {
-  std::vector<Datagram> Left;
+  std::vector<Datagram> Pending;
   for (Datagram &Each : m_Datagrams) {
     ModelInstance &To = m_Instances[Each.m_To];
     bool IsWaiting = Each.m_At > m_Now || m_Now < To.m_FrozenUntil;
     if (IsWaiting) {
-      Left.push_back(std::move(Each));
+      Pending.push_back(std::move(Each));
       continue;
     }
     if (!isUp(To) || isCut(To))
@@ -273,15 +274,15 @@
     Each.m_Backpressure.m_Limit.m_At += m_Now - Each.m_SentAt;
     To.m_ThrottleTable->update(Each.m_Backpressure, m_Now);
   }
-  m_Datagrams = std::move(Left);
+  m_Datagrams = std::move(Pending);
 }
 
 void RateLimitSimulation::injectFault() {
   std::size_t Index = drawIndex(m_Instances.size());
   ModelInstance &Own = m_Instances[Index];
-  core::Duration Long = milliseconds(500) + drawDuration(seconds(5));
-  enum Kind { Kill, Freeze, Cut, Leave, Kinds };
-  switch (static_cast<Kind>(drawIndex(Kinds))) {
+  core::Duration Length = milliseconds(500) + drawDuration(seconds(5));
+  enum Kind { Kill, Freeze, Cut, ToggleMembership, KindCount };
+  switch (static_cast<Kind>(drawIndex(KindCount))) {
   case Kill:
     Own.m_DownUntil = m_Now + milliseconds(500);
     Own.m_ExemptUntil = Own.m_DownUntil + ContactTime;
@@ -291,15 +292,15 @@
         Own.m_DownUntil + drawDuration(MaxUpdateDelay), Index);
     return;
   case Freeze:
-    Own.m_FrozenUntil = m_Now + Long;
+    Own.m_FrozenUntil = m_Now + Length;
     Own.m_ExemptUntil = Own.m_FrozenUntil + ContactTime;
     return;
   case Cut:
-    Own.m_CutUntil = m_Now + Long;
+    Own.m_CutUntil = m_Now + Length;
     Own.m_ExemptUntil = Own.m_CutUntil + ContactTime;
     return;
-  case Leave:
-  case Kinds:
+  case ToggleMembership:
+  case KindCount:
     break;
   }
   // It is removed for good, or one that was is there again.
@@ -317,15 +318,15 @@
 }
 
 void RateLimitSimulation::applyFleetUpdates() {
-  std::vector<std::pair<TimePoint, std::size_t>> Left;
+  std::vector<std::pair<TimePoint, std::size_t>> Pending;
   for (const auto &Each : m_PendingFleetUpdates) {
     ModelInstance &Own = m_Instances[Each.second];
     if (Each.first > m_Now || m_Now < Own.m_FrozenUntil || isCut(Own))
-      Left.push_back(Each);
+      Pending.push_back(Each);
     else if (Own.m_IsMember && Own.m_KnownFleet != m_Fleet)
       setKnownFleet(Each.second, m_Fleet);
   }
-  m_PendingFleetUpdates = std::move(Left);
+  m_PendingFleetUpdates = std::move(Pending);
 }
 
 void RateLimitSimulation::evaluate(RateLimitResult &Out) const {
@@ -348,9 +349,10 @@
                    static_cast<double>(Last - First + 1) / Allowed);
     }
   }
-  double Takes = m_Scenario.m_Limit * core::toSeconds(LimitUntil - LimitFrom);
+  double Capacity =
+      m_Scenario.m_Limit * core::toSeconds(LimitUntil - LimitFrom);
   for (std::size_t Each : m_SentWhileLimited)
-    Out.m_ServedShare += static_cast<double>(Each) / Takes /
+    Out.m_ServedShare += static_cast<double>(Each) / Capacity /
                          static_cast<double>(m_SentWhileLimited.size());
 }
 
@@ -412,9 +414,9 @@
   return Out;
 }
 
-RateLimitResult simulateRateLimit(const RateLimitScenario &Day,
+RateLimitResult simulateRateLimit(const RateLimitScenario &Scenario,
                                   RateLimitStrategy Strategy) {
-  return RateLimitSimulation(Day, Strategy).run();
+  return RateLimitSimulation(Scenario, Strategy).run();
 }
 
 } // namespace yardrill::tests
--- a/Tests/Support/RateLimitSimulation.h
+++ b/Tests/Support/RateLimitSimulation.h
@@ -50,7 +50,7 @@
 };
 
 /// Plays 40 s: limits are named from 5 s to 30 s.
-RateLimitResult simulateRateLimit(const RateLimitScenario &Day,
+RateLimitResult simulateRateLimit(const RateLimitScenario &Scenario,
                                   RateLimitStrategy Strategy);
 
 } // namespace yardrill::tests
--- a/Tests/Support/RolloutSimulation.cpp
+++ b/Tests/Support/RolloutSimulation.cpp
@@ -24,7 +24,7 @@
   core::TimePoint m_EndsAt{};
   std::size_t m_Instance = 0;
   ResponseCountsKey m_Key;
-  ResponseQuality m_How = ResponseQuality::Succeeded;
+  ResponseQuality m_Quality = ResponseQuality::Succeeded;
   core::Duration m_Time{};
 
   bool operator<(const Running &Other) const {
@@ -43,17 +43,18 @@
 
 class RolloutSimulation {
 public:
-  RolloutSimulation(const RolloutScenario &Case, std::uint64_t Seed)
-      : m_Scenario(Case), m_Random(Seed), m_Instances(Case.m_Instances) {
+  RolloutSimulation(const RolloutScenario &Scenario, std::uint64_t Seed)
+      : m_Scenario(Scenario), m_Random(Seed),
+        m_Instances(Scenario.m_Instances) {
     m_Order.m_Id = OrderId(7);
     m_Order.m_Version = core::TargetVersion("v2");
-    m_Order.m_BakeTime = Case.m_BakeTime;
+    m_Order.m_BakeTime = Scenario.m_BakeTime;
     for (std::size_t I = 0; I < m_Instances.size(); ++I)
       start(I, core::Duration::zero());
     for (Instance &Each : m_Instances)
       Each.m_ReportsAt = m_Now + drawDuration(period());
     m_Coordinator = std::make_unique<Coordinator>(
-        m_Order, ExposureLimits{Case.m_MaxShare, 50}, m_Now);
+        m_Order, ExposureLimits{Scenario.m_MaxShare, 50}, m_Now);
   }
 
   RolloutResult run() {
@@ -77,11 +78,11 @@
   double draw() {
     return std::uniform_real_distribution<double>(0, 1)(m_Random);
   }
-  core::Duration drawDuration(core::Duration Most) {
-    return core::fromSeconds(draw() * core::toSeconds(Most));
+  core::Duration drawDuration(core::Duration Max) {
+    return core::fromSeconds(draw() * core::toSeconds(Max));
   }
   core::Duration period() const { return reportPeriod(m_Scenario.m_Instances); }
-  double age() const { return core::toSeconds(m_Now - Begin); }
+  double elapsedSeconds() const { return core::toSeconds(m_Now - Begin); }
   bool hasDecided() const { return m_Result.m_Decision.has_value(); }
 
   void start(std::size_t Which, core::Duration Age) {
@@ -113,33 +114,33 @@
 
   /// A target of the new version that this instance's group tries now.
   std::size_t sampledTarget(std::size_t Which) const {
-    auto Slot = static_cast<std::size_t>(age());
+    auto Slot = static_cast<std::size_t>(elapsedSeconds());
     return (Which / 8 + Slot * 7) % m_Scenario.m_Targets;
   }
 
   bool isBadResponse(std::size_t Route, Traffic How) {
     bool IsRarest = Route + 1 == m_Scenario.m_RouteShares.size();
-    bool IsMeant = false;
+    bool IsAffected = false;
     switch (m_Scenario.m_Behavior) {
     case VersionBehavior::Good:
       break;
     case VersionBehavior::Fails:
     case VersionBehavior::Slow:
-      IsMeant = true;
+      IsAffected = true;
       break;
     case VersionBehavior::FailsLate:
-      IsMeant = age() > core::toSeconds(m_Order.m_BakeTime) * 0.5;
+      IsAffected = elapsedSeconds() > core::toSeconds(m_Order.m_BakeTime) * 0.5;
       break;
     case VersionBehavior::FailsUnderLoad:
       // A sampled target gets as much as each will in the end.
-      IsMeant = How != Traffic::Old;
+      IsAffected = How != Traffic::Old;
       break;
     case VersionBehavior::FailsOnOneRoute:
     case VersionBehavior::SlowOnOneRoute:
-      IsMeant = IsRarest;
+      IsAffected = IsRarest;
       break;
     }
-    return IsMeant && draw() < m_Scenario.m_BadShare;
+    return IsAffected && draw() < m_Scenario.m_BadShare;
   }
 
   bool isSlowBehavior() const {
@@ -161,10 +162,10 @@
     double Mean = m_Scenario.m_RequestsPerSecond * core::toSeconds(Step);
     int Count = std::poisson_distribution<int>(Mean)(m_Random);
     for (int I = 0; I < Count; ++I)
-      sendOne(m_Random() % m_Instances.size());
+      sendRequest(m_Random() % m_Instances.size());
   }
 
-  void sendOne(std::size_t Which) {
+  void sendRequest(std::size_t Which) {
     Instance &By = m_Instances[Which];
     if (m_Now < By.m_DownUntil)
       return;
@@ -174,9 +175,9 @@
     bool IsNew =
         How == Traffic::New || By.m_Participant->isSampleDue(RouteHash, m_Now);
     // Its end has been heard of everywhere but where nothing is heard.
-    bool IsHeard =
+    bool IsDecisionKnown =
         hasDecided() && m_Now > m_DecisionKnownAt && By.m_CutUntil < m_Now;
-    if (IsHeard)
+    if (IsDecisionKnown)
       IsNew = m_Result.m_Decision->m_State == State::Completed;
     By.m_Participant->recordSent(RouteHash, IsNew, m_Now);
     countSent(IsNew);
@@ -201,7 +202,7 @@
       IsFailure = true;
     if (IsBad && ++m_BadResponses == MaxBadResponses)
       m_FiftiethAt = m_Now;
-    Next.m_How =
+    Next.m_Quality =
         IsFailure ? ResponseQuality::Failed : ResponseQuality::Succeeded;
     Next.m_Time = core::fromSeconds(Ms / 1000);
     Next.m_EndsAt = m_Now + Next.m_Time;
@@ -210,7 +211,7 @@
   }
 
   void countSent(bool IsNew) {
-    if (IsNew && age() <= core::toSeconds(m_Order.m_BakeTime))
+    if (IsNew && elapsedSeconds() <= core::toSeconds(m_Order.m_BakeTime))
       ++m_SentNew;
     if (IsNew && m_BadResponses >= MaxBadResponses)
       m_Result.m_LastAfterFiftieth = core::toSeconds(m_Now - m_FiftiethAt);
@@ -221,8 +222,8 @@
       Running Ended = m_Running.top();
       m_Running.pop();
       Instance &By = m_Instances[Ended.m_Instance];
-      By.m_Participant->recordResponse(Ended.m_Key, Ended.m_How, Ended.m_Time,
-                                       m_Now);
+      By.m_Participant->recordResponse(Ended.m_Key, Ended.m_Quality,
+                                       Ended.m_Time, m_Now);
       if (Ended.m_Key.m_Side == Side::Old && By.m_RunningOld > 0)
         --By.m_RunningOld;
     }
@@ -233,14 +234,16 @@
       if (m_Now < Each.m_ReportsAt || m_Now < Each.m_DownUntil)
         continue;
       Each.m_ReportsAt = m_Now + period();
-      Report Told = Each.m_Participant->report(Each.m_RunningOld, m_Now);
+      Report CurrentReport =
+          Each.m_Participant->report(Each.m_RunningOld, m_Now);
       bool IsLost = m_Now < Each.m_CutUntil || draw() < LossShare;
       if (IsLost)
         continue;
-      Permit Given = m_Coordinator->handleReport(
-          core::IncarnationId(Each.m_Incarnation), Told, m_Now + LinkDelay);
+      Permit NewPermit =
+          m_Coordinator->handleReport(core::IncarnationId(Each.m_Incarnation),
+                                      CurrentReport, m_Now + LinkDelay);
       if (draw() >= LossShare)
-        Each.m_Participant->applyPermit(Given, m_Now + 2 * LinkDelay);
+        Each.m_Participant->applyPermit(NewPermit, m_Now + 2 * LinkDelay);
     }
   }
 
@@ -248,12 +251,12 @@
     if (hasDecided() || m_Now < m_EvaluatesAt)
       return;
     m_EvaluatesAt = m_Now + EvaluationPeriod;
-    PoolCapacity Targets{m_Scenario.m_Targets * 4, m_Scenario.m_Targets * 4};
-    auto End = m_Coordinator->decide(Targets, m_Now - Begin, m_Now);
+    PoolCapacity Capacity{m_Scenario.m_Targets * 4, m_Scenario.m_Targets * 4};
+    auto End = m_Coordinator->decide(Capacity, m_Now - Begin, m_Now);
     if (!End)
       return;
     m_Result.m_Decision = End;
-    m_Result.m_EndedAfter = age();
+    m_Result.m_EndedAfter = elapsedSeconds();
     // The write, and the news of it.
     m_DecisionKnownAt = m_Now + milliseconds(300);
   }
@@ -280,8 +283,9 @@
 
 } // namespace
 
-RolloutResult simulateRollout(const RolloutScenario &What, std::uint64_t Seed) {
-  return RolloutSimulation(What, Seed).run();
+RolloutResult simulateRollout(const RolloutScenario &Scenario,
+                              std::uint64_t Seed) {
+  return RolloutSimulation(Scenario, Seed).run();
 }
 
 } // namespace yardrill::tests
--- a/Tests/Support/RolloutSimulation.h
+++ b/Tests/Support/RolloutSimulation.h
@@ -56,7 +56,8 @@
   double m_LastAfterFiftieth = 0;
 };
 
-RolloutResult simulateRollout(const RolloutScenario &What, std::uint64_t Seed);
+RolloutResult simulateRollout(const RolloutScenario &Scenario,
+                              std::uint64_t Seed);
 
 } // namespace yardrill::tests
 
--- a/Tests/Support/ScriptedTarget.h
+++ b/Tests/Support/ScriptedTarget.h
@@ -61,15 +61,15 @@
     beast::flat_buffer Buffer;
     boost::system::error_code Failure;
     while (!Failure) {
-      Request Read;
-      beast::http::async_read(Socket, Buffer, Read, Yield[Failure]);
+      Request Received;
+      beast::http::async_read(Socket, Buffer, Received, Yield[Failure]);
       if (Failure)
         return;
       {
         std::lock_guard<std::mutex> Lock(m_Mutex);
-        m_Requests.push_back(Read);
+        m_Requests.push_back(Received);
       }
-      std::string Bytes = m_Respond(Read);
+      std::string Bytes = m_Respond(Received);
       if (Bytes.empty()) {
         Socket.set_option(asio::socket_base::linger(true, 0));
         return Socket.close();
@@ -80,11 +80,11 @@
         ++m_ClosedWhileWaiting;
         return;
       }
-      bool MustCut = Bytes.back() == '!';
-      if (MustCut)
+      bool MustClose = Bytes.back() == '!';
+      if (MustClose)
         Bytes.pop_back();
       asio::async_write(Socket, asio::buffer(Bytes), Yield[Failure]);
-      if (MustCut)
+      if (MustClose)
         return;
     }
   }
@@ -95,17 +95,17 @@
   std::vector<Request> m_Requests;
 };
 
-inline std::string attemptIdOf(const Request &Read) {
-  return std::string(Read["Attempt-Id"]);
+inline std::string attemptIdOf(const Request &Received) {
+  return std::string(Received["Attempt-Id"]);
 }
 
 inline std::string
-completeResponse(const Request &Read, const std::string &Body,
+completeResponse(const Request &Received, const std::string &Body,
                  const std::string &Status = "200 OK",
-                 const std::string &More = "Replica-Seal: s\r\n") {
-  return "HTTP/1.1 " + Status + "\r\nAttempt-Id: " + attemptIdOf(Read) +
-         "\r\n" + More + "Content-Length: " + std::to_string(Body.size()) +
-         "\r\n\r\n" + Body;
+                 const std::string &ExtraHeaders = "Replica-Seal: s\r\n") {
+  return "HTTP/1.1 " + Status + "\r\nAttempt-Id: " + attemptIdOf(Received) +
+         "\r\n" + ExtraHeaders +
+         "Content-Length: " + std::to_string(Body.size()) + "\r\n\r\n" + Body;
 }
 
 inline std::string chunk(const std::string &Text) {
@@ -114,14 +114,14 @@
   return Size + Text + "\r\n";
 }
 
-inline std::string streamHead(const Request &Read) {
-  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attemptIdOf(Read) +
+inline std::string streamHead(const Request &Received) {
+  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attemptIdOf(Received) +
          "\r\nReplica-Seal: s\r\nContent-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-inline std::string notExecuted(const Request &Read) {
-  return completeResponse(Read, "", "503 Service Unavailable",
+inline std::string notExecuted(const Request &Received) {
+  return completeResponse(Received, "", "503 Service Unavailable",
                           "Not-Executed: 1\r\n");
 }
 
--- a/Tests/Support/SharedStore.h
+++ b/Tests/Support/SharedStore.h
@@ -46,17 +46,17 @@
       Pause.expires_after(std::chrono::milliseconds(5));
       boost::system::error_code Ignored;
       Pause.async_wait(Yield[Ignored]);
-      std::vector<platform::Entry> News = changesAfter(After);
-      if (News.empty())
+      std::vector<platform::Entry> Changes = changesAfter(After);
+      if (Changes.empty())
         continue;
-      After = News.back().m_ModRevision;
-      if (!Notify(News))
+      After = Changes.back().m_ModRevision;
+      if (!Notify(Changes))
         return;
     }
   }
   platform::Revision lastRevision() const override {
     std::lock_guard<std::mutex> Lock(m_Mutex);
-    return m_Last;
+    return m_LastRevision;
   }
   platform::SwapResult compareAndSwap(const platform::CompareAndSwap &Swap,
                                       platform::CallClass,
@@ -65,9 +65,9 @@
     failIfDown();
     platform::SwapResult Out;
     const platform::Entry &Current = m_Entries[Swap.m_Key];
-    platform::Revision Stands =
+    platform::Revision CurrentRevision =
         Current.m_IsDeleted ? platform::Revision() : Current.m_ModRevision;
-    if (Stands != Swap.m_Expected) {
+    if (CurrentRevision != Swap.m_Expected) {
       Out.m_Current = Current;
       return Out;
     }
@@ -75,7 +75,7 @@
     for (const platform::Put &Each : Swap.m_Puts)
       apply(Each.m_Key, Each.m_Value, false);
     Out.m_IsSwapped = true;
-    Out.m_Revision = m_Last;
+    Out.m_Revision = m_LastRevision;
     return Out;
   }
 
@@ -118,15 +118,15 @@
     return Out;
   }
   void apply(const std::string &Key, const std::string &Value, bool IsDeleted) {
-    m_Last = platform::Revision(m_Last.value() + 1);
-    m_Entries[Key] = {Key, Value, m_Last, IsDeleted};
+    m_LastRevision = platform::Revision(m_LastRevision.value() + 1);
+    m_Entries[Key] = {Key, Value, m_LastRevision, IsDeleted};
     m_Changes.push_back(m_Entries[Key]);
   }
 
   mutable std::mutex m_Mutex;
   std::map<std::string, platform::Entry> m_Entries;
   std::vector<platform::Entry> m_Changes;
-  platform::Revision m_Last;
+  platform::Revision m_LastRevision;
   int m_Swaps = 0;
   bool m_IsDown = false;
 };
--- a/Tests/Support/TestClient.cpp
+++ b/Tests/Support/TestClient.cpp
@@ -111,12 +111,12 @@
   return controlCall(Port, "GET", "");
 }
 
-bool eventually(const std::function<bool()> &Holds,
-                std::chrono::milliseconds Most) {
-  auto Until = std::chrono::steady_clock::now() + Most;
+bool eventually(const std::function<bool()> &Condition,
+                std::chrono::milliseconds Timeout) {
+  auto Until = std::chrono::steady_clock::now() + Timeout;
   while (std::chrono::steady_clock::now() < Until) {
     try {
-      if (Holds())
+      if (Condition())
         return true;
     } catch (const std::exception &) {
       // What is asked may not be up yet.
--- a/Tests/Support/TestClient.h
+++ b/Tests/Support/TestClient.h
@@ -40,8 +40,8 @@
 boost::json::object countersOf(int Port);
 
 /// Polls until \p Holds. \returns false after \p Most.
-bool eventually(const std::function<bool()> &Holds,
-                std::chrono::milliseconds Most = std::chrono::seconds(30));
+bool eventually(const std::function<bool()> &Condition,
+                std::chrono::milliseconds Timeout = std::chrono::seconds(30));
 
 } // namespace yardrill::tests
 
--- a/Tests/Support/TestMain.cpp
+++ b/Tests/Support/TestMain.cpp
@@ -27,7 +27,7 @@
   for (int I = 1; I < Count; ++I)
     Runner.run(Result, Arguments[I]);
   CppUnit::CompilerOutputter(&Collector, std::cerr).write();
-  bool IsRight = Collector.wasSuccessful() && Collector.runTests() > 0 &&
-                 !yardrill::tests::Fleet::hadInternalFailures();
-  return IsRight ? 0 : 1;
+  bool HasPassed = Collector.wasSuccessful() && Collector.runTests() > 0 &&
+                   !yardrill::tests::Fleet::hadInternalFailures();
+  return HasPassed ? 0 : 1;
 }
