--- a/Tests/Support/RateLimitSimulation.cpp
+++ b/Tests/Support/RateLimitSimulation.cpp
@@ -22,13 +22,15 @@
 static constexpr seconds LimitFrom{5};
 static constexpr seconds LimitUntil{30};
 static constexpr seconds ContactTime{3};
+/// Requests sent within this time of the first response with a limit are not
+/// counted.
 static constexpr milliseconds InFlightTime{500};
 static constexpr seconds Window{4};
 static constexpr seconds ReportPeriod{1};
 static constexpr double LossShare = 0.03;
 static constexpr milliseconds MaxDelay{300};
 static constexpr double LateShare = 0.02;
-/// Until all instances know of one more or less.
+/// Limit on the delay until an instance learns of a change of the fleet.
 static constexpr milliseconds MaxUpdateDelay{2000};
 static constexpr double FaultsPerSecond = 0.7;
 
@@ -69,17 +71,17 @@
 
 struct ModelInstance {
   std::unique_ptr<TargetThrottleTable> m_ThrottleTable;
-  FleetSubset::Fleet m_KnownFleet; ///< As it knows the fleet.
+  FleetSubset::Fleet m_KnownFleet; ///< Fleet as this instance knows it.
   FleetSubset m_Subset;
   std::uint64_t m_Incarnation = 1;
   bool m_IsMember = true;
   TimePoint m_DownUntil{};
   TimePoint m_FrozenUntil{};
   TimePoint m_CutUntil{};
-  TimePoint m_ExemptUntil{};
+  TimePoint m_ExemptUntil{}; ///< Requests before then are not counted.
   TimePoint m_ReportedAt{};
-  std::vector<TimePoint>
-      m_LimitKnownAt; ///< By target: passed such an answer on.
+  /// Times of the first response with a limit, by target.
+  std::vector<TimePoint> m_LimitKnownAt;
   std::size_t m_ReceivedDatagrams = 0;
 };
 
@@ -143,16 +145,18 @@
   TimePoint m_Start{std::chrono::hours(1)};
   TimePoint m_Now = m_Start;
   std::size_t m_GroupSize = 0;
-  std::size_t m_Limited = 0; ///< The first targets.
+  std::size_t m_Limited = 0; ///< Number of limited targets; they come first.
   std::vector<ModelInstance> m_Instances;
   std::map<config::Endpoint, std::size_t> m_Indexes;
-  FleetSubset::Fleet m_Fleet; ///< As it is.
-  /// Changes of the fleet on their way to one instance.
+  FleetSubset::Fleet m_Fleet; ///< Actual fleet.
+  /// Times at which instances learn the actual fleet, with their indexes.
   std::vector<std::pair<TimePoint, std::size_t>> m_PendingFleetUpdates;
   std::vector<Datagram> m_Datagrams;
   std::deque<Response> m_Responses;
-  std::vector<std::vector<Arrival>> m_Arrivals; ///< By target; told, in touch.
-  std::vector<std::size_t> m_SentWhileLimited;  ///< By target, while named.
+  /// Arrivals by target, only from instances that know the limit and are not
+  /// exempt.
+  std::vector<std::vector<Arrival>> m_Arrivals;
+  std::vector<std::size_t> m_SentWhileLimited; ///< By target.
 };
 
 } // namespace
@@ -206,7 +210,7 @@
   ModelInstance &Own = m_Instances[Index];
   if (!isUp(Own))
     return;
-  // As a dispatcher that finds the limited ones the least busy.
+  // Worst case: a dispatcher that considers limited targets the least busy.
   std::vector<std::size_t> Candidates;
   for (std::size_t Target = 0; Target < m_Limited; ++Target)
     if (Own.m_Subset.isInSubset(Target * m_Scenario.m_Targets / m_Limited,
@@ -270,7 +274,8 @@
     if (!isUp(To) || isCut(To))
       continue;
     ++To.m_ReceivedDatagrams;
-    // Told as an age.
+    // Reports carry the age of the limit, so that transit time makes it look
+    // newer.
     Each.m_Backpressure.m_Limit.m_At += m_Now - Each.m_SentAt;
     To.m_ThrottleTable->update(Each.m_Backpressure, m_Now);
   }
@@ -286,7 +291,7 @@
   case Kill:
     Own.m_DownUntil = m_Now + milliseconds(500);
     Own.m_ExemptUntil = Own.m_DownUntil + ContactTime;
-    // It knows itself alone at first.
+    // A restarted instance knows only itself.
     start(Index, {{addressOf(Index), dataHallOf(Index)}});
     m_PendingFleetUpdates.emplace_back(
         Own.m_DownUntil + drawDuration(MaxUpdateDelay), Index);
@@ -303,7 +308,7 @@
   case KindCount:
     break;
   }
-  // It is removed for good, or one that was is there again.
+  // Removes the instance from the fleet, or adds it again.
   Own.m_IsMember = !Own.m_IsMember;
   if (Own.m_IsMember) {
     m_Fleet[addressOf(Index)] = dataHallOf(Index);
