--- a/Tests/Support/QuarantineSimulation.cpp
+++ b/Tests/Support/QuarantineSimulation.cpp
@@ -18,13 +18,14 @@
 
 static constexpr Duration MaintenancePeriod = 250ms;
 static constexpr Duration WritePeriod = 500ms;
-/// As a process that has started knows that it has found the others.
+/// Time after a start from which an instance may write to the store; a real one
+/// has found its peers by then.
 static constexpr Duration SettleTime = 3s;
 static constexpr Duration RestartTime = 500ms;
-/// Until an instance knows that its target refuses connections.
+/// Time until an instance detects that a target refuses connections.
 static constexpr Duration ProbeTime = 3ms;
 static constexpr Duration RetryDelay = 300ms;
-static constexpr unsigned MaxSends = 2; ///< Targets of one attempt.
+static constexpr unsigned MaxSends = 2; ///< Sends of one attempt to targets.
 static constexpr std::size_t PopularContents = 5;
 static constexpr std::size_t Third = 3;
 
@@ -36,7 +37,7 @@
   Kind m_Kind = Kind::Unique;
   ContentDigest m_Content;
   std::size_t m_Instance = 0;
-  std::size_t m_Incarnation = 0; ///< Of the instance.
+  std::size_t m_Incarnation = 0; ///< Incarnation of the instance.
   unsigned m_Sends = 0;
   unsigned m_RetriesLeft = 1;
 };
@@ -48,7 +49,7 @@
   bool m_IsUp = true;
   bool m_IsCut = false;
   TimePoint m_StartedAt{};
-  TimePoint m_RecoveredAt{}; ///< When the last trouble ended.
+  TimePoint m_RecoveredAt{}; ///< End of the last fault.
 
   bool isReachable() const { return m_IsUp && !m_IsCut; }
 };
@@ -122,7 +123,7 @@
   std::string m_Store;
   bool m_IsStoreUp = true;
   TimePoint m_StoreRecoveredAt{};
-  std::map<ContentDigest, std::vector<TimePoint>> m_Exits; ///< Of bad ones.
+  std::map<ContentDigest, std::vector<TimePoint>> m_Exits; ///< By bad content.
   std::map<ContentDigest, std::size_t> m_LateSends;
   QuarantineResult m_Result;
 };
--- a/Tests/Support/QuarantineSimulation.h
+++ b/Tests/Support/QuarantineSimulation.h
@@ -1,9 +1,9 @@
-//===-- QuarantineSimulation.h - A model of a fleet that meets bad requests
-//---===//
+//===-- QuarantineSimulation.h - Fleets with harmful requests -------------===//
 //
-// Instances with their members of the quarantine, targets that end under some
-// requests and by themselves, messages that are lost, a store that is away; all
-// in simulated time, and the same for the same plan.
+// Simulates instances with the real quarantine::Gossip in simulated time.
+// Targets exit because of bad requests and for other reasons, datagrams are
+// lost, and the store is unavailable at times. Runs of the same scenario are
+// identical. Used by QuarantineModelTest and the quarantine_search program.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_QUARANTINESIMULATION_H
@@ -18,64 +18,69 @@
 namespace yardrill::tests {
 
 enum class QuarantineFaultKind {
-  Kill,       ///< Instances end, and start anew half a second later.
-  Cut,        ///< Instances reach neither each other nor the store.
-  StoreDown,  ///< The store answers nobody.
-  ExitTargets ///< Targets end by themselves.
+  Kill,       ///< Instances are killed and restart after 0.5 s.
+  Cut,        ///< Instances reach neither other instances nor the store.
+  StoreDown,  ///< The store is unavailable.
+  ExitTargets ///< Targets exit for reasons unrelated to requests.
 };
 
 struct QuarantineFaultEvent {
   std::chrono::milliseconds m_At{};
   std::chrono::milliseconds m_Length{};
   QuarantineFaultKind m_Kind = QuarantineFaultKind::Kill;
-  double m_Share = 1; ///< Of the instances or targets, 0 to 1.
+  double m_Share = 1; ///< Share of the instances or targets, 0 to 1.
 };
 
+/// Input of one simulated run.
 struct QuarantineScenario {
   std::uint64_t m_Seed = 1;
   std::size_t m_Instances = 6;
   std::size_t m_Targets = 9;
-  std::size_t m_Slots = 6; ///< Of a target.
+  std::size_t m_Slots = 6; ///< Slots of each target.
   std::chrono::milliseconds m_Length{60000};
-  /// Requests a second for each target.
+  /// Harmless requests per second and target.
   double m_RequestRate = 5;
-  /// Of the requests: those that many callers make alike.
+  /// Share of the harmless requests whose content many callers send, 0 to 1.
   double m_PopularShare = 0.1;
   std::size_t m_BadContents = 3;
-  double m_BadRate = 2; ///< Attempts a second of each bad content.
-  /// From its beginning at a target to the target's end.
+  double m_BadRate = 2; ///< Attempts per second with each bad content.
+  /// Time from the start of a bad request at a target to the target's exit.
   std::chrono::milliseconds m_TimeToExit{100};
   std::chrono::milliseconds m_DownTime{3500};
+  /// Time after a fault from which an instance counts as connected.
   std::chrono::milliseconds m_ContactTime{3000};
-  double m_DatagramLoss = 0.01; ///< Of datagrams.
+  double m_DatagramLoss = 0.01; ///< Share of lost datagrams, 0 to 1.
   std::vector<QuarantineFaultEvent> m_Faults;
-  // Ways that are compared.
+  /// Incriminating incarnations from which a content is refused.
   std::size_t m_QuarantineThreshold =
       quarantine::QuarantineTable::IncarnationsToQuarantine;
-  /// Whether an attempt is sent on at once after its target ended, although
-  /// another target ended under the content before.
+  /// Whether an attempt whose target exited is retried at once although its
+  /// content is suspect.
   bool m_RetriesSuspects = false;
 };
 
+/// Measurements of one simulated run.
 struct QuarantineResult {
-  /// Of the worst bad content: sends later than the contact time after the end
-  /// of the third target, by instances in touch.
+  /// Maximum, over all bad contents, of the sends by connected instances later
+  /// than the contact time after the exit of the third target.
   std::size_t m_LateSends = 0;
-  std::size_t m_ExitsUnderBad = 0;    ///< Of targets.
-  std::size_t m_HarmlessAttempts = 0; ///< Attempts that were sent or refused.
-  std::size_t m_HarmlessInterrupted = 0; ///< Under which a target ended.
-  /// Of innocent requests: those that were never answered, because targets
-  /// ended under them or they were refused as if they were bad.
+  std::size_t m_ExitsUnderBad = 0; ///< Target exits caused by bad requests.
+  std::size_t m_HarmlessAttempts =
+      0; ///< Attempts that reached a running instance.
+  std::size_t m_HarmlessInterrupted =
+      0; ///< Harmless sends interrupted by an exit.
+  /// Harmless requests that got no response, because their targets exited or
+  /// they were refused as quarantined.
   std::size_t m_HarmlessLost = 0;
-  std::size_t m_WronglyRefused = 0; ///< As if they were bad.
-  std::size_t m_PopularRefused = 0; ///< Of them, the popular ones.
+  std::size_t m_WronglyRefused = 0; ///< Harmless requests that were refused.
+  std::size_t m_PopularRefused = 0; ///< Popular requests that were refused.
   std::size_t m_StoreWrites = 0;
   std::size_t m_Datagrams = 0;
 };
 
 QuarantineResult simulate(const QuarantineScenario &Scenario);
 
-/// A day of that size with faults drawn from the seed.
+/// Returns a scenario of the given size with random rates and faults.
 QuarantineScenario randomQuarantineScenario(std::uint64_t Seed,
                                             std::size_t Instances,
                                             std::size_t Targets);
