--- a/Tests/Support/QuarantineSimulation.h
+++ b/Tests/Support/QuarantineSimulation.h
@@ -64,16 +64,19 @@
   /// Maximum, over all bad contents, of the sends by connected instances later
   /// than the contact time after the exit of the third target.
   std::size_t m_LateSends = 0;
-  std::size_t m_ExitsUnderBad = 0; ///< Target exits caused by bad requests.
-  std::size_t m_HarmlessAttempts =
-      0; ///< Attempts that reached a running instance.
-  std::size_t m_HarmlessInterrupted =
-      0; ///< Harmless sends interrupted by an exit.
+  /// Target exits caused by bad requests.
+  std::size_t m_ExitsUnderBad = 0;
+  /// Harmless attempts that reached a running instance.
+  std::size_t m_HarmlessAttempts = 0;
+  /// Harmless sends interrupted by an exit.
+  std::size_t m_HarmlessInterrupted = 0;
   /// Harmless requests that got no response, because their targets exited or
   /// they were refused as quarantined.
   std::size_t m_HarmlessLost = 0;
-  std::size_t m_WronglyRefused = 0; ///< Harmless requests that were refused.
-  std::size_t m_PopularRefused = 0; ///< Popular requests that were refused.
+  /// Harmless requests that were refused as quarantined.
+  std::size_t m_WronglyRefused = 0;
+  /// Popular requests among them.
+  std::size_t m_PopularRefused = 0;
   std::size_t m_StoreWrites = 0;
   std::size_t m_Datagrams = 0;
 };
