--- a/Tests/Support/QuotaScenario.cpp
+++ b/Tests/Support/QuotaScenario.cpp
@@ -12,12 +12,11 @@
 using std::chrono::seconds;
 
 static constexpr milliseconds Length{24000};
-/// Faults begin once the buckets of a fleet that has just started are used up.
+/// Earliest fault; the full buckets of a new fleet are used up by then.
 static constexpr milliseconds FirstFault{6000};
 static constexpr milliseconds LastFault{19000};
 static constexpr std::size_t MaxEvents = 6;
-/// Operators lower limits: down to this part of the smallest one that accounts
-/// have at first.
+/// Share of the smallest initial limit to which operators may lower a limit.
 static constexpr double LoweredLimitShare = 0.5;
 
 static routing::QuotaTolerance tolerance(double Tokens) {
@@ -84,7 +83,7 @@
       std::uniform_int_distribution<int>(0, 4)(Random));
   switch (Out.m_Kind) {
   case QuotaFaultKind::Kill:
-    // Mass kills are the most frequent of those that matter.
+    // Favors kills of all instances, the most frequent of the relevant faults.
     Out.m_Share = std::bernoulli_distribution(0.4)(Random) ? 1 : Share(0.1, 1);
     Out.m_Duration = Between(milliseconds(500), milliseconds(2500));
     break;
@@ -217,7 +216,7 @@
   void sendRequests() {
     if (m_Scenario.m_HasOnlyLargestRequests)
       return sendLargestRequests();
-    // Answers vary as their sheets say.
+    // Standard deviation of the logarithm, from the data sheets.
     static constexpr double ResponseLogStdDev = 1.5;
     double Mean = 0;
     for (const QuotaRequestKind &Each : m_Scenario.m_Deployment->m_Kinds)
--- a/Tests/Support/QuotaScenario.h
+++ b/Tests/Support/QuotaScenario.h
@@ -1,9 +1,10 @@
-//===-- QuotaScenario.h - A day of one client account under faults
-//-------------===//
+//===-- QuotaScenario.h - One account in a faulty fleet -------------------===//
 //
-// One account asks for several times its limit, of a fleet that is killed, cut,
-// split, frozen and grown at set times. How far its fullest window stays below
-// what is allowed is the day's margin; a search breeds days towards its end.
+// In a scenario one client account requests several times its limit, while
+// instances are killed, cut off, split, frozen and added at fixed times. The
+// result shows how much of the tolerance the fullest window used. quota_search
+// mutates scenarios to increase that. Used by QuotaDeploymentsTest and
+// quota_search.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_QUOTASCENARIO_H
@@ -19,67 +20,72 @@
 
 namespace yardrill::tests {
 
-/// One kind of request of a deployment.
+/// Distribution of the sizes of one kind of request in a deployment.
 struct QuotaRequestKind {
-  double m_Share = 0;            ///< Of all requests.
-  double m_MeanPromptTokens = 0; ///< Tokens.
-  double m_LogStdDev = 0;        ///< Of the logarithm.
+  double m_Share = 0; ///< Share of all requests, 0 to 1.
+  double m_MeanPromptTokens = 0;
+  /// Standard deviation of the logarithm of the prompt's tokens.
+  double m_LogStdDev = 0;
   double m_MaxPromptTokens = 0;
   double m_MeanResponseTokens = 0;
   double m_MaxResponseTokens = 0;
 };
 
-/// What a deployment's sheet says about quotas.
+/// Figures of a deployment that matter for quotas, from its data sheet.
 struct QuotaDeployment {
   std::string m_Name;
   std::size_t m_Size = 6;
   std::size_t m_SpareInstances = 0; ///< Instances that may be added.
-  double m_MinLimit = 0; ///< Tokens a second; the burst is one second.
+  double m_MinLimit = 0; ///< Tokens per second; the burst is one second's.
   double m_MaxLimit = 0;
   routing::QuotaTolerance m_Tolerance;
   std::vector<QuotaRequestKind> m_Kinds;
 
   static const std::vector<QuotaDeployment> &all();
-  /// The prompt and answer of the largest request.
+  /// Returns the tokens of the largest request, prompt and response.
   double largestRequest() const;
 };
 
+/// Kinds of faults; QuotaSimulation describes each.
 enum class QuotaFaultKind { Kill, Cut, Split, Freeze, Add };
 
+/// Fault that is injected at a fixed time.
 struct QuotaFaultEvent {
-  core::Duration m_At{}; ///< From the day's begin.
+  core::Duration m_At{}; ///< Time since the start of the scenario.
   QuotaFaultKind m_Kind = QuotaFaultKind::Kill;
-  double m_Share = 1; ///< Of the instances; Add: of the spare ones.
+  double m_Share = 1; ///< Share of the instances; of the spare ones for Add.
   core::Duration m_Duration{};
 };
 
 std::string toString(const QuotaFaultEvent &Event);
 
+/// Input of one simulated run.
 struct QuotaScenario {
   const QuotaDeployment *m_Deployment = nullptr;
-  double m_Limit = 0; ///< Tokens a second, and of the burst.
-  double m_Load = 4;  ///< Of the limit.
-  /// All requests are as large as any of the deployment's.
+  double m_Limit = 0; ///< Rate in tokens per second, and burst in tokens.
+  double m_Load = 4;  ///< Requested tokens as a multiple of the limit.
+  /// Whether all requests are as large as the largest of the deployment.
   bool m_HasOnlyLargestRequests = false;
   std::vector<QuotaFaultEvent> m_Events;
   std::uint64_t m_Seed = 1;
 
-  /// With a random limit of the deployment's, and random faults.
+  /// Returns a scenario with random limit, load and faults.
   static QuotaScenario random(const QuotaDeployment &Deployment,
                               std::uint64_t Seed);
-  /// A day that differs from this one in an event or in its luck.
+  /// Returns a copy with another seed, or with one fault added or replaced.
   QuotaScenario mutated(std::mt19937_64 &Random) const;
   std::string describe() const;
 };
 
+/// Measurements of one simulated run.
 struct QuotaScenarioResult {
-  double m_AllowedTokens = 0; ///< Tokens of any window.
-  double m_MaxTokens = 0;     ///< Tokens of the fullest one.
-  double m_BoundTokens = 0;   ///< Rate x window + burst.
+  double m_AllowedTokens = 0; ///< Limit on the tokens in any window.
+  double m_MaxTokens = 0;     ///< Tokens in the fullest window.
+  double m_BoundTokens = 0;   ///< Rate x window + burst, without tolerance.
   double m_RefusedShare = 0;
 
   bool isWithinTolerance() const { return m_MaxTokens <= m_AllowedTokens; }
-  /// Part of what is allowed above the bound that was used; above 1: broken.
+  /// Returns the used share of the tolerance; above 1 the quota is exceeded.
   double usedTolerance() const {
     return (m_MaxTokens - m_BoundTokens) / (m_AllowedTokens - m_BoundTokens);
   }
