--- a/Tests/Support/QuotaSimulation.cpp
+++ b/Tests/Support/QuotaSimulation.cpp
@@ -14,21 +14,22 @@
 using routing::DistributedQuota;
 using routing::QuotaStep;
 
-/// Instance datagrams, each on its way for one step.
+/// Share of lost datagrams; the others take one step.
 static constexpr double LossShare = 0.01;
-/// From a process' start until it has read what the store holds.
+/// Time from the start of an instance until it has read the store.
 static constexpr std::chrono::milliseconds MinReadTime{50};
 static constexpr std::chrono::milliseconds MaxReadTime{300};
-/// Until one that is cut off, also from the store, knows that it would not hear
-/// of a change: near peers are silent, and a watch of the store fails.
+/// Time until an instance that is cut off, also from the store, detects that it
+/// may miss changes: its group peers are silent, and its watch of the store
+/// fails.
 static constexpr std::chrono::milliseconds MinDetectionTime{700};
 static constexpr std::chrono::milliseconds MaxDetectionTime{3300};
-/// Until an instance hears of one that was added.
+/// Limit on the delay until an instance learns of an added one.
 static constexpr std::chrono::milliseconds MaxPropagationTime{500};
 
 namespace {
 
-/// One way between an instance and an owner.
+/// Request or response between an instance and an owner.
 struct Datagram {
   std::size_t m_From = 0;
   std::uint64_t m_Acquisition = 0;
@@ -67,33 +68,30 @@
 }
 
 struct QuotaSimulation::Model {
-  /// One instance.
   struct ModelInstance {
     config::Endpoint m_Address;
-    std::unique_ptr<DistributedQuota> m_Quota; ///< Null: down.
+    std::unique_ptr<DistributedQuota> m_Quota; ///< Null while down.
     core::TimePoint m_DownUntil{};
-    core::TimePoint m_ReadsAt{}; ///< When it hears of the list and accounts.
+    core::TimePoint m_ReadsAt{}; ///< Next read of the store.
     bool m_HasRead = false;
     core::TimePoint m_FrozenUntil{};
     core::TimePoint m_CutUntil{};
-    core::TimePoint m_SplitUntil{}; ///< From those that are not split off.
-    core::TimePoint m_DetectsCutAt =
-        core::TimePoint::max(); ///< That it is cut.
+    core::TimePoint m_SplitUntil{}; ///< End of the split.
+    core::TimePoint m_DetectsCutAt = core::TimePoint::max();
     std::deque<Datagram> m_Inbox;
-    std::vector<CallerRequest>
-        m_DelayedRequests; ///< Came while it stood still.
+    std::vector<CallerRequest> m_DelayedRequests; ///< Received while frozen.
   };
 
   QuotaSimulationSettings m_Settings;
   core::TimePoint m_Now{std::chrono::hours(1)};
   std::mt19937_64 m_Random;
-  std::vector<config::Endpoint> m_StoredInstances; ///< What the store holds.
+  std::vector<config::Endpoint> m_StoredInstances; ///< List in the store.
   std::vector<ModelInstance> m_Instances;
   std::map<config::Endpoint, std::size_t> m_Indexes; ///< By address.
   std::map<std::uint64_t, PendingAcquisition> m_Pending;
   std::uint64_t m_NextAcquisition = 1;
   std::vector<std::vector<TokenGrant>> m_Grants;
-  std::vector<std::array<std::size_t, 2>> m_Refused; ///< 1: cut off.
+  std::vector<std::array<std::size_t, 2>> m_Refused; ///< By whether cut off.
 
   bool canReach(const ModelInstance &From, const ModelInstance &To) const {
     bool IsSplit = (From.m_SplitUntil > m_Now) != (To.m_SplitUntil > m_Now);
@@ -136,7 +134,7 @@
       Instance.m_ReadsAt += drawDuration(MinReadTime, MaxReadTime);
   }
 
-  /// Tells it the list of instances, and the accounts.
+  /// Applies the instance list and, after a start, the accounts.
   void readStore(ModelInstance &Instance) {
     Instance.m_Quota->setRing(routing::ConsistentHashRing(m_StoredInstances),
                               m_Now);
@@ -282,7 +280,8 @@
       if (!Each.m_Quota)
         continue;
       Each.m_Quota->setListConfirmed(!hasDetectedCut(Each));
-      // It hears of added ones from the others, and reads the store at a start.
+      // A running instance learns of added ones from its peers, a restarted one
+      // from the store.
       bool CanRead = !Each.m_HasRead ||
                      std::max(Each.m_CutUntil, Each.m_SplitUntil) <= m_Now;
       if (Each.m_ReadsAt <= m_Now && CanRead)
--- a/Tests/Support/QuotaSimulation.h
+++ b/Tests/Support/QuotaSimulation.h
@@ -1,9 +1,9 @@
-//===-- QuotaSimulation.h - Instances that share quotas, in simulated time
-//-----===//
+//===-- QuotaSimulation.h - Quotas of a fleet in simulated time -----------===//
 //
-// The decisions are the product's; time, links, kills, cuts, stalls and the
-// spread of the list of instances are simulated. Every draw that was allowed is
-// kept, so that a test can look at any window.
+// Simulates instances with the real DistributedQuota. Time, datagrams, faults
+// and the propagation of the instance list are simulated. All grants are
+// recorded, so that a test can check any window. Used by QuotaModelTest and
+// QuotaScenario.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_QUOTASIMULATION_H
@@ -19,54 +19,56 @@
 
 namespace yardrill::tests {
 
-/// Tokens that an account was allowed at one moment.
+/// Tokens that were granted to one request of an account.
 struct TokenGrant {
   core::TimePoint m_At{};
   std::uint32_t m_Tokens = 0;
-  bool m_IsCutOff = false;   ///< At an instance that was, for itself.
-  bool m_IsIsolated = false; ///< No owner granted it.
+  bool m_IsCutOff = false;   ///< Granted by an instance that cut() had cut off.
+  bool m_IsIsolated = false; ///< Granted without an owner.
 };
 
-/// \returns the tokens of the fullest window. \param Draws in order of time.
+/// Returns the tokens in the fullest window.
+/// \param Grants grants in order of time.
 double maxInWindow(const std::vector<TokenGrant> &Grants,
                    core::Duration Window);
 
 struct QuotaSimulationSettings {
   std::size_t m_Size = 6;
-  std::vector<routing::Account> m_Accounts; ///< Each with a limit.
+  std::vector<routing::Account> m_Accounts; ///< Accounts; each has a limit.
   routing::QuotaTolerance m_Tolerance;
   std::uint64_t m_Seed = 1;
 };
 
+/// Fleet that serves requests of some accounts while a test injects faults.
 class QuotaSimulation {
 public:
   explicit QuotaSimulation(const QuotaSimulationSettings &Settings);
   ~QuotaSimulation();
 
   core::TimePoint now() const;
-  /// Those that run or have run, added ones included.
+  /// Returns the number of instances, including those that are down.
   std::size_t size() const;
-  /// Lets simulated time pass, in steps of StepTime.
+  /// Advances the simulated time in steps of StepTime.
   void advance(core::Duration Time);
-  /// A request of \p Account comes to \p Instance. Nothing happens while that
-  /// is down, or has not read the accounts since its start.
+  /// Sends a request of \p Account to \p Instance. Does nothing if the instance
+  /// is down or has not read the accounts since its start.
   void request(std::size_t Instance, std::size_t Account, std::uint32_t Tokens);
 
-  /// Kills the process; it starts again after \p Down, and reads what the store
-  /// holds some tens of milliseconds later.
+  /// Kills the instance. It restarts after \p Down, and reads the store 50 ms
+  /// to 300 ms later.
   void kill(std::size_t Instance, core::Duration Down);
-  /// Cuts the instance off from all others; its callers still reach it.
+  /// Cuts the instance off from all others, but not from its callers.
   void cut(std::size_t Instance, core::Duration Time);
-  /// Cuts those named off from the others, but not from each other.
+  /// Cuts the given instances off from the others, but not from each other.
   void split(const std::vector<std::size_t> &Instances, core::Duration Time);
-  /// The process stands still. What arrives meanwhile waits for it.
+  /// Suspends the instance; datagrams and requests wait until it resumes.
   void freeze(std::size_t Instance, core::Duration Time);
-  /// Adds an instance; the others hear of it within half a second.
+  /// Adds an instance; the others learn of it within 0.5 s.
   void add();
 
   const std::vector<TokenGrant> &grants(std::size_t Account) const;
-  /// Requests of the account that were refused at instances that were cut off
-  /// for themselves, or at all others.
+  /// Returns the number of the account's requests that were refused by
+  /// instances that cut() had cut off, or by all others.
   std::size_t refused(std::size_t Account, bool IsCutOff) const;
   std::size_t refused(std::size_t Account) const {
     return refused(Account, false) + refused(Account, true);
