--- a/Tests/Support/RolloutSimulation.cpp
+++ b/Tests/Support/RolloutSimulation.cpp
@@ -15,7 +15,7 @@
 static constexpr milliseconds LinkDelay{3};
 static constexpr double LossShare = 0.01;
 static constexpr std::size_t MaxBadResponses = 50;
-/// Of the usual time of an answer.
+/// Median response time in milliseconds.
 static constexpr double TypicalMs = 60;
 
 namespace {
@@ -28,7 +28,7 @@
   core::Duration m_Time{};
 
   bool operator<(const Running &Other) const {
-    return m_EndsAt > Other.m_EndsAt; // The earliest is the greatest.
+    return m_EndsAt > Other.m_EndsAt; // The queue returns the earliest first.
   }
 };
 
@@ -93,7 +93,7 @@
   }
 
   void injectFaults() {
-    double Chance = core::toSeconds(Step) / 2; // Each every 2 s.
+    double Chance = core::toSeconds(Step) / 2; // One per 2 s on average.
     std::size_t Which = m_Random() % m_Instances.size();
     if (m_Scenario.m_HasKills && draw() < Chance) {
       m_Instances[Which].m_DownUntil = m_Now + milliseconds(800);
@@ -112,7 +112,8 @@
     return m_Now < m_GrayUntil && (Target + m_GrayOffset) % 7 == 0;
   }
 
-  /// A target of the new version that this instance's group tries now.
+  /// Returns the target of the new version that the instance's group samples
+  /// now.
   std::size_t sampledTarget(std::size_t Which) const {
     auto Slot = static_cast<std::size_t>(elapsedSeconds());
     return (Which / 8 + Slot * 7) % m_Scenario.m_Targets;
@@ -132,7 +133,7 @@
       IsAffected = elapsedSeconds() > core::toSeconds(m_Order.m_BakeTime) * 0.5;
       break;
     case VersionBehavior::FailsUnderLoad:
-      // A sampled target gets as much as each will in the end.
+      // A sampled target gets the load that each has after the roll-out.
       IsAffected = How != Traffic::Old;
       break;
     case VersionBehavior::FailsOnOneRoute:
@@ -174,7 +175,7 @@
     Traffic How = By.m_Participant->traffic(m_Now);
     bool IsNew =
         How == Traffic::New || By.m_Participant->isSampleDue(RouteHash, m_Now);
-    // Its end has been heard of everywhere but where nothing is heard.
+    // All instances except those that are cut off know the decision by then.
     bool IsDecisionKnown =
         hasDecided() && m_Now > m_DecisionKnownAt && By.m_CutUntil < m_Now;
     if (IsDecisionKnown)
@@ -257,7 +258,7 @@
       return;
     m_Result.m_Decision = End;
     m_Result.m_EndedAfter = elapsedSeconds();
-    // The write, and the news of it.
+    // Time for the write to the store and its propagation.
     m_DecisionKnownAt = m_Now + milliseconds(300);
   }
 
--- a/Tests/Support/RolloutSimulation.h
+++ b/Tests/Support/RolloutSimulation.h
@@ -1,8 +1,8 @@
-//===-- RolloutSimulation.h - Roll-outs over a whole fleet, in simulated time
-//---===//
+//===-- RolloutSimulation.h - Roll-outs in simulated time -----------------===//
 //
-// The decisions are the product's; time, links, targets and faults are
-// simulated, from a seed.
+// Simulates a fleet with the real rollout::Coordinator and
+// rollout::Participant. Time, messages, targets and faults are simulated; runs
+// with the same seed are identical. Used by RolloutModelTest.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_ROLLOUTSIMULATION_H
@@ -16,43 +16,45 @@
 
 namespace yardrill::tests {
 
-/// How a version is.
+/// Faults of the new version.
 enum class VersionBehavior {
   Good,
-  Fails,           ///< A part of its answers.
-  FailsLate,       ///< From the middle of its time on.
-  FailsUnderLoad,  ///< Where a target gets what it must bear in the end.
-  FailsOnOneRoute, ///< That is used least.
-  Slow,            ///< A part of its answers takes several times as long.
-  SlowOnOneRoute,
+  Fails,           ///< Some of its responses fail.
+  FailsLate,       ///< Some fail from the middle of the bake time.
+  FailsUnderLoad,  ///< Some fail at targets under their eventual load.
+  FailsOnOneRoute, ///< Some fail on the least used route.
+  Slow,            ///< Some of its responses are delayed.
+  SlowOnOneRoute,  ///< Some are delayed on the least used route.
 };
 
+/// Input of one simulated run.
 struct RolloutScenario {
   std::size_t m_Instances = 24;
-  double m_RequestsPerSecond = 300;                 ///< Of the pool.
-  std::size_t m_Targets = 30;                       ///< Of each version.
+  double m_RequestsPerSecond = 300; ///< Requests to the pool.
+  std::size_t m_Targets = 30;       ///< Targets of each version.
   std::vector<double> m_RouteShares{0.5, 0.3, 0.2}; ///< Shares of the requests.
+  /// Shares of the responses that fail with both versions, by route.
   std::vector<double> m_BaselineFailureRates{0.004, 0.02, 0.14};
-  /// Every third target takes so many times as long.
+  /// Factor on the response time of every third target.
   double m_SlowHardwareFactor = 1;
   VersionBehavior m_Behavior = VersionBehavior::Good;
-  double m_BadShare = 0.4;     ///< Of the answers.
-  double m_SlowdownFactor = 6; ///< As long.
+  double m_BadShare = 0.4;     ///< Share of the affected responses.
+  double m_SlowdownFactor = 6; ///< Factor on their response time.
   core::Duration m_BakeTime = std::chrono::seconds(12);
-  double m_MaxShare = 0.1;
-  // Faults beside it.
-  bool m_HasKills = false; ///< Instances die and start again.
-  bool m_HasCuts = false;  ///< Instances hear nobody for some seconds.
-  bool m_HasGrayFailures =
-      false; ///< A seventh of all targets fails for a time.
+  double m_MaxShare = 0.1; ///< Maximum share of requests to the new version.
+  bool m_HasKills = false; ///< Whether instances are killed and restart.
+  bool m_HasCuts = false;  ///< Whether instances are cut off for 4 s.
+  /// Whether a seventh of all targets fails more often for 4 s at a time.
+  bool m_HasGrayFailures = false;
 };
 
+/// Measurements of one simulated run.
 struct RolloutResult {
   std::optional<rollout::Decision> m_Decision;
-  double m_EndedAfter = 0;     ///< Seconds.
+  double m_EndedAfter = 0;     ///< Time until the decision, in seconds.
   double m_ExcessRequests = 0; ///< Requests beyond the allowed share.
-  /// From the 50th bad answer to the last request that was sent to the new
-  /// version; 0: there were fewer.
+  /// Time from the 50th bad response to the last request to the new version, in
+  /// seconds; 0 if there were fewer.
   double m_LastAfterFiftieth = 0;
 };
 
