--- a/Tests/Support/MirrorFleet.cpp
+++ b/Tests/Support/MirrorFleet.cpp
@@ -14,7 +14,7 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-/// As often as a real instance looks at its peers' reports.
+/// Period at which an instance evaluates its peers' reports.
 static constexpr milliseconds FetchPeriod{40};
 static constexpr milliseconds RunStep{5};
 static constexpr std::size_t MaxChanges = 4096;
--- a/Tests/Support/MirrorFleet.h
+++ b/Tests/Support/MirrorFleet.h
@@ -1,7 +1,8 @@
-//===-- MirrorFleet.h - Instances, as far as they hear of the store -------===//
+//===-- MirrorFleet.h - Store mirrors that fetch from each other ----------===//
 //
-// All share one process. Each answers its peers over a link of its own, which
-// can be as slow as that of a small machine.
+// All instances share one process. Each serves its peers over a proxy that can
+// limit the rate to that of a slow link. Used by StoreSpreadTest and the
+// store_spread program.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_MIRRORFLEET_H
@@ -21,17 +22,19 @@
 
 namespace yardrill::tests {
 
-/// Bytes a second of 10 Mbit/s, the smallest machines' link.
+/// Rate of a 10 Mbit/s link, as the smallest machines have, in bytes per
+/// second.
 constexpr double SmallLinkRate = 1.25e6;
 
+/// Store mirror of one instance, with its fetcher and a proxy as its link.
 class MirrorInstance {
 public:
   explicit MirrorInstance(boost::asio::io_context &Context);
 
-  /// What its reports tell the others.
+  /// Returns the state that the instance reports to its peers.
   gateway::FetchCandidate asFetchCandidate() const;
-  /// Whether its subscribers were told of the key's value at that revision, or
-  /// of a newer one.
+  /// Whether the mirror has delivered the key's value of revision \p At, or a
+  /// newer one, to its subscribers.
   bool hasDelivered(const std::string &Key, platform::Revision At) const;
   std::size_t bytesSent() const;
   platform::StoreMirror &mirror() { return m_Mirror; }
@@ -40,7 +43,7 @@
 
 private:
   config::Endpoint m_Endpoint;
-  config::Endpoint m_ProxyEndpoint; ///< Where the others reach it.
+  config::Endpoint m_ProxyEndpoint; ///< Address for its peers.
   peer::PeerCodec m_Codec{"key"};
   metrics::MetricsRegistry m_Metrics;
   platform::StoreMirror m_Mirror;
@@ -49,19 +52,21 @@
   std::map<std::string, platform::Revision> m_Delivered;
 };
 
+/// Instances whose mirrors fetch changes from each other.
 class MirrorFleet {
 public:
-  /// Adds an instance that begins with \p Content, read at \p At.
+  /// Adds an instance whose mirror contains \p Content of revision \p At.
   MirrorInstance &add(platform::Revision At,
                       const std::vector<platform::Entry> &Content);
   MirrorInstance &instance(std::size_t Index) { return *m_Instances.at(Index); }
   std::size_t size() const { return m_Instances.size(); }
-  /// From now on each hears what the others' reports say. Call it once.
+  /// Starts to fetch between the instances. Must be called once.
   void start();
   bool haveAllDelivered(const std::string &Key, platform::Revision At) const;
 
   void runFor(std::chrono::milliseconds Time) { m_Context.run_for(Time); }
-  /// \returns how long it took, or \p Most if it did not happen in that time.
+  /// Runs until \p Condition holds. \returns the elapsed time, at most
+  /// \p Timeout.
   std::chrono::milliseconds runUntil(const std::function<bool()> &Condition,
                                      std::chrono::milliseconds Timeout);
 
