--- a/Tests/Support/LoopbackProxy.cpp
+++ b/Tests/Support/LoopbackProxy.cpp
@@ -14,12 +14,13 @@
 using Clock = std::chrono::steady_clock;
 
 static constexpr std::size_t BufferBytes = 16384;
-/// Added to each piece while the proxy delays.
+/// Delay of each read in ProxyMode::Delayed.
 static constexpr std::chrono::milliseconds AddedDelay{120};
-/// How often a cut is looked at.
+/// Period at which a cut connection checks the mode.
 static constexpr std::chrono::milliseconds CutPollPeriod{10};
 
-/// Of a limited link: what is not yet through must not seem to be.
+/// Receive buffer of a limited link, small so that senders do not see bytes as
+/// sent that are still in the link.
 static constexpr int LimitedBufferBytes = 16384;
 
 static tcp::endpoint loopback(int Port) {
@@ -34,7 +35,8 @@
 
 void LoopbackProxy::listen() {
   m_Acceptor = tcp::acceptor(m_Context, loopback(m_Port));
-  // A program that is started meanwhile would go on listening.
+  // Otherwise programs that are started meanwhile inherit the socket and keep
+  // the port open.
   fcntl(m_Acceptor.native_handle(), F_SETFD, FD_CLOEXEC);
   asio::spawn(
       m_Context, [this](asio::yield_context Yield) { accept(Yield); },
@@ -144,7 +146,7 @@
     error_code Failure;
     std::size_t Size =
         From.async_read_some(asio::buffer(Buffer), Yield[Failure]);
-    // An end is held back by a cut like bytes are.
+    // A cut holds back the end of the stream like bytes.
     holdBack(IsForward, Yield);
     if (!IsForward && m_ResponseRate > 0)
       waitForLink(Size, Yield);
--- a/Tests/Support/LoopbackProxy.h
+++ b/Tests/Support/LoopbackProxy.h
@@ -1,4 +1,4 @@
-//===-- LoopbackProxy.h - A TCP proxy that disturbs what it carries -------===//
+//===-- LoopbackProxy.h - TCP proxy that injects network faults -----------===//
 #ifndef YARDRILL_TESTS_SUPPORT_LOOPBACKPROXY_H
 #define YARDRILL_TESTS_SUPPORT_LOOPBACKPROXY_H
 
@@ -11,8 +11,8 @@
 
 namespace yardrill::tests {
 
-/// How a proxy treats bytes. A cut is silent: nothing is closed, and what was
-/// held back is delivered once the proxy passes again.
+/// Treatment of connections and bytes. A cut is silent: connections stay open,
+/// and the proxy delivers the bytes that it held back once the cut ends.
 enum class ProxyMode {
   PassThrough,
   Delayed,
@@ -20,7 +20,7 @@
   CutBackward,
   CutBoth,
   Reset,  ///< New connections are reset.
-  Closed, ///< Nobody listens: new connections are refused, as after a crash.
+  Closed, ///< New connections are refused, as after a crash of the server.
 };
 
 /// Forwards connections on a loopback port to another one.
@@ -30,14 +30,14 @@
 
   int port() const { return m_Port; }
   void setMode(ProxyMode Mode);
-  /// All answers together pass at this rate, each connection in its turn, as
-  /// over the link of a small machine. 0: as fast as they come.
+  /// Limits the rate of all responses together, as the link of a small machine
+  /// does. 0 means unlimited.
   void limitResponseRate(double BytesPerSecond) {
     m_ResponseRate = BytesPerSecond;
   }
-  /// Resets every connection that is open now.
+  /// Resets all open connections.
   void resetAll();
-  /// Resets connections over which nothing has come for \p Idle.
+  /// Resets connections that have transferred nothing for \p Idle.
   void resetIdle(std::chrono::milliseconds Idle);
 
 private:
@@ -59,7 +59,7 @@
             boost::asio::yield_context Yield);
   void holdBack(bool IsForward, boost::asio::yield_context Yield);
   bool isCut(bool IsForward) const;
-  /// Until \p Size more bytes have passed the limited link.
+  /// Waits until \p Size more bytes have passed the limited link.
   void waitForLink(std::size_t Size, boost::asio::yield_context Yield);
 
   boost::asio::io_context &m_Context;
