--- a/Tests/Support/ExitingTarget.h
+++ b/Tests/Support/ExitingTarget.h
@@ -1,7 +1,7 @@
-//===-- ExitingTarget.h - A target that a request can end
-//------------------===//
+//===-- ExitingTarget.h - Target that requests can make exit --------------===//
 //
-// It may also state terms: a limit, a rest, that it leaves.
+// It can also state backpressure: a rate limit, a back-off, or that it leaves.
+// Used by GatewayFleet.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_EXITINGTARGET_H
@@ -16,34 +16,37 @@
 
 namespace yardrill::tests {
 
-/// The body of a request that ends whichever target begins to run it.
+/// Body of a request that makes the target that runs it exit.
 inline const char ExitRequestBody[] = "ends its target";
-/// The same after the first event of a stream.
+/// Body of a stream request that makes the target exit; a new stream has sent
+/// its first event by then.
 inline const char MidStreamExitRequestBody[] = "ends its target midway";
 
-/// One arrival at a target.
+/// Request that a target received.
 struct Arrival {
   core::TimePoint m_At;
   std::string m_Body;
-  std::size_t m_Target = 0; ///< Its number, over all its lives.
+  std::size_t m_Target = 0; ///< Index of the target, the same after exits.
 };
 
-/// What a target says in its answers beside the usual.
+/// Backpressure that a target states in its responses.
 struct ScriptedBackpressure {
-  std::string m_Headers; ///< Whole lines, in each answer.
-  /// Answers 503 and does not run what comes.
+  std::string m_Headers; ///< Complete header lines for each response.
+  /// Whether it answers requests with 503 instead of running them.
   bool m_RefusesRequests = false;
 };
 
-/// What all targets of a test saw.
+/// Requests and exits of all targets of a test.
 struct ArrivalLog {
   std::mutex m_Mutex;
   std::vector<Arrival> m_Arrivals;
-  std::vector<core::TimePoint> m_Exits; ///< Of targets, under ExitRequestBody.
+  std::vector<core::TimePoint> m_Exits; ///< Exits caused by requests.
 };
 
-/// Answers after some work. One that ends resets all its connections, listens
-/// no longer, and is back under another name; its announcement changes later.
+/// Target that responds after WorkTime. When it exits, it resets its
+/// connections and closes its port; after DownTime it listens on the same port
+/// and announces itself under the name of a new incarnation. The store keeps
+/// the announcement of the previous incarnation until then.
 class ExitingTarget {
 public:
   ExitingTarget(asio::io_context &Context, SharedStore &Store, ArrivalLog &Log,
@@ -54,15 +57,15 @@
     announce();
   }
 
-  /// From now on, in answers that begin then.
+  /// Sets the backpressure of responses to requests received from now on.
   void setBackpressure(ScriptedBackpressure Backpressure) {
     m_Backpressure = std::move(Backpressure);
   }
-  /// Announces itself once more, under the same name.
+  /// Announces itself again under the same name.
   void reannounce() { announce(); }
   void withdrawAnnouncement() { m_Store.remove(key()); }
 
-  /// Ends for a reason of its own.
+  /// Exits and restarts for a reason unrelated to requests.
   void simulateExit() {
     std::string OldKey = key();
     m_Acceptor.close();
@@ -81,7 +84,7 @@
           announce();
         });
   }
-  /// Resets what runs here, and goes on.
+  /// Resets all connections without exiting.
   void resetConnections() {
     for (const auto &Each : m_Sockets)
       if (auto Socket = Each.lock())
