--- a/Tests/Support/GatewayFixture.h
+++ b/Tests/Support/GatewayFixture.h
@@ -1,4 +1,4 @@
-//===-- GatewayFixture.h - One real gateway before scripted targets -------===//
+//===-- GatewayFixture.h - One real gateway and scripted targets ----------===//
 #ifndef YARDRILL_TESTS_SUPPORT_GATEWAYFIXTURE_H
 #define YARDRILL_TESTS_SUPPORT_GATEWAYFIXTURE_H
 
@@ -32,11 +32,11 @@
              {"name":"poor","apiKeys":["poor"],"ratePerS":10,"burst":10,
               "plainTokens":50}]})";
 
-/// The gateway runs as it is, on loopback, in a thread of its own.
+/// Runs a real gateway on loopback in a thread of its own.
 class GatewayFixture : public CppUnit::TestFixture {
 public:
-  /// As at the end of the grace: first the gateway ends, then the loop with
-  /// the coroutines of its requests.
+  /// Destroys the gateway before the event loop with the coroutines of its
+  /// requests, as at the end of the stop grace.
   void tearDown() override {
     if (!m_OwnContext)
       return;
@@ -44,7 +44,7 @@
     if (m_Thread.joinable())
       m_Thread.join();
     m_Gateway.reset();
-    // Whoever still looks at the gateway's memory finds this there.
+    // Overwrites the freed memory, to expose uses after the destruction.
     std::vector<std::string> Overwritten(
         64, std::string(sizeof(gateway::Gateway) - 1, '\xff'));
     m_Targets.clear();
@@ -96,7 +96,7 @@
     Settings.m_ReadinessAddress = local(m_ReadinessPort);
     Settings.m_PeerAddress = local(freePort());
     Settings.m_IsFirstStart = false;
-    // By the ratio alone: a process that starts again has no allowance yet.
+    // Only the ratio applies: a restarted process has no allowance at first.
     Settings.m_Retries = {3, std::chrono::seconds(10), 20};
     m_Gateway = gateway::Gateway::Builder()
                     .settings(Settings)
--- a/Tests/Support/GatewayFleet.cpp
+++ b/Tests/Support/GatewayFleet.cpp
@@ -79,7 +79,7 @@
     return;
   Which.m_Context->stop();
   Which.m_Thread.join();
-  // The coroutines of its requests end with the loop.
+  // Before the context, whose destruction ends the coroutines of its requests.
   Which.m_Gateway.reset();
   Which.m_Context.reset();
 }
--- a/Tests/Support/GatewayFleet.h
+++ b/Tests/Support/GatewayFleet.h
@@ -1,4 +1,4 @@
-//===-- GatewayFleet.h - Several gateways before targets that can end -----===//
+//===-- GatewayFleet.h - Several gateways and targets that exit -----------===//
 #ifndef YARDRILL_TESTS_SUPPORT_GATEWAYFLEET_H
 #define YARDRILL_TESTS_SUPPORT_GATEWAYFLEET_H
 
@@ -14,23 +14,24 @@
 
 namespace yardrill::tests {
 
-/// Gateways as they are, with their peers' messages, each on a loop and thread
-/// of its own as in a process; the store is a mock that outlives them.
+/// Real gateways that exchange peer messages. Each has its own event loop and
+/// thread, as a process would; the store is a mock that outlives them.
 class GatewayFleet {
 public:
   GatewayFleet(std::size_t Gateways, std::size_t Targets);
   ~GatewayFleet();
 
-  /// Starts the gateway at \p Index, which must be down.
+  /// Starts the gateway at \p Index. \pre It is not running.
   void start(std::size_t Index);
   void startAll();
-  /// Ends it without a word, as a kill does.
+  /// Stops the gateway without a shutdown, as SIGKILL does.
   void kill(std::size_t Index);
   void killAll();
-  /// Waits until each one is ready and has found all others.
+  /// Waits until each gateway is ready and knows all others and all targets.
+  /// \returns false on a timeout.
   bool waitUntilReady();
 
-  /// Runs \p What where the targets run, and waits for it.
+  /// Runs \p Task on the thread of the targets and waits for its end.
   void runOnTargetThread(const std::function<void()> &Task);
   std::size_t size() const { return m_Instances.size(); }
   SharedStore &store() { return m_Store; }
@@ -41,14 +42,17 @@
                                       const std::string &Body);
   Reply send(std::size_t Gateway, const std::string &Path,
              const std::string &Body);
-  /// A gauge or counter of one gateway; 0: it has none of that name.
+  /// Returns the value of a gauge or counter of one gateway, or 0 if it has
+  /// none of that name.
   double metric(std::size_t Gateway, const std::string &Name);
+  /// Returns the number of requests with \p Body that targets received.
   std::size_t arrivalsOf(const std::string &Body);
-  /// All arrivals at one target so far, in their order.
+  /// Returns the times of all requests that one target received, in order.
   std::vector<core::TimePoint> arrivalsAt(std::size_t Target);
-  /// Targets that ended under a request so far.
+  /// Returns the number of target exits caused by requests.
   std::size_t exits();
-  /// Arrivals of \p Body later than \p After the end of the third target.
+  /// Returns the number of requests with \p Body that targets received later
+  /// than \p After the third exit.
   std::size_t arrivalsAfterThirdExit(const std::string &Body,
                                      core::Duration After);
 
@@ -64,7 +68,7 @@
     bool m_HasRun = false;
   };
 
-  asio::io_context m_Context{1}; ///< Of the targets.
+  asio::io_context m_Context{1}; ///< Event loop of the targets.
   SharedStore m_Store;
   platform::PlatformDialect m_Dialect;
   ArrivalLog m_ArrivalLog;
