--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -17,7 +17,7 @@
 static const char AccountKey[] = "box-office-secret";
 static const char OperatorToken[] = "operator-secret";
 
-/// Programs lie beside the folder of the test program itself.
+/// Programs are in the parent directory of the test program's directory.
 std::string program(const std::string &Name) {
   static const auto Folder =
       std::filesystem::read_symlink("/proc/self/exe").parent_path();
--- a/Tests/Support/Fleet.h
+++ b/Tests/Support/Fleet.h
@@ -10,19 +10,22 @@
 
 namespace yardrill::tests {
 
-/// A small fleet on loopback. Everything ends with the object.
+/// Instances, a platform, an application and model engines on loopback. The
+/// destructor kills all processes.
 class Fleet {
 public:
+  /// Size, limits and settings of the fleet.
   struct Options {
     int m_Instances = 1;
     int m_Engines = 1;
-    int m_Slots = 8; ///< Of each target.
+    int m_Slots = 8; ///< Slots of each target.
     int m_QueueLimit = 1000;
     int m_DeadlineMilliseconds[3] = {60000, 60000, 60000}; ///< By tier.
     std::string m_EngineFlags = "--decode_rate=200";
-    std::string m_ExtraSettings; ///< YAML sections added to the settings.
+    std::string m_ExtraSettings; ///< YAML sections appended to the settings.
   };
 
+  /// Process of an instance, with its ports and files.
   struct Instance {
     Process m_Process;
     int m_CallerPort = 0;
@@ -36,17 +39,20 @@
   explicit Fleet(const Options &Wanted);
   ~Fleet();
 
-  /// Starts instance \p Index, again after it ended.
+  /// Starts instance \p Index, also after it has ended.
   void start(int Index);
-  /// Waits until all instances have the configuration in force and every tier
-  /// is admitted in every pool.
+  /// Publishes the configuration and waits until all instances apply it and
+  /// admit every tier in every pool. \returns false on a timeout.
   bool waitUntilServing();
-  /// Publishes the fleet configuration. \returns the answer.
+  /// Publishes a fleet configuration through instance \p Index.
+  /// \param Base version that it replaces.
+  /// \returns the response.
   Reply publish(int Index, int Base, const std::string &Change,
                 const std::string &Text);
   Reply callOperatorApi(int Index, const std::string &Path);
   boost::json::object status(int Index);
-  /// The configuration for this fleet; every target leaving that is named.
+  /// Returns the configuration for this fleet, with \p LeavingTarget marked as
+  /// leaving.
   std::string configuration(const std::string &LeavingTarget = "") const;
 
   Instance &at(int Index) { return m_Instances[static_cast<size_t>(Index)]; }
@@ -59,11 +65,13 @@
   Process &application() { return m_Application; }
   Process &engine(int Index) { return m_Engines[static_cast<size_t>(Index)]; }
   void startApplication();
-  /// All log lines of all instances that ever ran in this fleet.
+  /// Returns all log lines of all instances, including earlier processes.
   std::vector<std::string> logLines() const;
-  /// Lines that report a failure no part should ever have; empty is right.
+  /// Returns the log lines that report internal failures; empty if there are
+  /// none.
   std::string internalFailures() const;
-  /// Whether any fleet of this program had one: TestMain fails then.
+  /// Whether any fleet of this program had an internal failure; TestMain fails
+  /// then.
   static bool hadInternalFailures();
 
 private:
@@ -80,19 +88,20 @@
   std::vector<Instance> m_Instances;
 };
 
-/// The path of a program that the build made.
+/// Returns the path of a built program.
 std::string program(const std::string &Name);
-/// A call to the application pool `seats` by the account `box-office`.
+/// Returns a request to the application pool `seats` by the client account
+/// `box-office`.
 http::RequestMessage applicationRequest(const std::string &Path,
                                         const std::string &Identity,
                                         const std::string &Body = "x");
-/// A completion by the account `box-office`.
+/// Returns a completion request by the client account `box-office`.
 http::RequestMessage completionRequest(const std::string &Prompt, int Tokens,
                                        bool IsStream,
                                        const std::string &Tier = "");
-/// The text of a completion's answer, streamed or not.
+/// Returns the text of a completion's response, streamed or not.
 std::string completionText(const Reply &Response);
-/// How often the application executed \p Identity.
+/// Returns how often the application executed \p Identity.
 std::int64_t executionsOf(int ApplicationPort, const std::string &Identity);
 std::string issueTicket(int CallerPort);
 
