--- a/Tests/Support/ScriptedTarget.h
+++ b/Tests/Support/ScriptedTarget.h
@@ -1,4 +1,4 @@
-//===-- ScriptedTarget.h - A target that writes what a test wants ---------===//
+//===-- ScriptedTarget.h - Target that sends scripted bytes ---------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_SCRIPTEDTARGET_H
 #define YARDRILL_TESTS_SUPPORT_SCRIPTEDTARGET_H
 
@@ -21,9 +21,9 @@
 
 using Request = beast::http::request<beast::http::string_body>;
 
-/// Answers each request with the bytes that its script makes. A script that
-/// returns an empty text hangs up; one that returns "wait" says nothing until
-/// the other side closes.
+/// Responds to each request with the bytes that its script returns. An empty
+/// string resets the connection, "wait" sends nothing until the other side
+/// closes, and a trailing '!' is not sent but closes the connection.
 class ScriptedTarget {
 public:
   using Script = std::function<std::string(const Request &)>;
@@ -42,7 +42,7 @@
     return m_Requests;
   }
   std::atomic<int> m_ClosedWhileWaiting{0};
-  std::atomic<int> m_Accepted{0}; ///< Connections.
+  std::atomic<int> m_Accepted{0}; ///< Accepted connections.
 
 private:
   void accept(asio::yield_context Yield) {
