--- a/Tests/Support/ChangingStore.h
+++ b/Tests/Support/ChangingStore.h
@@ -1,4 +1,4 @@
-//===-- ChangingStore.h - A store whose content a test changes ------------===//
+//===-- ChangingStore.h - Mock store with content that a test changes -----===//
 #ifndef YARDRILL_TESTS_SUPPORT_CHANGINGSTORE_H
 #define YARDRILL_TESTS_SUPPORT_CHANGINGSTORE_H
 
@@ -14,7 +14,8 @@
 
 namespace yardrill::tests {
 
-/// Gives a fixed content, then what a test changes.
+/// Mock store of one gateway. readPrefix() returns m_Content, or fails while
+/// that is empty; watch() reports the changes that the test makes.
 class ChangingStore final : public EmptyStore {
 public:
   explicit ChangingStore(boost::asio::io_context &Context)
@@ -63,17 +64,17 @@
     Out.m_Revision = platform::Revision(m_NextRevision++);
     return Out;
   }
-  /// What was last put under a key; from any thread.
+  /// Returns the last value of a key. Thread-safe.
   std::string valueOf(const std::string &Key) {
     std::lock_guard<std::mutex> Lock(m_Mutex);
     return m_Values[Key];
   }
-  /// From any thread.
+  /// Thread-safe.
   void change(const std::string &Key, const std::string &Value) {
     std::lock_guard<std::mutex> Lock(m_Mutex);
     put({Key, Value, platform::Revision(m_NextRevision++)});
   }
-  /// From any thread.
+  /// Thread-safe.
   void remove(const std::string &Key) {
     std::lock_guard<std::mutex> Lock(m_Mutex);
     put({Key, "", platform::Revision(m_NextRevision++), true});
--- a/Tests/Support/EmptyStore.h
+++ b/Tests/Support/EmptyStore.h
@@ -1,4 +1,4 @@
-//===-- EmptyStore.h - A store that holds nothing and takes nothing -------===//
+//===-- EmptyStore.h - Mock store without entries -------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_EMPTYSTORE_H
 #define YARDRILL_TESTS_SUPPORT_EMPTYSTORE_H
 
@@ -6,7 +6,7 @@
 
 namespace yardrill::tests {
 
-/// For mocks that are about some of the calls only.
+/// Base class of mock stores that override only some calls.
 class EmptyStore : public platform::KeyValueService {
 public:
   std::vector<platform::Entry> readPrefix(const std::string &,
--- a/Tests/Support/SharedStore.h
+++ b/Tests/Support/SharedStore.h
@@ -1,4 +1,4 @@
-//===-- SharedStore.h - A store that several gateways follow --------------===//
+//===-- SharedStore.h - Mock store that several gateways follow -----------===//
 #ifndef YARDRILL_TESTS_SUPPORT_SHAREDSTORE_H
 #define YARDRILL_TESTS_SUPPORT_SHAREDSTORE_H
 
@@ -12,8 +12,8 @@
 
 namespace yardrill::tests {
 
-/// Keeps all that it was ever told, in the order of revisions. May be used from
-/// any thread; calls of the gateways wait on their own loops.
+/// In-memory store with all entries and the history of changes. Thread-safe;
+/// watches wait on the event loop of the caller.
 class SharedStore final : public EmptyStore {
 public:
   std::vector<platform::Entry> readPrefix(const std::string &,
@@ -92,12 +92,12 @@
     auto Found = m_Entries.find(Key);
     return Found == m_Entries.end() ? "" : Found->second.m_Value;
   }
-  /// Writes of the gateways that went through.
+  /// Returns the number of successful compareAndSwap() calls.
   int swaps() const {
     std::lock_guard<std::mutex> Lock(m_Mutex);
     return m_Swaps;
   }
-  /// From now on (or no longer) every call fails.
+  /// Makes reads, swaps and watches fail while \p IsDown.
   void setDown(bool IsDown) {
     std::lock_guard<std::mutex> Lock(m_Mutex);
     m_IsDown = IsDown;
