--- a/Tests/Support/Process.cpp
+++ b/Tests/Support/Process.cpp
@@ -23,7 +23,7 @@
     throw std::runtime_error("fork failed");
   if (m_Pid > 0)
     return;
-  // A test that is killed takes its processes with it.
+  // Ends the child also when the test is killed.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   int Log = open(LogFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   dup2(Log, STDOUT_FILENO);
@@ -92,8 +92,9 @@
 }
 
 int freePort() {
-  // Below the kernel's ephemeral range, so that no outgoing connection takes
-  // it while its process restarts; spread by process, for parallel tests.
+  // Below the kernel's ephemeral range, so that no outgoing connection takes a
+  // port while its process restarts. Tests that run in parallel start at
+  // different ports.
   static const int First = 10000;
   static const int Count = 20000;
   static const int Stride = 193;
--- a/Tests/Support/Process.h
+++ b/Tests/Support/Process.h
@@ -1,4 +1,4 @@
-//===-- Process.h - A process that a test started -------------------------===//
+//===-- Process.h - Child process of a test -------------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_PROCESS_H
 #define YARDRILL_TESTS_SUPPORT_PROCESS_H
 
@@ -9,11 +9,13 @@
 
 namespace yardrill::tests {
 
-/// Ends its own process, by id, when destroyed.
+/// Owns a child process and kills it when destroyed.
 class Process {
 public:
   Process() = default;
-  /// Standard output and error go to \p LogFile.
+  /// Starts \p Command, which begins with the path of the program. Standard
+  /// output and error are appended to \p LogFile. \throws std::runtime_error if
+  /// fork(2) fails.
   Process(const std::vector<std::string> &Command, const std::string &LogFile);
   ~Process();
   Process(Process &&Other) noexcept;
@@ -21,18 +23,20 @@
 
   bool isRunning() const { return m_Pid > 0; }
   void signal(int Number) const;
-  /// SIGKILL, and waits for the end.
+  /// Sends SIGKILL and waits for the process to end.
   void kill();
-  /// Waits for the end. \returns the exit code, or minus the signal's number.
+  /// Waits for the process to end. \returns the exit code, or the negated
+  /// signal number.
   int wait();
-  /// The same if it has ended already; else nothing.
+  /// Returns the result of wait() if the process has ended, else std::nullopt.
   std::optional<int> poll();
 
 private:
   pid_t m_Pid = 0;
 };
 
-/// A port on loopback that was free a moment ago, for TCP and UDP.
+/// Returns a loopback port that is free for TCP and UDP. Another process may
+/// take it before it is used.
 int freePort();
 
 } // namespace yardrill::tests
--- a/Tests/Support/Sleep.h
+++ b/Tests/Support/Sleep.h
@@ -1,4 +1,4 @@
-//===-- Sleep.h - A pause of one coroutine --------------------------------===//
+//===-- Sleep.h - Pause of a coroutine ------------------------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_SLEEP_H
 #define YARDRILL_TESTS_SUPPORT_SLEEP_H
 
@@ -9,6 +9,7 @@
 
 namespace yardrill::tests {
 
+/// Suspends the coroutine for \p Time.
 inline void sleepFor(boost::asio::io_context &Context,
                      std::chrono::milliseconds Time,
                      boost::asio::yield_context Yield) {
