--- a/Tests/Support/SuspendedClock.h
+++ b/Tests/Support/SuspendedClock.h
@@ -1,4 +1,4 @@
-//===-- SuspendedClock.h - A machine that was suspended, to its clocks ----===//
+//===-- SuspendedClock.h - Clocks of a suspended machine ------------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_SUSPENDEDCLOCK_H
 #define YARDRILL_TESTS_SUPPORT_SUSPENDEDCLOCK_H
 
@@ -6,11 +6,11 @@
 
 namespace yardrill::tests {
 
-/// From now on this process reads its clocks as after a suspension of that
-/// length: CLOCK_BOOTTIME and the time of day have gone on, CLOCK_MONOTONIC and
-/// the kernel's timers have not (clock_gettime(2)). Only in programs that are
-/// linked with SuspendedClock.cpp, which takes the place of the C library's
-/// function.
+/// Makes this process read its clocks as after a suspension of the machine for
+/// \p Length: CLOCK_BOOTTIME and CLOCK_REALTIME have advanced, CLOCK_MONOTONIC
+/// and the kernel's timers have not (clock_gettime(2)). Works only in programs
+/// that are linked with SuspendedClock.cpp, which replaces the C library's
+/// clock_gettime().
 void simulateSuspension(std::chrono::milliseconds Length);
 
 } // namespace yardrill::tests
