--- a/Tests/Support/TestClient.cpp
+++ b/Tests/Support/TestClient.cpp
@@ -119,7 +119,7 @@
       if (Condition())
         return true;
     } catch (const std::exception &) {
-      // What is asked may not be up yet.
+      // The server may not have started yet.
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
--- a/Tests/Support/TestMain.cpp
+++ b/Tests/Support/TestMain.cpp
@@ -11,7 +11,8 @@
 #include <csignal>
 #include <iostream>
 
-/// With arguments, runs only the tests named (as `Class::test` or `Class`).
+/// Runs all tests, or those given as `Class::test` or `Class`. Fails if no test
+/// ran or a fleet had an internal failure.
 int main(int Count, char **Arguments) {
   yardrill::core::startLogging(Arguments[0]);
   std::signal(SIGPIPE, SIG_IGN);
