--- a/Tests/Support/QuarantineSimulation.cpp
+++ b/Tests/Support/QuarantineSimulation.cpp
@@ -367,8 +367,8 @@
     quarantine::IncarnationHash Incarnation, const RequestHandle &What) {
   m_Result.m_HarmlessInterrupted += What->m_Kind != Kind::Bad;
   Instance &At = m_Instances[What->m_Instance];
-  bool IsGone = !At.m_IsUp || At.m_Incarnation != What->m_Incarnation;
-  if (!IsGone) {
+  bool IsInstanceGone = !At.m_IsUp || At.m_Incarnation != What->m_Incarnation;
+  if (!IsInstanceGone) {
     At.m_Gossip->noteTargetExit(What->m_Content, Incarnation, m_Now);
     bool IsRetried = m_Scenario.m_RetriesSuspects ||
                      !At.m_Gossip->table().isSuspect(What->m_Content);
--- a/Tests/Support/ScriptedTarget.h
+++ b/Tests/Support/ScriptedTarget.h
@@ -50,10 +50,12 @@
       tcp::socket Socket(m_Acceptor.get_executor());
       m_Acceptor.async_accept(Socket, Yield);
       ++m_Accepted;
-      auto Kept = std::make_shared<tcp::socket>(std::move(Socket));
+      auto Connection = std::make_shared<tcp::socket>(std::move(Socket));
       asio::spawn(
           m_Acceptor.get_executor(),
-          [this, Kept](asio::yield_context Inner) { serve(*Kept, Inner); },
+          [this, Connection](asio::yield_context Inner) {
+            serve(*Connection, Inner);
+          },
           asio::detached);
     }
   }
