--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -32,7 +32,7 @@
   std::string Name =
       (std::filesystem::temp_directory_path() / "yardrill-test-XXXXXX");
   if (!mkdtemp(Name.data()))
-    throw std::runtime_error("no temporary folder");
+    throw std::runtime_error("cannot create a temporary directory");
   return Name;
 }
 
@@ -69,7 +69,7 @@
     at(I).m_PeerPort = freePort();
   }
   if (!eventually([&] { return !countersOf(m_PlatformPort).empty(); }))
-    throw std::runtime_error("the stand-ins did not start");
+    throw std::runtime_error("the platform stand-in did not respond in time");
   for (int I = 0; I < Wanted.m_Instances; ++I) {
     writeSettings(at(I), I);
     start(I);
--- a/Tests/Support/TestClient.cpp
+++ b/Tests/Support/TestClient.cpp
@@ -49,7 +49,7 @@
         return;
       Out.m_Body += Piece;
       if (OnPiece && !OnPiece(Piece)) {
-        Out.m_Failure = "hung up";
+        Out.m_Failure = "closed by the test";
         return;
       }
     }
