--- a/Tests/Support/QuotaSimulation.cpp
+++ b/Tests/Support/QuotaSimulation.cpp
@@ -72,7 +72,7 @@
     config::Endpoint m_Address;
     std::unique_ptr<DistributedQuota> m_Quota; ///< Null while down.
     core::TimePoint m_DownUntil{};
-    core::TimePoint m_ReadsAt{}; ///< Next read of the store.
+    core::TimePoint m_ReadsAt{}; ///< Next update of list and accounts.
     bool m_HasRead = false;
     core::TimePoint m_FrozenUntil{};
     core::TimePoint m_CutUntil{};
