--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -17,7 +17,7 @@
 static const char AccountKey[] = "box-office-secret";
 static const char OperatorToken[] = "operator-secret";
 
-/// Programs lie beside the folder of the test program itself.
+/// Programs are in the parent directory of the test program's directory.
 std::string program(const std::string &Name) {
   static const auto Folder =
       std::filesystem::read_symlink("/proc/self/exe").parent_path();
@@ -32,11 +32,11 @@
   std::string Name =
       (std::filesystem::temp_directory_path() / "yardrill-test-XXXXXX");
   if (!mkdtemp(Name.data()))
-    throw std::runtime_error("no temporary folder");
+    throw std::runtime_error("cannot create a temporary directory");
   return Name;
 }
 
-static std::vector<std::string> words(const std::string &Text) {
+static std::vector<std::string> splitWords(const std::string &Text) {
   std::istringstream In(Text);
   std::vector<std::string> Out;
   for (std::string Word; In >> Word;)
@@ -58,7 +58,7 @@
     std::vector<std::string> Command = {
         StandIn, "engine", "--port=" + std::to_string(m_EnginePorts.back()),
         "--places=" + std::to_string(Wanted.m_Slots)};
-    for (const std::string &Flag : words(Wanted.m_EngineFlags))
+    for (const std::string &Flag : splitWords(Wanted.m_EngineFlags))
       Command.push_back(Flag);
     m_Engines.emplace_back(Command, Log);
   }
@@ -69,7 +69,7 @@
     at(I).m_PeerPort = freePort();
   }
   if (!eventually([&] { return !countersOf(m_PlatformPort).empty(); }))
-    throw std::runtime_error("the stand-ins did not start");
+    throw std::runtime_error("the platform stand-in did not respond in time");
   for (int I = 0; I < Wanted.m_Instances; ++I) {
     writeSettings(at(I), I);
     start(I);
@@ -188,7 +188,7 @@
 bool Fleet::waitUntilServing() {
   bool IsPublished = eventually(
       [&] { return publish(0, 0, "first", configuration()).m_Status == 200; });
-  auto IsOpen = [this](int Index) {
+  auto IsReady = [this](int Index) {
     json::object Status = status(Index);
     std::size_t Peers = Status.at("peers").as_array().size();
     const json::array &Pools = Status.at("pools").as_array();
@@ -198,7 +198,7 @@
            });
   };
   for (int I = 0; IsPublished && I < m_Options.m_Instances; ++I)
-    if (!eventually([&] { return IsOpen(I); }))
+    if (!eventually([&] { return IsReady(I); }))
       return false;
   return IsPublished;
 }
@@ -253,9 +253,9 @@
   return Out;
 }
 
-std::string completionText(const Reply &Answer) {
+std::string completionText(const Reply &Response) {
   std::string Text;
-  std::istringstream In(Answer.m_Body);
+  std::istringstream In(Response.m_Body);
   for (std::string Line; std::getline(In, Line);) {
     if (Line.compare(0, 6, "data: ") == 0)
       Line = Line.substr(6);
@@ -276,8 +276,8 @@
 }
 
 std::string issueTicket(int CallerPort) {
-  Reply Answer = call(CallerPort, callerRequest("/v1/tickets", ""));
-  json::value Parsed = json::parse(Answer.m_Body);
+  Reply Response = call(CallerPort, callerRequest("/v1/tickets", ""));
+  json::value Parsed = json::parse(Response.m_Body);
   return std::string(Parsed.at("tickets").as_array().at(0).as_string());
 }
 
--- a/Tests/Support/GatewayFixture.h
+++ b/Tests/Support/GatewayFixture.h
@@ -1,4 +1,4 @@
-//===-- GatewayFixture.h - One real gateway before scripted targets -------===//
+//===-- GatewayFixture.h - One real gateway and scripted targets ----------===//
 #ifndef YARDRILL_TESTS_SUPPORT_GATEWAYFIXTURE_H
 #define YARDRILL_TESTS_SUPPORT_GATEWAYFIXTURE_H
 
@@ -32,11 +32,11 @@
              {"name":"poor","apiKeys":["poor"],"ratePerS":10,"burst":10,
               "plainTokens":50}]})";
 
-/// The gateway runs as it is, on loopback, in a thread of its own.
+/// Runs a real gateway on loopback in a thread of its own.
 class GatewayFixture : public CppUnit::TestFixture {
 public:
-  /// As at the end of the grace: first the gateway ends, then the loop with
-  /// the coroutines of its requests.
+  /// Destroys the gateway before the event loop with the coroutines of its
+  /// requests, as at the end of the stop grace.
   void tearDown() override {
     if (!m_OwnContext)
       return;
@@ -44,7 +44,7 @@
     if (m_Thread.joinable())
       m_Thread.join();
     m_Gateway.reset();
-    // Whoever still looks at the gateway's memory finds this there.
+    // Overwrites the freed memory, to expose uses after the destruction.
     std::vector<std::string> Overwritten(
         64, std::string(sizeof(gateway::Gateway) - 1, '\xff'));
     m_Targets.clear();
@@ -63,9 +63,9 @@
   int m_CallerPort = 0;
   int m_ReadinessPort = 0;
 
-  void addTarget(ScriptedTarget::Script Make) {
+  void addTarget(ScriptedTarget::Script Respond) {
     m_Targets.push_back(
-        std::make_unique<ScriptedTarget>(m_Context, std::move(Make)));
+        std::make_unique<ScriptedTarget>(m_Context, std::move(Respond)));
     std::size_t Number = m_Targets.size();
     m_Store.m_Content.push_back(
         {keyOf(Number), announcement(Number, 1), platform::Revision(2)});
@@ -73,12 +73,12 @@
   static std::string keyOf(std::size_t Number) {
     return "servers/i-" + std::to_string(Number);
   }
-  std::string announcement(std::size_t Number, std::int64_t Birth) const {
+  std::string announcement(std::size_t Number, std::int64_t StartTime) const {
     return R"({"service":"app","address":"127.0.0.1:)" +
            std::to_string(m_Targets.at(Number - 1)->port()) +
            R"(","zone":"hall","version":"v1","slots":4,"state":"ready",)"
            R"("coldLeftMs":0,"seq":1,"born":)" +
-           std::to_string(Birth) + "}";
+           std::to_string(StartTime) + "}";
   }
   static config::Endpoint local(int Port) {
     return {"127.0.0.1", static_cast<std::uint16_t>(Port)};
@@ -96,7 +96,7 @@
     Settings.m_ReadinessAddress = local(m_ReadinessPort);
     Settings.m_PeerAddress = local(freePort());
     Settings.m_IsFirstStart = false;
-    // By the ratio alone: a process that starts again has no allowance yet.
+    // Only the ratio applies: a restarted process has no allowance at first.
     Settings.m_Retries = {3, std::chrono::seconds(10), 20};
     m_Gateway = gateway::Gateway::Builder()
                     .settings(Settings)
@@ -109,10 +109,10 @@
       CPPUNIT_ASSERT(eventually([this] { return readiness() == 200; }));
   }
   unsigned readiness() const {
-    http::RequestMessage Ask;
-    Ask.m_Method = "GET";
-    Ask.m_Target = "/readyz";
-    return call(m_ReadinessPort, Ask).m_Status;
+    http::RequestMessage Message;
+    Message.m_Method = "GET";
+    Message.m_Target = "/readyz";
+    return call(m_ReadinessPort, Message).m_Status;
   }
   static http::RequestMessage request(const std::string &Target,
                                       const std::string &Key = "key") {
--- a/Tests/Support/ScriptedTarget.h
+++ b/Tests/Support/ScriptedTarget.h
@@ -1,4 +1,4 @@
-//===-- ScriptedTarget.h - A target that writes what a test wants ---------===//
+//===-- ScriptedTarget.h - Target that sends scripted bytes ---------------===//
 #ifndef YARDRILL_TESTS_SUPPORT_SCRIPTEDTARGET_H
 #define YARDRILL_TESTS_SUPPORT_SCRIPTEDTARGET_H
 
@@ -21,9 +21,9 @@
 
 using Request = beast::http::request<beast::http::string_body>;
 
-/// Answers each request with the bytes that its script makes. A script that
-/// returns an empty text hangs up; one that returns "wait" says nothing until
-/// the other side closes.
+/// Responds to each request with the bytes that its script returns. An empty
+/// string resets the connection, "wait" sends nothing until the other side
+/// closes, and a trailing '!' is not sent but closes the connection.
 class ScriptedTarget {
 public:
   using Script = std::function<std::string(const Request &)>;
@@ -42,7 +42,7 @@
     return m_Requests;
   }
   std::atomic<int> m_ClosedWhileWaiting{0};
-  std::atomic<int> m_Accepted{0}; ///< Connections.
+  std::atomic<int> m_Accepted{0}; ///< Accepted connections.
 
 private:
   void accept(asio::yield_context Yield) {
@@ -50,10 +50,12 @@
       tcp::socket Socket(m_Acceptor.get_executor());
       m_Acceptor.async_accept(Socket, Yield);
       ++m_Accepted;
-      auto Kept = std::make_shared<tcp::socket>(std::move(Socket));
+      auto Connection = std::make_shared<tcp::socket>(std::move(Socket));
       asio::spawn(
           m_Acceptor.get_executor(),
-          [this, Kept](asio::yield_context Inner) { serve(*Kept, Inner); },
+          [this, Connection](asio::yield_context Inner) {
+            serve(*Connection, Inner);
+          },
           asio::detached);
     }
   }
@@ -61,15 +63,15 @@
     beast::flat_buffer Buffer;
     boost::system::error_code Failure;
     while (!Failure) {
-      Request Read;
-      beast::http::async_read(Socket, Buffer, Read, Yield[Failure]);
+      Request Received;
+      beast::http::async_read(Socket, Buffer, Received, Yield[Failure]);
       if (Failure)
         return;
       {
         std::lock_guard<std::mutex> Lock(m_Mutex);
-        m_Requests.push_back(Read);
+        m_Requests.push_back(Received);
       }
-      std::string Bytes = m_Respond(Read);
+      std::string Bytes = m_Respond(Received);
       if (Bytes.empty()) {
         Socket.set_option(asio::socket_base::linger(true, 0));
         return Socket.close();
@@ -80,11 +82,11 @@
         ++m_ClosedWhileWaiting;
         return;
       }
-      bool MustCut = Bytes.back() == '!';
-      if (MustCut)
+      bool MustClose = Bytes.back() == '!';
+      if (MustClose)
         Bytes.pop_back();
       asio::async_write(Socket, asio::buffer(Bytes), Yield[Failure]);
-      if (MustCut)
+      if (MustClose)
         return;
     }
   }
@@ -95,17 +97,17 @@
   std::vector<Request> m_Requests;
 };
 
-inline std::string attemptIdOf(const Request &Read) {
-  return std::string(Read["Attempt-Id"]);
+inline std::string attemptIdOf(const Request &Received) {
+  return std::string(Received["Attempt-Id"]);
 }
 
 inline std::string
-completeResponse(const Request &Read, const std::string &Body,
+completeResponse(const Request &Received, const std::string &Body,
                  const std::string &Status = "200 OK",
-                 const std::string &More = "Replica-Seal: s\r\n") {
-  return "HTTP/1.1 " + Status + "\r\nAttempt-Id: " + attemptIdOf(Read) +
-         "\r\n" + More + "Content-Length: " + std::to_string(Body.size()) +
-         "\r\n\r\n" + Body;
+                 const std::string &ExtraHeaders = "Replica-Seal: s\r\n") {
+  return "HTTP/1.1 " + Status + "\r\nAttempt-Id: " + attemptIdOf(Received) +
+         "\r\n" + ExtraHeaders +
+         "Content-Length: " + std::to_string(Body.size()) + "\r\n\r\n" + Body;
 }
 
 inline std::string chunk(const std::string &Text) {
@@ -114,14 +116,14 @@
   return Size + Text + "\r\n";
 }
 
-inline std::string streamHead(const Request &Read) {
-  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attemptIdOf(Read) +
+inline std::string streamHead(const Request &Received) {
+  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + attemptIdOf(Received) +
          "\r\nReplica-Seal: s\r\nContent-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-inline std::string notExecuted(const Request &Read) {
-  return completeResponse(Read, "", "503 Service Unavailable",
+inline std::string notExecuted(const Request &Received) {
+  return completeResponse(Received, "", "503 Service Unavailable",
                           "Not-Executed: 1\r\n");
 }
 
--- a/Tests/Support/TestClient.cpp
+++ b/Tests/Support/TestClient.cpp
@@ -49,7 +49,7 @@
         return;
       Out.m_Body += Piece;
       if (OnPiece && !OnPiece(Piece)) {
-        Out.m_Failure = "hung up";
+        Out.m_Failure = "closed by the test";
         return;
       }
     }
@@ -111,15 +111,15 @@
   return controlCall(Port, "GET", "");
 }
 
-bool eventually(const std::function<bool()> &Holds,
-                std::chrono::milliseconds Most) {
-  auto Until = std::chrono::steady_clock::now() + Most;
+bool eventually(const std::function<bool()> &Condition,
+                std::chrono::milliseconds Timeout) {
+  auto Until = std::chrono::steady_clock::now() + Timeout;
   while (std::chrono::steady_clock::now() < Until) {
     try {
-      if (Holds())
+      if (Condition())
         return true;
     } catch (const std::exception &) {
-      // What is asked may not be up yet.
+      // The server may not have started yet.
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
--- a/Tests/Support/TestMain.cpp
+++ b/Tests/Support/TestMain.cpp
@@ -11,7 +11,8 @@
 #include <csignal>
 #include <iostream>
 
-/// With arguments, runs only the tests named (as `Class::test` or `Class`).
+/// Runs all tests, or those given as `Class::test` or `Class`. Fails if no test
+/// ran or a fleet had an internal failure.
 int main(int Count, char **Arguments) {
   yardrill::core::startLogging(Arguments[0]);
   std::signal(SIGPIPE, SIG_IGN);
@@ -27,7 +28,7 @@
   for (int I = 1; I < Count; ++I)
     Runner.run(Result, Arguments[I]);
   CppUnit::CompilerOutputter(&Collector, std::cerr).write();
-  bool IsRight = Collector.wasSuccessful() && Collector.runTests() > 0 &&
-                 !yardrill::tests::Fleet::hadInternalFailures();
-  return IsRight ? 0 : 1;
+  bool HasPassed = Collector.wasSuccessful() && Collector.runTests() > 0 &&
+                   !yardrill::tests::Fleet::hadInternalFailures();
+  return HasPassed ? 0 : 1;
 }
