--- a/Tests/Soak/InvariantCheckerTest.cpp
+++ b/Tests/Soak/InvariantCheckerTest.cpp
@@ -290,7 +290,7 @@
   }
 
   void testQuarantine() {
-    auto arriveAt = [this](std::size_t Gateway) {
+    auto ArriveAt = [this](std::size_t Gateway) {
       SentRequest What;
       What.m_Id = "a" + std::to_string(++m_Next);
       What.m_Kind = RequestKind::Idempotent;
@@ -301,21 +301,21 @@
       m_Checker.requestArrived(What.m_Id, "i-1", std::nullopt);
     };
     for (int I = 0; I < 3; ++I) {
-      arriveAt(0);
+      ArriveAt(0);
       m_Checker.targetExited("bad");
     }
     // Arrivals within SettleTime or from a disturbed gateway are allowed.
     for (int I = 0; I < 9; ++I)
-      arriveAt(0);
+      ArriveAt(0);
     m_Now += bounds::SettleTime + milliseconds(1);
     m_Checker.noteProcessDisturbance(1, true);
     for (int I = 0; I < 9; ++I)
-      arriveAt(1);
+      ArriveAt(1);
     for (int I = 0; I < 3; ++I)
-      arriveAt(0);
+      ArriveAt(0);
     m_Checker.finish(m_Now);
     expectNoViolation();
-    arriveAt(0);
+    ArriveAt(0);
     m_Checker.finish(m_Now);
     expectViolation("quarantine");
   }
