--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -291,7 +291,7 @@
       });
   if (!IsBehindOthers && trySend(What, Now))
     return;
-  // Throttled targets would accept the request only after its deadline.
+  // Refuse now what throttled targets would accept only after the deadline.
   auto AvailableAt = nextAvailability(What, Now);
   if (AvailableAt && *AvailableAt > queueDeadline(What))
     return m_Hooks.m_Refuse(What.m_Request);
@@ -318,8 +318,8 @@
             [&](const PlacementRequest *A, const PlacementRequest *B) {
               return precedes(*A, *B, Now);
             });
-  // Once a request finds no slot in a pool, later ones are skipped unless their
-  // queue deadline has passed.
+  // Once a request has to wait, later ones of its pool must not overtake it.
+  // Those whose queue deadline has passed are still sent or refused.
   std::set<core::PoolName> Full;
   for (const PlacementRequest *What : Order) {
     if (Full.count(What->m_Pool) != 0 && Now < queueDeadline(*What))
--- a/Libraries/LibRouting/Dispatcher.h
+++ b/Libraries/LibRouting/Dispatcher.h
@@ -32,9 +32,10 @@
   double m_ExpectedEvents = 0;
   core::TimePoint m_ArrivedAt{};
   /// Time after which a first byte is late. A stream that can no longer begin
-  /// by then is refused; a short request is still served.
+  /// by then is refused unless a slot is free; a short request is still served.
   core::TimePoint m_FirstByteDue{};
-  /// Time at which the caller abandons a stream without an event.
+  /// Time at which the caller abandons a stream that has sent no event, or no
+  /// further one if it has begun; m_EndsAt for other requests.
   core::TimePoint m_FirstEventDeadline{};
   /// Time by which the response must be complete.
   core::TimePoint m_EndsAt{};
@@ -72,8 +73,9 @@
   void place(const PlacementRequest &What, core::TimePoint Now);
   /// Removes a request from the queue. \returns false if it was not queued.
   bool withdraw(core::RequestId Request);
-  /// Sends queued requests that have a free slot, and sends or refuses those
-  /// whose queue deadline has passed.
+  /// Sends queued requests for which a slot is free. Sends or refuses those
+  /// whose queue deadline has passed, and refuses those that no target can
+  /// serve any more.
   void dispatchWaiting(core::TimePoint Now);
   std::size_t waiting() const { return m_Waiting.size(); }
   std::size_t waitingFor(const core::PoolName &Pool) const;
@@ -87,15 +89,16 @@
   /// Whether the pool has recently had requests of several priorities, and this
   /// request has the lowest of them.
   bool isLowestPriority(const PlacementRequest &What) const;
-  /// Time until which a request waits for a free slot. After that a stream is
-  /// refused, and a short request is sent without a slot.
+  /// Time until which a request waits for a free slot. If there is none by
+  /// then, a stream is refused, and a short request is sent without a slot.
+  /// Under LeastOutstanding, no request waits.
   core::TimePoint queueDeadline(const PlacementRequest &What) const;
   bool precedes(const PlacementRequest &A, const PlacementRequest &B,
                 core::TimePoint Now) const;
   /// Sends or refuses a request. \returns false if it has to wait.
   bool trySend(const PlacementRequest &What, core::TimePoint Now);
   /// Returns when a throttled target accepts this request, after those that
-  /// precede it; none if a target is open now or no target will open.
+  /// precede it; none if a target accepts one now or no target will.
   std::optional<core::TimePoint> nextAvailability(const PlacementRequest &What,
                                                   core::TimePoint Now) const;
   /// Returns the targets that may receive a request. Targets in cooldown are
@@ -107,7 +110,7 @@
   std::vector<KnownTarget *> canaryCandidates(const VersionGate &Gate,
                                               const PlacementRequest &What,
                                               core::TimePoint Now) const;
-  /// \returns null if the pool has no gate.
+  /// Returns the version gate of a pool, or null if it has none.
   const VersionGate *gateOf(const core::PoolName &Pool) const;
   bool hasFreeSlot(const KnownTarget &Known,
                    const PlacementRequest &What) const;
@@ -117,7 +120,8 @@
   KnownTarget *choose(const PlacementRequest &What, bool MustSend,
                       core::TimePoint Now, bool &HasCandidate);
   /// Returns the predicted wait at a target plus penalties, in milliseconds;
-  /// under LeastOutstanding, the share of its slots that local requests use.
+  /// under LeastOutstanding, the share of its slots that local requests use,
+  /// plus a small penalty for another data hall.
   double cost(const KnownTarget &Known, const PlacementRequest &What,
               core::TimePoint Now) const;
   /// Returns the expected time to process a prompt on an idle target.
@@ -127,7 +131,7 @@
   static std::size_t slotsFor(const KnownTarget &Known,
                               const PlacementRequest &What);
   /// Whether the reserved slots stay free if this request takes one more slot.
-  /// Applies only to requests of the lowest priority.
+  /// True for all requests that do not have the lowest priority.
   bool leavesReservedSlots(const PlacementRequest &What,
                            core::TimePoint Now) const;
   void recordPriority(const PlacementRequest &What, core::TimePoint Now);
