--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -2,8 +2,9 @@
 //
 // Each instance knows all targets and sends requests to a subset of them. The
 // cost of frequent operations (requests, load reports, expiry checks) depends
-// on the subset alone; adding, changing or removing a target costs
-// logarithmically in the size of its pool.
+// on the subset and on the targets concerned, not on the size of the pool.
+// Adding, moving or removing a target takes a number of comparisons that is
+// logarithmic in the size of its pool, and a rebuild of the subset.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_TARGETDIRECTORY_H
@@ -66,8 +67,8 @@
   /// \param PendingPromptTokens prompt tokens still without a first event.
   void recordEnd(const TargetIncarnation &Incarnation,
                  std::uint32_t PendingPromptTokens);
-  /// Raises the failure rate and starts a cooldown. The first failure of a
-  /// request that ran starts none.
+  /// Raises the failure rate and starts a cooldown, unless the request ran
+  /// (TargetFailure::Failed) and no other failure directly precedes it.
   void recordFailure(const TargetIncarnation &Incarnation, TargetFailure How,
                      core::TimePoint Now);
   /// Excludes an incarnation because another one responded at its address.
@@ -114,10 +115,12 @@
   void setSubset(const FleetSubset &Subset);
 
   /// Whether the incarnation may end at any time for reasons unrelated to its
-  /// requests: it is leaving, has ended, or is missing while others are not.
+  /// requests: it is leaving, has ended, or its announcement is missing while
+  /// most others are not.
   bool isLeaving(const TargetIncarnation &Incarnation) const;
   KnownTarget *find(const core::TargetName &Name);
-  /// \returns null if the incarnation is unknown or known to have ended.
+  /// Returns the target, or null if the incarnation is unknown or known to have
+  /// ended.
   KnownTarget *findByIncarnation(const TargetIncarnation &Incarnation);
   /// Returns the targets of this instance's subset of a pool.
   const std::vector<KnownTarget *> &subsetOf(const core::PoolName &Pool);
