--- a/Libraries/LibRouting/KnownTarget.cpp
+++ b/Libraries/LibRouting/KnownTarget.cpp
@@ -4,7 +4,8 @@
 
 namespace yardrill::routing {
 
-/// Consecutive failures after which a target is on probation.
+/// Consecutive failures after which a target that has cooled down is tried with
+/// one request at a time.
 static constexpr unsigned FailuresBeforeProbation = 2;
 
 bool KnownTarget::isOnProbation() const {
--- a/Libraries/LibRouting/KnownTarget.h
+++ b/Libraries/LibRouting/KnownTarget.h
@@ -12,7 +12,8 @@
 
 namespace yardrill::routing {
 
-/// Load on a target: that of this instance, or the sum over other instances.
+/// Load on a target: that of this instance, or the sum over the other instances
+/// of its group.
 struct TargetLoad {
   /// Number of requests sent whose response is not complete.
   std::size_t m_Running = 0;
@@ -48,7 +49,8 @@
   bool acceptsRequests() const {
     return !m_Target.m_IsLeaving && !m_IsReplaced;
   }
-  /// Whether it receives only one request at a time until one succeeds.
+  /// Whether this instance sends it only one request at a time, after failures
+  /// and until a request succeeds or its stream begins.
   bool isOnProbation() const;
 
   /// Orders by hash, then by name; the same order on all instances.
--- a/Libraries/LibRouting/Target.h
+++ b/Libraries/LibRouting/Target.h
@@ -30,6 +30,7 @@
   bool operator==(const TargetIncarnation &Other) const {
     return m_StartTime == Other.m_StartTime && m_Name == Other.m_Name;
   }
+  /// Arbitrary order for containers; does not tell which one is older.
   bool operator<(const TargetIncarnation &Other) const {
     return std::tie(m_Name, m_StartTime) <
            std::tie(Other.m_Name, Other.m_StartTime);
