--- a/Libraries/LibRouting/TargetThrottleTable.cpp
+++ b/Libraries/LibRouting/TargetThrottleTable.cpp
@@ -10,7 +10,8 @@
 /// limit, because all senders must be gone. Longer than the membership needs to
 /// select other senders.
 static constexpr std::chrono::seconds ReportTimeout{30};
-/// Time after which a leaving target has exited. Its name is not used again.
+/// Time after which a leaving target has exited. Its incarnation does not
+/// return.
 static constexpr std::chrono::minutes LeavingStateLifetime{10};
 
 bool TargetThrottleTable::update(const TargetIncarnation &Incarnation,
--- a/Libraries/LibRouting/TargetThrottleTable.h
+++ b/Libraries/LibRouting/TargetThrottleTable.h
@@ -60,8 +60,9 @@
   /// Whether the incarnation has stated that it exits soon.
   bool isLeaving(const TargetIncarnation &Incarnation) const;
 
-  /// Returns the reports to repeat to other instances: limits of which this
-  /// instance is a sender, and recent changes that it received from a target.
+  /// Returns the reports to repeat to other instances: current and recently
+  /// cleared limits of which this instance is a sender, and recent changes that
+  /// it received from a target.
   std::vector<BackpressureReport> dueReports(core::TimePoint Now) const;
   BackpressureReport reportOf(const TargetIncarnation &Incarnation) const;
   /// Whether this instance may send to a limited target.
