--- a/Libraries/LibRouting/SharedRateLimit.cpp
+++ b/Libraries/LibRouting/SharedRateLimit.cpp
@@ -4,8 +4,8 @@
 
 namespace yardrill::routing {
 
-/// Time during which a response without a limit may be an older one that was
-/// overtaken, and does not clear the limit.
+/// Time after an update with a limit during which a response without one does
+/// not clear the limit, because the target may have made it earlier.
 static constexpr std::chrono::seconds ReorderTime{1};
 
 bool SharedRateLimit::apply(const RateLimitUpdate &Update) {
--- a/Libraries/LibRouting/SharedRateLimit.h
+++ b/Libraries/LibRouting/SharedRateLimit.h
@@ -39,8 +39,9 @@
   /// zero, because only a response can raise the limit.
   static constexpr double MinPerSecond = 0.25;
 
-  /// Applies the limit from a response to this or another instance. Updates
-  /// older than the latest are ignored. \returns whether the limit has changed.
+  /// Applies the limit from a response to this or another instance. Ignores
+  /// updates older than the latest, and one without a limit shortly after one
+  /// with a limit. \returns whether the limit has changed.
   bool apply(const RateLimitUpdate &Update);
   bool isLimited() const { return m_Update.m_PerSecond.has_value(); }
   /// Returns the latest applied update.
