--- a/Libraries/LibRouting/DistributedQuota.cpp
+++ b/Libraries/LibRouting/DistributedQuota.cpp
@@ -12,11 +12,12 @@
 /// Maximum time for which an owner that refused is skipped. Other instances may
 /// return tokens to it earlier than it estimated.
 static constexpr std::chrono::milliseconds MaxExhaustedTime{50};
-/// Share of the tolerance that isolated instances may use as a burst, and again
-/// within each window, so half of it in any window. The other half covers debts
-/// and restarts. A share of the limit would be too much, because the owners do
-/// not grant less meanwhile: if a third of the fleet is isolated, it would add
-/// 2.8 x rate to a window, where 0.9 x rate and a constant are tolerated.
+/// Share of the tolerance that all isolated instances together may use as a
+/// burst, and again within each window, so half of it in any window. The other
+/// half covers debts and restarts. A share of the limit would be too much,
+/// because the owners do not grant less meanwhile: if a third of the fleet is
+/// isolated, it would add 2.8 x rate to a window, where 0.9 x rate and a
+/// constant are tolerated.
 static constexpr double IsolatedShare = 0.25;
 /// Time until a retry after a refusal for which no owner gave a time.
 static constexpr std::chrono::milliseconds DefaultRetryAfter{250};
--- a/Libraries/LibRouting/DistributedQuota.h
+++ b/Libraries/LibRouting/DistributedQuota.h
@@ -27,10 +27,12 @@
 
 /// Source of the tokens that a request was granted.
 enum class QuotaSource {
-  None,     ///< The account has no limit, or the request was refused.
-  Advance,  ///< A cached grant.
-  Owner,    ///< A grant for this request.
-  Isolated, ///< This instance's share of the tolerance; no owner was reached.
+  None,    ///< The account has no limit, or an owner refused the request.
+  Advance, ///< A cached grant.
+  Owner,   ///< A grant for this request.
+  /// This instance's share of the tolerance, because no owner was reached. Also
+  /// if that share did not suffice and the request was refused.
+  Isolated,
 };
 
 std::string toString(QuotaSource Source);
