--- a/Libraries/LibRouting/QuotaOwner.h
+++ b/Libraries/LibRouting/QuotaOwner.h
@@ -64,7 +64,9 @@
 enum class QuotaVerdict : std::uint8_t {
   Granted,
   Refused,
-  NotOwner, ///< Not an owner, or not configured yet.
+  /// Does not own the account, is not configured yet, or cannot confirm the
+  /// membership.
+  NotOwner,
 };
 
 /// Response of an owner.
@@ -92,6 +94,7 @@
   /// it would not, it grants nothing, because another instance may own the same
   /// shares by a newer membership.
   void setListConfirmed(bool IsConfirmed) { m_IsListConfirmed = IsConfirmed; }
+  /// Takes back the returned tokens, then grants or refuses the wanted ones.
   QuotaResponse handleRequest(const QuotaRequest &Request, core::TimePoint Now);
 
   /// Returns the charges made since the last call, to be sent to other owners.
@@ -100,7 +103,7 @@
     return std::exchange(m_Charges, {});
   }
   /// Takes over a part of another owner's debt. \returns false if this instance
-  /// does not own the account.
+  /// does not own the account or cannot confirm the membership.
   bool charge(AccountHash Account, std::uint32_t Tokens, core::TimePoint Now);
   /// Reduces the debt by \p Tokens that another owner has taken over.
   void settleCharge(AccountHash Account, std::uint32_t Tokens,
@@ -113,7 +116,8 @@
     std::vector<config::Endpoint> m_Others; ///< Other owners of the account.
   };
 
-  /// Queues charges that divide a debt evenly over all owners.
+  /// Queues charges that divide a debt evenly over all owners, unless they
+  /// would be too small.
   void shareDebt(AccountHash Account, Bucket &Quota, core::TimePoint Now);
   /// Returns the initial level of a new bucket in tokens.
   /// \param Limits of the whole account.
--- a/Libraries/LibRouting/TokenBucket.h
+++ b/Libraries/LibRouting/TokenBucket.h
@@ -37,7 +37,7 @@
   void giveBack(double Tokens, core::TimePoint Now);
   /// Returns the time until a refused request is likely to succeed: until the
   /// debt and the recently refused tokens, which are retried too, are refilled.
-  /// Zero if the level is above zero.
+  /// Zero if the level is above zero or the rate is zero.
   core::Duration untilAvailable() const;
   /// Returns the number of tokens; below zero if the bucket is in debt.
   double level(core::TimePoint Now);
