--- a/Libraries/LibRouting/FleetSubset.h
+++ b/Libraries/LibRouting/FleetSubset.h
@@ -37,13 +37,15 @@
 /// Assigns this instance to a group and selects the group's targets.
 class FleetSubset {
 public:
-  /// Default and minimum size of a group: small enough for several reports a
-  /// second between all members, large enough to average out their callers.
+  /// Default group size, and the minimum that groupSizeFor() returns: small
+  /// enough for several reports a second between all members, large enough to
+  /// average out their callers.
   static constexpr std::size_t DefaultGroupSize = 8;
 
-  /// Returns the group size for a fleet whose largest pool has \p Targets
-  /// targets. Groups are large enough for each to have its own subset of that
-  /// pool, because groups that share targets do not see each other's load.
+  /// Returns the maximum number of instances in a group, for a fleet whose
+  /// largest pool has \p Targets targets. Up to an upper bound, groups are
+  /// large enough for each to have its own subset of that pool, because groups
+  /// that share targets do not see each other's load.
   static std::size_t groupSizeFor(std::size_t Instances, std::size_t Targets);
 
   /// Maps the peer address of each instance to its data hall.
--- a/Libraries/LibRouting/RoutingTable.h
+++ b/Libraries/LibRouting/RoutingTable.h
@@ -16,6 +16,7 @@
 /// Priority of a request: compared first by the tier of its client account,
 /// then by that of its route.
 struct Priority {
+  /// Tier of the account, or of the route if the account has none.
   core::TierNumber m_Account{1};
   core::TierNumber m_Route{1};
 
