--- a/Libraries/LibRouting/FirstEventEstimate.cpp
+++ b/Libraries/LibRouting/FirstEventEstimate.cpp
@@ -8,8 +8,8 @@
 /// Weights of the newest observation (RFC 6298, section 2).
 static constexpr double MeanWeight = 1.0 / 8;
 static constexpr double DeviationWeight = 1.0 / 4;
-/// RFC 6298 uses 4. Refusing a stream slightly early costs less than sending a
-/// packet twice.
+/// RFC 6298 uses 4. A bound that is too low costs less here: a stream begins
+/// late, where TCP would send a packet twice.
 static constexpr double DeviationFactor = 2;
 /// Minimum, and the estimate without any observation.
 static constexpr std::chrono::milliseconds Floor{150};
