--- a/Tests/LibRouting/DispatcherBackpressureTest.cpp
+++ b/Tests/LibRouting/DispatcherBackpressureTest.cpp
@@ -93,7 +93,8 @@
     CPPUNIT_ASSERT(m_Refused.empty());
     place(2);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(2)) == 1);
-    // A request of a lower tier comes after the waiting one, which is too late.
+    // A request of a lower tier is served after the waiting one, which would be
+    // too late for it.
     m_Refused.clear();
     place(3, 2);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(3)) == 1);
--- a/Tests/LibRouting/DispatcherTest.cpp
+++ b/Tests/LibRouting/DispatcherTest.cpp
@@ -442,7 +442,7 @@
     m_Now += milliseconds(1300);
     m_Targets.removeExpired(m_Now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Targets.all().size());
-    // If most targets are missing, the store is down and they may return.
+    // If most targets are missing, the store may be down and they may return.
     m_Targets.withdraw(core::TargetName("b"), m_Now);
     m_Now += milliseconds(2000);
     m_Targets.removeExpired(m_Now);
--- a/Tests/LibRouting/QuotaModelTest.cpp
+++ b/Tests/LibRouting/QuotaModelTest.cpp
@@ -228,7 +228,7 @@
   void testKilledInTurn() { check(Faults::KillsInTurn, BoundOfWindow, 0.05); }
   void testSomeAreCutOff() { check(Faults::Cuts, BoundOfWindow, 0.05); }
   // Isolated instances refuse most requests, because the tolerance covers only
-  // 77 of them for a fleet of up to 440 instances. They must grant exactly
+  // 77 of them for a fleet of up to 440 instances. On average they must grant
   // their share of it: a quarter at once, and another quarter per window.
   void testCutOffInstancesUseTheTolerance() {
     constexpr int Seeds = 40;
--- a/Tests/LibRouting/QuotaTest.cpp
+++ b/Tests/LibRouting/QuotaTest.cpp
@@ -193,7 +193,7 @@
     Owner.configure(accounts(1000, 1000), ConsistentHashRing({Self}), m_Now);
     CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
                    QuotaVerdict::Refused);
-    // The previous owner may not know the new membership yet, and go on
+    // The previous owner may not know the new membership yet and may go on
     // granting what is refilled.
     m_Now += milliseconds(2990);
     CPPUNIT_ASSERT(Owner.handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
@@ -351,6 +351,8 @@
 
   /// Returns the tokens that one isolated instance of \p Count grants to
   /// requests of 50 tokens, which arrive every \p Period until \p Length.
+  /// \param HasReachedOwner whether an owner grants a first request, which is
+  /// not counted.
   std::uint32_t grantedIsolated(std::size_t Count,
                                 const QuotaTolerance &Tolerance,
                                 std::uint64_t Seed, core::Duration Period,
