--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -35,7 +35,8 @@
 /// Time for which a priority counts as present after its last request.
 static constexpr std::chrono::seconds PriorityMemory{10};
 
-double Dispatcher::cost(const KnownTarget &Known, const PlacementRequest &What,
+double Dispatcher::cost(const KnownTarget &Known,
+                        const PlacementRequest &Request,
                         core::TimePoint Now) const {
   double HallCost =
       Known.m_Target.m_DataHall == m_LocalDataHall ? 0 : OtherHallCostMs;
@@ -47,17 +48,17 @@
   double Slots = static_cast<double>(Known.m_Target.m_Slots);
   double Queued = Running >= Slots ? Running - Slots + 1 : 0;
   double Prompt = 0;
-  if (What.m_IsInference)
+  if (Request.m_IsInference)
     Prompt = static_cast<double>(Known.m_LocalLoad.m_PendingPromptTokens +
                                  Known.m_RemoteLoad.m_PendingPromptTokens +
-                                 What.m_PromptTokens) /
+                                 Request.m_PromptTokens) /
              PromptTokensPerMs;
   double Start =
       (Prompt + Running * RunningCostMs + Queued * QueuedCostMs + 1) *
       Known.m_Slowness;
-  double Finish = Start + What.m_ExpectedEvents * Known.m_ServiceTimeMs;
+  double Finish = Start + Request.m_ExpectedEvents * Known.m_ServiceTimeMs;
   double TimeLeft =
-      core::toSeconds(What.m_EndsAt - Now) * 1000 * UsableTimeShare;
+      core::toSeconds(Request.m_EndsAt - Now) * 1000 * UsableTimeShare;
   double Overrun = std::max(0.0, Finish - TimeLeft);
   return Start + HallCost + Known.m_FailureRate * FailureCostMs +
          Overrun * OverrunWeight;
@@ -67,25 +68,25 @@
 // Order of requests
 //===----------------------------------------------------------------------===//
 
-void Dispatcher::recordPriority(const PlacementRequest &What,
+void Dispatcher::recordPriority(const PlacementRequest &Request,
                                 core::TimePoint Now) {
-  auto &LastSeen = m_PriorityLastSeen[What.m_Pool];
-  LastSeen[What.m_Priority] = Now;
+  auto &LastSeen = m_PriorityLastSeen[Request.m_Pool];
+  LastSeen[Request.m_Priority] = Now;
   for (auto Each = LastSeen.begin(); Each != LastSeen.end();)
     Each = Now - Each->second > PriorityMemory ? LastSeen.erase(Each)
                                                : std::next(Each);
 }
 
-bool Dispatcher::isLowestPriority(const PlacementRequest &What) const {
-  auto Found = m_PriorityLastSeen.find(What.m_Pool);
+bool Dispatcher::isLowestPriority(const PlacementRequest &Request) const {
+  auto Found = m_PriorityLastSeen.find(Request.m_Pool);
   return Found != m_PriorityLastSeen.end() && Found->second.size() > 1 &&
-         Found->second.rbegin()->first == What.m_Priority;
+         Found->second.rbegin()->first == Request.m_Priority;
 }
 
-Dispatcher::Urgency Dispatcher::urgencyOf(const PlacementRequest &What,
+Dispatcher::Urgency Dispatcher::urgencyOf(const PlacementRequest &Request,
                                           core::TimePoint Now) const {
-  bool IsLate = What.m_FirstByteDue <= Now;
-  if (isLowestPriority(What))
+  bool IsLate = Request.m_FirstByteDue <= Now;
+  if (isLowestPriority(Request))
     return IsLate ? Urgency::LowestLate : Urgency::LowestInTime;
   return IsLate ? Urgency::Late : Urgency::InTime;
 }
@@ -98,15 +99,16 @@
                          B.m_Request);
 }
 
-core::TimePoint Dispatcher::queueDeadline(const PlacementRequest &What) const {
+core::TimePoint
+Dispatcher::queueDeadline(const PlacementRequest &Request) const {
   if (m_Policy == PlacementPolicy::LeastOutstanding)
-    return What.m_ArrivedAt;
+    return Request.m_ArrivedAt;
   // A stream that is sent late takes the slot of one that could begin in time.
-  if (What.m_IsInference)
-    return std::min(What.m_FirstByteDue, What.m_FirstEventDeadline) -
-           m_Targets.expectedFirstEventTime(What.m_Pool);
-  core::Duration All = What.m_EndsAt - What.m_ArrivedAt;
-  return What.m_ArrivedAt +
+  if (Request.m_IsInference)
+    return std::min(Request.m_FirstByteDue, Request.m_FirstEventDeadline) -
+           m_Targets.expectedFirstEventTime(Request.m_Pool);
+  core::Duration All = Request.m_EndsAt - Request.m_ArrivedAt;
+  return Request.m_ArrivedAt +
          std::chrono::duration_cast<core::Duration>(All * MaxWaitShare);
 }
 
@@ -120,10 +122,10 @@
 }
 
 std::size_t Dispatcher::slotsFor(const KnownTarget &Known,
-                                 const PlacementRequest &What) {
+                                 const PlacementRequest &Request) {
   auto Slots = static_cast<double>(Known.m_Target.m_Slots);
-  if (!What.m_IsInference ||
-      prefillTimeMs(Known, What.m_PromptTokens) < ShortPrefillMs)
+  if (!Request.m_IsInference ||
+      prefillTimeMs(Known, Request.m_PromptTokens) < ShortPrefillMs)
     return Known.m_Target.m_Slots;
   // A long prompt stalls concurrent streams, the longer the slower the target.
   // Short prompts are not limited, or slow targets would stay mostly idle.
@@ -131,18 +133,18 @@
   return static_cast<std::size_t>(Slots);
 }
 
-bool Dispatcher::leavesReservedSlots(const PlacementRequest &What,
+bool Dispatcher::leavesReservedSlots(const PlacementRequest &Request,
                                      core::TimePoint Now) const {
-  if (!isLowestPriority(What))
+  if (!isLowestPriority(Request))
     return true;
-  const VersionGate *Gate = gateOf(What.m_Pool);
+  const VersionGate *Gate = gateOf(Request.m_Pool);
   double All = 0;
   double Free = 0;
-  for (const KnownTarget *Each : m_Targets.subsetOf(What.m_Pool)) {
+  for (const KnownTarget *Each : m_Targets.subsetOf(Request.m_Pool)) {
     if (!m_Targets.acceptsRequests(*Each, Now) ||
         (Gate && !Gate->mayServe(Each->m_Target, Now)))
       continue;
-    double Slots = static_cast<double>(slotsFor(*Each, What));
+    double Slots = static_cast<double>(slotsFor(*Each, Request));
     All += Slots;
     Free += std::max(0.0, Slots - static_cast<double>(Each->running()));
   }
@@ -155,13 +157,14 @@
 
 std::vector<KnownTarget *>
 Dispatcher::canaryCandidates(const VersionGate &Gate,
-                             const PlacementRequest &What,
+                             const PlacementRequest &Request,
                              core::TimePoint Now) const {
   // A request that has already failed once is not used as a sample.
-  if (!What.m_TriedTargets.empty() || !Gate.isCanaryDue(What.m_Route, Now))
+  if (!Request.m_TriedTargets.empty() ||
+      !Gate.isCanaryDue(Request.m_Route, Now))
     return {};
   std::vector<KnownTarget *> All;
-  for (KnownTarget *Each : m_Targets.subsetOf(What.m_Pool))
+  for (KnownTarget *Each : m_Targets.subsetOf(Request.m_Pool))
     if (m_Targets.acceptsRequests(*Each, Now) && Gate.isCanary(Each->m_Target))
       All.push_back(Each);
   if (All.empty())
@@ -173,17 +176,18 @@
   std::vector<KnownTarget *> Out;
   for (std::size_t I = 0; I < Count; ++I) {
     KnownTarget *Each = All[(First + I) % All.size()];
-    if (Each->m_CooldownUntil <= Now && hasFreeSlot(*Each, What))
+    if (Each->m_CooldownUntil <= Now && hasFreeSlot(*Each, Request))
       Out.push_back(Each);
   }
   return Out;
 }
 
-std::vector<KnownTarget *> Dispatcher::candidates(const PlacementRequest &What,
-                                                  core::TimePoint Now) const {
-  const VersionGate *Gate = gateOf(What.m_Pool);
+std::vector<KnownTarget *>
+Dispatcher::candidates(const PlacementRequest &Request,
+                       core::TimePoint Now) const {
+  const VersionGate *Gate = gateOf(Request.m_Pool);
   if (Gate) {
-    std::vector<KnownTarget *> Canaries = canaryCandidates(*Gate, What, Now);
+    std::vector<KnownTarget *> Canaries = canaryCandidates(*Gate, Request, Now);
     if (!Canaries.empty())
       return Canaries;
   }
@@ -191,15 +195,15 @@
   auto AddCandidates = [&](const std::vector<KnownTarget *> &From) {
     for (KnownTarget *Each : From)
       if (m_Targets.acceptsRequests(*Each, Now) &&
-          What.m_TriedTargets.count(Each->m_Target.incarnation()) == 0 &&
+          Request.m_TriedTargets.count(Each->m_Target.incarnation()) == 0 &&
           (!Gate || Gate->mayServe(Each->m_Target, Now)))
         Out.push_back(Each);
   };
-  AddCandidates(m_Targets.subsetOf(What.m_Pool));
+  AddCandidates(m_Targets.subsetOf(Request.m_Pool));
   // During a rollout, this instance's subset may contain no target of a version
   // that takes requests.
   if (Gate && Out.empty())
-    AddCandidates(m_Targets.allTargetsOf(What.m_Pool));
+    AddCandidates(m_Targets.allTargetsOf(Request.m_Pool));
   // A failing target always has free slots. Without this it would receive the
   // whole queue whenever the others are full.
   auto IsCoolingDown = [Now](const KnownTarget *Each) {
@@ -211,24 +215,24 @@
 }
 
 bool Dispatcher::hasFreeSlot(const KnownTarget &Known,
-                             const PlacementRequest &What) const {
+                             const PlacementRequest &Request) const {
   if (Known.isOnProbation())
     return Known.m_LocalLoad.m_Running == 0;
-  return Known.running() < slotsFor(Known, What);
+  return Known.running() < slotsFor(Known, Request);
 }
 
-KnownTarget *Dispatcher::choose(const PlacementRequest &What, bool MustSend,
+KnownTarget *Dispatcher::choose(const PlacementRequest &Request, bool MustSend,
                                 core::TimePoint Now, bool &HasCandidate) {
   KnownTarget *Best = nullptr;
   bool IsBestExpired = false;
   double BestCost = 0;
-  for (KnownTarget *Each : candidates(What, Now)) {
+  for (KnownTarget *Each : candidates(Request, Now)) {
     HasCandidate = true;
-    if (!MustSend && !hasFreeSlot(*Each, What))
+    if (!MustSend && !hasFreeSlot(*Each, Request))
       continue;
     // Targets with an expired announcement are used when the others are full.
     bool IsExpired = Each->m_ExpiredAt.has_value();
-    double Cost = cost(*Each, What, Now);
+    double Cost = cost(*Each, Request, Now);
     if (Best && std::tie(IsExpired, Cost) >= std::tie(IsBestExpired, BestCost))
       continue;
     Best = Each;
@@ -239,63 +243,63 @@
 }
 
 std::optional<core::TimePoint>
-Dispatcher::nextAvailability(const PlacementRequest &What,
+Dispatcher::nextAvailability(const PlacementRequest &Request,
                              core::TimePoint Now) const {
   if (m_Targets.throttles().isEmpty())
     return std::nullopt;
   auto Ahead =
       std::count_if(m_Waiting.begin(), m_Waiting.end(), [&](const auto &Each) {
-        return Each.second.m_Pool == What.m_Pool &&
-               precedes(Each.second, What, Now);
+        return Each.second.m_Pool == Request.m_Pool &&
+               precedes(Each.second, Request, Now);
       });
-  return m_Targets.availableAt(What.m_Pool, static_cast<std::size_t>(Ahead),
-                               Now, What.m_TriedTargets);
+  return m_Targets.availableAt(Request.m_Pool, static_cast<std::size_t>(Ahead),
+                               Now, Request.m_TriedTargets);
 }
 
-bool Dispatcher::trySend(const PlacementRequest &What, core::TimePoint Now) {
+bool Dispatcher::trySend(const PlacementRequest &Request, core::TimePoint Now) {
   bool HasCandidate = false;
-  bool IsTimeUp = queueDeadline(What) <= Now;
+  bool IsTimeUp = queueDeadline(Request) <= Now;
   // A stream that queues at a full target delays all streams there, so it is
   // refused instead; its caller can retry.
-  bool MustSend = IsTimeUp && (!What.m_IsInference ||
+  bool MustSend = IsTimeUp && (!Request.m_IsInference ||
                                m_Policy == PlacementPolicy::LeastOutstanding);
-  KnownTarget *Best = choose(What, MustSend, Now, HasCandidate);
+  KnownTarget *Best = choose(Request, MustSend, Now, HasCandidate);
   // The lowest priority uses a reserved slot only after its queue deadline.
-  if (Best && !IsTimeUp && !leavesReservedSlots(What, Now))
+  if (Best && !IsTimeUp && !leavesReservedSlots(Request, Now))
     return false;
   if (!HasCandidate && !IsTimeUp) {
-    auto AvailableAt = nextAvailability(What, Now);
-    if (AvailableAt && *AvailableAt <= queueDeadline(What))
+    auto AvailableAt = nextAvailability(Request, Now);
+    if (AvailableAt && *AvailableAt <= queueDeadline(Request))
       return false;
   }
   if (!HasCandidate || (IsTimeUp && !Best)) {
-    m_Hooks.m_Refuse(What.m_Request);
+    m_Hooks.m_Refuse(Request.m_Request);
     return true;
   }
   if (!Best)
     return false;
   Target Chosen = Best->m_Target;
-  if (!m_Targets.tryStartRequest(Chosen.incarnation(), What.m_PromptTokens,
+  if (!m_Targets.tryStartRequest(Chosen.incarnation(), Request.m_PromptTokens,
                                  Now))
     return false;
-  m_Hooks.m_Send(What.m_Request, Chosen);
+  m_Hooks.m_Send(Request.m_Request, Chosen);
   return true;
 }
 
-void Dispatcher::place(const PlacementRequest &What, core::TimePoint Now) {
-  recordPriority(What, Now);
+void Dispatcher::place(const PlacementRequest &Request, core::TimePoint Now) {
+  recordPriority(Request, Now);
   bool IsBehindOthers =
       std::any_of(m_Waiting.begin(), m_Waiting.end(), [&](const auto &Each) {
-        return Each.second.m_Pool == What.m_Pool &&
-               precedes(Each.second, What, Now);
+        return Each.second.m_Pool == Request.m_Pool &&
+               precedes(Each.second, Request, Now);
       });
-  if (!IsBehindOthers && trySend(What, Now))
+  if (!IsBehindOthers && trySend(Request, Now))
     return;
   // Refuse now what throttled targets would accept only after the deadline.
-  auto AvailableAt = nextAvailability(What, Now);
-  if (AvailableAt && *AvailableAt > queueDeadline(What))
-    return m_Hooks.m_Refuse(What.m_Request);
-  m_Waiting.emplace(What.m_Request, What);
+  auto AvailableAt = nextAvailability(Request, Now);
+  if (AvailableAt && *AvailableAt > queueDeadline(Request))
+    return m_Hooks.m_Refuse(Request.m_Request);
+  m_Waiting.emplace(Request.m_Request, Request);
 }
 
 std::size_t Dispatcher::waitingFor(const core::PoolName &Pool) const {
@@ -305,15 +309,15 @@
       }));
 }
 
-bool Dispatcher::withdraw(core::RequestId Request) {
-  return m_Waiting.erase(Request) != 0;
+bool Dispatcher::withdraw(core::RequestId Id) {
+  return m_Waiting.erase(Id) != 0;
 }
 
 void Dispatcher::dispatchWaiting(core::TimePoint Now) {
   std::vector<const PlacementRequest *> Order;
   Order.reserve(m_Waiting.size());
-  for (const auto &[Request, What] : m_Waiting)
-    Order.push_back(&What);
+  for (const auto &[Id, Request] : m_Waiting)
+    Order.push_back(&Request);
   std::sort(Order.begin(), Order.end(),
             [&](const PlacementRequest *A, const PlacementRequest *B) {
               return precedes(*A, *B, Now);
@@ -321,13 +325,13 @@
   // Once a request has to wait, later ones of its pool must not overtake it.
   // Those whose queue deadline has passed are still sent or refused.
   std::set<core::PoolName> Full;
-  for (const PlacementRequest *What : Order) {
-    if (Full.count(What->m_Pool) != 0 && Now < queueDeadline(*What))
+  for (const PlacementRequest *Request : Order) {
+    if (Full.count(Request->m_Pool) != 0 && Now < queueDeadline(*Request))
       continue;
-    if (trySend(*What, Now))
-      m_Waiting.erase(core::RequestId(What->m_Request));
+    if (trySend(*Request, Now))
+      m_Waiting.erase(core::RequestId(Request->m_Request));
     else
-      Full.insert(What->m_Pool);
+      Full.insert(Request->m_Pool);
   }
 }
 
--- a/Libraries/LibRouting/Dispatcher.h
+++ b/Libraries/LibRouting/Dispatcher.h
@@ -70,9 +70,9 @@
         m_Policy(Policy), m_Hooks(std::move(Hooks)) {}
 
   /// Sends, queues or refuses a request.
-  void place(const PlacementRequest &What, core::TimePoint Now);
+  void place(const PlacementRequest &Request, core::TimePoint Now);
   /// Removes a request from the queue. \returns false if it was not queued.
-  bool withdraw(core::RequestId Request);
+  bool withdraw(core::RequestId Id);
   /// Sends queued requests for which a slot is free. Sends or refuses those
   /// whose queue deadline has passed, and refuses those that no target can
   /// serve any more.
@@ -85,56 +85,56 @@
   /// priorities wait for all others, even for those that are already late.
   enum class Urgency { InTime, Late, LowestInTime, LowestLate };
 
-  Urgency urgencyOf(const PlacementRequest &What, core::TimePoint Now) const;
+  Urgency urgencyOf(const PlacementRequest &Request, core::TimePoint Now) const;
   /// Whether the pool has recently had requests of several priorities, and this
   /// request has the lowest of them.
-  bool isLowestPriority(const PlacementRequest &What) const;
+  bool isLowestPriority(const PlacementRequest &Request) const;
   /// Time until which a request waits for a free slot. If there is none by
   /// then, a stream is refused, and a short request is sent without a slot.
   /// Under LeastOutstanding, no request waits.
-  core::TimePoint queueDeadline(const PlacementRequest &What) const;
+  core::TimePoint queueDeadline(const PlacementRequest &Request) const;
   bool precedes(const PlacementRequest &A, const PlacementRequest &B,
                 core::TimePoint Now) const;
   /// Sends or refuses a request. \returns false if it has to wait.
-  bool trySend(const PlacementRequest &What, core::TimePoint Now);
+  bool trySend(const PlacementRequest &Request, core::TimePoint Now);
   /// Returns when a throttled target accepts this request, after those that
   /// precede it; none if a target accepts one now or no target will.
-  std::optional<core::TimePoint> nextAvailability(const PlacementRequest &What,
-                                                  core::TimePoint Now) const;
+  std::optional<core::TimePoint>
+  nextAvailability(const PlacementRequest &Request, core::TimePoint Now) const;
   /// Returns the targets that may receive a request. Targets in cooldown are
   /// included only if all targets are.
-  std::vector<KnownTarget *> candidates(const PlacementRequest &What,
+  std::vector<KnownTarget *> candidates(const PlacementRequest &Request,
                                         core::TimePoint Now) const;
   /// Returns the canary targets to send this request to; empty unless the
   /// request is due as a sample.
   std::vector<KnownTarget *> canaryCandidates(const VersionGate &Gate,
-                                              const PlacementRequest &What,
+                                              const PlacementRequest &Request,
                                               core::TimePoint Now) const;
   /// Returns the version gate of a pool, or null if it has none.
   const VersionGate *gateOf(const core::PoolName &Pool) const;
   bool hasFreeSlot(const KnownTarget &Known,
-                   const PlacementRequest &What) const;
+                   const PlacementRequest &Request) const;
   /// Returns the cheapest candidate, or null if none has a free slot.
   /// \param MustSend whether to ignore free slots.
   /// \param HasCandidate set to true if there is any candidate.
-  KnownTarget *choose(const PlacementRequest &What, bool MustSend,
+  KnownTarget *choose(const PlacementRequest &Request, bool MustSend,
                       core::TimePoint Now, bool &HasCandidate);
   /// Returns the predicted wait at a target plus penalties, in milliseconds;
   /// under LeastOutstanding, the share of its slots that local requests use,
   /// plus a small penalty for another data hall.
-  double cost(const KnownTarget &Known, const PlacementRequest &What,
+  double cost(const KnownTarget &Known, const PlacementRequest &Request,
               core::TimePoint Now) const;
   /// Returns the expected time to process a prompt on an idle target.
   static double prefillTimeMs(const KnownTarget &Known, std::uint32_t Tokens);
   /// Returns how many slots of a target a request may use: fewer than all if
   /// the target is slow and the prompt is long.
   static std::size_t slotsFor(const KnownTarget &Known,
-                              const PlacementRequest &What);
+                              const PlacementRequest &Request);
   /// Whether the reserved slots stay free if this request takes one more slot.
   /// True for all requests that do not have the lowest priority.
-  bool leavesReservedSlots(const PlacementRequest &What,
+  bool leavesReservedSlots(const PlacementRequest &Request,
                            core::TimePoint Now) const;
-  void recordPriority(const PlacementRequest &What, core::TimePoint Now);
+  void recordPriority(const PlacementRequest &Request, core::TimePoint Now);
 
   TargetDirectory &m_Targets;
   core::DataHallName m_LocalDataHall;
