--- a/Libraries/LibRouting/TargetDirectory.cpp
+++ b/Libraries/LibRouting/TargetDirectory.cpp
@@ -31,8 +31,8 @@
         return senderCount(Incarnation);
       }) {}
 
-void TargetDirectory::invalidateSubset(PoolState &Which) {
-  Which.m_IsSubsetValid = false;
+void TargetDirectory::invalidateSubset(PoolState &Pool) {
+  Pool.m_IsSubsetValid = false;
   m_Throttles.invalidateSenders();
 }
 
@@ -56,19 +56,19 @@
       m_RemotelyBusy.end());
 }
 
-AnnouncementEffect TargetDirectory::announce(const Target &What) {
-  m_Expired.erase(What.m_Name);
-  auto [Entry, IsNew] = m_Targets.try_emplace(What.m_Name);
+AnnouncementEffect TargetDirectory::announce(const Target &Announced) {
+  m_Expired.erase(Announced.m_Name);
+  auto [Entry, IsNew] = m_Targets.try_emplace(Announced.m_Name);
   KnownTarget &Known = Entry->second;
-  bool IsReset = IsNew || Known.m_Target.m_StartTime != What.m_StartTime;
-  bool IsMoved = IsReset || Known.m_Target.m_Pool != What.m_Pool ||
-                 Known.m_Target.m_DataHall != What.m_DataHall;
+  bool IsReset = IsNew || Known.m_Target.m_StartTime != Announced.m_StartTime;
+  bool IsMoved = IsReset || Known.m_Target.m_Pool != Announced.m_Pool ||
+                 Known.m_Target.m_DataHall != Announced.m_DataHall;
   bool WasExpired = Known.m_ExpiredAt.has_value();
   Known.m_ExpiredAt.reset();
-  if (!IsMoved && !WasExpired && Known.m_Target == What)
+  if (!IsMoved && !WasExpired && Known.m_Target == Announced)
     return AnnouncementEffect::Nothing;
   if (!IsMoved) {
-    Known.m_Target = What;
+    Known.m_Target = Announced;
     return AnnouncementEffect::Changed;
   }
   if (!IsNew)
@@ -76,8 +76,8 @@
   if (IsReset)
     Known = KnownTarget();
   Known.m_RemoteLoad = TargetLoad(); // The next reports set it.
-  Known.m_Target = What;
-  Known.m_Hash = What.incarnation().hash();
+  Known.m_Target = Announced;
+  Known.m_Hash = Announced.incarnation().hash();
   attach(Known);
   if (Known.m_LocalLoad.m_Running > 0)
     m_Busy.insert(&Known);
@@ -157,7 +157,8 @@
 }
 
 void TargetDirectory::recordFailure(const TargetIncarnation &Incarnation,
-                                    TargetFailure How, core::TimePoint Now) {
+                                    TargetFailure Failure,
+                                    core::TimePoint Now) {
   KnownTarget *Known = findByIncarnation(Incarnation);
   if (!Known)
     return;
@@ -165,7 +166,7 @@
   unsigned Doublings = std::min(Known->m_ConsecutiveFailures, 5U);
   ++Known->m_ConsecutiveFailures;
   // A target that runs requests but fails some is still useful.
-  if (How == TargetFailure::Failed && Doublings == 0)
+  if (Failure == TargetFailure::Failed && Doublings == 0)
     return;
   core::Duration Cooldown = std::min<core::Duration>(
       InitialCooldown * (1U << Doublings), MaxCooldown);
@@ -288,19 +289,17 @@
     invalidateSubset(Pool);
 }
 
-void TargetDirectory::rebuildSubset(PoolState &Which) const {
-  Which.m_IsSubsetValid = true;
-  Which.m_SubsetTargets.clear();
-  if (Which.m_Order.size() == 0)
+void TargetDirectory::rebuildSubset(PoolState &Pool) const {
+  Pool.m_IsSubsetValid = true;
+  Pool.m_SubsetTargets.clear();
+  if (Pool.m_Order.size() == 0)
     return;
-  FleetSubset::RankRange Range =
-      m_FleetSubset.subsetRanks(Which.m_Order.size());
-  Which.m_SubsetTargets = Which.m_Order.slice(Range.m_First, Range.m_End);
+  FleetSubset::RankRange Range = m_FleetSubset.subsetRanks(Pool.m_Order.size());
+  Pool.m_SubsetTargets = Pool.m_Order.slice(Range.m_First, Range.m_End);
   auto First =
-      Which.m_SubsetTargets.begin() +
-      static_cast<long>(m_FleetSubset.firstIndex(Which.m_SubsetTargets.size()));
-  std::rotate(Which.m_SubsetTargets.begin(), First,
-              Which.m_SubsetTargets.end());
+      Pool.m_SubsetTargets.begin() +
+      static_cast<long>(m_FleetSubset.firstIndex(Pool.m_SubsetTargets.size()));
+  std::rotate(Pool.m_SubsetTargets.begin(), First, Pool.m_SubsetTargets.end());
 }
 
 std::size_t TargetDirectory::senderCount(const TargetIncarnation &Incarnation) {
@@ -318,11 +317,11 @@
                                                                       : 0;
 }
 
-bool TargetDirectory::acceptsRequests(const KnownTarget &Which,
+bool TargetDirectory::acceptsRequests(const KnownTarget &Known,
                                       core::TimePoint Now) {
-  if (!Which.acceptsRequests() || m_Throttles.isEmpty())
-    return Which.acceptsRequests();
-  return m_Throttles.acceptsRequests(Which.m_Target.incarnation(), Now);
+  if (!Known.acceptsRequests() || m_Throttles.isEmpty())
+    return Known.acceptsRequests();
+  return m_Throttles.acceptsRequests(Known.m_Target.incarnation(), Now);
 }
 
 std::optional<core::TimePoint>
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -46,7 +46,7 @@
 
   /// Adds or updates a target. State of an earlier incarnation under the same
   /// name is discarded.
-  AnnouncementEffect announce(const Target &What);
+  AnnouncementEffect announce(const Target &Announced);
   /// Marks a target as expired because its announcement is missing. It is still
   /// used for a grace period if no other target is free: announcements that
   /// expired during a store outage return within two seconds of its end.
@@ -69,8 +69,8 @@
                  std::uint32_t PendingPromptTokens);
   /// Raises the failure rate and starts a cooldown, unless the request ran
   /// (TargetFailure::Failed) and no other failure directly precedes it.
-  void recordFailure(const TargetIncarnation &Incarnation, TargetFailure How,
-                     core::TimePoint Now);
+  void recordFailure(const TargetIncarnation &Incarnation,
+                     TargetFailure Failure, core::TimePoint Now);
   /// Excludes an incarnation because another one responded at its address.
   void recordReplacement(const TargetIncarnation &Incarnation);
   /// Lowers the failure rate and ends a probation.
@@ -93,7 +93,7 @@
   const TargetThrottleTable &throttles() const { return m_Throttles; }
   /// Whether a request may be sent now according to the target's announcement
   /// and backpressure. Cooldown and free slots are not considered.
-  bool acceptsRequests(const KnownTarget &Which, core::TimePoint Now);
+  bool acceptsRequests(const KnownTarget &Known, core::TimePoint Now);
   /// Returns when the first throttled target of the subset accepts a request;
   /// none if a target accepts one now or no target will.
   /// \param Ahead number of requests to be served first by limited targets.
@@ -155,9 +155,9 @@
   /// not.
   std::size_t senderCount(const TargetIncarnation &Incarnation);
   /// Schedules a rebuild of the subset and of the senders of limited targets.
-  void invalidateSubset(PoolState &Which);
+  void invalidateSubset(PoolState &Pool);
   void updateSlowness(const core::PoolName &Pool);
-  void rebuildSubset(PoolState &Which) const;
+  void rebuildSubset(PoolState &Pool) const;
   /// Removes a target from its pool and from all indexes.
   void detach(KnownTarget &Known);
   /// Adds a target to its pool and to the hash index.
