--- a/Libraries/LibRouting/FleetSubset.cpp
+++ b/Libraries/LibRouting/FleetSubset.cpp
@@ -85,8 +85,8 @@
 FleetSubset::RankRange FleetSubset::subsetRanks(std::size_t Count) const {
   std::size_t Partitions = partitionCount(Count);
   std::size_t Partition = m_Group * Partitions / m_GroupCount;
-  auto FirstRank = [&](std::size_t Which) {
-    return (Which * Count + Partitions - 1) / Partitions;
+  auto FirstRank = [&](std::size_t Index) {
+    return (Index * Count + Partitions - 1) / Partitions;
   };
   return {FirstRank(Partition), FirstRank(Partition + 1)};
 }
@@ -104,8 +104,8 @@
 
 std::size_t FleetSubset::rendezvousRank(std::uint64_t Key,
                                         std::size_t Count) const {
-  auto WeightOf = [Key](const config::Endpoint &Of) {
-    return core::stableHash(std::to_string(Key) + "@" + Of.toString());
+  auto WeightOf = [Key](const config::Endpoint &Instance) {
+    return core::stableHash(std::to_string(Key) + "@" + Instance.toString());
   };
   std::uint64_t Own = WeightOf(m_Self);
   std::vector<config::Endpoint> Peers = subsetInstances(Count);
--- a/Libraries/LibRouting/InterleavedTargets.cpp
+++ b/Libraries/LibRouting/InterleavedTargets.cpp
@@ -5,30 +5,30 @@
 
 namespace yardrill::routing {
 
-void InterleavedTargets::insert(KnownTarget &What) {
-  Hall &Into = m_Halls[What.m_Target.m_DataHall];
-  auto Position = std::lower_bound(Into.begin(), Into.end(), &What,
+void InterleavedTargets::insert(KnownTarget &Known) {
+  Hall &Members = m_Halls[Known.m_Target.m_DataHall];
+  auto Position = std::lower_bound(Members.begin(), Members.end(), &Known,
                                    [this](const auto *A, const auto *B) {
                                      ++m_VisitCount;
                                      return KnownTarget::ByHash()(A, B);
                                    });
-  Into.insert(Position, &What);
+  Members.insert(Position, &Known);
   ++m_Size;
 }
 
-void InterleavedTargets::erase(const KnownTarget &What) {
-  auto From = m_Halls.find(What.m_Target.m_DataHall);
-  assert(From != m_Halls.end());
-  Hall &Members = From->second;
-  auto Position = std::lower_bound(Members.begin(), Members.end(), &What,
+void InterleavedTargets::erase(const KnownTarget &Known) {
+  auto Entry = m_Halls.find(Known.m_Target.m_DataHall);
+  assert(Entry != m_Halls.end());
+  Hall &Members = Entry->second;
+  auto Position = std::lower_bound(Members.begin(), Members.end(), &Known,
                                    [this](const auto *A, const auto *B) {
                                      ++m_VisitCount;
                                      return KnownTarget::ByHash()(A, B);
                                    });
-  assert(Position != Members.end() && *Position == &What);
+  assert(Position != Members.end() && *Position == &Known);
   Members.erase(Position);
   if (Members.empty())
-    m_Halls.erase(From);
+    m_Halls.erase(Entry);
   --m_Size;
 }
 
--- a/Libraries/LibRouting/InterleavedTargets.h
+++ b/Libraries/LibRouting/InterleavedTargets.h
@@ -20,8 +20,8 @@
 public:
   /// Adds a target. The reference must stay valid, and its data hall, hash and
   /// name must not change, until the target is erased.
-  void insert(KnownTarget &What);
-  void erase(const KnownTarget &What);
+  void insert(KnownTarget &Known);
+  void erase(const KnownTarget &Known);
 
   std::size_t size() const { return m_Size; }
   /// Returns the targets at the ranks from \p First up to but excluding
