--- a/Libraries/LibRouting/QuotaOwner.cpp
+++ b/Libraries/LibRouting/QuotaOwner.cpp
@@ -57,16 +57,16 @@
   for (const Account &Each : Accounts) {
     AccountHash Hash = hashOf(Each.m_Name);
     std::vector<config::Endpoint> Owners = HashRing.ownersOf(Hash);
-    bool IsOwn =
+    bool IsOwner =
         std::find(Owners.begin(), Owners.end(), m_Self) != Owners.end();
-    if (!IsOwn || Each.m_TokensPerSecond <= 0)
+    if (!IsOwner || Each.m_TokensPerSecond <= 0)
       continue;
     double Share = 1 / static_cast<double>(Owners.size());
-    QuotaLimits All{Each.m_TokensPerSecond, Each.m_Burst};
-    QuotaLimits Limits = All.part(Share);
+    QuotaLimits AccountLimits{Each.m_TokensPerSecond, Each.m_Burst};
+    QuotaLimits Limits = AccountLimits.part(Share);
     auto Known = m_Buckets.find(Hash);
     if (Known == m_Buckets.end()) {
-      TokenBucket Tokens(Limits, initialLevel(All, Share), Now);
+      TokenBucket Tokens(Limits, initialLevel(AccountLimits, Share), Now);
       TokenBucket Advance(advanceLimits(Limits), 0, Now);
       Known = Next.emplace(Hash, Bucket{Tokens, Advance, {}}).first;
     } else {
@@ -112,8 +112,8 @@
 void QuotaOwner::shareDebt(AccountHash Account, Bucket &Quota,
                            core::TimePoint Now) {
   double Debt = -Quota.m_Tokens.level(Now);
-  double All = static_cast<double>(1 + Quota.m_Others.size());
-  auto Share = static_cast<std::uint32_t>(std::max(0.0, Debt) / All);
+  double OwnerCount = static_cast<double>(1 + Quota.m_Others.size());
+  auto Share = static_cast<std::uint32_t>(std::max(0.0, Debt) / OwnerCount);
   if (Share < MinCharge)
     return;
   for (const config::Endpoint &Each : Quota.m_Others)
--- a/Libraries/LibRouting/RoutingTable.cpp
+++ b/Libraries/LibRouting/RoutingTable.cpp
@@ -55,23 +55,23 @@
   return *this;
 }
 
-RoutingTable::Builder &RoutingTable::Builder::route(Route What) {
-  std::string Host = What.m_Host;
-  What.m_Hash = core::fnv1a32(Host + What.m_Prefix);
-  m_Table.m_RoutesByHost[Host].push_back(std::move(What));
+RoutingTable::Builder &RoutingTable::Builder::route(Route NewRoute) {
+  std::string Host = NewRoute.m_Host;
+  NewRoute.m_Hash = core::fnv1a32(Host + NewRoute.m_Prefix);
+  m_Table.m_RoutesByHost[Host].push_back(std::move(NewRoute));
   return *this;
 }
 
-RoutingTable::Builder &RoutingTable::Builder::pool(Pool What) {
-  core::PoolName Name = What.m_Name;
-  m_Table.m_Pools[Name] = std::move(What);
+RoutingTable::Builder &RoutingTable::Builder::pool(Pool NewPool) {
+  core::PoolName Name = NewPool.m_Name;
+  m_Table.m_Pools[Name] = std::move(NewPool);
   return *this;
 }
 
-RoutingTable::Builder &RoutingTable::Builder::account(Account What) {
-  for (const std::string &Key : What.m_Keys)
+RoutingTable::Builder &RoutingTable::Builder::account(Account NewAccount) {
+  for (const std::string &Key : NewAccount.m_Keys)
     m_Table.m_AccountByKey[Key] = m_Table.m_Accounts.size();
-  m_Table.m_Accounts.push_back(std::move(What));
+  m_Table.m_Accounts.push_back(std::move(NewAccount));
   return *this;
 }
 
--- a/Libraries/LibRouting/RoutingTable.h
+++ b/Libraries/LibRouting/RoutingTable.h
@@ -132,9 +132,9 @@
 class RoutingTable::Builder {
 public:
   Builder &version(core::ConfigurationVersion Version);
-  Builder &route(Route What);
-  Builder &pool(Pool What);
-  Builder &account(Account What);
+  Builder &route(Route NewRoute);
+  Builder &pool(Pool NewPool);
+  Builder &account(Account NewAccount);
   Builder &limits(const CallerLimits &Limits);
   std::shared_ptr<const RoutingTable> build();
 
