--- a/Tests/LibRouting/DispatcherBackpressureTest.cpp
+++ b/Tests/LibRouting/DispatcherBackpressureTest.cpp
@@ -28,12 +28,12 @@
        [this](core::RequestId Request) { m_Refused.insert(Request); }}};
 
   /// Announces the only target, "a".
-  void announce(std::size_t Places) {
+  void announce(std::size_t Slots) {
     Target Out;
     Out.m_Name = core::TargetName("a");
     Out.m_Pool = m_Pool;
     Out.m_DataHall = core::DataHallName("hall");
-    Out.m_Slots = Places;
+    Out.m_Slots = Slots;
     m_Targets.announce(Out);
   }
   /// Returns a request that waits up to 350 ms for a slot.
--- a/Tests/LibRouting/DispatcherTest.cpp
+++ b/Tests/LibRouting/DispatcherTest.cpp
@@ -17,15 +17,15 @@
   CPPUNIT_TEST(testSlowTargetGetsLess);
   CPPUNIT_TEST(testSlowTargetUsesAllSlotsForShortPrompts);
   CPPUNIT_TEST(testHigherTierLeavesTheQueueFirst);
-  CPPUNIT_TEST(testIsSentInTimeWithoutAFreeSlot);
+  CPPUNIT_TEST(testShortRequestIsSentAtDeadlineWithoutSlot);
   CPPUNIT_TEST(testStreamIsRefusedBeforeItsDeadline);
   CPPUNIT_TEST(testStreamIsGivenUpWhenItWouldBeginTooLate);
   CPPUNIT_TEST(testStreamIsRefusedOnceItCanNotBeginInTime);
   CPPUNIT_TEST(testLateRequestsGoBehindThoseInTime);
   CPPUNIT_TEST(testLowestTierLeavesSlotsFree);
   CPPUNIT_TEST(testReservedSlotIsUsedBeforeDeadline);
-  CPPUNIT_TEST(testAccountGoesBeforeRoute);
-  CPPUNIT_TEST(testLongAnswersGoToQuickTargets);
+  CPPUNIT_TEST(testAccountTierPrecedesRouteTier);
+  CPPUNIT_TEST(testLongResponsesGoToFastTargets);
   CPPUNIT_TEST(testLeavingAndTriedTargetsGetNothing);
   CPPUNIT_TEST(testTargetInCooldownIsUsedOnlyAlone);
   CPPUNIT_TEST(testWaitsForHealthyTargetDuringCooldown);
@@ -53,16 +53,16 @@
        },
        [this](core::RequestId Request) { m_Refused.insert(Request); }}};
 
-  Target target(const std::string &Name, std::size_t Places = 2) const {
+  Target target(const std::string &Name, std::size_t Slots = 2) const {
     Target Out;
     Out.m_Name = core::TargetName(Name);
     Out.m_Pool = m_Pool;
     Out.m_DataHall = core::DataHallName("hall");
-    Out.m_Slots = Places;
+    Out.m_Slots = Slots;
     return Out;
   }
-  void announce(const std::string &Name, std::size_t Places = 2) {
-    m_Targets.announce(target(Name, Places));
+  void announce(const std::string &Name, std::size_t Slots = 2) {
+    m_Targets.announce(target(Name, Slots));
   }
   PlacementRequest request(std::uint64_t Id, std::uint32_t Tier = 1) const {
     PlacementRequest Out;
@@ -198,7 +198,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Dispatcher.waiting());
   }
 
-  void testIsSentInTimeWithoutAFreeSlot() {
+  void testShortRequestIsSentAtDeadlineWithoutSlot() {
     announce("a", 1);
     place(1);
     place(2);
@@ -316,7 +316,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(3));
   }
 
-  void testAccountGoesBeforeRoute() {
+  void testAccountTierPrecedesRouteTier() {
     announce("a", 1);
     place(1);
     PlacementRequest Low = request(2, 1);
@@ -328,7 +328,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sentTo(3));
   }
 
-  void testLongAnswersGoToQuickTargets() {
+  void testLongResponsesGoToFastTargets() {
     announce("quick", 10);
     announce("slow", 10);
     for (int I = 0; I < 50; ++I) {
--- a/Tests/LibRouting/RoutingTableTest.cpp
+++ b/Tests/LibRouting/RoutingTableTest.cpp
@@ -12,7 +12,7 @@
   CPPUNIT_TEST(testLongestPrefixOfTheHostWins);
   CPPUNIT_TEST(testKeysFindTheirAccount);
   CPPUNIT_TEST(testSplitFollowsItsWeights);
-  CPPUNIT_TEST(testWhatMayRunAgain);
+  CPPUNIT_TEST(testRetryableRouteKinds);
   CPPUNIT_TEST_SUITE_END();
 
   static Route route(const std::string &Name, const std::string &Host,
@@ -71,7 +71,7 @@
       CPPUNIT_ASSERT(Split.choosePool(Point) == core::PoolName("all"));
   }
 
-  void testWhatMayRunAgain() {
+  void testRetryableRouteKinds() {
     Route Each;
     Each.m_Kind = RouteKind::NonIdempotent;
     CPPUNIT_ASSERT(!Each.isRetryable());
--- a/Tests/LibRouting/TargetDirectoryTest.cpp
+++ b/Tests/LibRouting/TargetDirectoryTest.cpp
@@ -19,11 +19,11 @@
 
   bool announce(const char *Name, const char *Pool,
                 std::int64_t StartTime = 0) {
-    Target What;
-    What.m_Name = core::TargetName(Name);
-    What.m_StartTime = core::TargetStartTime(StartTime);
-    What.m_Pool = core::PoolName(Pool);
-    return m_Targets.announce(What) == AnnouncementEffect::NewIncarnation;
+    Target Announced;
+    Announced.m_Name = core::TargetName(Name);
+    Announced.m_StartTime = core::TargetStartTime(StartTime);
+    Announced.m_Pool = core::PoolName(Pool);
+    return m_Targets.announce(Announced) == AnnouncementEffect::NewIncarnation;
   }
   static TargetIncarnation incarnation(const char *Name,
                                        std::int64_t StartTime) {
@@ -79,18 +79,18 @@
     m_Targets.withdraw(core::TargetName("a"), m_Now);
     // The target's clock was set back in between.
     CPPUNIT_ASSERT(announce("a", "pool", 4000));
-    const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
+    const KnownTarget &Known = *m_Targets.find(core::TargetName("a"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), Known.running());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0),
-                         Now.m_LocalLoad.m_PendingPromptTokens);
-    CPPUNIT_ASSERT(Now.acceptsRequests() && !Now.isOnProbation() &&
-                   !Now.m_ExpiredAt);
-    CPPUNIT_ASSERT(Now.m_CooldownUntil <= m_Now && Now.m_FailureRate == 0);
-    CPPUNIT_ASSERT(Now.m_Slowness == 1 && Now.m_ServiceTimeMs == 0);
+                         Known.m_LocalLoad.m_PendingPromptTokens);
+    CPPUNIT_ASSERT(Known.acceptsRequests() && !Known.isOnProbation() &&
+                   !Known.m_ExpiredAt);
+    CPPUNIT_ASSERT(Known.m_CooldownUntil <= m_Now && Known.m_FailureRate == 0);
+    CPPUNIT_ASSERT(Known.m_Slowness == 1 && Known.m_ServiceTimeMs == 0);
     // Remote load of the earlier incarnation does not count.
-    CPPUNIT_ASSERT(Now.m_Hash != Before);
+    CPPUNIT_ASSERT(Known.m_Hash != Before);
     m_Targets.setRemoteLoad({{Before, {4, 4000}}});
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), Now.running());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), Known.running());
     CPPUNIT_ASSERT(!m_Targets.findByIncarnation(incarnation("a", 5000)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2),
                          m_Targets.subsetOf(core::PoolName("pool")).size());
@@ -108,11 +108,11 @@
     m_Targets.recordFailure(incarnation("a", 1), TargetFailure::Unreachable,
                             m_Now);
     m_Targets.recordReplacement(incarnation("a", 1));
-    const KnownTarget &Now = *m_Targets.find(core::TargetName("a"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Now.running());
+    const KnownTarget &Known = *m_Targets.find(core::TargetName("a"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), Known.running());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(700),
-                         Now.m_LocalLoad.m_PendingPromptTokens);
-    CPPUNIT_ASSERT(Now.acceptsRequests() && Now.m_CooldownUntil <= m_Now);
+                         Known.m_LocalLoad.m_PendingPromptTokens);
+    CPPUNIT_ASSERT(Known.acceptsRequests() && Known.m_CooldownUntil <= m_Now);
   }
 };
 
