--- a/Tests/LibRouting/LimitModelTest.cpp
+++ b/Tests/LibRouting/LimitModelTest.cpp
@@ -25,17 +25,18 @@
   /// Minimum share of the limit that is used if there is enough demand.
   static constexpr double MinServed = 0.8;
 
-  static void assertHolds(RateLimitScenario Day, std::uint64_t Days) {
-    for (Day.m_Seed = 1; Day.m_Seed <= Days; ++Day.m_Seed) {
-      Day.m_HasFaults = true;
-      double Worst =
-          simulateRateLimit(Day, RateLimitStrategy::Senders).m_MaxWindowRatio;
-      CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(Day.m_Seed) + ": " +
+  static void assertLimitHolds(RateLimitScenario Scenario,
+                               std::uint64_t Seeds) {
+    for (Scenario.m_Seed = 1; Scenario.m_Seed <= Seeds; ++Scenario.m_Seed) {
+      Scenario.m_HasFaults = true;
+      double Worst = simulateRateLimit(Scenario, RateLimitStrategy::Senders)
+                         .m_MaxWindowRatio;
+      CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(Scenario.m_Seed) + ": " +
                                  std::to_string(Worst),
                              Worst <= 1);
-      Day.m_HasFaults = false;
+      Scenario.m_HasFaults = false;
       double Served =
-          simulateRateLimit(Day, RateLimitStrategy::Senders).m_ServedShare;
+          simulateRateLimit(Scenario, RateLimitStrategy::Senders).m_ServedShare;
       CPPUNIT_ASSERT_MESSAGE("served " + std::to_string(Served),
                              Served >= MinServed);
     }
@@ -43,17 +44,19 @@
 
 public:
   void testSmallFleets() {
-    assertHolds({6, 3, 25, 2}, 20);
-    assertHolds({7, 9, 38, 1.4}, 20);
-    assertHolds({7, 9, 38, 0.3}, 20);
-    assertHolds({7, 9, 80, 12}, 20);
+    assertLimitHolds({6, 3, 25, 2}, 20);
+    assertLimitHolds({7, 9, 38, 1.4}, 20);
+    assertLimitHolds({7, 9, 38, 0.3}, 20);
+    assertLimitHolds({7, 9, 80, 12}, 20);
+  }
+  void testLargeFleet() { assertLimitHolds({74, 90, 570, 3}, 2); }
+  void testManyInstancesWithFewTargets() {
+    assertLimitHolds({295, 3, 400, 2}, 1);
   }
-  void testLargeFleet() { assertHolds({74, 90, 570, 3}, 2); }
-  void testManyInstancesWithFewTargets() { assertHolds({295, 3, 400, 2}, 1); }
   void testWholePoolIsLimited() {
-    RateLimitScenario Day{7, 9, 38, 1.4};
-    Day.m_LimitedShare = 1;
-    assertHolds(Day, 20);
+    RateLimitScenario Scenario{7, 9, 38, 1.4};
+    Scenario.m_LimitedShare = 1;
+    assertLimitHolds(Scenario, 20);
   }
   /// Shows that the model detects instances that apply the limit independently.
   void testIndependentInstancesExceedTheLimit() {
--- a/Tests/LibRouting/QuotaDeploymentsTest.cpp
+++ b/Tests/LibRouting/QuotaDeploymentsTest.cpp
@@ -32,9 +32,9 @@
     throw std::logic_error("unknown deployment: " + Name);
   }
 
-  static QuotaScenario day(const std::string &Name, double Limit, double Load,
-                           std::uint64_t Seed,
-                           std::vector<QuotaFaultEvent> Events) {
+  static QuotaScenario scenario(const std::string &Name, double Limit,
+                                double Load, std::uint64_t Seed,
+                                std::vector<QuotaFaultEvent> Events) {
     return {&deployment(Name), Limit, Load, false, std::move(Events), Seed};
   }
   static QuotaFaultEvent cut(int At, double Share, int Time) {
@@ -52,12 +52,12 @@
 
   /// Simulates a scenario and checks its bound. \returns the share of the
   /// tolerance that was used.
-  static double check(const QuotaScenario &Day) {
-    QuotaScenarioResult Result = simulate(Day);
+  static double check(const QuotaScenario &Scenario) {
+    QuotaScenarioResult Result = simulate(Scenario);
     if (!Result.isWithinTolerance())
       std::cerr << "\nof_tolerance=" << Result.usedTolerance() << " "
-                << Day.describe();
-    CPPUNIT_ASSERT_MESSAGE(Day.describe(), Result.isWithinTolerance());
+                << Scenario.describe();
+    CPPUNIT_ASSERT_MESSAGE(Scenario.describe(), Result.isWithinTolerance());
     return Result.usedTolerance();
   }
 
@@ -65,81 +65,82 @@
   void testCutOffWhileOthersGrantAll() {
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       for (std::uint64_t Seed = 1; Seed <= 3; ++Seed)
-        check(day(Each.m_Name, Each.m_MaxLimit, 5, Seed,
-                  {cut(9000, 0.35, 8000)}));
+        check(scenario(Each.m_Name, Each.m_MaxLimit, 5, Seed,
+                       {cut(9000, 0.35, 8000)}));
   }
 
   void testRegressionScenarios() {
-    check(day("simulations-grown", 961975, 5.36134, 1000061,
-              {split(6318, 0.426183, 5794), split(9734, 0.252555, 7549),
-               cut(16420, 0.229914, 3488), cut(10308, 0.349382, 4716),
-               add(13494, 0.256099), cut(17550, 0.0615314, 4699)}));
-    check(day("games", 92659.6, 5.36134, 2516265689700432462,
-              {split(6318, 0.426183, 5794), split(9734, 0.252555, 7549),
-               cut(10308, 0.349382, 4716), split(13036, 0.307435, 7129)}));
-    check(day("tickets", 137670, 5.41783, 6472927700900931384,
-              {kill(18832, 0.425072, 684), split(17493, 0.352812, 5256),
-               cut(11737, 0.277992, 7914), kill(12120, 0.671708, 678),
-               kill(10435, 1, 1325)}));
-    check(day("target", 1.47532e+06, 4.88225, 2516265689700432462,
-              {cut(11784, 0.324482, 8673),
-               split(14429, 0.092412, 3606),
-               split(7071, 0.0834915, 5834),
-               split(7238, 0.287662, 7726),
-               {milliseconds(7829), QuotaFaultKind::Freeze, 0.144767,
-                milliseconds(3884)}}));
+    check(scenario("simulations-grown", 961975, 5.36134, 1000061,
+                   {split(6318, 0.426183, 5794), split(9734, 0.252555, 7549),
+                    cut(16420, 0.229914, 3488), cut(10308, 0.349382, 4716),
+                    add(13494, 0.256099), cut(17550, 0.0615314, 4699)}));
+    check(scenario("games", 92659.6, 5.36134, 2516265689700432462,
+                   {split(6318, 0.426183, 5794), split(9734, 0.252555, 7549),
+                    cut(10308, 0.349382, 4716), split(13036, 0.307435, 7129)}));
+    check(scenario("tickets", 137670, 5.41783, 6472927700900931384,
+                   {kill(18832, 0.425072, 684), split(17493, 0.352812, 5256),
+                    cut(11737, 0.277992, 7914), kill(12120, 0.671708, 678),
+                    kill(10435, 1, 1325)}));
+    check(scenario("target", 1.47532e+06, 4.88225, 2516265689700432462,
+                   {cut(11784, 0.324482, 8673),
+                    split(14429, 0.092412, 3606),
+                    split(7071, 0.0834915, 5834),
+                    split(7238, 0.287662, 7726),
+                    {milliseconds(7829), QuotaFaultKind::Freeze, 0.144767,
+                     milliseconds(3884)}}));
   }
 
   /// Guards against two owners of the same share: instances are added while an
   /// owner is cut off from the others and from the store.
   void testStaleMemberList() {
-    check(day("simulations", 263380, 5.41783, 4261951405298700608,
-              {cut(11956, 0.146528, 3679), cut(16273, 0.208981, 5390),
-               cut(11737, 0.277992, 7914), add(12306, 0.40965),
-               add(13961, 0.439236), kill(10435, 1, 1325)}));
-    check(day("tickets", 107844, 4.33328, 4261951405298700608,
-              {add(12065, 0.444747),
-               add(15926, 0.39114),
-               {milliseconds(8107), QuotaFaultKind::Freeze, 0.148862,
-                milliseconds(2428)},
-               cut(10680, 0.325583, 6791),
-               split(10830, 0.152118, 4696)}));
+    check(scenario("simulations", 263380, 5.41783, 4261951405298700608,
+                   {cut(11956, 0.146528, 3679), cut(16273, 0.208981, 5390),
+                    cut(11737, 0.277992, 7914), add(12306, 0.40965),
+                    add(13961, 0.439236), kill(10435, 1, 1325)}));
+    check(scenario("tickets", 107844, 4.33328, 4261951405298700608,
+                   {add(12065, 0.444747),
+                    add(15926, 0.39114),
+                    {milliseconds(8107), QuotaFaultKind::Freeze, 0.148862,
+                     milliseconds(2428)},
+                    cut(10680, 0.325583, 6791),
+                    split(10830, 0.152118, 4696)}));
     for (std::uint64_t Seed = 1; Seed <= 10; ++Seed)
-      check(
-          day("games", 300000, 6, Seed, {cut(9000, 0.4, 9000), add(9500, 1)}));
+      check(scenario("games", 300000, 6, Seed,
+                     {cut(9000, 0.4, 9000), add(9500, 1)}));
   }
 
   /// Guards against debts that each owner keeps for itself and loses when it is
   /// killed. Each of these requests is a third of the tolerance.
   void testOnlyTheLargestRequests() {
     QuotaScenario Regression =
-        day("simulations", 26381, 4.40108, 3000088,
-            {kill(7599, 0.727954, 1854),
-             {milliseconds(17558), QuotaFaultKind::Freeze, 0.0684945,
-              milliseconds(3645)},
-             kill(16227, 0.633581, 1082),
-             add(14209, 0.376227),
-             add(12301, 0.447633)});
+        scenario("simulations", 26381, 4.40108, 3000088,
+                 {kill(7599, 0.727954, 1854),
+                  {milliseconds(17558), QuotaFaultKind::Freeze, 0.0684945,
+                   milliseconds(3645)},
+                  kill(16227, 0.633581, 1082),
+                  add(14209, 0.376227),
+                  add(12301, 0.447633)});
     Regression.m_HasOnlyLargestRequests = true;
     check(Regression);
     for (const QuotaDeployment &Each : QuotaDeployment::all())
       for (std::uint64_t Seed = 1; Seed <= 3; ++Seed) {
-        QuotaScenario Day = day(Each.m_Name, Each.m_MinLimit, 5, Seed,
-                                {kill(9000, 0.7, 900), kill(12500, 0.7, 900)});
-        Day.m_HasOnlyLargestRequests = true;
-        check(Day);
+        QuotaScenario Scenario =
+            scenario(Each.m_Name, Each.m_MinLimit, 5, Seed,
+                     {kill(9000, 0.7, 900), kill(12500, 0.7, 900)});
+        Scenario.m_HasOnlyLargestRequests = true;
+        check(Scenario);
       }
   }
 
   /// Random limits, from half of the smallest to the largest, with all kinds of
   /// faults, single and combined.
   void testRandomScenarios() {
-    constexpr std::uint64_t Days = 12;
+    constexpr std::uint64_t Seeds = 12;
     for (const QuotaDeployment &Each : QuotaDeployment::all()) {
-      double Most = 0;
-      for (std::uint64_t Seed = 1; Seed <= Days; ++Seed)
-        Most = std::max(Most, check(QuotaScenario::random(Each, Seed)));
-      std::cerr << "\n" << Each.m_Name << " most_of_tolerance=" << Most;
+      double MaxUsed = 0;
+      for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed)
+        MaxUsed = std::max(MaxUsed, check(QuotaScenario::random(Each, Seed)));
+      std::cerr << "\n" << Each.m_Name << " most_of_tolerance=" << MaxUsed;
     }
   }
 
@@ -150,7 +151,7 @@
         std::vector<QuotaFaultEvent> Kills;
         for (int At = 8000; At <= 15000; At += 1800)
           Kills.push_back(kill(At, Seed % 2 == 0 ? 1 : 0.55, 600));
-        check(day(Each.m_Name, Each.m_MinLimit, 5, Seed, Kills));
+        check(scenario(Each.m_Name, Each.m_MinLimit, 5, Seed, Kills));
       }
   }
 };
--- a/Tests/LibRouting/QuotaModelTest.cpp
+++ b/Tests/LibRouting/QuotaModelTest.cpp
@@ -34,7 +34,7 @@
 constexpr double HotLoad = 4;
 constexpr double ModestLoad = 0.5;
 constexpr double OtherLoad = 0.1;
-constexpr milliseconds Length{24000};
+constexpr milliseconds SimulatedTime{24000};
 constexpr milliseconds CutTime{5500};
 /// Tolerance of the platform in tokens per window.
 constexpr double Tolerance = BoundOfWindow - (Rate * Window.count() + Burst);
@@ -43,12 +43,12 @@
 
 class FaultSimulation {
 public:
-  FaultSimulation(std::size_t Size, Faults What, std::uint64_t Seed)
-      : m_Faults(What), m_Random(Seed), m_Size(Size),
+  FaultSimulation(std::size_t Size, Faults Kind, std::uint64_t Seed)
+      : m_Faults(Kind), m_Random(Seed), m_Size(Size),
         m_Fleet({Size, accounts(), {0.1, 190000, Window}, Seed}) {}
 
   void run() {
-    core::TimePoint End = m_Fleet.now() + Length;
+    core::TimePoint End = m_Fleet.now() + SimulatedTime;
     core::TimePoint NextFault = m_Fleet.now() + seconds(9);
     while (m_Fleet.now() < End) {
       m_Fleet.advance(tests::QuotaSimulation::StepTime);
@@ -114,10 +114,10 @@
         std::log(Mean) - Spread * Spread / 2, Spread);
     std::poisson_distribution<int> Count(
         Rate * Load / Mean * core::toSeconds(tests::QuotaSimulation::StepTime));
-    std::uniform_int_distribution<std::size_t> Where(0, m_Size - 1);
+    std::uniform_int_distribution<std::size_t> Instance(0, m_Size - 1);
     for (int Left = Count(m_Random); Left > 0; --Left) {
       double Size = std::min(LargestRequest, Tokens(m_Random));
-      m_Fleet.request(Where(m_Random), Account,
+      m_Fleet.request(Instance(m_Random), Account,
                       static_cast<std::uint32_t>(Size));
       if (Account != Modest)
         continue;
@@ -129,13 +129,13 @@
 
   /// Injects the next fault. \returns the time until the one after it.
   core::Duration injectFault() {
-    Faults What = m_Faults;
-    if (What == Faults::Mixed) {
+    Faults Kind = m_Faults;
+    if (Kind == Faults::Mixed) {
       std::uniform_int_distribution<int> Draw(1, 3);
-      What = static_cast<Faults>(Draw(m_Random));
+      Kind = static_cast<Faults>(Draw(m_Random));
     }
     std::bernoulli_distribution IsCut(0.17);
-    switch (What) {
+    switch (Kind) {
     case Faults::KillsOfAll:
       for (std::size_t I = 0; I < m_Size; ++I)
         m_Fleet.kill(I, milliseconds(800));
@@ -150,7 +150,7 @@
           m_Fleet.cut(I, CutTime);
           ++m_CutOffCount;
         }
-      return What == Faults::Cuts ? seconds(7) : Length;
+      return Kind == Faults::Cuts ? seconds(7) : SimulatedTime;
     case Faults::None:
     case Faults::Mixed:
       break;
@@ -185,27 +185,28 @@
   /// \param Bound maximum tokens in any window.
   /// \param MaxRefused maximum average share of refused requests below the
   /// limit at connected instances, in excess of what a single bucket refuses.
-  static void check(Faults What, double Bound, double MaxRefused) {
+  static void check(Faults Kind, double Bound, double MaxRefused) {
     constexpr int Seeds = 8;
     for (std::size_t Size : {8, 48, 89, 295}) {
-      double Most = 0;
+      double MaxTokens = 0;
       double Refused = 0;
       double ReferenceRefused = 0;
       double RefusedCutOff = 0;
       for (int Seed = 1; Seed <= Seeds; ++Seed) {
-        FaultSimulation Simulation(Size, What,
+        FaultSimulation Simulation(Size, Kind,
                                    Size + static_cast<std::size_t>(Seed));
         Simulation.run();
-        Most = std::max(Most, Simulation.maxInWindow(Hot));
+        MaxTokens = std::max(MaxTokens, Simulation.maxInWindow(Hot));
         Refused += Simulation.refusedShare(Modest, false) / Seeds;
         RefusedCutOff += Simulation.refusedShare(Modest, true) / Seeds;
         ReferenceRefused += Simulation.referenceRefusedShare() / Seeds;
       }
-      std::cerr << "\ninstances=" << Size << " most_in_window=" << Most / Bound
+      std::cerr << "\ninstances=" << Size
+                << " most_in_window=" << MaxTokens / Bound
                 << " of_bound refused_below_limit=" << Refused
                 << " by_one_bucket=" << ReferenceRefused
                 << " refused_where_cut_off=" << RefusedCutOff;
-      CPPUNIT_ASSERT(Most <= Bound);
+      CPPUNIT_ASSERT(MaxTokens <= Bound);
       CPPUNIT_ASSERT(Refused <= ReferenceRefused + MaxRefused);
     }
   }
@@ -233,8 +234,8 @@
   void testCutOffInstancesUseTheTolerance() {
     constexpr int Seeds = 40;
     constexpr std::size_t Size = 48;
-    double OnceAndAgain = 1 + core::toSeconds(CutTime) / Window.count();
-    double Part = Tolerance / 4 * OnceAndAgain / static_cast<double>(Size);
+    double BurstsGranted = 1 + core::toSeconds(CutTime) / Window.count();
+    double Share = Tolerance / 4 * BurstsGranted / static_cast<double>(Size);
     double Tokens = 0;
     double Times = 0;
     for (int Seed = 1; Seed <= Seeds; ++Seed) {
@@ -246,11 +247,11 @@
     }
     // Requests are admitted at random; the mean of their squared sizes is 8,150
     // times their mean size.
-    double Deviation = std::sqrt(8150 / (Part * Times));
-    std::cerr << "\nof_part=" << Tokens / (Part * Times)
+    double Deviation = std::sqrt(8150 / (Share * Times));
+    std::cerr << "\nof_part=" << Tokens / (Share * Times)
               << " deviation=" << Deviation;
-    CPPUNIT_ASSERT(Tokens >= Part * Times * (1 - 4 * Deviation));
-    CPPUNIT_ASSERT(Tokens <= Part * Times * (1 + 4 * Deviation));
+    CPPUNIT_ASSERT(Tokens >= Share * Times * (1 - 4 * Deviation));
+    CPPUNIT_ASSERT(Tokens <= Share * Times * (1 + 4 * Deviation));
   }
   void testMixedFaults() { check(Faults::Mixed, BoundOfWindow, 0.05); }
 };
--- a/Tests/LibRouting/QuotaTest.cpp
+++ b/Tests/LibRouting/QuotaTest.cpp
@@ -52,7 +52,7 @@
     return ConsistentHashRing(members(Count)).ownersOf(m_Account).front();
   }
   /// Returns an instance that does not own the account.
-  config::Endpoint stranger(std::size_t Count) const {
+  config::Endpoint nonOwner(std::size_t Count) const {
     auto Owners = ConsistentHashRing(members(Count)).ownersOf(m_Account);
     for (const config::Endpoint &Each : members(Count))
       if (std::find(Owners.begin(), Owners.end(), Each) == Owners.end())
@@ -184,7 +184,7 @@
   void testNewOwnerStartsWithNothing() {
     // The instance becomes an owner only by the second membership. The previous
     // owner may have granted the whole share.
-    config::Endpoint Self = stranger(6);
+    config::Endpoint Self = nonOwner(6);
     QuotaOwner Owner(Self, true);
     Owner.configure(accounts(1000, 1000), ConsistentHashRing(members(6)),
                     m_Now);
@@ -252,10 +252,10 @@
         All.at(Owners[2]).handleRequest({m_Account, 1, 0}, m_Now).m_Verdict ==
         QuotaVerdict::Granted);
     // An instance that does not own the account takes over nothing.
-    QuotaOwner Stranger(stranger(6), true);
-    Stranger.configure(accounts(9000, 9000), ConsistentHashRing(members(6)),
+    QuotaOwner NonOwner(nonOwner(6), true);
+    NonOwner.configure(accounts(9000, 9000), ConsistentHashRing(members(6)),
                        m_Now);
-    CPPUNIT_ASSERT(!Stranger.charge(m_Account, 3000, m_Now));
+    CPPUNIT_ASSERT(!NonOwner.charge(m_Account, 3000, m_Now));
   }
 
   void testLowerLimitBindsAtOnce() {
@@ -271,7 +271,7 @@
   }
 
   void testUnusedTokensAreGivenBackOnce() {
-    DistributedQuota Quota = quotaOf(stranger(6), 6);
+    DistributedQuota Quota = quotaOf(nonOwner(6), 6);
     QuotaAcquisition Acquisition = acquisition(100);
     CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now) == QuotaStep::Ask);
     config::Endpoint Owner = Acquisition.m_RemainingOwners.back();
@@ -304,7 +304,7 @@
   }
 
   void testRefusedOnlyWhenAllOwnersRefuse() {
-    DistributedQuota Quota = quotaOf(stranger(6), 6);
+    DistributedQuota Quota = quotaOf(nonOwner(6), 6);
     QuotaAcquisition Acquisition = acquisition(100);
     CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now) == QuotaStep::Ask);
     for (int Time : {300, 200})
@@ -326,7 +326,7 @@
   }
 
   void testUnresponsiveOwnerIsSkipped() {
-    DistributedQuota Quota = quotaOf(stranger(6), 6);
+    DistributedQuota Quota = quotaOf(nonOwner(6), 6);
     QuotaAcquisition Acquisition = acquisition(100);
     CPPUNIT_ASSERT(Quota.begin(Acquisition, m_Now) == QuotaStep::Ask);
     config::Endpoint Unresponsive = Acquisition.m_RemainingOwners.back();
@@ -358,7 +358,7 @@
                                 std::uint64_t Seed, core::Duration Period,
                                 core::Duration Length,
                                 bool HasReachedOwner) const {
-    DistributedQuota Quota(stranger(Count), Tolerance, false, Seed);
+    DistributedQuota Quota(nonOwner(Count), Tolerance, false, Seed);
     Quota.setRing(ConsistentHashRing(members(Count)), m_Now);
     Quota.setAccounts(accounts(1000, 1000), m_Now);
     if (HasReachedOwner) {
