--- a/Tests/LibRouting/FleetSubsetTest.cpp
+++ b/Tests/LibRouting/FleetSubsetTest.cpp
@@ -77,21 +77,22 @@
       for (std::size_t Count = 3; Count <= 12000; Count += 1 + Count / 8) {
         FleetSubset Subset(address(Size / 2), fleet(Size),
                            FleetSubset::groupSizeFor(Size, Count));
-        std::size_t Own = 0;
+        std::size_t SubsetSize = 0;
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
-          Own += Subset.isInSubset(Rank, Count) ? 1 : 0;
+          SubsetSize += Subset.isInSubset(Rank, Count) ? 1 : 0;
         // With an eighth more targets, the subset at most halves or doubles.
         if (Before != 0) {
-          CPPUNIT_ASSERT(Own * 2 + 2 >= Before);
-          CPPUNIT_ASSERT(Own <= Before * 2 + 2);
+          CPPUNIT_ASSERT(SubsetSize * 2 + 2 >= Before);
+          CPPUNIT_ASSERT(SubsetSize <= Before * 2 + 2);
         }
         // Most instances that share a target are group peers.
         double Sharers =
-            static_cast<double>(Size * Own) / static_cast<double>(Count);
-        double Heard = static_cast<double>(Subset.groupMembers().size() + 1);
+            static_cast<double>(Size * SubsetSize) / static_cast<double>(Count);
+        double GroupSize =
+            static_cast<double>(Subset.groupMembers().size() + 1);
         if (Count >= Size / 2)
-          CPPUNIT_ASSERT(Heard * 1.25 >= Sharers);
-        Before = Own;
+          CPPUNIT_ASSERT(GroupSize * 1.25 >= Sharers);
+        Before = SubsetSize;
       }
     }
   }
@@ -102,7 +103,7 @@
     for (std::size_t I = 0; I < 295; ++I)
       ++First[FleetSubset(address(I), Fleet).firstIndex(8)];
     CPPUNIT_ASSERT_EQUAL(std::size_t(8), First.size());
-    for (const auto &[Place, Count] : First)
+    for (const auto &[Index, Count] : First)
       CPPUNIT_ASSERT(Count <= 295 / 8 + 8);
   }
 
--- a/Tests/LibRouting/InterleavedTargetsTest.cpp
+++ b/Tests/LibRouting/InterleavedTargetsTest.cpp
@@ -57,9 +57,9 @@
           Order.insert(Added);
           Inserted.push_back(&Added);
         } else {
-          std::size_t Which = Random() % Inserted.size();
-          Order.erase(*Inserted[Which]);
-          Inserted.erase(Inserted.begin() + static_cast<long>(Which));
+          std::size_t Removed = Random() % Inserted.size();
+          Order.erase(*Inserted[Removed]);
+          Inserted.erase(Inserted.begin() + static_cast<long>(Removed));
         }
         std::vector<DataHallMember> Members;
         for (const KnownTarget *Each : Inserted)
@@ -67,10 +67,10 @@
         std::vector<std::size_t> Sorted = interleavedOrder(Members);
         std::size_t First = Random() % (Inserted.size() + 1);
         std::size_t Last = First + Random() % (Inserted.size() + 1 - First);
-        std::vector<KnownTarget *> Got = Order.slice(First, Last);
-        CPPUNIT_ASSERT_EQUAL(Last - First, Got.size());
+        std::vector<KnownTarget *> Slice = Order.slice(First, Last);
+        CPPUNIT_ASSERT_EQUAL(Last - First, Slice.size());
         for (std::size_t I = First; I < Last; ++I)
-          CPPUNIT_ASSERT(Got[I - First] == Inserted[Sorted[I]]);
+          CPPUNIT_ASSERT(Slice[I - First] == Inserted[Sorted[I]]);
       }
     }
   }
@@ -79,10 +79,10 @@
     for (std::size_t Size : {1, 6, 24, 89, 295, 440})
       for (std::size_t Count : {1, 3, 8, 90, 161, 1002, 12000}) {
         FleetSubset Subset = subset(Size, Count);
-        FleetSubset::RankRange Own = Subset.subsetRanks(Count);
+        FleetSubset::RankRange Ranks = Subset.subsetRanks(Count);
         for (std::size_t Rank = 0; Rank < Count; ++Rank)
           CPPUNIT_ASSERT_EQUAL(Subset.isInSubset(Rank, Count),
-                               Rank >= Own.m_First && Rank < Own.m_End);
+                               Rank >= Ranks.m_First && Rank < Ranks.m_End);
       }
   }
 
@@ -95,7 +95,7 @@
       Targets.setSubset(subset(300, Count));
       for (std::size_t I = 0; I < Count; ++I)
         Targets.announce(target(I, 3));
-      std::size_t Own = Targets.subsetOf(Pool).size();
+      std::size_t SubsetSize = Targets.subsetOf(Pool).size();
       std::size_t Before = Targets.visitCount();
       core::TimePoint Now{std::chrono::hours(1)};
       static constexpr std::size_t Changes = 50;
@@ -119,7 +119,7 @@
       double Each =
           static_cast<double>(Targets.visitCount() - Before) / Changes;
       double RebuildCost =
-          Halls * (Halls * 2 * Search + static_cast<double>(Own));
+          Halls * (Halls * 2 * Search + static_cast<double>(SubsetSize));
       CPPUNIT_ASSERT(Each <= 2 * (RebuildCost + Search));
     }
   }
