--- a/Libraries/LibRouting/FleetSubset.h
+++ b/Libraries/LibRouting/FleetSubset.h
@@ -103,13 +103,13 @@
   }
 
   config::Endpoint m_Self;
-  std::vector<config::Endpoint>
-      m_Order; ///< All instances in interleaved order.
+  /// All instances in interleaved order.
+  std::vector<config::Endpoint> m_Order;
   std::set<config::Endpoint> m_GroupMembers;
   std::size_t m_Size = 1; ///< Number of instances in the fleet.
   std::size_t m_GroupCount = 1;
-  std::size_t m_Group = 0;
-  std::size_t m_Rank = 0; ///< Index of this instance in m_Order.
+  std::size_t m_Group = 0; ///< Index of this instance's group.
+  std::size_t m_Rank = 0;  ///< Index of this instance in m_Order.
 };
 
 } // namespace yardrill::routing
