--- a/Libraries/LibRouting/Dispatcher.cpp
+++ b/Libraries/LibRouting/Dispatcher.cpp
@@ -107,9 +107,9 @@
   if (Request.m_IsInference)
     return std::min(Request.m_FirstByteDue, Request.m_FirstEventDeadline) -
            m_Targets.expectedFirstEventTime(Request.m_Pool);
-  core::Duration All = Request.m_EndsAt - Request.m_ArrivedAt;
+  core::Duration TotalTime = Request.m_EndsAt - Request.m_ArrivedAt;
   return Request.m_ArrivedAt +
-         std::chrono::duration_cast<core::Duration>(All * MaxWaitShare);
+         std::chrono::duration_cast<core::Duration>(TotalTime * MaxWaitShare);
 }
 
 //===----------------------------------------------------------------------===//
@@ -138,17 +138,17 @@
   if (!isLowestPriority(Request))
     return true;
   const VersionGate *Gate = gateOf(Request.m_Pool);
-  double All = 0;
-  double Free = 0;
+  double TotalSlots = 0;
+  double FreeSlots = 0;
   for (const KnownTarget *Each : m_Targets.subsetOf(Request.m_Pool)) {
     if (!m_Targets.acceptsRequests(*Each, Now) ||
         (Gate && !Gate->mayServe(Each->m_Target, Now)))
       continue;
     double Slots = static_cast<double>(slotsFor(*Each, Request));
-    All += Slots;
-    Free += std::max(0.0, Slots - static_cast<double>(Each->running()));
+    TotalSlots += Slots;
+    FreeSlots += std::max(0.0, Slots - static_cast<double>(Each->running()));
   }
-  return Free - 1 >= All * ReservedSlotShare;
+  return FreeSlots - 1 >= TotalSlots * ReservedSlotShare;
 }
 
 const VersionGate *Dispatcher::gateOf(const core::PoolName &Pool) const {
@@ -163,19 +163,19 @@
   if (!Request.m_TriedTargets.empty() ||
       !Gate.isCanaryDue(Request.m_Route, Now))
     return {};
-  std::vector<KnownTarget *> All;
+  std::vector<KnownTarget *> Canaries;
   for (KnownTarget *Each : m_Targets.subsetOf(Request.m_Pool))
     if (m_Targets.acceptsRequests(*Each, Now) && Gate.isCanary(Each->m_Target))
-      All.push_back(Each);
-  if (All.empty())
+      Canaries.push_back(Each);
+  if (Canaries.empty())
     return {};
-  std::sort(All.begin(), All.end(), KnownTarget::ByHash());
-  double Share = Gate.canaryShare() * static_cast<double>(All.size());
+  std::sort(Canaries.begin(), Canaries.end(), KnownTarget::ByHash());
+  double Share = Gate.canaryShare() * static_cast<double>(Canaries.size());
   auto Count = static_cast<std::size_t>(std::max(1.0, std::round(Share)));
   std::size_t First = Gate.canaryTurn(Now) * Count;
   std::vector<KnownTarget *> Out;
   for (std::size_t I = 0; I < Count; ++I) {
-    KnownTarget *Each = All[(First + I) % All.size()];
+    KnownTarget *Each = Canaries[(First + I) % Canaries.size()];
     if (Each->m_CooldownUntil <= Now && hasFreeSlot(*Each, Request))
       Out.push_back(Each);
   }
@@ -329,6 +329,7 @@
     if (Full.count(Request->m_Pool) != 0 && Now < queueDeadline(*Request))
       continue;
     if (trySend(*Request, Now))
+      // Copies the key, because erase() destroys the request.
       m_Waiting.erase(core::RequestId(Request->m_Request));
     else
       Full.insert(Request->m_Pool);
