--- a/Libraries/LibGateway/FleetMembership.cpp
+++ b/Libraries/LibGateway/FleetMembership.cpp
@@ -3,10 +3,11 @@
 
 namespace yardrill::gateway {
 
-/// Silence after which an instance is removed. Exceeds a restart and a window
-/// of the quotas (8 s), so that an instance which returns or is partitioned
-/// keeps the quotas it owns. Until then its accounts have two thirds of their
-/// limit.
+/// Time after which a recorded instance that is not live is removed. Exceeds a
+/// restart and the window of the quota tolerance (8 s), so that an instance
+/// which returns or is partitioned keeps the quotas it owns. Until then, one of
+/// the three owners of each of these accounts is absent, which leaves two
+/// thirds of its limit.
 static constexpr std::chrono::seconds RemovalDelay{12};
 
 std::optional<FleetMembers>
--- a/Libraries/LibGateway/FleetMembership.h
+++ b/Libraries/LibGateway/FleetMembership.h
@@ -25,17 +25,17 @@
   }
   const FleetMembers &recorded() const { return m_Recorded; }
 
-  /// Adds live instances and removes those that have been silent for too long.
-  /// If at least half of the recorded instances are silent, none is removed,
-  /// since the live ones may themselves be partitioned from the fleet.
-  /// \param Live instances that are reachable now, this one included.
-  /// \returns the membership to record; none if the record needs no change.
+  /// Returns the recorded membership with the live instances added, and without
+  /// those that have not been live for too long; none if nothing changes. If at
+  /// least half of the recorded instances are not live, none is removed, since
+  /// the live ones may themselves be partitioned from the fleet.
+  /// \param Live live instances, this one included.
   std::optional<FleetMembers> proposeUpdate(const FleetMembers &Live,
                                             core::TimePoint Now);
 
 private:
   FleetMembers m_Recorded;
-  /// Start of the silence of each recorded instance that is not live.
+  /// Time since which each recorded instance that is not live has been absent.
   std::map<config::Endpoint, core::TimePoint> m_SilentSince;
 };
 
