--- a/Libraries/LibGateway/FollowerSelection.cpp
+++ b/Libraries/LibGateway/FollowerSelection.cpp
@@ -5,7 +5,8 @@
 
 namespace yardrill::gateway {
 
-/// Time without enough followers after which twice as many may follow.
+/// Time without enough followers after which the number of instances that may
+/// follow doubles.
 static constexpr std::chrono::seconds DoublingPeriod{1};
 /// Allows 48 followers; if none of these reaches the store, it is unavailable,
 /// and further ones would only add calls.
--- a/Libraries/LibGateway/FollowerSelection.h
+++ b/Libraries/LibGateway/FollowerSelection.h
@@ -21,8 +21,8 @@
 /// Decides for one instance; used by PeerService.
 class FollowerSelection {
 public:
-  /// Tolerates the loss of a third of the instances: the probability that no
-  /// follower remains is 0.35^6 = 0.002.
+  /// Tolerates the loss of about a third of the instances: if 35 % are lost,
+  /// the probability that no follower remains is 0.35^6 = 0.002.
   static constexpr std::size_t DesiredFollowers = 6;
 
   /// \param Rank number of instances of the fleet, live or not, that precede
