--- a/Libraries/LibGateway/MirrorFetcher.cpp
+++ b/Libraries/LibGateway/MirrorFetcher.cpp
@@ -24,7 +24,8 @@
 /// Timeout of each step: connecting, sending, and receiving the next part.
 static constexpr std::chrono::milliseconds FetchTimeout{1000};
 /// Backoff after a refusal; random, so that instances which asked at the same
-/// time do not do so again. The maximum is the backlog at which peers refuse.
+/// time do not do so again. The maximum is the backlog at which a peer's
+/// UploadBudget refuses.
 static constexpr std::chrono::milliseconds MinRefusalBackoff{20};
 static constexpr std::chrono::milliseconds MaxRefusalBackoff{100};
 /// Largest response and value accepted. A configuration has at most 1 MB, the
@@ -43,18 +44,18 @@
 
 template <class Condition>
 static std::vector<FetchCandidate>
-filtered(const std::vector<FetchCandidate> &Of, const Condition &Predicate) {
+filtered(const std::vector<FetchCandidate> &All, const Condition &Predicate) {
   std::vector<FetchCandidate> Out;
-  std::copy_if(Of.begin(), Of.end(), std::back_inserter(Out), Predicate);
+  std::copy_if(All.begin(), All.end(), std::back_inserter(Out), Predicate);
   return Out;
 }
 
 static std::vector<FetchCandidate>
-withNewestValues(const std::vector<FetchCandidate> &Of) {
+withNewestValues(const std::vector<FetchCandidate> &All) {
   platform::Revision Newest;
-  for (const FetchCandidate &Each : Of)
+  for (const FetchCandidate &Each : All)
     Newest = std::max(Newest, Each.m_CompleteRevision);
-  return filtered(Of, [Newest](const FetchCandidate &Each) {
+  return filtered(All, [Newest](const FetchCandidate &Each) {
     return Each.m_CompleteRevision == Newest;
   });
 }
@@ -171,13 +172,13 @@
   auto Response = exchange(From, std::move(Request), Yield);
   if (!Response)
     return backOff(m_Changes);
-  auto Transfer = MirrorUpdate::decode(*Response);
-  Transfer.applyTo(m_Mirror);
+  auto Update = MirrorUpdate::decode(*Response);
+  Update.applyTo(m_Mirror);
   core::LogLine("store-heard-from-peer")
       .add("peer", From.toString())
       .add("revision", m_Mirror.revision())
-      .add("entries", Transfer.m_Entries.size())
-      .add("is_whole", Transfer.m_IsSnapshot)
+      .add("entries", Update.m_Entries.size())
+      .add("is_whole", Update.m_IsSnapshot)
       .add("values_wanted", m_Mirror.pendingValues().size())
       .add("bytes", Response->size())
       .add("took_us", core::steadyNow() - Begin);
--- a/Libraries/LibGateway/MirrorFetcher.h
+++ b/Libraries/LibGateway/MirrorFetcher.h
@@ -53,8 +53,10 @@
   /// State of the fetches of one kind, of which one runs at a time.
   struct FetchState {
     bool m_IsFetching = false;
-    core::TimePoint m_BehindSince{}; ///< Zero: not behind
-    core::TimePoint m_RetryAt{};     ///< End of the backoff after a refusal
+    /// Time at which this instance fell behind or at which its last fetch
+    /// ended, whichever is later; zero: not behind.
+    core::TimePoint m_BehindSince{};
+    core::TimePoint m_RetryAt{}; ///< End of the backoff after a refusal
   };
   using Candidates = std::vector<FetchCandidate>;
 
@@ -62,8 +64,9 @@
                          core::TimePoint Now);
   void fetchValueIfDue(const Candidates &PeersAhead, bool MayWaitForStore,
                        core::TimePoint Now);
-  /// Returns a random candidate, in this instance's data hall if possible,
-  /// unless the last one refused. \pre \p From is not empty.
+  /// Returns a random candidate: one in this instance's data hall if possible,
+  /// or any if the last request for a value was refused. \pre \p From is not
+  /// empty.
   const FetchCandidate &chooseSource(const Candidates &From);
   /// Records that this instance is behind. \returns whether to fetch now.
   bool isFetchDue(FetchState &State, bool MayWaitForStore,
--- a/Libraries/LibGateway/MirrorServer.h
+++ b/Libraries/LibGateway/MirrorServer.h
@@ -1,8 +1,8 @@
 //===-- MirrorServer.h - Serves the store mirror to other instances -------===//
 //
 // Two kinds of HTTP requests: changes since a revision, and the current value
-// of a key with a large value. Responses, and requests for values, are signed
-// with the key that all instances share.
+// of a key with a large value. Responses of status 200, and requests for
+// values, are signed with the key that all instances share.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_MIRRORSERVER_H
@@ -28,10 +28,10 @@
   /// Path of changes, followed by the client's revision. The status is 503 if
   /// the response is large and the upload budget is exhausted.
   static constexpr char ChangesPath[] = "/store/";
-  /// Path of values, with a signed ValueQuery as the body. The status is 404 if
-  /// no newer value is here, and 503 if the upload budget is exhausted: all
-  /// instances ask within tenths of a second, and each that has the value can
-  /// serve it.
+  /// Path of values, with a signed ValueQuery as the body. The status is 403 if
+  /// its signature is invalid, 400 if it cannot be decoded, 404 if no newer
+  /// value is here, and 503 if the upload budget is exhausted: all instances
+  /// ask within tenths of a second, and each that has the value can serve it.
   static constexpr char ValuePath[] = "/value";
 
   /// Listens for TCP on \p Address.
--- a/Libraries/LibGateway/MirrorUpdate.cpp
+++ b/Libraries/LibGateway/MirrorUpdate.cpp
@@ -12,16 +12,15 @@
 namespace yardrill::platform {
 
 /// Found by cereal through argument-dependent lookup.
-template <class Archive> void serialize(Archive &Ar, Entry &What) {
-  Ar(What.m_Key, What.m_Value, What.m_ModRevision, What.m_IsDeleted,
-     What.m_IsValueOmitted);
+template <class Archive> void serialize(Archive &Ar, Entry &E) {
+  Ar(E.m_Key, E.m_Value, E.m_ModRevision, E.m_IsDeleted, E.m_IsValueOmitted);
 }
 
 } // namespace yardrill::platform
 
 namespace yardrill::gateway {
 
-static void detachLargeValues(std::vector<platform::Entry> &Entries) {
+static void omitLargeValues(std::vector<platform::Entry> &Entries) {
   for (platform::Entry &Each : Entries) {
     if (!isLargeValue(Each.m_Value))
       continue;
@@ -38,7 +37,7 @@
   Out.m_IsSnapshot = !Changes;
   if (Changes)
     Out.m_Entries = std::move(*Changes);
-  detachLargeValues(Out.m_Entries);
+  omitLargeValues(Out.m_Entries);
   return Out;
 }
 
@@ -47,7 +46,7 @@
   Out.m_At = Mirror.revision();
   Out.m_IsSnapshot = true;
   Out.m_Entries = Mirror.content();
-  detachLargeValues(Out.m_Entries);
+  omitLargeValues(Out.m_Entries);
   return Out;
 }
 
@@ -58,11 +57,11 @@
     Mirror.apply(m_At, m_Entries);
 }
 
-template <class Message> static std::string encoded(const Message &What) {
+template <class Message> static std::string encoded(const Message &M) {
   std::ostringstream Out;
   {
     cereal::PortableBinaryOutputArchive Archive(Out);
-    Archive(What);
+    Archive(M);
   }
   return Out.str();
 }
