--- a/Libraries/LibGateway/MissingPeers.cpp
+++ b/Libraries/LibGateway/MissingPeers.cpp
@@ -5,8 +5,8 @@
 
 namespace yardrill::gateway {
 
-/// Time for which a missing peer's share of the quotas stays reserved. Exceeds
-/// a window of the quotas (8 s) and a restart.
+/// Time after which a missing peer no longer counts as active, unless the store
+/// is unreachable. Exceeds a restart.
 static constexpr std::chrono::seconds RetentionTime{10};
 
 void MissingPeers::forgetOld(core::TimePoint Now) {
--- a/Libraries/LibGateway/MissingPeers.h
+++ b/Libraries/LibGateway/MissingPeers.h
@@ -1,9 +1,9 @@
 //===-- MissingPeers.h - Peers that fell silent without stopping ----------===//
 //
 // Does no I/O. A silent peer may have exited, or be partitioned and still use
-// its share of the quotas. The sides of a partition must not take over each
-// other's share: the side without the store reserves the other's while it
-// lasts.
+// its share of the retry allowance. The sides of a partition must not take over
+// each other's share: the side without the store counts the other's instances
+// as active while the partition lasts.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_MISSINGPEERS_H
--- a/Tests/LibGateway/MissingPeersTest.cpp
+++ b/Tests/LibGateway/MissingPeersTest.cpp
@@ -11,7 +11,7 @@
   CPPUNIT_TEST_SUITE(MissingPeersTest);
   CPPUNIT_TEST(testIsKeptForAWhile);
   CPPUNIT_TEST(testFirstSilenceCounts);
-  CPPUNIT_TEST(testHeardAgain);
+  CPPUNIT_TEST(testReturningPeerIsRemoved);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now{std::chrono::hours(1)};
@@ -33,7 +33,7 @@
     CPPUNIT_ASSERT(m_Missing.all().at(m_Peer) == m_Now);
   }
 
-  void testHeardAgain() {
+  void testReturningPeerIsRemoved() {
     m_Missing.add(m_Peer, m_Now);
     m_Missing.remove(m_Peer);
     CPPUNIT_ASSERT(m_Missing.all().empty());
