--- a/Libraries/LibGateway/PeerService.cpp
+++ b/Libraries/LibGateway/PeerService.cpp
@@ -23,11 +23,11 @@
 /// revision of the store, within this number of periods: once a second.
 static constexpr std::size_t FollowerRounds = 4;
 /// Every other instance sends the record writer a full report once in this
-/// number of periods; an instance silent for 12 s is removed from the
-/// membership.
+/// number of periods: every 2 s. The writer counts an instance as live for 10 s
+/// after its last report.
 static constexpr std::size_t WriterRounds = 8;
-/// Peers per group to which a follower reports a new revision at once; these
-/// forward it within their groups.
+/// Average number of peers per group to which a follower reports a new revision
+/// at once; these fetch it and report it within their groups.
 static constexpr std::size_t ReceiversPerGroup = 2;
 /// Period of reports in a fleet of several groups; longer, since each report
 /// costs processor time at every receiver.
@@ -118,7 +118,8 @@
   } else if (canSupplyState(*Report)) {
     sendReport({Message.m_From.m_Peer}, true);
   }
-  // The hook is called on demand: reports are more frequent than requests.
+  // notifyIfChanged() calls the hook once for several reports, which are more
+  // frequent than requests.
   m_IsChanged = true;
 }
 
@@ -128,7 +129,7 @@
     return;
   for (const decision::InstanceRef &Other : Report.m_RecentPeers)
     if (!(Other.m_Peer == m_Settings.m_PeerAddress) &&
-        m_HintedPeers.size() < MaxHintedPeers && !m_Peers.isLive(Other.m_Peer))
+        m_HintedPeers.size() < MaxHintedPeers && !m_Peers.isKnown(Other.m_Peer))
       m_HintedPeers.insert(Other.m_Peer);
 }
 
--- a/Libraries/LibGateway/PeerService.h
+++ b/Libraries/LibGateway/PeerService.h
@@ -30,7 +30,7 @@
 
 namespace yardrill::gateway {
 
-/// What PeerService needs from the gateway, and notifies it of.
+/// Callbacks through which PeerService queries and notifies the gateway.
 struct PeerServiceHooks {
   /// Fills in the load at targets, waiting requests and the store connection.
   std::function<void(peer::LoadReport &)> m_FillReport;
@@ -38,7 +38,7 @@
   std::function<void()> m_Changed;
   /// Returns the number of targets in the largest pool.
   std::function<std::size_t()> m_LargestPoolSize;
-  /// Called when the fleet was divided into groups anew.
+  /// Called after the fleet was divided into groups anew.
   std::function<void(const routing::FleetSubset &)> m_Repartitioned;
   /// Called with each valid message that is not a load report.
   std::function<void(const peer::PeerMessage &)> m_MessageReceived;
@@ -56,7 +56,8 @@
 
   /// Starts to receive messages and to send reports; greets the seeds.
   void start(core::TimerService &Timers);
-  /// Marks this instance as stopping and reports that to all live peers.
+  /// Marks this instance as stopping and reports that to its group and to all
+  /// other live peers.
   void setStopping();
 
   /// Reports to group peers after the current handler has returned. Until they
@@ -79,7 +80,8 @@
   /// Whether this process has had enough time to find its peers.
   bool isDiscoveryDone() const;
   /// Whether this instance writes the records that all instances share, such as
-  /// the membership record.
+  /// the membership record. Callers also have to check that it is connected to
+  /// the store.
   bool isRecordWriter() const {
     return isDiscoveryDone() && m_Peers.followersBefore() == 0;
   }
@@ -87,7 +89,7 @@
   /// store, or, if no known instance reaches it, from at least half of the
   /// group peers.
   bool isListConfirmed() const;
-  /// Returns the live instances, this one included.
+  /// Returns this instance and the peers in the table, silent ones included.
   FleetMembers liveInstances() const;
   /// Returns the peer addresses of all other instances that are live or
   /// recorded.
@@ -153,8 +155,8 @@
   routing::FleetSubset::Fleet m_Fleet; ///< Basis of m_Subset
   std::size_t m_MaxGroupMembers = 0;   ///< Group size used for m_Subset
   Rotation m_OtherGroupRotation;       ///< Index into m_OtherGroupAddresses
-  std::size_t m_FullReports = 0;
-  peer::LoadReport m_LastReport; ///< Last report sent, in full
+  std::size_t m_FullReports = 0;       ///< Counter for WriterRounds
+  peer::LoadReport m_LastReport;       ///< Last report sent, in full
   std::uint64_t m_Sequence = 0;
   core::TimePoint m_LastReportAt{};
   core::TimePoint m_FullReportAt{};
--- a/Libraries/LibGateway/PeerTable.cpp
+++ b/Libraries/LibGateway/PeerTable.cpp
@@ -8,20 +8,20 @@
 
 namespace yardrill::gateway {
 
-/// Silence after which a group peer is no longer live: several lost reports.
+/// Time without a report after which a group peer is silent: several lost
+/// reports.
 static constexpr std::chrono::milliseconds GroupPeerTimeout{700};
-/// Silence after which any peer is removed. Peers of other groups report
-/// rarely, and several reports can be lost.
-static constexpr std::chrono::seconds OtherGroupPeerTimeout{10};
+/// Time without a message after which any peer is removed. Peers of other
+/// groups report rarely, and several reports can be lost.
+static constexpr std::chrono::seconds PeerTimeout{10};
 static constexpr std::chrono::seconds ScanPeriod{1};
-/// Silence after which a peer does not count as a follower: followers report to
-/// other groups once a second.
+/// Time without a report after which a peer does not count as a follower:
+/// followers report to other groups once a second.
 static constexpr std::chrono::milliseconds FollowerTimeout{2500};
 static constexpr std::size_t MaxPeers = 1024;
 
 PeerTable::PeerTable(const config::Endpoint &Self)
-    : m_SelfHash(followerOrder(Self)),
-      m_Directory(MaxPeers, OtherGroupPeerTimeout) {}
+    : m_SelfHash(followerOrder(Self)), m_Directory(MaxPeers, PeerTimeout) {}
 
 std::uint64_t PeerTable::followerOrder(const config::Endpoint &Address) {
   return core::stableHash(Address.toString());
@@ -119,9 +119,9 @@
     m_Followers.erase({Each.m_AddressHash, PeerId});
   }
   for (auto Each = m_Followers.begin(); Each != m_Followers.end();) {
-    bool IsHeard =
+    bool IsRecent =
         Now - m_Peers.at(Each->second).m_LastSeenAt <= FollowerTimeout;
-    Each = IsHeard ? std::next(Each) : m_Followers.erase(Each);
+    Each = IsRecent ? std::next(Each) : m_Followers.erase(Each);
   }
   if (Now - m_LastScanAt <= ScanPeriod)
     return SilentPeers;
--- a/Libraries/LibGateway/PeerTable.h
+++ b/Libraries/LibGateway/PeerTable.h
@@ -45,38 +45,42 @@
   /// Effect of a report.
   struct ReportResult {
     std::optional<peer::DropReason> m_Dropped;
-    bool m_IsNew = false; ///< Whether the peer was not live before
+    bool m_IsNew = false; ///< Whether the peer was unknown or silent before
   };
-  /// Applies a report; short reports of peers that are not live are ignored.
+  /// Applies a report; short reports of unknown or silent peers are ignored.
   ReportResult handle(const peer::PeerMessage &Message,
                       const peer::LoadReport &Report, core::TimePoint Now,
                       std::int64_t NowWallSeconds);
   /// Checks a message that is not a report for replay and staleness. Messages
-  /// of unknown peers are accepted. \returns why \p Message must be dropped;
-  /// none if it is valid.
+  /// of unknown peers are accepted unchecked. \returns why \p Message must be
+  /// dropped; none if it is accepted.
   std::optional<peer::DropReason> check(const peer::PeerMessage &Message,
                                         core::TimePoint Now,
                                         std::int64_t NowWallSeconds);
-  /// Must be called many times a second; peers of other groups are checked once
-  /// a second. \returns the peers that fell silent since the last call.
+  /// Marks group peers without recent reports as silent, and removes peers that
+  /// have sent nothing for long. Must be called many times a second; the
+  /// removal is done once a second. \returns the peers that fell silent since
+  /// the last call.
   std::vector<LivePeer> expire(core::TimePoint Now);
   /// Sets the division into groups, which defines the group peers.
   void setSubset(const routing::FleetSubset &Subset);
 
   const Peers &all() const { return m_Peers; }
-  /// \returns null if the peer is unknown.
+  /// Returns the peer with that incarnation; null if it is unknown.
   const LivePeer *find(core::IncarnationId Peer) const;
-  bool isLive(const config::Endpoint &Address) const {
+  /// Whether a peer with that address is in the table, silent or not.
+  bool isKnown(const config::Endpoint &Address) const {
     return m_ByAddress.count(Address) != 0;
   }
   /// Returns the hash by which instances are ordered to select followers of the
   /// store; hashing spreads these over the data halls.
   static std::uint64_t followerOrder(const config::Endpoint &Address);
-  /// Returns the live follower that is first in that order.
+  /// Returns the peer that is first in that order among those that follow the
+  /// store; none if no peer does.
   std::optional<config::Endpoint> firstFollower() const;
   /// Returns the peers of this instance's group, without silent ones.
   std::vector<const LivePeer *> groupPeers() const;
-  /// \returns whether a peer joined, left or changed its data hall since the
+  /// Returns whether a peer joined, left or changed its data hall since the
   /// last call.
   bool consumeFleetChange();
 
--- a/Tests/LibGateway/PeerTableTest.cpp
+++ b/Tests/LibGateway/PeerTableTest.cpp
@@ -80,7 +80,7 @@
     // Its report does not count any more, but it still belongs to the fleet.
     CPPUNIT_ASSERT(m_Table.groupPeers().empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Table.followerCount());
-    CPPUNIT_ASSERT(m_Table.isLive(address(0)));
+    CPPUNIT_ASSERT(m_Table.isKnown(address(0)));
     CPPUNIT_ASSERT(!handle(1, 0, false).m_IsNew);
     CPPUNIT_ASSERT(m_Table.groupPeers().empty());
     CPPUNIT_ASSERT(handle(1, 0).m_IsNew);
@@ -91,11 +91,11 @@
     handle(1, 0);
     m_Now += seconds(9);
     CPPUNIT_ASSERT(m_Table.expire(m_Now).empty());
-    CPPUNIT_ASSERT(m_Table.isLive(address(0)));
+    CPPUNIT_ASSERT(m_Table.isKnown(address(0)));
     m_Now += seconds(2);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.expire(m_Now).size());
     CPPUNIT_ASSERT(m_Table.all().empty());
-    CPPUNIT_ASSERT(!m_Table.isLive(address(0)));
+    CPPUNIT_ASSERT(!m_Table.isKnown(address(0)));
   }
 
   void testNewIncarnationReplacesOldOne() {
@@ -103,7 +103,7 @@
     handle(2, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), m_Table.all().size());
     CPPUNIT_ASSERT(m_Table.find(core::IncarnationId(2)));
-    CPPUNIT_ASSERT(m_Table.isLive(address(0)));
+    CPPUNIT_ASSERT(m_Table.isKnown(address(0)));
   }
 
   void testFollowersBefore() {
@@ -146,10 +146,10 @@
   }
 
   void testMessagesOfUnknownPeersAreAccepted() {
-    peer::PeerMessage Ask = message(1, 0);
-    CPPUNIT_ASSERT(!m_Table.check(Ask, m_Now, WallSeconds));
+    peer::PeerMessage Message = message(1, 0);
+    CPPUNIT_ASSERT(!m_Table.check(Message, m_Now, WallSeconds));
     handle(1, 0);
-    CPPUNIT_ASSERT(*m_Table.check(Ask, m_Now, WallSeconds) ==
+    CPPUNIT_ASSERT(*m_Table.check(Message, m_Now, WallSeconds) ==
                    peer::DropReason::Replayed);
     CPPUNIT_ASSERT(!m_Table.check(message(1, 0), m_Now, WallSeconds));
   }
