--- a/Libraries/LibGateway/PoolRollout.cpp
+++ b/Libraries/LibGateway/PoolRollout.cpp
@@ -10,9 +10,9 @@
 /// delay the detection of a version that is slow as a whole, since fewer
 /// targets are covered.
 static constexpr std::chrono::seconds CanaryTurnPeriod{1};
-/// Largest difference between this clock and that of the record's writer. Only
-/// a process started after the order learns the age of the order from the
-/// record.
+/// Largest expected difference between this clock and that of the record's
+/// writer. An age from the record counts only if it exceeds the known one by
+/// more: in a process that started after the order was placed.
 static constexpr std::chrono::seconds WallTolerance{3};
 
 void PoolRollout::setOrder(std::optional<rollout::Order> Order,
@@ -101,19 +101,19 @@
   return m_Record ? m_Record->m_Excluded : None;
 }
 
-bool PoolRollout::isCanary(const routing::Target &What) const {
-  return isActive() && What.m_Version == m_Order->m_Version;
+bool PoolRollout::isCanary(const routing::Target &Candidate) const {
+  return isActive() && Candidate.m_Version == m_Order->m_Version;
 }
 
-bool PoolRollout::mayServe(const routing::Target &What,
+bool PoolRollout::mayServe(const routing::Target &Candidate,
                            core::TimePoint Now) const {
-  bool IsNew = isCanary(What);
-  if (!IsNew && excluded().count(What.m_Version) != 0)
+  bool IsNew = isCanary(Candidate);
+  if (!IsNew && excluded().count(Candidate.m_Version) != 0)
     return false;
   // The roll-back of a withdrawn order is not written yet.
   bool IsWithdrawn = !m_Order && m_Status &&
                      m_Status->m_State == State::InProgress &&
-                     m_Status->m_Version == What.m_Version;
+                     m_Status->m_Version == Candidate.m_Version;
   if (IsWithdrawn)
     return false;
   if (!isActive())
--- a/Libraries/LibGateway/PoolRollout.h
+++ b/Libraries/LibGateway/PoolRollout.h
@@ -23,11 +23,14 @@
 public:
   explicit PoolRollout(core::PoolName Pool) : m_Pool(std::move(Pool)) {}
 
-  /// Sets the order; none if it was withdrawn. Another order starts anew.
+  /// Sets the order; none if it was withdrawn. An order with another identifier
+  /// starts anew.
   void setOrder(std::optional<rollout::Order> Order, core::TimePoint Now);
+  /// Sets the status; none if absent.
   /// \param At revision of the status; 0 if absent.
   void setStatus(std::optional<rollout::Status> Status, platform::Revision At);
-  /// Sets the record, and learns the age of the order from it.
+  /// Sets the record, none if it is absent or unreadable, and learns the age of
+  /// the order from it.
   /// \param WallSeconds current wall-clock time, in Unix seconds.
   void setRecord(std::optional<rollout::Record> Record,
                  std::int64_t WallSeconds, core::TimePoint Now);
@@ -53,10 +56,10 @@
   /// \pre isActive().
   rollout::Participant &participant() { return *m_Participant; }
 
-  bool mayServe(const routing::Target &What,
+  bool mayServe(const routing::Target &Candidate,
                 core::TimePoint Now) const override;
   bool isCanaryDue(std::uint32_t Route, core::TimePoint Now) const override;
-  bool isCanary(const routing::Target &What) const override;
+  bool isCanary(const routing::Target &Candidate) const override;
   std::size_t canaryTurn(core::TimePoint Now) const override;
   double canaryShare() const override;
   /// Whether any version is treated differently from the others.
--- a/Libraries/LibGateway/RolloutService.cpp
+++ b/Libraries/LibGateway/RolloutService.cpp
@@ -45,8 +45,8 @@
   Rollout.m_Coordinator.reset();
 }
 
-static const char *toString(State What) {
-  switch (What) {
+static const char *toString(State Value) {
+  switch (Value) {
   case State::InProgress:
     return "in-progress";
   case State::Completed:
@@ -109,28 +109,29 @@
 }
 
 void RolloutService::recordSent(std::uint32_t Route,
-                                const routing::Target &Where) {
-  Pool *Rollout = findActive(Where.m_Pool);
+                                const routing::Target &Destination) {
+  Pool *Rollout = findActive(Destination.m_Pool);
   if (!Rollout)
     return;
   PoolRollout &State = Rollout->m_State;
-  State.participant().recordSent(Route, State.isCanary(Where),
+  State.participant().recordSent(Route, State.isCanary(Destination),
                                  core::steadyNow());
 }
 
 void RolloutService::recordResponse(std::uint32_t Route,
-                                    const routing::Target &Where,
-                                    rollout::ResponseQuality How,
+                                    const routing::Target &Destination,
+                                    rollout::ResponseQuality Quality,
                                     core::Duration Time) {
-  Pool *Rollout = findActive(Where.m_Pool);
+  Pool *Rollout = findActive(Destination.m_Pool);
   if (!Rollout)
     return;
   PoolRollout &State = Rollout->m_State;
   rollout::ResponseCountsKey Key;
-  Key.m_Side = State.isCanary(Where) ? rollout::Side::New : rollout::Side::Old;
-  Key.m_Target = Where.incarnation().hash();
+  Key.m_Side =
+      State.isCanary(Destination) ? rollout::Side::New : rollout::Side::Old;
+  Key.m_Target = Destination.incarnation().hash();
   Key.m_Route = Route;
-  State.participant().recordResponse(Key, How, Time, core::steadyNow());
+  State.participant().recordResponse(Key, Quality, Time, core::steadyNow());
 }
 
 //===----------------------------------------------------------------------===//
@@ -138,8 +139,8 @@
 //===----------------------------------------------------------------------===//
 
 bool RolloutService::isCoordinator() const {
-  auto Who = m_Hooks.m_Coordinator();
-  return Who && *Who == m_Self;
+  auto Address = m_Hooks.m_Coordinator();
+  return Address && *Address == m_Self;
 }
 
 rollout::Coordinator &RolloutService::coordinatorOf(Pool &Rollout,
@@ -219,12 +220,12 @@
 // Coordinator
 //===----------------------------------------------------------------------===//
 
-void RolloutService::write(Pool &Rollout, const RolloutWrite &What,
+void RolloutService::write(Pool &Rollout, const RolloutWrite &Write,
                            core::TimePoint Now) {
   if (Now - Rollout.m_LastWriteAt < WriteRetryPeriod)
     return;
   Rollout.m_LastWriteAt = Now;
-  m_Hooks.m_Write(What);
+  m_Hooks.m_Write(Write);
 }
 
 void RolloutService::coordinate(Pool &Rollout, core::TimePoint Now) {
--- a/Libraries/LibGateway/RolloutService.h
+++ b/Libraries/LibGateway/RolloutService.h
@@ -21,7 +21,7 @@
   rollout::Record m_Record;
 };
 
-/// What RolloutService needs from the gateway.
+/// Callbacks through which RolloutService uses the gateway.
 struct RolloutHooks {
   /// Sends a message to another instance; it can be lost.
   std::function<void(const config::Endpoint &, const peer::PeerBody &)> m_Send;
@@ -57,13 +57,14 @@
   /// Handles reports and permits of peers; ignores other messages.
   void handle(const peer::PeerMessage &Message);
 
-  /// \returns null if the pool treats all versions alike.
+  /// Returns the gate of a pool; null if it treats all versions alike.
   const routing::VersionGate *gateOf(const core::PoolName &Pool) const;
   /// Records that a request was sent to a target.
-  void recordSent(std::uint32_t Route, const routing::Target &Where);
+  void recordSent(std::uint32_t Route, const routing::Target &Destination);
   /// Records the quality and the time of a response.
-  void recordResponse(std::uint32_t Route, const routing::Target &Where,
-                      rollout::ResponseQuality How, core::Duration Time);
+  /// \param Time response time, normalized to one size of request.
+  void recordResponse(std::uint32_t Route, const routing::Target &Destination,
+                      rollout::ResponseQuality Quality, core::Duration Time);
 
   /// Whether any roll-out needs upkeep().
   bool isBusy() const;
@@ -86,14 +87,14 @@
   };
 
   Pool &poolOf(const core::PoolName &Name);
-  /// \returns null if the pool has no active order.
+  /// Returns the pool; null if it has no active order.
   Pool *findActive(const core::PoolName &Name);
   /// Reports to the coordinator if that is due.
   void report(Pool &Rollout, core::TimePoint Now);
   /// Evaluates the roll-out, and writes its status if that has to change.
   void coordinate(Pool &Rollout, core::TimePoint Now);
   /// Starts a write, unless one was started recently.
-  void write(Pool &Rollout, const RolloutWrite &What, core::TimePoint Now);
+  void write(Pool &Rollout, const RolloutWrite &Write, core::TimePoint Now);
   void logJudgement(Pool &Rollout, const rollout::PoolCapacity &Targets,
                     core::TimePoint Now) const;
   /// Returns the coordinator of a roll-out; creates it if needed.
--- a/Libraries/LibGateway/RolloutWriter.h
+++ b/Libraries/LibGateway/RolloutWriter.h
@@ -18,7 +18,7 @@
 
   /// Starts to write the status that operators read and the record of the
   /// roll-out, in one transaction. The outcome is logged.
-  void write(const RolloutWrite &What);
+  void write(const RolloutWrite &Write);
 
 private:
   boost::asio::io_context &m_Context;
