--- a/Libraries/LibGateway/QuarantineService.cpp
+++ b/Libraries/LibGateway/QuarantineService.cpp
@@ -42,14 +42,14 @@
   return Out;
 }
 
-void QuarantineService::noteTargetExit(const routing::Target &Which,
+void QuarantineService::noteTargetExit(const routing::Target &Exited,
                                        const ContentDigest &Content) {
-  m_Gossip.noteTargetExit(Content, Which.incarnation().hash(),
+  m_Gossip.noteTargetExit(Content, Exited.incarnation().hash(),
                           core::steadyNow());
   core::LogLine("target-ended", core::LogLevel::Warning)
-      .add("target", Which.m_Name)
-      .add("birth", Which.m_StartTime)
-      .add("pool", Which.m_Pool)
+      .add("target", Exited.m_Name)
+      .add("birth", Exited.m_StartTime)
+      .add("pool", Exited.m_Pool)
       .add("content", Content)
       .add("targets_ended", table().incriminatingIncarnations(Content));
 }
--- a/Libraries/LibGateway/QuarantineService.h
+++ b/Libraries/LibGateway/QuarantineService.h
@@ -14,7 +14,7 @@
 
 namespace yardrill::gateway {
 
-/// What QuarantineService needs from the gateway.
+/// Callbacks through which QuarantineService uses the gateway.
 struct QuarantineHooks {
   /// Sends a message to another instance; it can be lost.
   std::function<void(const config::Endpoint &, const peer::PeerBody &)> m_Send;
@@ -36,7 +36,7 @@
                     platform::KeyValueService &Store, QuarantineHooks Hooks);
 
   /// Records that \p Which exited while it ran a request with \p Content.
-  void noteTargetExit(const routing::Target &Which,
+  void noteTargetExit(const routing::Target &Exited,
                       const quarantine::ContentDigest &Content);
   /// Records that a target responded to a request with \p Content in full.
   void noteSuccess(const quarantine::ContentDigest &Content);
@@ -44,7 +44,8 @@
   bool isQuarantined(const quarantine::ContentDigest &Content) const {
     return m_Gossip.table().isQuarantined(Content);
   }
-  /// Whether more than one target exited while it ran \p Content.
+  /// Whether the exits of at least two targets incriminate \p Content, see
+  /// quarantine::QuarantineTable::IncarnationsToSuspect.
   bool isSuspect(const quarantine::ContentDigest &Content) const {
     return m_Gossip.table().isSuspect(Content);
   }
--- a/Libraries/LibGateway/QuotaProtocol.h
+++ b/Libraries/LibGateway/QuotaProtocol.h
@@ -35,8 +35,9 @@
               core::TimePoint Now);
   void handle(const config::Endpoint &From, const peer::QuotaResponse &Response,
               core::TimePoint Now);
-  /// Requests that the other owners take over their shares of debts incurred
-  /// here. Must be called after each decision of the quota.
+  /// Requests that the other owners take over their shares of debts that this
+  /// instance incurred as an owner. Must be called after each decision of the
+  /// quota.
   void sendCharges(core::TimePoint Now);
   /// Returns unused tokens to their owners and drops requests without a
   /// response. Must be called a few times a second.
