--- a/Libraries/LibGateway/StoreFollower.cpp
+++ b/Libraries/LibGateway/StoreFollower.cpp
@@ -14,16 +14,16 @@
 namespace asio = boost::asio;
 using platform::CallClass;
 
-/// Prefix of all keys; one watch is one billed call, several would be several.
+/// Prefix of all keys. Each watch is billed as a call, so one covers them all.
 static const char EverythingPrefix[] = "";
 /// Backoff after failures: at first about the duration of a call, at most so
 /// long that a configuration still takes effect in time once the store is back.
 static constexpr std::chrono::milliseconds MinBackoff{100};
 static constexpr std::chrono::milliseconds MaxBackoff{800};
 
-/// Period in which MustWait is called.
+/// Period at which MustWait is called.
 static constexpr std::chrono::milliseconds WaitPeriod{10};
-/// Period in which a disabled follower checks whether it was enabled.
+/// Period at which a disabled follower checks whether it was enabled.
 static constexpr std::chrono::milliseconds EnabledPollPeriod{250};
 
 void StoreFollower::start(std::function<bool(core::Duration)> MustWait) {
--- a/Libraries/LibGateway/StoreFollower.h
+++ b/Libraries/LibGateway/StoreFollower.h
@@ -12,8 +12,8 @@
 
 namespace yardrill::gateway {
 
-/// Watches the whole store and copies it into the mirror while the process
-/// runs. Logs when the store is lost and when it returns; owned by Gateway.
+/// Watches the whole store and copies it into the mirror while enabled. Logs
+/// when the store is lost and when it returns; owned by Gateway.
 class StoreFollower {
 public:
   StoreFollower(boost::asio::io_context &Context,
@@ -25,8 +25,8 @@
   /// milliseconds, until it returns false; only then is the store called. Peers
   /// may supply the state instead.
   void start(std::function<bool(core::Duration)> MustWait);
-  /// Sets whether this instance follows the store, or leaves that to peers.
-  /// Takes effect after the call in progress.
+  /// Sets whether this instance follows the store, or leaves that to peers. A
+  /// watch in progress ends with the next change or failure.
   void setEnabled(bool IsEnabled) { m_IsEnabled = IsEnabled; }
   bool isConnected() const { return m_IsConnected; }
 
--- a/Libraries/LibGateway/StoreRecord.h
+++ b/Libraries/LibGateway/StoreRecord.h
@@ -2,7 +2,7 @@
 //
 // Written by compare-and-swap on the revision read last, so that concurrent
 // writers cannot overwrite each other. Each write is billed, hence the minimum
-// time between two.
+// time between two attempts.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBGATEWAY_STORERECORD_H
