--- a/Libraries/LibGateway/ValueHistory.h
+++ b/Libraries/LibGateway/ValueHistory.h
@@ -25,8 +25,9 @@
 /// Keeps older large values and caches patches; used by MirrorServer.
 class ValueHistory {
 public:
-  /// Largest number of older values of a key. Changes a third of a second apart
-  /// reach all instances within 1 s; the rest covers late instances.
+  /// Largest number of older values of a key. Changes can be a third of a
+  /// second apart and take up to 1 s to reach all instances, so that peers are
+  /// up to three versions behind; the other three cover late instances.
   static constexpr std::size_t MaxVersions = 6;
   /// Largest total size of the older values of a key.
   static constexpr std::size_t MaxBytes = 4UL * 1024 * 1024;
--- a/Libraries/LibGateway/ValuePatch.cpp
+++ b/Libraries/LibGateway/ValuePatch.cpp
@@ -36,8 +36,8 @@
 std::string makePatch(std::string_view Base, std::string_view Value) {
   std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)> Context(
       ZSTD_createCCtx(), &ZSTD_freeCCtx);
-  auto Set = [&](ZSTD_cParameter Which, int Setting) {
-    check(ZSTD_CCtx_setParameter(Context.get(), Which, Setting),
+  auto Set = [&](ZSTD_cParameter Parameter, int Setting) {
+    check(ZSTD_CCtx_setParameter(Context.get(), Parameter, Setting),
           ErrorKind::LimitExceeded);
   };
   Set(ZSTD_c_compressionLevel, Level);
--- a/Tests/LibGateway/StoreSpreadTest.cpp
+++ b/Tests/LibGateway/StoreSpreadTest.cpp
@@ -1,9 +1,8 @@
 //===-- StoreSpreadTest.cpp - Propagation of changes to all instances -----===//
 //
-// Guards against large values that delay other changes: a few followers sent a
-// configuration of half a megabyte to every other instance, over one link each,
-// and the receivers learned of no other change, such as a target that leaves,
-// until the transfer had ended.
+// Guards against large values that delay other changes, such as a target that
+// leaves, until their transfer has ended, and against a few followers whose
+// links carry a large value to the whole fleet.
 //
 //===----------------------------------------------------------------------===//
 #include "MirrorFleet.h"
@@ -60,14 +59,15 @@
                                  put(TargetKey, "ready", 10)});
     m_Fleet.start();
   }
-  void change(std::size_t Member, Entry What) {
-    Revision At = What.m_ModRevision;
-    m_Fleet.instance(Member).mirror().apply(At, {std::move(What)});
+  void change(std::size_t Member, Entry Update) {
+    Revision At = Update.m_ModRevision;
+    m_Fleet.instance(Member).mirror().apply(At, {std::move(Update)});
   }
-  std::chrono::milliseconds timeUntilAllHold(const char *Key, std::int64_t At,
-                                             std::chrono::milliseconds Most) {
+  std::chrono::milliseconds
+  timeUntilAllHold(const char *Key, std::int64_t At,
+                   std::chrono::milliseconds Timeout) {
     return m_Fleet.runUntil(
-        [&] { return m_Fleet.haveAllDelivered(Key, Revision(At)); }, Most);
+        [&] { return m_Fleet.haveAllDelivered(Key, Revision(At)); }, Timeout);
   }
   static void assertShorter(std::chrono::milliseconds Took,
                             std::chrono::milliseconds Bound) {
--- a/Tests/LibGateway/ValuePatchTest.cpp
+++ b/Tests/LibGateway/ValuePatchTest.cpp
@@ -51,9 +51,9 @@
 
   static std::optional<ErrorKind> failureOf(std::string_view Base,
                                             std::string_view Patch,
-                                            std::size_t Most = MaxBytes) {
+                                            std::size_t Limit = MaxBytes) {
     try {
-      applyPatch(Base, Patch, Most);
+      applyPatch(Base, Patch, Limit);
     } catch (const Error &Failure) {
       return Failure.kind();
     }
