--- a/Libraries/LibPeer/PeerDirectory.cpp
+++ b/Libraries/LibPeer/PeerDirectory.cpp
@@ -5,7 +5,8 @@
 
 namespace yardrill::peer {
 
-/// Largest difference between two instances' clocks, transmission included.
+/// Largest accepted difference between the time of sending and this clock.
+/// Covers the difference of the instances' clocks and the transmission.
 static const std::int64_t MaxClockDifferenceSeconds = 30;
 
 std::optional<DropReason> PeerDirectory::accept(const PeerMessage &Message,
--- a/Libraries/LibPeer/PeerMessage.h
+++ b/Libraries/LibPeer/PeerMessage.h
@@ -53,7 +53,7 @@
 /// delay.
 struct LoadReport {
   /// Whether the report has the name and the data hall, which a short one omits
-  /// because they do not change. The targets are always complete.
+  /// because they do not change. Both kinds list the targets.
   bool m_IsFull = true;
   core::InstanceName m_Name;
   core::DataHallName m_DataHall;
--- a/Libraries/LibPeer/PeerSocket.h
+++ b/Libraries/LibPeer/PeerSocket.h
@@ -28,8 +28,8 @@
 
   /// Starts to receive; calls a hook for each datagram.
   void start(PeerSocketHooks Hooks);
-  /// Sends \p Datagram. Failures are ignored, as losses are: every message is
-  /// repeated.
+  /// Sends \p Datagram. Failures are ignored: senders have to tolerate lost
+  /// datagrams anyway.
   void send(const std::string &Datagram, const config::Endpoint &To);
 
 private:
--- a/Tests/LibPeer/PeerCodecTest.cpp
+++ b/Tests/LibPeer/PeerCodecTest.cpp
@@ -37,15 +37,16 @@
 
   PeerCodec m_Codec{"the shared key"};
 
-  static DropReason reasonOf(const std::variant<PeerMessage, DropReason> &Got) {
-    CPPUNIT_ASSERT(std::holds_alternative<DropReason>(Got));
-    return std::get<DropReason>(Got);
+  static DropReason
+  reasonOf(const std::variant<PeerMessage, DropReason> &Result) {
+    CPPUNIT_ASSERT(std::holds_alternative<DropReason>(Result));
+    return std::get<DropReason>(Result);
   }
 
 public:
   void testRoundTrip() {
-    auto Got = m_Codec.decode(m_Codec.encode(message(7, 9)));
-    const auto &Message = std::get<PeerMessage>(Got);
+    auto Decoded = m_Codec.decode(m_Codec.encode(message(7, 9)));
+    const auto &Message = std::get<PeerMessage>(Decoded);
     CPPUNIT_ASSERT(Message.m_From.m_Incarnation == core::IncarnationId(7));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(9), Message.m_Sequence);
     CPPUNIT_ASSERT(std::get<Heartbeat>(Message.m_Body).m_Version ==
@@ -116,20 +117,20 @@
   }
 
   void testShortReportIsCompleted() {
-    LoadReport Before;
-    Before.m_Name = core::InstanceName("entry-1");
-    Before.m_DataHall = core::DataHallName("hall");
-    Before.m_Targets = {{7, 1, 0}};
-    LoadReport Now = Before;
-    Now.m_Targets.clear();
-    LoadReport Short = shortened(Now);
+    LoadReport Previous;
+    Previous.m_Name = core::InstanceName("entry-1");
+    Previous.m_DataHall = core::DataHallName("hall");
+    Previous.m_Targets = {{7, 1, 0}};
+    LoadReport Current = Previous;
+    Current.m_Targets.clear();
+    LoadReport Short = shortened(Current);
     CPPUNIT_ASSERT(!Short.m_IsFull);
     CPPUNIT_ASSERT(Short.m_Name.value().empty());
-    LoadReport Got = completed(Short, Before);
-    CPPUNIT_ASSERT(Got.m_IsFull && Got.m_Name == Before.m_Name &&
-                   Got.m_DataHall == Before.m_DataHall);
+    LoadReport Completed = completed(Short, Previous);
+    CPPUNIT_ASSERT(Completed.m_IsFull && Completed.m_Name == Previous.m_Name &&
+                   Completed.m_DataHall == Previous.m_DataHall);
     // Targets without requests are omitted from every report.
-    CPPUNIT_ASSERT(Got.m_Targets.empty());
+    CPPUNIT_ASSERT(Completed.m_Targets.empty());
   }
 };
 
