--- a/Libraries/LibPeer/RolloutMessages.cpp
+++ b/Libraries/LibPeer/RolloutMessages.cpp
@@ -3,7 +3,8 @@
 
 namespace yardrill::peer {
 
-/// Keeps a part within one datagram: a cell takes up to 140 bytes.
+/// Keeps a part within one datagram: the counts of one key take up to 140
+/// bytes.
 static constexpr std::size_t MaxCountsInPart = 9;
 
 static RolloutCounts toCounts(const rollout::ResponseCountsKey &Key,
@@ -19,20 +20,20 @@
   return Out;
 }
 
-std::vector<RolloutReport> toMessages(const rollout::Report &From,
+std::vector<RolloutReport> toMessages(const rollout::Report &Report,
                                       const core::PoolName &Pool) {
   RolloutReport Header;
   Header.m_Pool = Pool;
-  Header.m_Order = From.m_Order.value();
-  Header.m_Number = From.m_Number;
-  Header.m_AgeUs = From.m_Age.count();
-  Header.m_Traffic = static_cast<std::uint8_t>(From.m_Traffic);
-  Header.m_RunningOld = From.m_RunningOld;
-  Header.m_Sent = From.m_Sent;
-  Header.m_SentNew = From.m_SentNew;
+  Header.m_Order = Report.m_Order.value();
+  Header.m_Number = Report.m_Number;
+  Header.m_AgeUs = Report.m_Age.count();
+  Header.m_Traffic = static_cast<std::uint8_t>(Report.m_Traffic);
+  Header.m_RunningOld = Report.m_RunningOld;
+  Header.m_Sent = Report.m_Sent;
+  Header.m_SentNew = Report.m_SentNew;
   std::vector<RolloutReport> Out{Header};
   Header.m_WantsPermit = false;
-  for (const auto &[Key, Counts] : From.m_Counts) {
+  for (const auto &[Key, Counts] : Report.m_Counts) {
     if (Out.back().m_Counts.size() == MaxCountsInPart)
       Out.push_back(Header);
     Out.back().m_Counts.push_back(toCounts(Key, Counts));
@@ -46,25 +47,25 @@
   return static_cast<rollout::Traffic>(Value);
 }
 
-rollout::Report toReport(const RolloutReport &From) {
+rollout::Report toReport(const RolloutReport &Message) {
   rollout::Report Out;
-  Out.m_Order = rollout::OrderId(From.m_Order);
-  Out.m_Number = From.m_Number;
-  Out.m_Age = core::Duration(From.m_AgeUs);
-  Out.m_Traffic = toTraffic(From.m_Traffic);
-  Out.m_RunningOld = From.m_RunningOld;
-  Out.m_Sent = From.m_Sent;
-  Out.m_SentNew = From.m_SentNew;
-  for (const RolloutCounts &Each : From.m_Counts) {
+  Out.m_Order = rollout::OrderId(Message.m_Order);
+  Out.m_Number = Message.m_Number;
+  Out.m_Age = core::Duration(Message.m_AgeUs);
+  Out.m_Traffic = toTraffic(Message.m_Traffic);
+  Out.m_RunningOld = Message.m_RunningOld;
+  Out.m_Sent = Message.m_Sent;
+  Out.m_SentNew = Message.m_SentNew;
+  for (const RolloutCounts &Each : Message.m_Counts) {
     rollout::ResponseCountsKey Key;
     Key.m_Side = Each.m_IsNew ? rollout::Side::New : rollout::Side::Old;
     Key.m_Target = Each.m_Target;
     Key.m_Route = Each.m_Route;
-    rollout::ResponseCounts &Into = Out.m_Counts[Key];
-    Into.m_Failures = Each.m_Failures;
+    rollout::ResponseCounts &Counts = Out.m_Counts[Key];
+    Counts.m_Failures = Each.m_Failures;
     for (const RolloutTimeBin &Times : Each.m_Times)
       if (Times.m_Bin < rollout::TimeBinCount)
-        Into.m_Times[Times.m_Bin] = Times.m_Count;
+        Counts.m_Times[Times.m_Bin] = Times.m_Count;
   }
   return Out;
 }
--- a/Libraries/LibPeer/RolloutMessages.h
+++ b/Libraries/LibPeer/RolloutMessages.h
@@ -41,7 +41,7 @@
   std::uint32_t m_RunningOld = 0;
   std::uint32_t m_Sent = 0;
   std::uint32_t m_SentNew = 0;
-  bool m_WantsPermit = true; ///< Set in one part of each report
+  bool m_WantsPermit = true; ///< Set only in a report's first part
   std::vector<RolloutCounts> m_Counts;
 
   template <class Archive> void serialize(Archive &Ar) {
@@ -64,10 +64,11 @@
 };
 
 /// Splits a report into at least one part, each of which fits a datagram.
-std::vector<RolloutReport> toMessages(const rollout::Report &From,
+std::vector<RolloutReport> toMessages(const rollout::Report &Report,
                                       const core::PoolName &Pool);
-/// Converts a received report; bins that do not exist are ignored.
-rollout::Report toReport(const RolloutReport &From);
+/// Converts a received report; bins that do not exist are ignored, and unknown
+/// traffic counts as Traffic::Old.
+rollout::Report toReport(const RolloutReport &Message);
 /// Converts a permit to its wire form.
 RolloutPermit toMessage(const rollout::Permit &Granted,
                         const core::PoolName &Pool);
