--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -481,8 +481,8 @@
 //===----------------------------------------------------------------------===//
 
 bool Gateway::tryReserveRetry(const core::PoolName &Pool) {
-  return m_Retries.of(Pool).tryTake(core::steadyNow(),
-                                    m_Peers->activeInstanceCount());
+  return m_Retries.budgetOf(Pool).tryTake(core::steadyNow(),
+                                          m_Peers->activeInstanceCount());
 }
 
 void Gateway::updateGauges() {
--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -214,7 +214,7 @@
       Wait = isQuarantined() ? QuarantinedRetryAfter : retryAfter();
     return respond(Status, m_Reason, Wait, Yield);
   }
-  m_Owner.m_Retries.of(m_Pool).recordRequest(m_Timing.arrivedAt());
+  m_Owner.m_Retries.budgetOf(m_Pool).recordRequest(m_Timing.arrivedAt());
   AttemptOutcome Outcome = AttemptOutcome::NotSent;
   while (true) {
     if (!waitForTarget(Yield)) {
--- a/Libraries/LibGateway/RetryBudgets.cpp
+++ b/Libraries/LibGateway/RetryBudgets.cpp
@@ -15,7 +15,7 @@
                            core::TimePoint Since)
     : m_Limits(usableLimits(Limits)), m_Since(Since) {}
 
-routing::RetryBudget &RetryBudgets::of(const core::PoolName &Pool) {
+routing::RetryBudget &RetryBudgets::budgetOf(const core::PoolName &Pool) {
   return m_Budgets.try_emplace(Pool, m_Limits, m_Since).first->second;
 }
 
--- a/Libraries/LibGateway/RetryBudgets.h
+++ b/Libraries/LibGateway/RetryBudgets.h
@@ -14,12 +14,12 @@
 class RetryBudgets {
 public:
   /// \param Limits for all instances together.
-  /// \param Since start of the time in which this instance is known to have
-  /// sent no retry.
+  /// \param Since time from which on this instance's retries are known; an
+  /// earlier process may have sent some before.
   RetryBudgets(const routing::RetryLimits &Limits, core::TimePoint Since);
 
-  /// \returns the pool's budget, created on first use.
-  routing::RetryBudget &of(const core::PoolName &Pool);
+  /// Returns the pool's budget, created on first use.
+  routing::RetryBudget &budgetOf(const core::PoolName &Pool);
   /// Replaces the limits; retries counted so far stay counted.
   void setLimits(const routing::RetryLimits &Limits);
 
