--- a/Libraries/LibGateway/GatewayRequest.cpp
+++ b/Libraries/LibGateway/GatewayRequest.cpp
@@ -17,7 +17,7 @@
 /// its first event (source: the platform's description of its clients).
 static constexpr std::chrono::seconds MinCallerTimeout{2};
 static constexpr int CallerTimeoutPerObjective = 4;
-static constexpr int CallerTimeoutPerPause = 8;
+static constexpr int CallerTimeoutPerEventGap = 8;
 /// Retry-After of a refusal, with a random spread so that callers that were
 /// refused together do not return together.
 static constexpr double FirstRetryAfterSeconds = 0.15;
@@ -27,11 +27,12 @@
 /// Bound of the wait for a throttled target that a Retry-After names, since
 /// another target may become available sooner.
 static constexpr double MaxDelaySeconds = 5;
-/// Time by which an update that clears a content has arrived.
+/// Retry-After of a quarantined request: time by which an update that clears
+/// its content has arrived.
 static constexpr std::chrono::seconds QuarantinedRetryAfter{2};
 /// Period in which a waiting request checks for the first configuration.
 static constexpr std::chrono::milliseconds ConfigurationPollPeriod{5};
-/// Bounds attempts at targets that cannot be connected to.
+/// Number of attempts after which a request that was not sent is not retried.
 static constexpr unsigned MaxAttempts = 4;
 
 GatewayRequest::GatewayRequest(Gateway &Owner, http::Exchange &Caller)
@@ -51,8 +52,8 @@
   m_Caller.setDisconnectCallback(nullptr);
 }
 
-void GatewayRequest::assignTarget(const routing::Target &Where) {
-  m_Target = Where;
+void GatewayRequest::assignTarget(const routing::Target &Chosen) {
+  m_Target = Chosen;
   m_WakeTimer.cancel();
 }
 
@@ -116,14 +117,14 @@
 
 quarantine::ContentDigest GatewayRequest::contentDigest() const {
   const http::RequestMessage &Request = m_Caller.request();
-  quarantine::Content What;
+  quarantine::Content Parts;
   if (m_Account)
-    What.m_Account = m_Account->m_Name.value();
-  What.m_Host = m_Description.m_Host;
-  What.m_Method = Request.m_Method;
-  What.m_Target = Request.m_Target;
-  What.m_Body = Request.m_Body;
-  return quarantine::ContentDigest::of(What);
+    Parts.m_Account = m_Account->m_Name.value();
+  Parts.m_Host = m_Description.m_Host;
+  Parts.m_Method = Request.m_Method;
+  Parts.m_Target = Request.m_Target;
+  Parts.m_Body = Request.m_Body;
+  return quarantine::ContentDigest::of(Parts);
 }
 
 bool GatewayRequest::acquireQuota(std::uint32_t Tokens,
@@ -143,7 +144,7 @@
 core::Duration GatewayRequest::callerTimeout() const {
   return std::max({core::Duration(MinCallerTimeout),
                    m_Route->m_FirstByteObjective * CallerTimeoutPerObjective,
-                   m_Route->m_MaxEventGap * CallerTimeoutPerPause});
+                   m_Route->m_MaxEventGap * CallerTimeoutPerEventGap});
 }
 
 bool GatewayRequest::waitForTarget(asio::yield_context Yield) {
@@ -255,8 +256,8 @@
       (!m_Route->isRetryable() ||
        m_PossibleExecutions >= m_Route->m_MaxAttempts))
     return false;
-  // Sent again at once, a suspect could make the next target exit before its
-  // caller returns. An innocent request is served when its caller returns.
+  // Retried at once, a suspect content could make one more target exit. An
+  // innocent one is served when its caller sends it again.
   if (Outcome == AttemptOutcome::Failed &&
       m_Owner.m_Quarantine.isSuspect(m_Content))
     return false;
@@ -277,7 +278,8 @@
 void GatewayRequest::finishFailed(AttemptOutcome Outcome,
                                   asio::yield_context Yield) {
   if (m_Relay.isStarted()) {
-    // Closes the connection, so that the partial response is seen as broken.
+    // Resets the connection, so that the caller sees that the response is
+    // incomplete.
     m_Caller.abort();
     return finish("request-broken-off");
   }
--- a/Libraries/LibGateway/GatewayRequest.h
+++ b/Libraries/LibGateway/GatewayRequest.h
@@ -31,8 +31,8 @@
   /// Returns when the caller has received its response or is gone.
   void run(boost::asio::yield_context Yield);
   /// Called when the dispatcher has chosen a target.
-  void assignTarget(const routing::Target &Where);
-  /// \returns the hash of the request's route; 0 without one.
+  void assignTarget(const routing::Target &Chosen);
+  /// Returns the hash of the request's route; 0 without one.
   std::uint32_t routeHash() const { return m_Route ? m_Route->m_Hash : 0; }
   /// Called when the dispatcher refuses the request.
   void refuse();
@@ -45,18 +45,20 @@
   /// at the deadline that it was given, and reports so.
   static constexpr std::chrono::milliseconds ResponseGracePeriod{200};
 
-  /// \returns 0 if the request is admitted, else the status to respond with.
+  /// Checks the request against the configuration, the quarantine and the
+  /// quota. \returns 0 if it is admitted, else the status to respond with.
   unsigned admit(boost::asio::yield_context Yield);
   /// Acquires tokens of the account's quota. \returns whether they were
   /// granted.
   bool acquireQuota(std::uint32_t Tokens, boost::asio::yield_context Yield);
   quarantine::ContentDigest contentDigest() const;
-  /// \returns how long the caller waits for the next event of a stream.
+  /// Returns how long the caller waits for the next event of a stream.
   core::Duration callerTimeout() const;
   /// Waits for the first configuration, for requests that arrive while the
   /// instance starts.
   void waitForConfiguration(boost::asio::yield_context Yield);
-  /// Places the request and waits. \returns whether it was assigned a target.
+  /// Passes the request to the dispatcher and waits for its decision. \returns
+  /// whether the request was assigned a target.
   bool waitForTarget(boost::asio::yield_context Yield);
   /// Sends the request to the assigned target and relays the response.
   AttemptOutcome runAttempt(boost::asio::yield_context Yield);
@@ -64,8 +66,8 @@
   /// connection fails or the target does not respond in time.
   AttemptOutcome exchange(http::ClientConnection &Connection,
                           boost::asio::yield_context Yield);
-  /// Reads response heads until one has this request's id: a late response to
-  /// an earlier request may come first.
+  /// Reads response heads until one has this request's id. A late response to
+  /// an earlier request may come first; it is logged and discarded.
   http::ResponseHead readMatchingHead(http::ClientConnection &Connection,
                                       boost::asio::yield_context Yield);
   /// Sends a buffered response, or holds a failure back if another target may
@@ -83,9 +85,9 @@
   /// \param RetryAfter zero: no Retry-After header.
   void respond(unsigned Status, const char *Reason, core::Duration RetryAfter,
                boost::asio::yield_context Yield);
-  /// \returns the time until the deadline, negative after it.
+  /// Returns the time until the deadline, negative after it.
   core::Duration timeLeft() const;
-  /// \returns the time after which a refused caller should return, with a
+  /// Returns the time after which a refused caller should try again, with a
   /// random part.
   core::Duration retryAfter() const;
   void handleCallerDisconnect();
@@ -99,7 +101,7 @@
   void reportRolloutOutcome(AttemptOutcome Outcome, core::TimePoint Now);
   /// Scales the duration of a stream to that of a reference request, so that
   /// targets can be compared.
-  core::Duration normalizedDuration(core::Duration Took) const;
+  core::Duration normalizedDuration(core::Duration Elapsed) const;
   /// Logs and counts the end of the request.
   void finish(const char *Event) const;
 
@@ -115,11 +117,13 @@
   http::ClientConnection *m_Connection = nullptr;
   std::set<routing::TargetIncarnation> m_TriedTargets;
   unsigned m_PossibleExecutions = 0;       ///< Attempts that may have run.
-  std::uint32_t m_PendingPromptTokens = 0; ///< Counted at the current target.
+  std::uint32_t m_PendingPromptTokens = 0; ///< In the current target's load.
   bool m_HasResponseStarted = false;       ///< In the current attempt.
-  /// Time for which the connection may be kept after the last response.
+  /// Time for which the connection may be reused, according to the last
+  /// response.
   core::Duration m_KeepAliveTime{};
-  /// A target's error response, sent unless another target succeeds.
+  /// Latest error response of a target; sent to the caller if the last attempt
+  /// ended as Failed.
   std::optional<http::ResponseMessage> m_FailureResponse;
 };
 
--- a/Libraries/LibGateway/GatewayRequestAttempt.cpp
+++ b/Libraries/LibGateway/GatewayRequestAttempt.cpp
@@ -12,9 +12,10 @@
 /// Responses up to this size are buffered before they are sent, so that another
 /// target's response can replace a broken one.
 static constexpr std::uint64_t MaxBufferedBytes = 262144;
-/// Time before the target closes an idle connection in which it is not reused.
+/// Connections are no longer reused this long before the target closes them as
+/// idle.
 static constexpr std::chrono::milliseconds KeepAliveMargin{500};
-/// Assumed idle time of targets that do not state one.
+/// Assumed idle timeout of targets that state none.
 static constexpr std::chrono::seconds DefaultKeepAlive{4};
 /// Expected time of a stream by its prompt and events, and the reference time
 /// to which normalizedDuration() scales. Only their ratios affect comparisons.
@@ -22,8 +23,8 @@
 static constexpr double PromptTokensPerMs = 50;
 static constexpr double EventMs = 25;
 static constexpr double FirstEventMs = 10;
-/// Lowest status of a target's errors, which it may return before it runs the
-/// request.
+/// Lowest status of a target's errors. A target may return one before it runs
+/// the request, so such a response does not clear the request's content.
 static constexpr unsigned MinFailureStatus = 500;
 /// A caller that leaves sooner is no evidence of a slow target.
 static constexpr std::chrono::seconds MinMeaningfulWait{1};
@@ -95,15 +96,15 @@
 GatewayRequest::readMatchingHead(http::ClientConnection &Connection,
                                  asio::yield_context Yield) {
   while (true) {
-    core::Duration Limit = timeLeft() + ResponseGracePeriod;
-    http::ResponseHead Head = Connection.readHead(Limit, Yield);
+    core::Duration Timeout = timeLeft() + ResponseGracePeriod;
+    http::ResponseHead Head = Connection.readHead(Timeout, Yield);
     if (m_Owner.m_Wire.describe(Head).m_Id == m_Description.m_Id)
       return Head;
     core::LogLine("surplus-answer", core::LogLevel::Warning)
         .add("request", m_Description.m_Id)
         .add("target", m_Target->m_Name)
         .add("status", Head.m_Status);
-    while (!Connection.readBodyData(Limit, Yield).empty()) {
+    while (!Connection.readBodyData(Timeout, Yield).empty()) {
       // Discards the body, which belongs to an earlier request.
     }
   }
@@ -185,7 +186,7 @@
   core::TimePoint Now = core::steadyNow();
   metrics::RequestLabels Labels = labels();
   bool IsFirst = !m_Timing.hasFirstEvent();
-  std::optional<core::Duration> Pause = m_Timing.noteEvents(Count, Now);
+  std::optional<core::Duration> TimePerEvent = m_Timing.noteEvents(Count, Now);
   if (m_PendingPromptTokens > 0) {
     m_Owner.m_Targets.recordFirstEvent(m_Target->incarnation(),
                                        m_PendingPromptTokens);
@@ -197,10 +198,10 @@
     m_Owner.m_Metrics.observe(metrics::RequestLatency::FirstToken, Labels,
                               m_Timing.timeToFirstEvent());
   }
-  if (Pause) {
+  if (TimePerEvent) {
     m_Owner.m_Metrics.observe(metrics::RequestLatency::BetweenTokens, Labels,
-                              *Pause);
-    m_Owner.m_Targets.recordServiceTime(m_Target->incarnation(), *Pause);
+                              *TimePerEvent);
+    m_Owner.m_Targets.recordServiceTime(m_Target->incarnation(), *TimePerEvent);
   }
 }
 
@@ -250,10 +251,11 @@
                                           core::TimePoint Now) {
   bool IsFailure = Outcome == AttemptOutcome::Failed;
   bool IsComplete = Outcome == AttemptOutcome::Complete;
-  core::Duration Took = Now - m_Timing.attemptStartedAt();
-  // A caller that leaves after a while counts as a slow response.
+  core::Duration Elapsed = Now - m_Timing.attemptStartedAt();
+  // Callers abandon slow responses, so one that leaves after a while counts as
+  // a response of that duration.
   bool HasCallerLeft =
-      Outcome == AttemptOutcome::CallerGone && Took >= MinMeaningfulWait;
+      Outcome == AttemptOutcome::CallerGone && Elapsed >= MinMeaningfulWait;
   if (!IsFailure && !IsComplete && !HasCallerLeft)
     return;
   if (IsComplete && m_Relay.status() >= 500)
@@ -262,16 +264,17 @@
                                     IsFailure
                                         ? rollout::ResponseQuality::Failed
                                         : rollout::ResponseQuality::Succeeded,
-                                    normalizedDuration(Took));
+                                    normalizedDuration(Elapsed));
 }
 
-core::Duration GatewayRequest::normalizedDuration(core::Duration Took) const {
+core::Duration
+GatewayRequest::normalizedDuration(core::Duration Elapsed) const {
   if (!m_Timing.hasEventInAttempt())
-    return Took;
+    return Elapsed;
   double Expected = m_Description.m_PromptTokens / PromptTokensPerMs +
                     static_cast<double>(m_Timing.eventsInAttempt()) * EventMs +
                     FirstEventMs;
-  return core::fromSeconds(core::toSeconds(Took) * ReferenceMs / Expected);
+  return core::fromSeconds(core::toSeconds(Elapsed) * ReferenceMs / Expected);
 }
 
 } // namespace yardrill::gateway
