--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -20,8 +20,8 @@
 /// Period of the upkeep of state that rarely changes.
 static constexpr std::chrono::milliseconds UpkeepPeriod{250};
 /// Time after the start in which requests wait for a configuration; later they
-/// are refused at once. Peers and the store, if reachable, respond within 100
-/// ms.
+/// are refused at once. Peers and the store respond within 100 ms if they are
+/// reachable.
 static constexpr std::chrono::milliseconds ConfigurationTimeout{400};
 /// Time in which a stopping instance still accepts requests: the load balancer
 /// needs two seconds to notice that it is not ready.
@@ -64,10 +64,10 @@
       m_Mirror(MaxMirrorChanges), m_Follower(Context, Store, m_Mirror),
       m_Dispatcher(
           m_Targets, m_Settings.m_DataHall, m_Settings.m_Placement,
-          {[this](core::RequestId Request, const routing::Target &Where) {
+          {[this](core::RequestId Request, const routing::Target &Chosen) {
              GatewayRequest &Dispatched = *m_OpenRequests.at(Request);
-             m_Rollouts.recordSent(Dispatched.routeHash(), Where);
-             Dispatched.assignTarget(Where);
+             m_Rollouts.recordSent(Dispatched.routeHash(), Chosen);
+             Dispatched.assignTarget(Chosen);
              m_Peers->scheduleReport();
            },
            [this](core::RequestId Request) {
@@ -267,8 +267,9 @@
 
 void Gateway::updateQuotaOwners() {
   FleetMembers Owners = m_Membership.recorded();
-  // There is no record before a fleet's first start. A process that starts in
-  // any other fleet waits until it has discovered the instances.
+  // At a fleet's first start there is no record, and the live instances own the
+  // quotas. A process that starts later and finds no record waits until it has
+  // discovered them.
   bool IsDiscoveryDone =
       m_Settings.m_IsFirstStart || m_Peers->isDiscoveryDone();
   if (Owners.empty() && IsDiscoveryDone)
@@ -293,13 +294,13 @@
 
 TargetExitDetectorHooks Gateway::exitDetectorHooks() {
   TargetExitDetectorHooks Out;
-  Out.m_Probe = [this](const routing::Target &Which,
+  Out.m_Probe = [this](const routing::Target &Target,
                        asio::yield_context Yield) {
-    return probe(Which, Yield);
+    return probe(Target, Yield);
   };
-  Out.m_ReportExit = [this](const routing::Target &Which,
+  Out.m_ReportExit = [this](const routing::Target &Target,
                             const quarantine::ContentDigest &Content) {
-    m_Quarantine.noteTargetExit(Which, Content);
+    m_Quarantine.noteTargetExit(Target, Content);
   };
   return Out;
 }
@@ -316,9 +317,9 @@
   return Out;
 }
 
-ProbeResult Gateway::probe(const routing::Target &Which,
+ProbeResult Gateway::probe(const routing::Target &Target,
                            asio::yield_context Yield) {
-  auto Address = Which.m_Address.toTcp();
+  auto Address = Target.m_Address.toTcp();
   try {
     m_Connections.release(Address, m_Connections.acquire(Address, true, Yield),
                           ProbedConnectionIdleTime);
@@ -346,8 +347,8 @@
     return m_Peers->peers().firstFollower();
   };
   Out.m_FleetSize = [this] { return m_Peers->activeInstanceCount(); };
-  Out.m_Write = [this](const RolloutWrite &What) {
-    m_RolloutWriter.write(What);
+  Out.m_Write = [this](const RolloutWrite &Write) {
+    m_RolloutWriter.write(Write);
   };
   return Out;
 }
@@ -432,9 +433,9 @@
 // Dispatch of requests
 //===----------------------------------------------------------------------===//
 
-void Gateway::place(const routing::PlacementRequest &What) {
+void Gateway::place(const routing::PlacementRequest &Request) {
   m_Peers->notifyIfChanged();
-  m_Dispatcher.place(What, core::steadyNow());
+  m_Dispatcher.place(Request, core::steadyNow());
   scheduleTick();
 }
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -54,7 +54,8 @@
   /// Reports not ready, and accepts requests for a while longer. Calls
   /// \p OnStopped once no request is open or the stop grace is nearly over.
   void stop(std::function<void()> OnStopped);
-  /// Applies new retry limits, stop grace and seeds; other settings stay.
+  /// Applies new retry limits and a new stop grace, and stores new seeds, which
+  /// only start() uses; other settings stay.
   void reload(const GatewaySettings &Settings);
 
 private:
@@ -65,7 +66,7 @@
 
   /// Creates the servers and the peer service, which bind their addresses.
   void listen();
-  /// \returns the time after the start in which the store is not asked, whether
+  /// Returns the time after the start in which the store is not asked, whether
   /// or not peers respond.
   core::Duration startDelay();
   /// Whether to ask the store later, since peers may supply its state sooner or
@@ -73,11 +74,12 @@
   bool mustWaitForPeers(core::Duration SinceStart) const;
   /// Passes a changed store entry to the component that it concerns.
   void applyEntry(const platform::Entry &Change);
-  /// \param At revision of the announcement.
-  void applyTarget(const routing::Target &Update, platform::Revision At);
+  /// \param ModRevision revision of the announcement.
+  void applyTarget(const routing::Target &Update,
+                   platform::Revision ModRevision);
   /// Puts a configuration in force if it is newer than the current one.
   void applyConfiguration(routing::RoutingTableHandle Next);
-  /// \returns the number of targets of the largest configured pool.
+  /// Returns the number of targets of the largest configured pool.
   std::size_t largestPoolSize() const;
   /// Fills in this instance's load for a report to peers.
   void describeLoad(peer::LoadReport &Report) const;
@@ -91,18 +93,18 @@
   /// Schedules upkeep of rollouts while any is active.
   void scheduleRolloutUpkeep();
   /// Sends, queues or refuses a request, by the peers' latest reports.
-  void place(const routing::PlacementRequest &What);
+  void place(const routing::PlacementRequest &Request);
   /// Sends waiting requests, by the peers' latest reports.
   void dispatchWaiting(core::TimePoint Now);
-  /// \returns the time from which a throttled pool takes one more request; none
+  /// Returns the time from which a throttled pool takes one more request; none
   /// if it takes one now or no such time is known.
   std::optional<core::TimePoint> availableAt(const core::PoolName &Pool,
                                              core::TimePoint Now);
   /// Gives a freed slot to a request that waits here, and reports it soon if
   /// requests wait at group peers.
   void handleFreedSlot();
-  /// Schedules a tick while requests wait or a stop is under way, so that an
-  /// idle instance is not woken.
+  /// Schedules a tick only while requests wait or a stop is under way, so that
+  /// an idle instance is not woken.
   void scheduleTick();
   void tick(core::TimePoint Now);
   /// Completes a stop once no request is open or its time is up.
@@ -116,7 +118,7 @@
   TargetExitDetectorHooks exitDetectorHooks();
   QuarantineHooks quarantineHooks();
   /// Opens a connection to find out whether a target still listens.
-  ProbeResult probe(const routing::Target &Which,
+  ProbeResult probe(const routing::Target &Target,
                     boost::asio::yield_context Yield);
   /// Counts a retry if the pool's budget allows one. \returns whether it does.
   bool tryReserveRetry(const core::PoolName &Pool);
--- a/Libraries/LibGateway/GatewayStoreUpdates.cpp
+++ b/Libraries/LibGateway/GatewayStoreUpdates.cpp
@@ -63,7 +63,7 @@
 }
 
 void Gateway::applyTarget(const routing::Target &Update,
-                          platform::Revision At) {
+                          platform::Revision ModRevision) {
   routing::AnnouncementEffect Effect = m_Targets.announce(Update);
   if (Effect == routing::AnnouncementEffect::Nothing)
     return;
@@ -73,7 +73,7 @@
       .add("pool", Update.m_Pool)
       .add("address", Update.m_Address.toString())
       .add("is_leaving", Update.m_IsLeaving)
-      .add("revision", At);
+      .add("revision", ModRevision);
   if (Effect == routing::AnnouncementEffect::NewIncarnation)
     m_Connections.closeIdle(Update.m_Address.toTcp());
 }
