--- a/Libraries/LibGateway/BackpressureService.cpp
+++ b/Libraries/LibGateway/BackpressureService.cpp
@@ -13,20 +13,20 @@
 /// Period in which reports are sent again.
 static constexpr std::chrono::seconds ResendPeriod{1};
 
-static peer::BackpressureEntry toMessage(const BackpressureReport &What,
+static peer::BackpressureEntry toMessage(const BackpressureReport &Report,
                                          core::TimePoint Now) {
   peer::BackpressureEntry Out;
-  Out.m_Target = What.m_Incarnation.m_Name.value();
-  Out.m_StartTime = What.m_Incarnation.m_StartTime.value();
-  Out.m_IsLimited = What.m_Limit.m_PerSecond.has_value();
-  Out.m_PerSecond = What.m_Limit.m_PerSecond.value_or(0);
+  Out.m_Target = Report.m_Incarnation.m_Name.value();
+  Out.m_StartTime = Report.m_Incarnation.m_StartTime.value();
+  Out.m_IsLimited = Report.m_Limit.m_PerSecond.has_value();
+  Out.m_PerSecond = Report.m_Limit.m_PerSecond.value_or(0);
   Out.m_LimitAgeUs =
-      static_cast<std::uint64_t>((Now - What.m_Limit.m_At).count());
-  Out.m_IsLeaving = What.m_IsLeaving;
+      static_cast<std::uint64_t>((Now - Report.m_Limit.m_At).count());
+  Out.m_IsLeaving = Report.m_IsLeaving;
   return Out;
 }
 
-/// \returns none if the rate is negative or not finite.
+/// Returns the report in a message; none if its rate is negative or not finite.
 static std::optional<BackpressureReport>
 fromMessage(const peer::BackpressureEntry &Received, core::TimePoint Now) {
   if (!std::isfinite(Received.m_PerSecond) || Received.m_PerSecond < 0)
@@ -36,7 +36,8 @@
                        core::TargetStartTime(Received.m_StartTime)};
   if (Received.m_IsLimited)
     Out.m_Limit.m_PerSecond = Received.m_PerSecond;
-  // A limit older than the local clock precedes everything received here.
+  // Clamped to the start of the local clock, which precedes everything that was
+  // received here.
   auto MaxAge = static_cast<std::uint64_t>(Now.time_since_epoch().count());
   Out.m_Limit.m_At =
       Now - core::Duration(std::min(Received.m_LimitAgeUs, MaxAge));
@@ -45,11 +46,11 @@
 }
 
 void BackpressureService::noteStated(
-    const routing::Target &Which,
+    const routing::Target &Target,
     const routing::TargetBackpressure &Backpressure, core::TimePoint Now) {
   if (Backpressure.isEmpty() && m_Targets.throttles().isEmpty())
     return;
-  routing::TargetIncarnation Incarnation = Which.incarnation();
+  routing::TargetIncarnation Incarnation = Target.incarnation();
   bool IsChanged = m_Targets.throttles().update(Incarnation, Backpressure, Now);
   if (IsChanged || Backpressure.m_Backoff || Backpressure.m_IsLimitUnreadable)
     logChange(Incarnation, Backpressure);
@@ -73,27 +74,27 @@
   }
 }
 
-void BackpressureService::add(const BackpressureReport &What,
+void BackpressureService::add(const BackpressureReport &Report,
                               core::TimePoint Now, UpdatesByPeer &Updates) {
   const routing::KnownTarget *Known =
-      m_Targets.findByIncarnation(What.m_Incarnation);
+      m_Targets.findByIncarnation(Report.m_Incarnation);
   if (!Known)
     return;
   for (const config::Endpoint &Each :
        m_Targets.subsetInstances(Known->m_Target.m_Pool))
     if (!(Each == m_Self))
-      Updates[Each].push_back(toMessage(What, Now));
+      Updates[Each].push_back(toMessage(Report, Now));
 }
 
 void BackpressureService::send(const UpdatesByPeer &Updates) {
-  for (const auto &[Address, Backpressure] : Updates)
-    for (std::size_t First = 0; First < Backpressure.size();
+  for (const auto &[Address, Entries] : Updates)
+    for (std::size_t First = 0; First < Entries.size();
          First += peer::BackpressureUpdate::MaxEntries) {
-      std::size_t End = std::min(Backpressure.size(),
+      std::size_t End = std::min(Entries.size(),
                                  First + peer::BackpressureUpdate::MaxEntries);
       m_Send(Address, peer::BackpressureUpdate{
-                          {Backpressure.begin() + static_cast<long>(First),
-                           Backpressure.begin() + static_cast<long>(End)}});
+                          {Entries.begin() + static_cast<long>(First),
+                           Entries.begin() + static_cast<long>(End)}});
     }
 }
 
--- a/Libraries/LibGateway/BackpressureService.h
+++ b/Libraries/LibGateway/BackpressureService.h
@@ -29,14 +29,15 @@
                       Send Hook)
       : m_Self(std::move(Self)), m_Targets(Targets), m_Send(std::move(Hook)) {}
 
-  /// Applies what a response to this instance states, and sends it to the other
-  /// instances if it is new.
-  void noteStated(const routing::Target &Which,
+  /// Applies the backpressure that a response to this instance states, and
+  /// sends it to the other instances if it changes what they share.
+  void noteStated(const routing::Target &Target,
                   const routing::TargetBackpressure &Backpressure,
                   core::TimePoint Now);
   /// Applies a message of another instance, if it is a backpressure update.
   void handle(const peer::PeerMessage &Message, core::TimePoint Now);
-  /// Sends the reports that are due again. To be called a few times a second.
+  /// Removes stale throttles and repeats the reports that are due. To be called
+  /// a few times a second.
   void upkeep(core::TimePoint Now);
 
 private:
@@ -44,10 +45,11 @@
       std::map<config::Endpoint, std::vector<peer::BackpressureEntry>>;
 
   /// Adds a report to the updates for all other instances that use the target.
-  void add(const routing::BackpressureReport &What, core::TimePoint Now,
+  void add(const routing::BackpressureReport &Report, core::TimePoint Now,
            UpdatesByPeer &Updates);
   /// Sends the updates, split by the size of a datagram.
   void send(const UpdatesByPeer &Updates);
+  /// Logs the backpressure that is in force for a target.
   /// \param Stated backpressure in the target's response; empty if another
   /// instance reported the change.
   void logChange(const routing::TargetIncarnation &Incarnation,
--- a/Tests/LibGateway/BackpressureServiceTest.cpp
+++ b/Tests/LibGateway/BackpressureServiceTest.cpp
@@ -80,16 +80,16 @@
   }
 
   void testSendsNothingWithoutBackpressure() {
-    routing::Target Which = announce("a");
+    routing::Target Target = announce("a");
     for (int I = 0; I < 100; ++I) {
       m_Now += milliseconds(250);
-      m_Service.noteStated(Which, {}, m_Now);
+      m_Service.noteStated(Target, {}, m_Now);
       m_Service.upkeep(m_Now);
     }
     // A back-off concerns this instance alone.
     routing::TargetBackpressure BackoffOnly;
     BackoffOnly.m_Backoff = seconds(3);
-    m_Service.noteStated(Which, BackoffOnly, m_Now);
+    m_Service.noteStated(Target, BackoffOnly, m_Now);
     m_Service.upkeep(m_Now);
     CPPUNIT_ASSERT(m_Sent.empty());
   }
@@ -109,9 +109,9 @@
 
   void testIgnoresUnreadableUpdates() {
     announce("a");
-    for (double Bad : {std::numeric_limits<double>::quiet_NaN(),
-                       std::numeric_limits<double>::infinity(), -1.0})
-      receive(Bad, 0);
+    for (double InvalidRate : {std::numeric_limits<double>::quiet_NaN(),
+                               std::numeric_limits<double>::infinity(), -1.0})
+      receive(InvalidRate, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), m_Targets.throttles().limited());
     // An age beyond the local clock counts as its start.
     receive(3, std::numeric_limits<std::uint64_t>::max());
