--- a/Libraries/LibGateway/TargetExitDetector.cpp
+++ b/Libraries/LibGateway/TargetExitDetector.cpp
@@ -9,11 +9,11 @@
 static constexpr std::chrono::seconds ExitNoticeTimeout{6};
 
 void TargetExitDetector::noteBrokenResponse(
-    const routing::Target &Which, const quarantine::ContentDigest &Content,
+    const routing::Target &Target, const quarantine::ContentDigest &Content,
     asio::yield_context Yield) {
-  auto [It, IsNew] = m_BrokenResponses.try_emplace(Which.incarnation());
+  auto [It, IsNew] = m_BrokenResponses.try_emplace(Target.incarnation());
   if (IsNew)
-    It->second = std::make_shared<BrokenResponses>(m_Context, Which);
+    It->second = std::make_shared<BrokenResponses>(m_Context, Target);
   // Kept alive while this coroutine waits, since upkeep() may erase the entry.
   BrokenResponsesHandle Broken = It->second;
   Broken->m_Contents.push_back(Content);
@@ -26,20 +26,20 @@
   Broken->m_ProbeDone.async_wait(Yield[Ignored]);
 }
 
-void TargetExitDetector::probe(const BrokenResponsesHandle &Which,
+void TargetExitDetector::probe(const BrokenResponsesHandle &Broken,
                                asio::yield_context Yield) {
-  Which->m_IsProbing = true;
-  Which->m_ProbeDone.expires_at(core::Timer::time_point::max());
-  ProbeResult Result = m_Hooks.m_Probe(Which->m_Target, Yield);
-  Which->m_IsProbing = false;
+  Broken->m_IsProbing = true;
+  Broken->m_ProbeDone.expires_at(core::Timer::time_point::max());
+  ProbeResult Result = m_Hooks.m_Probe(Broken->m_Target, Yield);
+  Broken->m_IsProbing = false;
   if (Result == ProbeResult::Gone)
-    Which->m_HasExited = true;
+    Broken->m_HasExited = true;
   // The target outlived these requests, so they did not cause a later exit.
   if (Result == ProbeResult::Listens)
-    Which->m_Contents.clear();
-  if (Which->m_HasExited)
-    reportExit(*Which);
-  Which->m_ProbeDone.cancel();
+    Broken->m_Contents.clear();
+  if (Broken->m_HasExited)
+    reportExit(*Broken);
+  Broken->m_ProbeDone.cancel();
 }
 
 void TargetExitDetector::noteTargetExit(
@@ -51,11 +51,11 @@
   reportExit(*Found->second);
 }
 
-void TargetExitDetector::reportExit(BrokenResponses &Which) {
+void TargetExitDetector::reportExit(BrokenResponses &Broken) {
   std::vector<quarantine::ContentDigest> Contents;
-  Contents.swap(Which.m_Contents);
+  Contents.swap(Broken.m_Contents);
   for (const quarantine::ContentDigest &Each : Contents)
-    m_Hooks.m_ReportExit(Which.m_Target, Each);
+    m_Hooks.m_ReportExit(Broken.m_Target, Each);
 }
 
 void TargetExitDetector::upkeep(core::TimePoint Now) {
--- a/Libraries/LibGateway/TargetExitDetector.h
+++ b/Libraries/LibGateway/TargetExitDetector.h
@@ -30,6 +30,7 @@
   Unknown, ///< The attempt failed otherwise, such as by a timeout.
 };
 
+/// What TargetExitDetector needs from the gateway, and notifies it of.
 struct TargetExitDetectorHooks {
   /// Tries to open a new connection.
   std::function<ProbeResult(const routing::Target &,
@@ -49,10 +50,10 @@
                      TargetExitDetectorHooks Hooks)
       : m_Context(Context), m_Hooks(std::move(Hooks)) {}
 
-  /// Records that a response of \p Which broke. Returns when a probe has ended,
-  /// or at once if the exit is known; concurrent broken responses share a
-  /// probe.
-  void noteBrokenResponse(const routing::Target &Which,
+  /// Records that a response of \p Target broke. Returns when a probe has
+  /// ended, or at once if the exit is known; concurrent broken responses share
+  /// a probe.
+  void noteBrokenResponse(const routing::Target &Target,
                           const quarantine::ContentDigest &Content,
                           boost::asio::yield_context Yield);
   /// Records other evidence that an incarnation exited: a refused connection,
@@ -66,8 +67,8 @@
 private:
   /// Recent broken responses of one incarnation.
   struct BrokenResponses {
-    BrokenResponses(boost::asio::io_context &Context, routing::Target Which)
-        : m_Target(std::move(Which)), m_ProbeDone(Context) {}
+    BrokenResponses(boost::asio::io_context &Context, routing::Target Target)
+        : m_Target(std::move(Target)), m_ProbeDone(Context) {}
 
     routing::Target m_Target;
     std::vector<quarantine::ContentDigest> m_Contents; ///< Not reported yet.
@@ -78,9 +79,9 @@
   };
   using BrokenResponsesHandle = std::shared_ptr<BrokenResponses>;
 
-  void probe(const BrokenResponsesHandle &Which,
+  void probe(const BrokenResponsesHandle &Broken,
              boost::asio::yield_context Yield);
-  void reportExit(BrokenResponses &Which);
+  void reportExit(BrokenResponses &Broken);
 
   boost::asio::io_context &m_Context;
   TargetExitDetectorHooks m_Hooks;
