--- a/Libraries/LibGateway/ResponseTiming.cpp
+++ b/Libraries/LibGateway/ResponseTiming.cpp
@@ -4,8 +4,8 @@
 
 namespace yardrill::gateway {
 
-const char *toString(Lateness What) {
-  switch (What) {
+const char *toString(Lateness Cause) {
+  switch (Cause) {
   case Lateness::None:
     return "no";
   case Lateness::Waited:
@@ -29,27 +29,28 @@
 
 std::optional<core::Duration> ResponseTiming::noteEvents(std::size_t Count,
                                                          core::TimePoint Now) {
-  std::optional<core::Duration> Pause;
+  std::optional<core::Duration> TimePerEvent;
   if (!m_FirstEventAt)
     m_FirstEventAt = Now;
   if (m_LastEventAt) {
     m_MaxEventGap = std::max(m_MaxEventGap, Now - *m_LastEventAt);
-    Pause = (Now - *m_LastEventAt) / static_cast<long>(Count);
+    TimePerEvent = (Now - *m_LastEventAt) / static_cast<long>(Count);
   }
   m_LastEventAt = Now;
   m_EventsInAttempt += Count;
-  return Pause;
+  return TimePerEvent;
 }
 
 Lateness ResponseTiming::lateness(core::Duration Objective,
                                   core::Duration EventGapLimit,
                                   core::TimePoint Now) const {
-  core::Duration Took = m_FirstEventAt.value_or(Now) - m_ArrivedAt;
-  if (Objective > core::Duration::zero() && Took > Objective) {
+  core::Duration ResponseTime = m_FirstEventAt.value_or(Now) - m_ArrivedAt;
+  if (Objective > core::Duration::zero() && ResponseTime > Objective) {
     if (m_Attempts > 1)
       return Lateness::Again;
-    return (m_AttemptStartedAt - m_ArrivedAt) * 2 > Took ? Lateness::Waited
-                                                         : Lateness::Target;
+    return (m_AttemptStartedAt - m_ArrivedAt) * 2 > ResponseTime
+               ? Lateness::Waited
+               : Lateness::Target;
   }
   bool HasLongGap =
       EventGapLimit > core::Duration::zero() && m_MaxEventGap > EventGapLimit;
--- a/Libraries/LibGateway/ResponseTiming.h
+++ b/Libraries/LibGateway/ResponseTiming.h
@@ -12,14 +12,14 @@
 /// Cause of a late response.
 enum class Lateness {
   None,
-  Waited, ///< More than half of the time was spent waiting for a slot.
+  Waited, ///< More than half of the time passed before the request was sent.
   Again,  ///< The request was sent to more than one target.
   Target, ///< The target responded late.
   Pause,  ///< The response began in time, then paused for too long.
 };
 
-/// \returns the cause's name as logs show it.
-const char *toString(Lateness What);
+/// Returns the cause's name as logs show it.
+const char *toString(Lateness Cause);
 
 /// Records the times of one request and its response, and finds the cause when
 /// the response is late. Reads no clock; callers pass the time.
@@ -51,7 +51,7 @@
   /// Number of events that the current attempt has produced.
   std::size_t eventsInAttempt() const { return m_EventsInAttempt; }
 
-  /// \returns the cause if a response that completes at \p Now is late.
+  /// Returns why a response that completes at \p Now is late, if it is.
   /// \param Objective longest time to the first event, or to the end of a
   /// response without events; zero: no limit.
   /// \param EventGapLimit longest time between events; zero: no limit.
--- a/Tests/LibGateway/ResponseTimingTest.cpp
+++ b/Tests/LibGateway/ResponseTimingTest.cpp
@@ -14,7 +14,7 @@
   CPPUNIT_TEST(testSlowAtTheTarget);
   CPPUNIT_TEST(testRetried);
   CPPUNIT_TEST(testPausesAreMeasuredWithinOneAttempt);
-  CPPUNIT_TEST(testShortAnswer);
+  CPPUNIT_TEST(testShortResponse);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr milliseconds Objective{400};
@@ -67,7 +67,7 @@
     Timing.noteEvents(1, at(1101));
     CPPUNIT_ASSERT(latenessOf(Timing, 1200) == Lateness::Pause);
   }
-  void testShortAnswer() {
+  void testShortResponse() {
     ResponseTiming Timing(m_Start);
     Timing.noteAttempt(at(1));
     CPPUNIT_ASSERT(latenessOf(Timing, 400) == Lateness::None);
