--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -10,7 +10,8 @@
 
 /// Splits a stream of server-sent events (WHATWG HTML, section 9.2) after each
 /// event. A target may stop within an event, so ResponseRelay sends complete
-/// events only.
+/// events only. An event ends with two line feeds; CR and CRLF, which the
+/// standard allows too, are not recognized there.
 class EventSplitter {
 public:
   struct Events {
@@ -18,7 +19,7 @@
     std::size_t m_Count = 0;
   };
 
-  /// \returns the events that \p Piece completes.
+  /// Returns the events that \p Data completes.
   Events push(std::string_view Data);
   /// Whether the bytes so far end within an event.
   bool hasPartial() const { return !m_Partial.empty(); }
--- a/Libraries/LibGateway/ResponseRelay.h
+++ b/Libraries/LibGateway/ResponseRelay.h
@@ -22,6 +22,7 @@
   CallerGone, ///< The caller disconnected or does not read.
 };
 
+/// What ResponseRelay needs from GatewayRequest, and notifies it of.
 struct ResponseRelayHooks {
   /// Returns the time for which to wait for the target's next bytes.
   std::function<core::Duration()> m_TargetTimeout;
@@ -61,7 +62,7 @@
   bool isStarted() const { return m_IsStarted; }
   /// Id of the last complete event; empty if none had one.
   const std::string &lastEventId() const { return m_Events.lastId(); }
-  /// HTTP status sent to the caller; 0 before a response.
+  /// HTTP status of the relayed response; 0 before one.
   unsigned status() const { return m_Status; }
 
 private:
--- a/Tests/LibGateway/EventSplitterTest.cpp
+++ b/Tests/LibGateway/EventSplitterTest.cpp
@@ -33,14 +33,14 @@
 
   void testPartialEventIsHeldBack() {
     EventSplitter Splitter;
-    auto Got = Splitter.push("id: 1\ndata: a\n\nid: 2\ndata: ");
-    CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"), Got.m_Bytes);
+    auto Events = Splitter.push("id: 1\ndata: a\n\nid: 2\ndata: ");
+    CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"), Events.m_Bytes);
     CPPUNIT_ASSERT(Splitter.hasPartial());
     CPPUNIT_ASSERT_EQUAL(std::string("1"), Splitter.lastId());
     // Another target resumes the stream at the start of that event.
     Splitter.dropPartial();
-    Got = Splitter.push("id: 2\ndata: b\n\n");
-    CPPUNIT_ASSERT_EQUAL(std::string("id: 2\ndata: b\n\n"), Got.m_Bytes);
+    Events = Splitter.push("id: 2\ndata: b\n\n");
+    CPPUNIT_ASSERT_EQUAL(std::string("id: 2\ndata: b\n\n"), Events.m_Bytes);
     CPPUNIT_ASSERT_EQUAL(std::string("2"), Splitter.lastId());
   }
 
