--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -102,7 +102,7 @@
   /// that only the gateway may set. May be applied to its own result, for the
   /// next attempt.
   virtual void prepare(http::RequestMessage &Request,
-                       const ForwardDescription &What) const = 0;
+                       const ForwardDescription &Forward) const = 0;
   /// Adds the request's id to a response that the gateway creates.
   virtual void prepare(http::ResponseHead &Response,
                        const RequestDescription &To) const = 0;
@@ -112,10 +112,10 @@
   /// Decodes a changed entry of the store.
   /// \throws core::Error of kind Protocol for a malformed entry.
   virtual StoreUpdate read(const platform::Entry &Change) const = 0;
-  /// \returns the entry that shows operators the status of a pool's rollout.
+  /// Returns the entry that shows operators the status of a pool's rollout.
   virtual platform::Put write(const core::PoolName &Pool,
                               const rollout::Status &Status) const = 0;
-  /// \returns the target that an entry announces, even if the entry is
+  /// Returns the target that an entry announces, even if the entry is
   /// malformed; none if it is not a target's entry.
   virtual std::optional<core::TargetName>
   targetOf(const platform::Entry &Change) const = 0;
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -43,8 +43,9 @@
   /// Limits of the requests that a bad version may get during a rollout.
   rollout::ExposureLimits m_Exposure;
   std::size_t m_MaxConnections = 1024; ///< From callers.
-  /// Number of instances in a group of a large fleet, which share a subset of
-  /// the targets; 0: derived from the number of targets.
+  /// Maximum number of instances in a group of a large fleet, which share a
+  /// subset of the targets; 0: derived from the numbers of instances and
+  /// targets.
   std::size_t m_GroupSize = 0;
   routing::PlacementPolicy m_Placement =
       routing::PlacementPolicy::LeastPredictedWait;
