--- a/Libraries/LibGateway/RequestAdmission.h
+++ b/Libraries/LibGateway/RequestAdmission.h
@@ -21,8 +21,9 @@
   core::TimePoint m_EndsAt{}; ///< Deadline of the response.
 };
 
-/// Checks a request against the routing table: its route, API key, tier and
-/// deadline. GatewayRequest checks the quarantine and the quota afterwards.
+/// Checks a request's route and API key against the routing table, and
+/// determines its pool, tier, deadline and charge. GatewayRequest checks the
+/// quarantine and the quota afterwards.
 class RequestAdmission {
 public:
   /// \param Table null while no configuration is known.
--- a/Libraries/LibGateway/RequestInfo.cpp
+++ b/Libraries/LibGateway/RequestInfo.cpp
@@ -77,7 +77,7 @@
     Line.add("configuration", m_Table->version());
   if (m_Target)
     Line.add("target", m_Target->m_Name);
-  // Requests that were sent log it with request-sent.
+  // For requests that were sent, request-sent shows the content.
   if (m_Route && m_Timing.attempts() == 0)
     Line.add("content", m_Content);
 }
