--- a/Libraries/LibGateway/Rotation.cpp
+++ b/Libraries/LibGateway/Rotation.cpp
@@ -7,14 +7,15 @@
 namespace yardrill::gateway {
 
 /// Inverse of the golden ratio, whose multiples modulo 1 are evenly spread.
-static constexpr double GoldenRatio = 0.6180339887498949;
+static constexpr double InverseGoldenRatio = 0.6180339887498949;
 
 void Rotation::setSize(std::size_t Size) {
   if (Size == m_Size)
     return;
   m_Size = Size;
   m_Stride = std::max<std::size_t>(
-      1, static_cast<std::size_t>(static_cast<double>(Size) * GoldenRatio));
+      1,
+      static_cast<std::size_t>(static_cast<double>(Size) * InverseGoldenRatio));
   // A stride that shares a divisor with the size would skip part of the list.
   while (std::gcd(m_Stride, m_Size) > 1)
     ++m_Stride;
--- a/Libraries/LibGateway/Rotation.h
+++ b/Libraries/LibGateway/Rotation.h
@@ -13,7 +13,7 @@
 public:
   /// Changes the size of the list and continues from the last index.
   void setSize(std::size_t Size);
-  /// \returns the next index. \pre The size is not 0.
+  /// Returns the next index. \pre The size is not 0.
   std::size_t next();
 
 private:
--- a/Libraries/LibGateway/UploadBudget.h
+++ b/Libraries/LibGateway/UploadBudget.h
@@ -15,8 +15,9 @@
   /// \param LinkBytesPerSecond bandwidth of the instance's link.
   explicit UploadBudget(double LinkBytesPerSecond);
 
-  /// Reserves bandwidth for an upload of \p Bytes. \returns false while earlier
-  /// uploads are queued: another instance can then serve the peer sooner.
+  /// Reserves bandwidth for an upload of \p Bytes. \returns false while the
+  /// backlog of earlier uploads is too long: another instance can then serve
+  /// the peer sooner.
   bool tryTake(std::size_t Bytes, core::TimePoint Now);
 
 private:
