--- a/Tests/LibGateway/GatewayTest.cpp
+++ b/Tests/LibGateway/GatewayTest.cpp
@@ -39,10 +39,10 @@
         [](const Request &Read) { return completeResponse(Read, "answer"); });
     start();
     http::RequestMessage Sent = request("/once/x?y=%2f");
-    Reply Got = send(Sent);
-    CPPUNIT_ASSERT_EQUAL(200U, Got.m_Status);
-    CPPUNIT_ASSERT_EQUAL(std::string("answer"), Got.m_Body);
-    CPPUNIT_ASSERT_EQUAL(std::string("s"), Got.header("Replica-Seal"));
+    Reply Received = send(Sent);
+    CPPUNIT_ASSERT_EQUAL(200U, Received.m_Status);
+    CPPUNIT_ASSERT_EQUAL(std::string("answer"), Received.m_Body);
+    CPPUNIT_ASSERT_EQUAL(std::string("s"), Received.header("Replica-Seal"));
     Request Seen = m_Targets[0]->requests().at(0);
     CPPUNIT_ASSERT(Seen.target() == "/once/x?y=%2f");
     CPPUNIT_ASSERT_EQUAL(std::string("body"), Seen.body());
@@ -50,8 +50,8 @@
     CPPUNIT_ASSERT(Seen["Tenant"] == "owner");
     CPPUNIT_ASSERT(Seen["Api-Key"].empty());
     CPPUNIT_ASSERT(Seen["Attempt-Id"] == *Sent.m_Headers.find("Attempt-Id"));
-    int Left = std::stoi(std::string(Seen["Deadline-Ms"]));
-    CPPUNIT_ASSERT(Left > 1500 && Left <= 2000);
+    int DeadlineMs = std::stoi(std::string(Seen["Deadline-Ms"]));
+    CPPUNIT_ASSERT(DeadlineMs > 1500 && DeadlineMs <= 2000);
     // A request without a key on a public route has no client account.
     CPPUNIT_ASSERT_EQUAL(200U, send(request("/open/x", "")).m_Status);
     CPPUNIT_ASSERT(m_Targets[0]->requests().at(1)["Tenant"].empty());
@@ -60,9 +60,9 @@
   void testIsNotReadyWithoutAConfiguration() {
     start(false);
     CPPUNIT_ASSERT_EQUAL(503U, readiness());
-    Reply Got = send(request("/once/x"));
-    CPPUNIT_ASSERT_EQUAL(503U, Got.m_Status);
-    CPPUNIT_ASSERT(!Got.header("Retry-After").empty());
+    Reply Received = send(request("/once/x"));
+    CPPUNIT_ASSERT_EQUAL(503U, Received.m_Status);
+    CPPUNIT_ASSERT(!Received.header("Retry-After").empty());
   }
 
   void testEarlyRequestWaitsForConfiguration() {
@@ -80,16 +80,16 @@
     CPPUNIT_ASSERT_EQUAL(404U, send(request("/none/x")).m_Status);
     CPPUNIT_ASSERT_EQUAL(401U, send(request("/once/x", "wrong")).m_Status);
     CPPUNIT_ASSERT_EQUAL(401U, send(request("/once/x", "")).m_Status);
-    http::RequestMessage Nameless = request("/once/x");
-    Nameless.m_Headers.remove("Attempt-Id");
-    CPPUNIT_ASSERT_EQUAL(400U, send(Nameless).m_Status);
+    http::RequestMessage WithoutId = request("/once/x");
+    WithoutId.m_Headers.remove("Attempt-Id");
+    CPPUNIT_ASSERT_EQUAL(400U, send(WithoutId).m_Status);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), requestCount());
     // The bucket has just begun to fill; 50 tokens leave it in debt.
     eventually(
         [&] { return send(request("/once/x", "poor")).m_Status == 200; });
-    Reply Over = send(request("/once/x", "poor"));
-    CPPUNIT_ASSERT_EQUAL(429U, Over.m_Status);
-    CPPUNIT_ASSERT(std::stod(Over.header("Retry-After")) > 1);
+    Reply Refusal = send(request("/once/x", "poor"));
+    CPPUNIT_ASSERT_EQUAL(429U, Refusal.m_Status);
+    CPPUNIT_ASSERT(std::stod(Refusal.header("Retry-After")) > 1);
   }
 
   void testNonIdempotentRequestRunsOnce() {
@@ -176,11 +176,11 @@
     });
     addTarget([](const Request &) { return ""; });
     start();
-    Reply Got = send(request("/again/x"));
-    CPPUNIT_ASSERT(Got.m_Status == 500 || Got.m_Status == 502);
+    Reply Received = send(request("/again/x"));
+    CPPUNIT_ASSERT(Received.m_Status == 500 || Received.m_Status == 502);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), requestCount());
-    if (Got.m_Status == 500)
-      CPPUNIT_ASSERT_EQUAL(std::string("broken"), Got.m_Body);
+    if (Received.m_Status == 500)
+      CPPUNIT_ASSERT_EQUAL(std::string("broken"), Received.m_Body);
   }
 
   void testSkipsUnmatchedResponse() {
@@ -190,9 +190,9 @@
              completeResponse(Read, "own");
     });
     start();
-    Reply Got = send(request("/once/x"));
-    CPPUNIT_ASSERT_EQUAL(200U, Got.m_Status);
-    CPPUNIT_ASSERT_EQUAL(std::string("own"), Got.m_Body);
+    Reply Received = send(request("/once/x"));
+    CPPUNIT_ASSERT_EQUAL(200U, Received.m_Status);
+    CPPUNIT_ASSERT_EQUAL(std::string("own"), Received.m_Body);
   }
 
   void testUnsignedSuccessIsRejected() {
@@ -214,11 +214,11 @@
     addTarget(Script);
     addTarget(Script);
     start();
-    Reply Got = send(request("/stream/x"));
-    CPPUNIT_ASSERT(Got.isComplete());
+    Reply Received = send(request("/stream/x"));
+    CPPUNIT_ASSERT(Received.isComplete());
     CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
                                      "id: 3\ndata: c\n\n"),
-                         Got.m_Body);
+                         Received.m_Body);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), requestCount());
   }
 
@@ -227,8 +227,8 @@
       return streamHead(Read) + chunk("id: 1\ndata: a\n\n") + "!";
     });
     start();
-    Reply Got = send(request("/fragile/x"));
-    CPPUNIT_ASSERT(!Got.isComplete());
+    Reply Received = send(request("/fragile/x"));
+    CPPUNIT_ASSERT(!Received.isComplete());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), requestCount());
   }
 
@@ -238,17 +238,17 @@
              "\r\nReplica-Seal: s\r\n\r\nuntil the end!";
     });
     start();
-    Reply Got = send(request("/once/x"));
-    CPPUNIT_ASSERT(Got.isComplete());
-    CPPUNIT_ASSERT_EQUAL(std::string("until the end"), Got.m_Body);
+    Reply Received = send(request("/once/x"));
+    CPPUNIT_ASSERT(Received.isComplete());
+    CPPUNIT_ASSERT_EQUAL(std::string("until the end"), Received.m_Body);
   }
 
   void testCallerDisconnectCancelsRequest() {
     addTarget([](const Request &) { return "wait"; });
     start();
     {
-      asio::io_context Own;
-      tcp::socket Caller(Own);
+      asio::io_context CallerContext;
+      tcp::socket Caller(CallerContext);
       Caller.connect(local(m_CallerPort).toTcp());
       std::string Text = "GET /again/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: z\r\n"
                          "Api-Key: key\r\nDeadline-Ms: 2000\r\n\r\n";
@@ -272,19 +272,19 @@
     CPPUNIT_ASSERT(eventually([this] { return readiness() == 503; }));
     MayAnswer = true;
     // The request is served, and its connection is closed afterwards.
-    Reply Got = send(request("/again/x"));
-    CPPUNIT_ASSERT_EQUAL(200U, Got.m_Status);
-    CPPUNIT_ASSERT_EQUAL(std::string("close"), Got.header("Connection"));
+    Reply Received = send(request("/again/x"));
+    CPPUNIT_ASSERT_EQUAL(200U, Received.m_Status);
+    CPPUNIT_ASSERT_EQUAL(std::string("close"), Received.header("Connection"));
     CPPUNIT_ASSERT(eventually([&] { return IsFinished.load(); }));
   }
 
   void testDestructionWithOpenRequests() {
     addTarget([](const Request &) { return "wait"; });
     start();
-    asio::io_context Own;
+    asio::io_context CallerContext;
     std::vector<tcp::socket> Callers;
     for (int I = 0; I < 64; ++I) {
-      Callers.emplace_back(Own);
+      Callers.emplace_back(CallerContext);
       Callers.back().connect(local(m_CallerPort).toTcp());
       std::string Text = "GET /again/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: z" +
                          std::to_string(I) +
--- a/Tests/LibGateway/UploadBudgetTest.cpp
+++ b/Tests/LibGateway/UploadBudgetTest.cpp
@@ -14,21 +14,21 @@
   CPPUNIT_TEST(testPartOfTheLinkIsLeft);
   CPPUNIT_TEST_SUITE_END();
 
-  static constexpr double Link = 1e6;
-  static constexpr std::size_t Large = 500000;
+  static constexpr double LinkBytesPerSecond = 1e6;
+  static constexpr std::size_t LargeBytes = 500000;
   core::TimePoint m_Now = core::TimePoint(1h);
-  UploadBudget m_Budget{Link};
+  UploadBudget m_Budget{LinkBytesPerSecond};
 
 public:
   void testLargeUploadsAreSerialized() {
-    CPPUNIT_ASSERT(m_Budget.tryTake(Large, m_Now));
-    CPPUNIT_ASSERT(!m_Budget.tryTake(Large, m_Now));
+    CPPUNIT_ASSERT(m_Budget.tryTake(LargeBytes, m_Now));
+    CPPUNIT_ASSERT(!m_Budget.tryTake(LargeBytes, m_Now));
     CPPUNIT_ASSERT(!m_Budget.tryTake(1, m_Now + 400ms));
-    CPPUNIT_ASSERT(m_Budget.tryTake(Large, m_Now + 700ms));
-    CPPUNIT_ASSERT(!m_Budget.tryTake(Large, m_Now + 700ms));
+    CPPUNIT_ASSERT(m_Budget.tryTake(LargeBytes, m_Now + 700ms));
+    CPPUNIT_ASSERT(!m_Budget.tryTake(LargeBytes, m_Now + 700ms));
     // Unused bandwidth does not accumulate.
-    CPPUNIT_ASSERT(m_Budget.tryTake(Large, m_Now + 10s));
-    CPPUNIT_ASSERT(!m_Budget.tryTake(Large, m_Now + 10s));
+    CPPUNIT_ASSERT(m_Budget.tryTake(LargeBytes, m_Now + 10s));
+    CPPUNIT_ASSERT(!m_Budget.tryTake(LargeBytes, m_Now + 10s));
   }
 
   void testSmallUploadsPassTogether() {
