--- a/Tests/LibGateway/TargetBackoffTest.cpp
+++ b/Tests/LibGateway/TargetBackoffTest.cpp
@@ -42,8 +42,8 @@
     std::vector<std::future<TimedReply>> Calls;
     while (core::steadyNow() < End) {
       Calls.push_back(std::async(std::launch::async, [&] {
-        Reply Got = Fleet.send(0, "/again/x", "");
-        return TimedReply{Got, core::steadyNow()};
+        Reply Received = Fleet.send(0, "/again/x", "");
+        return TimedReply{Received, core::steadyNow()};
       }));
       std::this_thread::sleep_for(milliseconds(40));
     }
@@ -62,7 +62,7 @@
     for (auto &Each : Calls)
       CPPUNIT_ASSERT_EQUAL(200U, Each.get().m_Status);
   }
-  /// \returns the earliest end of the back-offs that the targets, which refuse
+  /// Returns the earliest end of the back-offs that the targets, which refuse
   /// all requests, asked for until \p Now.
   static core::TimePoint firstBackoffEnd(GatewayFleet &Fleet,
                                          core::TimePoint Now) {
@@ -76,7 +76,7 @@
     }
     return First;
   }
-  /// \returns the most arrivals within one back-off of a target that refuses
+  /// Returns the most arrivals within one back-off of a target that refuses
   /// all requests.
   static std::size_t
   maxInBackoff(const std::vector<core::TimePoint> &Arrivals) {
@@ -98,22 +98,23 @@
     CPPUNIT_ASSERT(Fleet.waitUntilReady());
     for (std::size_t I = 0; I < Targets; ++I)
       refuseRequests(Fleet, I);
-    std::vector<TimedReply> Got = sendFor(Fleet, milliseconds(4500));
+    std::vector<TimedReply> Replies = sendFor(Fleet, milliseconds(4500));
     for (std::size_t I = 0; I < Targets; ++I)
       CPPUNIT_ASSERT(maxInBackoff(Fleet.arrivalsAt(I)) <= MaxInBackoff);
-    // Refused callers are told to return after the first back-off, spread out.
+    // Refused callers are told to return after the first back-off, spread out:
+    // the gateway adds 0.15 s to 0.5 s and up to a quarter of the time left.
     std::set<std::string> Times;
-    for (const TimedReply &Each : Got) {
+    for (const TimedReply &Each : Replies) {
       CPPUNIT_ASSERT_EQUAL(503U, Each.m_Reply.m_Status);
       std::string Text = Each.m_Reply.header("Retry-After");
       Times.insert(Text);
-      double After = std::stod(Text);
-      double Left =
+      double RetryAfter = std::stod(Text);
+      double TimeLeft =
           core::toSeconds(firstBackoffEnd(Fleet, Each.m_At) - Each.m_At);
-      CPPUNIT_ASSERT(After >= Left);
-      CPPUNIT_ASSERT(After <= std::max(Left, 0.0) * 1.25 + 0.6);
+      CPPUNIT_ASSERT(RetryAfter >= TimeLeft);
+      CPPUNIT_ASSERT(RetryAfter <= std::max(TimeLeft, 0.0) * 1.25 + 0.6);
     }
-    CPPUNIT_ASSERT(Times.size() > Got.size() / 2);
+    CPPUNIT_ASSERT(Times.size() > Replies.size() / 2);
   }
 
   void testBackoffSurvivesReannouncement() {
@@ -146,7 +147,8 @@
     CPPUNIT_ASSERT_EQUAL(200U, Fleet.send(0, "/again/x", "").m_Status);
   }
 
-  /// The target leaves before the store says so, whatever it says later.
+  /// Guards against requests to a target that has stated that it leaves, while
+  /// the store does not show that or announces the target again.
   void testLeavingTargetGetsNoRequests() {
     GatewayFleet Fleet(2, 2);
     Fleet.startAll();
--- a/Tests/LibGateway/TargetLimitTest.cpp
+++ b/Tests/LibGateway/TargetLimitTest.cpp
@@ -53,7 +53,7 @@
 
   static constexpr std::size_t Gateways = 5;
   static constexpr std::size_t Targets = 3;
-  static constexpr double Limit = 1.2;
+  static constexpr double LimitPerSecond = 1.2;
   static constexpr milliseconds Window{4000};
   /// Time until a process has completed the discovery of the others.
   static constexpr milliseconds SettleTime{3200};
@@ -61,10 +61,11 @@
   static constexpr milliseconds PropagationTime{3000};
   static constexpr milliseconds Pause{60};
 
+  /// Returns the number of arrivals that is allowed within one window of 4 s.
   static std::size_t maxAllowed() {
-    return static_cast<std::size_t>(1.5 * Limit * 4 + 5);
+    return static_cast<std::size_t>(1.5 * LimitPerSecond * 4 + 5);
   }
-  /// \returns the most arrivals after \p Since within one window.
+  /// Returns the most arrivals after \p Since within one window.
   static std::size_t worstWindow(const std::vector<core::TimePoint> &Arrivals,
                                  core::TimePoint Since) {
     std::size_t Max = 0;
@@ -82,7 +83,7 @@
         Arrivals.end() -
         std::lower_bound(Arrivals.begin(), Arrivals.end(), Since));
   }
-  /// \returns a fleet whose gateways are ready and have found each other.
+  /// Returns a fleet whose gateways are ready and have found each other.
   static std::unique_ptr<GatewayFleet> settledFleet() {
     auto Out = std::make_unique<GatewayFleet>(Gateways, Targets);
     Out->startAll();
@@ -93,7 +94,7 @@
   static void stateLimit(GatewayFleet &Fleet, std::size_t Target) {
     Fleet.runOnTargetThread([&] {
       Fleet.target(Target).setBackpressure(
-          {"Server-Limit: " + std::to_string(Limit) + "\r\n"});
+          {"Server-Limit: " + std::to_string(LimitPerSecond) + "\r\n"});
     });
   }
 
