--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -183,7 +183,8 @@
   RequestState &Request = Found->second;
   switch (Request.m_Phase) {
   case RequestPhase::Dispatched:
-    // ResponseEnded follows and ends the request.
+    // ResponseEnded ends the request. If connecting fails instead, this event
+    // comes again after ConnectFailed.
     return;
   case RequestPhase::Queued:
     findPool(Request.m_Arrival.m_Pool)->withdraw(Request);
@@ -206,7 +207,7 @@
 }
 
 void DecisionCore::on(const ResponseStarted &What, core::TimePoint Now) {
-  m_Requests.at(What.m_Request).m_BeganAt = Now;
+  m_Requests.at(What.m_Request).m_ResponseStartedAt = Now;
 }
 
 void DecisionCore::on(const ResponseEnded &What, core::TimePoint Now) {
--- a/Libraries/LibDecision/DecisionCore.h
+++ b/Libraries/LibDecision/DecisionCore.h
@@ -81,11 +81,13 @@
   void startRunner(RequestState &Request, IdentityRecord &Record,
                    core::TimePoint Now);
   void finishIdentity(const RequestState &Request, const ResponseEnded &End);
-  /// Ends an identity whose runner was refused before dispatch, and refuses
-  /// the waiting repeats with \p Kind.
+  /// Records the refusal of an identity's runner before dispatch, and refuses
+  /// the waiting repeats with \p Kind. A later repeat may run if \p Kind states
+  /// "not run".
   void abandonRunner(const RequestState &Request, RefusalKind Kind);
   /// Makes the first waiting repeat the runner if \p Request, whose caller
-  /// disconnected, was it; otherwise only removes \p Request from the repeats.
+  /// disconnected, was the runner; otherwise removes \p Request from the
+  /// waiting repeats.
   void promoteWaiting(const RequestState &Request, core::TimePoint Now);
   IdentityRecord *findRecord(const RequestState &Request);
 
--- a/Libraries/LibDecision/Event.h
+++ b/Libraries/LibDecision/Event.h
@@ -60,7 +60,7 @@
   core::TierNumber m_Tier;
   core::PoolName m_Pool;
   std::uint32_t m_PrefillTokens = 0; ///< Estimate from the prompt's size.
-  std::uint32_t m_OutputTokens = 0;  ///< Upper limit set by the caller.
+  std::uint32_t m_OutputTokens = 0;  ///< Upper limit, by the caller or default.
   std::uint64_t m_PrefixHash = 0;    ///< Hash of the prompt's prefix; 0: none.
   bool m_IsIdentityRequired = false;
   bool m_IsForwarded = false; ///< Forwarded to this instance as the owner.
@@ -74,7 +74,9 @@
   }
 };
 
-/// The caller closed its connection before the response started.
+/// The caller closed its connection before the request was sent to a target.
+/// If it closed while the target was being connected to and connecting fails,
+/// this event follows ConnectFailed once more.
 struct CallerDisconnected {
   core::RequestId m_Request;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Request); }
@@ -148,8 +150,9 @@
   }
 };
 
-/// The number of live instances that share the targets, including this one,
-/// has changed.
+/// The number of instances that share the targets, including this one, has
+/// changed: the larger of the live and the listed ones, so that an instance
+/// that is only silent keeps its share.
 struct InstanceCountChanged {
   std::uint32_t m_Count = 1;
   template <class Archive> void serialize(Archive &Ar) { Ar(m_Count); }
--- a/Libraries/LibDecision/PoolScheduler.cpp
+++ b/Libraries/LibDecision/PoolScheduler.cpp
@@ -6,10 +6,11 @@
 
 namespace yardrill::decision {
 
-/// Part of its deadline after which a waiting request of a higher tier preempts
-/// a running one of the lowest tier.
+/// Part of its time limit after which a waiting request of a higher tier
+/// preempts a running one of the lowest tier.
 static const int PreemptNumerator = 1;
 static const int PreemptDenominator = 2;
+/// Limit on the time to drain the queue, before the spread is applied.
 static const double MaxRetrySeconds = 120;
 static const double MinRetrySpread = 0.75;
 static const double MaxRetrySpread = 1.75;
@@ -142,7 +143,8 @@
     const auto &Policy = Request.m_Policy;
     bool IsRestricted =
         !Policy.m_DataHalls.empty() || !Policy.m_Targets.empty();
-    // If an unrestricted request finds no slot, no later one does.
+    // If an unrestricted request finds no slot, no later one does, since its
+    // tier is the same or a lower one.
     if (!IsRestricted || Restricted.size() >= MaxSkippedRequests)
       break;
     withdraw(Request);
@@ -205,12 +207,14 @@
   m_Running[Request.tier()].erase(Request.id());
   m_Targets.finished(Request.m_Target, Request.tier());
   updateCompletionRate(Now);
-  if (End.m_Outcome == ResponseOutcome::Complete && Request.m_BeganAt) {
+  if (End.m_Outcome == ResponseOutcome::Complete &&
+      Request.m_ResponseStartedAt) {
     ExpectedWork Work{Request.m_Arrival.m_PrefillTokens,
                       Request.m_Arrival.m_OutputTokens, 0, nullptr};
     m_Targets.updateRates(Request.m_Target, Work,
-                          *Request.m_BeganAt - Request.m_DispatchedAt,
-                          Now - *Request.m_BeganAt, End.m_OutputTokens);
+                          *Request.m_ResponseStartedAt - Request.m_DispatchedAt,
+                          Now - *Request.m_ResponseStartedAt,
+                          End.m_OutputTokens);
   }
   dispatchWaiting(Now);
 }
--- a/Libraries/LibDecision/PoolScheduler.h
+++ b/Libraries/LibDecision/PoolScheduler.h
@@ -69,8 +69,8 @@
   void memberGone(core::IncarnationId Incarnation);
 
   /// Returns a Retry-After value in seconds: the time to drain the queue at the
-  /// recent completion rate, with random jitter so that callers who were
-  /// refused together do not retry together.
+  /// recent completion rate, limited to 1 to 120 s, with random jitter so that
+  /// callers who were refused together do not retry together.
   std::uint32_t retryAfterSeconds();
 
   std::size_t queued() const { return m_Queue.size(); }
@@ -88,17 +88,19 @@
   void dispatchWaiting(core::TimePoint Now);
   void enforceQueueLimit(core::TimePoint Now);
   void refuseOverdue(core::TimePoint Now);
-  /// Counts waiting requests above the lowest tier that have used up the part
-  /// of their deadline after which they preempt.
+  /// Counts sheddable waiting requests above the lowest tier that have used up
+  /// the part of their deadline after which they preempt.
   std::size_t countUrgent(core::TimePoint Now) const;
   /// Cancels one running request of the lowest tier for each urgent one. That
-  /// tier may always be shed, so a few requests need no higher threshold.
+  /// tier may always be shed, so the threshold need not be raised for a few
+  /// requests.
   void preemptLowestTier(core::TimePoint Now);
   void evictBelowThreshold();
   void updateCompletionRate(core::TimePoint Now);
   bool runsBelowThreshold() const;
-  /// Returns the highest tier whose waiting requests are overdue or would have
-  /// to be shed from a full queue, leaving out the lowest; 0 if there is none.
+  /// Returns the highest tier whose sheddable waiting requests are overdue or
+  /// would have to be shed from a full queue, leaving out the lowest; 0 if
+  /// there is none.
   core::TierNumber tierUnderPressure(core::TimePoint Now) const;
   /// Returns the time until which a refusal of \p Tier may be sent: the
   /// permit's expiry, or 0 (no limit) for the lowest tier.
@@ -126,7 +128,7 @@
   core::TierNumber m_Highest{1};
   core::TierNumber m_Lowest{1};
   bool m_IsStopping = false;
-  /// Waiting requests of each tier, by deadline.
+  /// Sheddable waiting requests of each tier, by deadline.
   std::map<core::TierNumber,
            std::set<std::pair<core::TimePoint, core::RequestId>>>
       m_Deadlines;
--- a/Libraries/LibDecision/Refusal.h
+++ b/Libraries/LibDecision/Refusal.h
@@ -6,8 +6,8 @@
 
 namespace yardrill::decision {
 
-/// Reason for which a request gets no response of a target. describe() gives
-/// each reason's status, problem type and statement on whether the request ran.
+/// Reason for which a request gets no response from a target. describe() gives
+/// the status, the problem type and whether the request ran.
 /// Brief: "When a caller is refused with 'not run', the request truly did not
 /// run."
 enum class RefusalKind : std::uint8_t {
--- a/Libraries/LibDecision/RequestState.h
+++ b/Libraries/LibDecision/RequestState.h
@@ -29,7 +29,7 @@
   double m_Weight = 1; ///< Weight of the client account in fair queueing.
   core::TargetName m_Target;
   core::TimePoint m_DispatchedAt;
-  std::optional<core::TimePoint> m_BeganAt;
+  std::optional<core::TimePoint> m_ResponseStartedAt;
   bool m_HasFailedConnect = false;
   bool m_IsCancelled = false;
 
