--- a/Libraries/LibDecision/PoolQueue.cpp
+++ b/Libraries/LibDecision/PoolQueue.cpp
@@ -19,13 +19,13 @@
     Tier.m_Order.emplace(Account.m_StartTag, Item.m_Account);
   }
   Position At{Item.m_Order, IsFront ? m_NextFront-- : m_NextBack++};
-  Location Where{Item.m_Tier, Item.m_Account,
-                 Account.m_Waiting.emplace(At, Item).first, std::nullopt};
+  Location Inserted{Item.m_Tier, Item.m_Account,
+                    Account.m_Waiting.emplace(At, Item).first, std::nullopt};
   if (Item.m_IsSheddable) {
     auto End = IsFront ? Tier.m_Sheddable.begin() : Tier.m_Sheddable.end();
-    Where.m_Arrival = Tier.m_Sheddable.insert(End, Item.m_Request);
+    Inserted.m_Arrival = Tier.m_Sheddable.insert(End, Item.m_Request);
   }
-  m_Locations.emplace(Item.m_Request, Where);
+  m_Locations.emplace(Item.m_Request, Inserted);
   ++Tier.m_Size;
 }
 
@@ -63,24 +63,24 @@
   auto Found = m_Locations.find(Request);
   if (Found == m_Locations.end())
     return false;
-  Location At = Found->second;
+  Location Erased = Found->second;
   m_Locations.erase(Found);
-  TierQueue &Tier = m_Tiers[At.m_Tier];
-  auto Owner = Tier.m_Accounts.find(At.m_Account);
+  TierQueue &Tier = m_Tiers[Erased.m_Tier];
+  auto Owner = Tier.m_Accounts.find(Erased.m_Account);
   AccountQueue &Account = Owner->second;
-  const Entry &Item = At.m_Entry->second;
+  const Entry &Item = Erased.m_Entry->second;
   double Charge = Item.m_Cost / Item.m_Weight;
-  Tier.m_Order.erase({Account.m_StartTag, At.m_Account});
-  if (At.m_Arrival)
-    Tier.m_Sheddable.erase(*At.m_Arrival);
-  Account.m_Waiting.erase(At.m_Entry);
+  Tier.m_Order.erase({Account.m_StartTag, Erased.m_Account});
+  if (Erased.m_Arrival)
+    Tier.m_Sheddable.erase(*Erased.m_Arrival);
+  Account.m_Waiting.erase(Erased.m_Entry);
   --Tier.m_Size;
   if (IsServed) {
     Tier.m_VirtualTime = std::max(Tier.m_VirtualTime, Account.m_StartTag);
     Account.m_StartTag += Charge;
   }
   if (!Account.m_Waiting.empty())
-    Tier.m_Order.emplace(Account.m_StartTag, At.m_Account);
+    Tier.m_Order.emplace(Account.m_StartTag, Erased.m_Account);
   else if (Tier.m_Order.empty())
     // With no request waiting, past service no longer matters.
     Tier.m_Accounts.clear();
--- a/Libraries/LibDecision/Trace.cpp
+++ b/Libraries/LibDecision/Trace.cpp
@@ -68,20 +68,22 @@
 
 namespace {
 
-/// Tracks which requests are at a target and counts violations.
+/// Counts dispatches, refusals and violations. A request counts as dispatched,
+/// also after its end, unless connecting to its target failed.
 class OutcomeCounter {
 public:
   explicit OutcomeCounter(ReplayResult &Result) : m_Result(Result) {}
 
   void observe(const Event &What) {
     if (const auto *Failed = std::get_if<ConnectFailed>(&What))
-      m_AtTarget.erase(Failed->m_Request);
+      m_DispatchedRequests.erase(Failed->m_Request);
   }
 
   void observe(const Action &What) {
     if (const auto *DispatchAction = std::get_if<Dispatch>(&What)) {
       ++m_Result.m_Dispatched;
-      bool IsFirst = m_AtTarget.insert(DispatchAction->m_Request).second;
+      bool IsFirst =
+          m_DispatchedRequests.insert(DispatchAction->m_Request).second;
       m_Result.m_DuplicateDispatches += IsFirst ? 0 : 1;
     }
     const auto *RefuseAction = std::get_if<Refuse>(&What);
@@ -90,13 +92,13 @@
     ++m_Result.m_Refused;
     bool IsNotRun =
         describe(RefuseAction->m_Kind).m_RunState == RunState::NotRun;
-    if (IsNotRun && m_AtTarget.count(RefuseAction->m_Request) != 0)
+    if (IsNotRun && m_DispatchedRequests.count(RefuseAction->m_Request) != 0)
       ++m_Result.m_RefusedAfterDispatch;
   }
 
 private:
   ReplayResult &m_Result;
-  std::set<core::RequestId> m_AtTarget;
+  std::set<core::RequestId> m_DispatchedRequests;
 };
 
 } // namespace
--- a/Libraries/LibDecision/Trace.h
+++ b/Libraries/LibDecision/Trace.h
@@ -50,7 +50,8 @@
 };
 
 /// Feeds the events of a trace to a new core and compares the actions.
-/// \throws core::Error of kind Trace if the trace cannot be parsed.
+/// \throws core::Error of kind Trace if an event cannot be parsed, and
+/// config::DocumentError if a recorded configuration is invalid.
 ReplayResult replay(std::istream &Trace);
 
 } // namespace yardrill::decision
