--- a/Libraries/LibDecision/TargetTable.h
+++ b/Libraries/LibDecision/TargetTable.h
@@ -58,7 +58,7 @@
   void setInstances(std::uint32_t Count) { m_InstanceCount = Count; }
   void setLeaving(const std::set<core::TargetName> &Leaving);
 
-  /// \returns the target with a free slot for this tier that is predicted to
+  /// Returns the target with a free slot for this tier that is predicted to
   /// finish first, chosen at random among near ties; nothing if there is none.
   std::optional<core::TargetName> choose(const ExpectedWork &Work,
                                          core::TierNumber Tier,
@@ -93,7 +93,8 @@
   /// higher tier count there.
   bool hasFreeSlot(const TargetState &Target, core::TierNumber Tier) const;
   /// Whether one more request of \p Tier, which is not the highest, leaves the
-  /// slots free that are reserved for the highest tier, summed over the pool.
+  /// slots free that are reserved for the highest tier. Sums over the pool and
+  /// uses this instance's share.
   bool leavesReservedSlots(core::TierNumber Tier) const;
   /// Returns a relative cost of running \p Work at \p Target, in about seconds.
   double predictedFinish(const TargetState &Target, const ExpectedWork &Work,
--- a/Libraries/LibDecision/ThresholdLeader.h
+++ b/Libraries/LibDecision/ThresholdLeader.h
@@ -31,7 +31,8 @@
   /// \returns false if the report shows a leader of a higher epoch; this leader
   /// must then step down.
   bool handleReport(const ThresholdReport &Report, core::TimePoint Now);
-  /// Removes a member that has left or is gone from the next record.
+  /// Forgets a member that has left or is gone; the next record to write leaves
+  /// it out.
   void memberGone(core::IncarnationId Incarnation);
 
   /// Returns the record to write if the members have changed and no write is
@@ -42,8 +43,8 @@
   bool recordWritten(bool IsWritten, std::int64_t Revision);
   std::int64_t revision() const { return m_Revision; }
 
-  /// Advances the protocol where its conditions hold. \returns a command for
-  /// each recorded member.
+  /// Advances the protocol if the conditions of the phase hold. \returns a
+  /// command for each recorded member.
   std::vector<std::pair<InstanceRef, ThresholdCommand>>
   step(core::TimePoint Now);
 
