--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -296,10 +296,10 @@
   if (Request.m_Phase != RequestPhase::Claiming)
     return;
   IdentityRecord &Record = *findRecord(Request);
-  bool IsOurs = What.m_Outcome == ClaimOutcome::Held &&
-                What.m_Owner == m_Self && Record.m_MayHoldClaim;
+  bool IsOwnClaim = What.m_Outcome == ClaimOutcome::Held &&
+                    What.m_Owner == m_Self && Record.m_MayHoldClaim;
   Record.m_MayHoldClaim = Record.m_MayHoldClaim || What.m_MayTakeEffect;
-  if (What.m_Outcome == ClaimOutcome::Won || IsOurs) {
+  if (What.m_Outcome == ClaimOutcome::Won || IsOwnClaim) {
     Record.m_State = IdentityState::Running;
     Record.m_MayHoldClaim = false;
     return admit(Request, Now);
@@ -310,10 +310,10 @@
   // may have run.
   if (What.m_Owner == m_Self)
     return refuse(Request, RefusalKind::OwnerLost);
-  std::vector<core::RequestId> All = Record.m_Waiting;
-  All.push_back(Request.id());
+  std::vector<core::RequestId> ToForward = Record.m_Waiting;
+  ToForward.push_back(Request.id());
   m_Identities.erase(Request.m_Arrival.m_Identity->m_Name);
-  for (core::RequestId Id : All) {
+  for (core::RequestId Id : ToForward) {
     emit(Forward{Id, What.m_Owner});
     forget(Id);
   }
