--- a/Libraries/LibQuarantine/ContentDigest.cpp
+++ b/Libraries/LibQuarantine/ContentDigest.cpp
@@ -17,9 +17,10 @@
   return Out;
 }
 
-ContentDigest ContentDigest::of(const Content &What) {
-  std::string Hash = core::sha256LengthPrefixed(
-      {What.m_Account, What.m_Host, What.m_Method, What.m_Target, What.m_Body});
+ContentDigest ContentDigest::of(const Content &Parts) {
+  std::string Hash =
+      core::sha256LengthPrefixed({Parts.m_Account, Parts.m_Host, Parts.m_Method,
+                                  Parts.m_Target, Parts.m_Body});
   std::string_view Bytes = Hash;
   return {readBigEndian(Bytes.substr(0, sizeof(std::uint64_t))),
           readBigEndian(
--- a/Libraries/LibQuarantine/ContentDigest.h
+++ b/Libraries/LibQuarantine/ContentDigest.h
@@ -30,7 +30,7 @@
   std::uint64_t m_High = 0;
   std::uint64_t m_Low = 0;
 
-  static ContentDigest of(const Content &What);
+  static ContentDigest of(const Content &Parts);
   /// Parses 32 hex digits. \returns nothing if \p Text is anything else.
   static std::optional<ContentDigest> parse(std::string_view Text);
   /// Returns 32 lower-case hex digits.
--- a/Libraries/LibQuarantine/Gossip.cpp
+++ b/Libraries/LibQuarantine/Gossip.cpp
@@ -14,8 +14,8 @@
     std::chrono::milliseconds(1200)};
 /// Period of sending unstored observations to a few other instances.
 static constexpr std::chrono::seconds GossipPeriod{1};
-/// Incriminating incarnations from which a content is stored. Lower would store
-/// nearly every request that was running when a target exited.
+/// Incriminating incarnations from which a content is stored. With fewer,
+/// nearly every request that was running when a target exited would be stored.
 static constexpr std::size_t MinIncarnationsToStore =
     QuarantineTable::IncarnationsToSuspect;
 /// Limit on the contents in the store's entry, which keeps it at about 15 KB
--- a/Libraries/LibQuarantine/QuarantineFormat.h
+++ b/Libraries/LibQuarantine/QuarantineFormat.h
@@ -22,7 +22,7 @@
 parseObservations(const std::string &Text);
 
 /// Returns \p Text with all incarnations of \p Content cleared, or nothing if
-/// the text is malformed or does not contain it.
+/// the text is malformed or does not contain \p Content.
 std::optional<std::string> withContentCleared(const std::string &Text,
                                               const ContentDigest &Content);
 
--- a/Libraries/LibQuarantine/QuarantineTable.h
+++ b/Libraries/LibQuarantine/QuarantineTable.h
@@ -30,7 +30,7 @@
 
 namespace yardrill::quarantine {
 
-/// routing::TargetIncarnation::hash().
+/// Hash of an incarnation of a target: routing::TargetIncarnation::hash().
 using IncarnationHash = std::uint32_t;
 
 /// States that an incarnation of a target exited while a request with this
@@ -56,9 +56,11 @@
   /// that ran at an exiting target is not retried at once.
   static constexpr std::size_t IncarnationsToSuspect =
       IncarnationsToQuarantine - 1;
-  /// Limit on the contents in the table; the least incriminated are evicted.
+  /// Limit on the contents in the table. Those with the fewest incriminating
+  /// incarnations are evicted, the longest unchanged first.
   static constexpr std::size_t MaxContents = 1024;
-  /// Limit on the incarnations of one content; cleared ones are evicted.
+  /// Limit on the incarnations of one content. Cleared ones are evicted; if
+  /// there is none, new ones are ignored.
   static constexpr std::size_t MaxIncarnations = 16;
 
   /// Called when a content is quarantined or released.
@@ -94,8 +96,9 @@
   /// incarnations, in ascending order of digest.
   std::vector<ContentDigest>
   suspectedContents(std::size_t MinIncarnations) const;
-  /// Returns the changes made at this instance since the last call, for other
-  /// instances to merge.
+  /// Returns the changes since the last call that originate at this instance,
+  /// for other instances to merge. Merged observations are changes only if a
+  /// success at this instance cleared them.
   std::vector<Observation> takeUpdates();
 
 private:
