--- a/Libraries/LibRollout/Comparison.cpp
+++ b/Libraries/LibRollout/Comparison.cpp
@@ -10,8 +10,8 @@
 /// Users notice about a tenth. The larger ones detect a clearly bad version
 /// with fewer responses.
 static constexpr double ExcessShares[] = {0.12, 0.25, 0.5};
-/// Share of bad responses that is added to the baseline of the old side, which
-/// keeps it above 0 where the old side has shown none.
+/// Share of bad responses that is added to the baseline of the old side. It is
+/// also the minimum of the baseline if the old side has shown none.
 static constexpr double MinBaseline = 0.015;
 /// Number of time bins (half octaves; three are a factor of 2.8) from which a
 /// response is slow above the first quartile of its target's responses, and a
@@ -30,14 +30,16 @@
 
 void Comparison::countFailures(const ResponseCountsByKey &Sum) {
   for (const auto &[Key, Counts] : Sum) {
-    Sides &Of = m_Failures[Key.m_Route];
-    Count &Into = (Key.m_Side == Side::New ? Of.m_New : Of.m_Old)[Key.m_Target];
+    Sides &RouteSides = m_Failures[Key.m_Route];
+    Count &Into = (Key.m_Side == Side::New ? RouteSides.m_New
+                                           : RouteSides.m_Old)[Key.m_Target];
     Into.m_All += Counts.total();
     Into.m_Bad += Counts.m_Failures;
   }
 }
 
-/// Returns the bin of a histogram that contains the quantile \p Share (0 to 1).
+/// Returns the bin of a histogram that contains the quantile \p Share (0 to 1);
+/// 0 if the histogram is empty.
 template <class Map> static int binAt(const Map &Counts, double Share) {
   double All = 0;
   for (const auto &[Bin, Count] : Counts)
@@ -51,13 +53,13 @@
   return 0;
 }
 
-int Comparison::slowThreshold(Side Which, const RelativeTimes &Times) {
+int Comparison::slowThreshold(Side TargetSide, const RelativeTimes &Times) {
   double All = 0;
   for (const auto &[Bin, Count] : Times)
     All += Count;
   if (All < MinResponsesPerTarget)
     return NeverSlow;
-  Count &Targets = Which == Side::New ? m_NewTargets : m_OldTargets;
+  Count &Targets = TargetSide == Side::New ? m_NewTargets : m_OldTargets;
   ++Targets.m_All;
   if (binAt(Times, 0.5) >= SlowBins)
     ++Targets.m_Bad;
@@ -68,10 +70,10 @@
   // The baseline of a route is from the old side, or from the new one if the
   // old one has no responses there.
   std::map<std::uint32_t, std::map<int, double>> Baseline;
-  for (Side Which : {Side::Old, Side::New}) {
+  for (Side TargetSide : {Side::Old, Side::New}) {
     std::map<std::uint32_t, std::map<int, double>> Seen;
     for (const auto &[Key, Counts] : Sum)
-      if (Key.m_Side == Which && Counts.successes() > 0)
+      if (Key.m_Side == TargetSide && Counts.successes() > 0)
         for (std::size_t I = 0; I < TimeBinCount; ++I)
           Seen[Key.m_Route][static_cast<int>(I)] += Counts.m_Times[I];
     for (auto &[Route, Times] : Seen)
@@ -94,8 +96,9 @@
     auto From = SlowFrom.find({Key.m_Side, Key.m_Target});
     if (From == SlowFrom.end() || From->second == NeverSlow)
       continue;
-    Sides &Of = m_Slow[Key.m_Route];
-    Count &Into = (Key.m_Side == Side::New ? Of.m_New : Of.m_Old)[Key.m_Target];
+    Sides &RouteSides = m_Slow[Key.m_Route];
+    Count &Into = (Key.m_Side == Side::New ? RouteSides.m_New
+                                           : RouteSides.m_Old)[Key.m_Target];
     Into.m_All += Counts.successes();
     for (std::size_t I = 0; I < TimeBinCount; ++I)
       if (static_cast<int>(I) - Median[Key.m_Route] >= From->second)
@@ -103,9 +106,9 @@
   }
 }
 
-Comparison::Count Comparison::sum(const ByTarget &Of) {
+Comparison::Count Comparison::sum(const ByTarget &CountsByTarget) {
   Count Out;
-  for (const auto &[Target, Each] : Of) {
+  for (const auto &[Target, Each] : CountsByTarget) {
     Out.m_All += Each.m_All;
     Out.m_Bad += Each.m_Bad;
   }
@@ -130,13 +133,13 @@
                   : Best;
 }
 
-double Comparison::robustScore(const Sides &What) {
-  Count Old = sum(What.m_Old);
-  double All = score(sum(What.m_New), Old);
-  if (All <= 0 || What.m_New.size() < 2)
+double Comparison::robustScore(const Sides &Compared) {
+  Count Old = sum(Compared.m_Old);
+  double All = score(sum(Compared.m_New), Old);
+  if (All <= 0 || Compared.m_New.size() < 2)
     return All;
   std::vector<Count> Sorted;
-  for (const auto &[Target, Each] : What.m_New)
+  for (const auto &[Target, Each] : Compared.m_New)
     Sorted.push_back(Each);
   std::sort(Sorted.begin(), Sorted.end(),
             [](const Count &A, const Count &B) { return A.m_Bad > B.m_Bad; });
@@ -152,16 +155,16 @@
   return std::min(All, 4 * std::max(0.0, score(Rest, Old)));
 }
 
-void Comparison::compare(const ByRoute &What, const char *Kind,
+void Comparison::compare(const ByRoute &SidesByRoute, const char *Kind,
                          Judgement &Into) const {
   Sides Together;
   double Sum = 0;
   double SumRobust = 0;
-  for (const auto &[Route, Of] : What) {
-    double Score = robustScore(Of);
+  for (const auto &[Route, RouteSides] : SidesByRoute) {
+    double Score = robustScore(RouteSides);
     if (Score > Into.m_Worst.m_Score)
       Into.m_Worst = {Score, Route, Kind};
-    Sum += score(sum(Of.m_New), sum(Of.m_Old));
+    Sum += score(sum(RouteSides.m_New), sum(RouteSides.m_Old));
     SumRobust += Score;
   }
   // Routes are independent, so their scores add up.
@@ -192,9 +195,9 @@
 Judgement Comparison::judge() const {
   Judgement Out;
   Out.m_MinGoodScore = std::numeric_limits<double>::max();
-  for (const auto &[Route, Of] : m_Failures) {
-    Count Old = sum(Of.m_Old);
-    Count New = sum(Of.m_New);
+  for (const auto &[Route, RouteSides] : m_Failures) {
+    Count Old = sum(RouteSides.m_Old);
+    Count New = sum(RouteSides.m_New);
     Out.m_OldResponses += static_cast<std::uint32_t>(Old.m_All);
     Out.m_OldFailures += static_cast<std::uint32_t>(Old.m_Bad);
     Out.m_NewResponses += static_cast<std::uint32_t>(New.m_All);
--- a/Libraries/LibRollout/Comparison.h
+++ b/Libraries/LibRollout/Comparison.h
@@ -35,18 +35,19 @@
 
   void countFailures(const ResponseCountsByKey &Sum);
   void countSlow(const ResponseCountsByKey &Sum);
-  /// Counts the target, and whether it is slow on all responses. \returns the
-  /// relative bin from which its responses are slow; NeverSlow if it has too
-  /// few responses.
-  int slowThreshold(Side Which, const RelativeTimes &Times);
-  static Count sum(const ByTarget &Of);
+  /// Counts the target, and whether it is slow by its median, unless it has too
+  /// few responses. \returns the relative bin from which its responses are
+  /// slow; NeverSlow if it has too few responses.
+  int slowThreshold(Side TargetSide, const RelativeTimes &Times);
+  static Count sum(const ByTarget &CountsByTarget);
   /// Returns the log-likelihood ratio of the new side's count, between a worse
-  /// version and one as good as the old side.
+  /// version and one as good as the old side, for the best of ExcessShares.
   static double score(const Count &New, const Count &Old);
   /// Returns score(), limited so that a few bad targets alone, which may have
   /// faults of their own, do not make the version look worse.
-  static double robustScore(const Sides &What);
-  void compare(const ByRoute &What, const char *Kind, Judgement &Into) const;
+  static double robustScore(const Sides &Compared);
+  void compare(const ByRoute &SidesByRoute, const char *Kind,
+               Judgement &Into) const;
   void compareTargets(Judgement &Into) const;
 
   ByRoute m_Failures;
--- a/Libraries/LibRollout/Coordinator.cpp
+++ b/Libraries/LibRollout/Coordinator.cpp
@@ -19,8 +19,10 @@
 /// Maximum score against the new version on any route after LateSamplePart.
 static constexpr double MaxScoreAgainst = 1.5;
 /// Part of the slack that is used for samples in pools with few requests, where
-/// the share alone gives too few responses to find a bad version.
+/// the share alone gives too few responses to find a bad version: about 20 in a
+/// bake time of 12 s at 40 requests per second.
 static constexpr double SlackShare = 0.4;
+/// Limit on the share of samples, with the part of the slack included.
 static constexpr double MaxSampleShare = 0.25;
 /// Time before the deadline at which the outcome is written; covers a call to a
 /// slow store.
@@ -35,9 +37,9 @@
 static constexpr std::chrono::milliseconds ParticipantTimeout =
     2 * Permit::Lifetime;
 
-Coordinator::Coordinator(Order What, const ExposureLimits &Limits,
+Coordinator::Coordinator(Order RolloutOrder, const ExposureLimits &Limits,
                          core::TimePoint Now)
-    : m_Order(std::move(What)), m_Limits(Limits), m_Since(Now) {}
+    : m_Order(std::move(RolloutOrder)), m_Limits(Limits), m_Since(Now) {}
 
 double Coordinator::share(core::Duration Age) const {
   double Sent = 0;
--- a/Libraries/LibRollout/Coordinator.h
+++ b/Libraries/LibRollout/Coordinator.h
@@ -1,10 +1,10 @@
 //===-- Coordinator.h - Coordinator of a roll-out -------------------------===//
 //
-// Any instance can coordinate; the first among those that follow the store
-// does. If two do so for a while, each sees a part of the evidence, and both
-// grant permits within the same share; a compare-and-swap makes the outcome of
-// the order unique. After a takeover, the next reports bring all counters
-// again.
+// Any instance can coordinate; the first one among those that receive updates
+// from the store does. If two do so for a while, each sees a part of the
+// evidence, and both grant permits within the same share; a compare-and-swap
+// makes the outcome of the order unique. After a takeover, the next few reports
+// bring all counters again.
 //
 // Uses no clock or I/O: the time is a parameter, and RolloutService exchanges
 // the messages.
@@ -45,7 +45,8 @@
 /// how the order ends. Used by RolloutService.
 class Coordinator {
 public:
-  Coordinator(Order What, const ExposureLimits &Limits, core::TimePoint Now);
+  Coordinator(Order RolloutOrder, const ExposureLimits &Limits,
+              core::TimePoint Now);
 
   /// Handles a report. \returns the permit to send in response.
   Permit handleReport(core::IncarnationId From, const Report &Received,
--- a/Libraries/LibRollout/Judge.h
+++ b/Libraries/LibRollout/Judge.h
@@ -7,6 +7,7 @@
 // response is compared with others of its own target first.
 //
 // Uses no clock: the time is a parameter.
+//
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROLLOUT_JUDGE_H
 #define YARDRILL_LIBROLLOUT_JUDGE_H
@@ -30,7 +31,8 @@
 struct Judgement {
   Finding m_Worst; ///< Finding with the highest score.
   /// Lowest score for the new version being as good, over all routes with
-  /// responses of the old one.
+  /// responses of the old one; the largest double if the old
+  /// one has none.
   double m_MinGoodScore = 0;
   std::uint32_t m_NewResponses = 0;
   std::uint32_t m_NewFailures = 0;
@@ -43,9 +45,10 @@
   /// evaluations of three spans and several routes) with less than 1e-3.
   bool isBad() const { return m_Worst.m_Score > 11.5; }
   /// Whether the new version is as good. A version that is worse by the share
-  /// looked for scores this low with a probability of 1e-2.
+  /// tested for passes with a probability of 1e-2.
   bool isGood() const { return !isSuspect() && m_MinGoodScore >= 4.6; }
-  /// Whether there is evidence against the new version, if not enough.
+  /// Whether there is evidence against the new version, perhaps not enough for
+  /// isBad().
   bool isSuspect() const { return m_Worst.m_Score > 4.6; }
 };
 
--- a/Libraries/LibRollout/Participant.cpp
+++ b/Libraries/LibRollout/Participant.cpp
@@ -13,8 +13,9 @@
 /// instance stops on its own.
 static constexpr double MinLocalExcess = 0.35;
 
-Participant::Participant(Order What, core::Duration Age, core::TimePoint Now)
-    : m_Order(std::move(What)), m_Since(Now - Age) {}
+Participant::Participant(Order RolloutOrder, core::Duration Age,
+                         core::TimePoint Now)
+    : m_Order(std::move(RolloutOrder)), m_Since(Now - Age) {}
 
 void Participant::raiseAge(core::Duration Age, core::TimePoint Now) {
   m_Since = std::min(m_Since, Now - Age);
@@ -33,16 +34,16 @@
 void Participant::applyPermit(const Permit &Received, core::TimePoint Now) {
   if (Received.m_Order != m_Order.m_Id)
     return;
-  auto Which = std::find_if(
+  auto Answered = std::find_if(
       m_SentReports.begin(), m_SentReports.end(),
       [&](const auto &E) { return E.m_Number == Received.m_Report; });
   // A late permit may be older than the one in force.
-  if (Which == m_SentReports.end() || Received.m_Report < m_Permit.m_Report)
+  if (Answered == m_SentReports.end() || Received.m_Report < m_Permit.m_Report)
     return;
   if (traffic(Now) != Received.m_Traffic)
     m_SampleBudget.reset();
   m_Permit = Received;
-  m_PermitUntil = Which->m_At + Permit::Lifetime;
+  m_PermitUntil = Answered->m_At + Permit::Lifetime;
 }
 
 void Participant::recordSent(std::uint32_t Route, bool IsNew,
--- a/Libraries/LibRollout/Participant.h
+++ b/Libraries/LibRollout/Participant.h
@@ -20,7 +20,7 @@
 class Participant {
 public:
   /// \param Age age of the order, above 0 if the instance started after it.
-  Participant(Order What, core::Duration Age, core::TimePoint Now);
+  Participant(Order RolloutOrder, core::Duration Age, core::TimePoint Now);
 
   /// Returns the age of the order.
   core::Duration age(core::TimePoint Now) const { return Now - m_Since; }
@@ -50,7 +50,8 @@
 
   /// Returns the counters that changed since the last report, and some of the
   /// others in rotation, so that lost ones are repeated within a few reports.
-  /// Reporting all each time would take half of a small coordinator's time.
+  /// Handling all of them in each report would take half of the CPU time of a
+  /// small coordinator.
   ResponseCountsByKey countsToReport();
   bool isStopped(core::TimePoint Now) const { return Now < m_StoppedUntil; }
   /// Stops the traffic to the new version for a permit's lifetime if all goes
--- a/Libraries/LibRollout/Permit.h
+++ b/Libraries/LibRollout/Permit.h
@@ -31,9 +31,9 @@
 /// in response to a report. It expires, so that an instance that is cut off
 /// stops sending to the new version.
 struct Permit {
-  /// Lifetime from the sending of the report: three report periods of a large
-  /// fleet, and short enough that a bad version gets its last request within
-  /// the required 5 s after its 50th bad response.
+  /// Lifetime from the sending of the report that it answers: about three
+  /// report periods of a large fleet, and short enough that a bad version gets
+  /// its last request within the required 5 s after its 50th bad response.
   static constexpr std::chrono::milliseconds Lifetime{1500};
 
   OrderId m_Order;
