--- a/Libraries/LibRollout/Coordinator.h
+++ b/Libraries/LibRollout/Coordinator.h
@@ -1,7 +1,7 @@
 //===-- Coordinator.h - Coordinator of a roll-out -------------------------===//
 //
-// Any instance can coordinate; the first one among those that receive updates
-// from the store does. If two do so for a while, each sees a part of the
+// Any instance can coordinate; the first of those that follow the store (see
+// FollowerSelection) does. If two do so for a while, each sees a part of the
 // evidence, and both grant permits within the same share; a compare-and-swap
 // makes the outcome of the order unique. After a takeover, the next few reports
 // bring all counters again.
--- a/Libraries/LibRollout/Judge.h
+++ b/Libraries/LibRollout/Judge.h
@@ -31,8 +31,7 @@
 struct Judgement {
   Finding m_Worst; ///< Finding with the highest score.
   /// Lowest score for the new version being as good, over all routes with
-  /// responses of the old one; the largest double if the old
-  /// one has none.
+  /// responses of the old one; the largest double if the old one has none.
   double m_MinGoodScore = 0;
   std::uint32_t m_NewResponses = 0;
   std::uint32_t m_NewFailures = 0;
