--- a/Tests/LibDecision/LeavingTargetTest.cpp
+++ b/Tests/LibDecision/LeavingTargetTest.cpp
@@ -13,8 +13,8 @@
 
 class LeavingTargetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeavingTargetTest);
-  CPPUNIT_TEST(testHeardBeforeTheConfiguration);
-  CPPUNIT_TEST(testHeardBeforeTheTargetIsAdded);
+  CPPUNIT_TEST(testListedBeforeConfiguration);
+  CPPUNIT_TEST(testListedBeforeTargetIsAdded);
   CPPUNIT_TEST(testComesBack);
   CPPUNIT_TEST_SUITE_END();
 
@@ -39,11 +39,11 @@
   }
 
   bool isDispatched() {
-    RequestArrived What;
-    What.m_Request = core::RequestId(m_NextRequest++);
-    What.m_Tier = core::TierNumber(1);
-    What.m_Pool = core::PoolName("p");
-    auto Actions = process(What);
+    RequestArrived Arrival;
+    Arrival.m_Request = core::RequestId(m_NextRequest++);
+    Arrival.m_Tier = core::TierNumber(1);
+    Arrival.m_Pool = core::PoolName("p");
+    auto Actions = process(Arrival);
     return !Actions.empty() && std::holds_alternative<Dispatch>(Actions[0]);
   }
 
@@ -51,13 +51,13 @@
   void setUp() override { process(InstanceStarted{}); }
 
   /// A starting instance may receive the list before the configuration.
-  void testHeardBeforeTheConfiguration() {
+  void testListedBeforeConfiguration() {
     process(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
     CPPUNIT_ASSERT(!isDispatched());
   }
 
-  void testHeardBeforeTheTargetIsAdded() {
+  void testListedBeforeTargetIsAdded() {
     publish({"other"});
     process(TargetStateChanged{core::TargetName("t"), true});
     publish({"t"});
--- a/Tests/LibDecision/PolicyInForceTest.cpp
+++ b/Tests/LibDecision/PolicyInForceTest.cpp
@@ -9,7 +9,7 @@
 class PolicyInForceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PolicyInForceTest);
   CPPUNIT_TEST(testOrderWithinAnAccount);
-  CPPUNIT_TEST(testWhereItMayRun);
+  CPPUNIT_TEST(testAllowedTargets);
   CPPUNIT_TEST(testNotSheddable);
   CPPUNIT_TEST(testFailingProgramLosesNothing);
   CPPUNIT_TEST(testNewProgramWithoutRestart);
@@ -43,12 +43,12 @@
   }
 
   std::vector<Action> arrive(std::uint32_t OutputTokens) {
-    RequestArrived What;
-    What.m_Request = core::RequestId(m_NextRequest++);
-    What.m_Tier = core::TierNumber(1);
-    What.m_Pool = core::PoolName("p");
-    What.m_OutputTokens = OutputTokens;
-    return process(What);
+    RequestArrived Arrival;
+    Arrival.m_Request = core::RequestId(m_NextRequest++);
+    Arrival.m_Tier = core::TierNumber(1);
+    Arrival.m_Pool = core::PoolName("p");
+    Arrival.m_OutputTokens = OutputTokens;
+    return process(Arrival);
   }
 
   static const Dispatch &dispatchIn(const std::vector<Action> &Actions) {
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT(dispatchIn(end(4)).m_Request == core::RequestId(3));
   }
 
-  void testWhereItMayRun() {
+  void testAllowedTargets() {
     publish("function decide(r) if r.output_tokens > 5 then return "
             "{data_halls = {'y'}} end return {targets = {'near'}} end");
     CPPUNIT_ASSERT(dispatchIn(arrive(9)).m_Target == core::TargetName("far"));
--- a/Tests/LibDecision/PoolQueueTest.cpp
+++ b/Tests/LibDecision/PoolQueueTest.cpp
@@ -13,7 +13,7 @@
   CPPUNIT_TEST(testFairBetweenAccounts);
   CPPUNIT_TEST(testWeightsCount);
   CPPUNIT_TEST(testSteppingOverCostsNoTurn);
-  CPPUNIT_TEST(testLastToServe);
+  CPPUNIT_TEST(testShedCandidate);
   CPPUNIT_TEST(testRandomRemovals);
   CPPUNIT_TEST_SUITE_END();
 
@@ -88,7 +88,7 @@
     CPPUNIT_ASSERT(pop() != Waiting);
   }
 
-  void testLastToServe() {
+  void testShedCandidate() {
     push(1, "a");
     push(3, "a");
     auto Last = push(3, "b");
--- a/Tests/LibDecision/TierOrderScheduleTest.cpp
+++ b/Tests/LibDecision/TierOrderScheduleTest.cpp
@@ -41,18 +41,18 @@
 struct Message {
   core::TimePoint m_At;
   core::IncarnationId m_To;
-  Event m_What;
+  Event m_Event;
 };
 
 struct PendingRefusal {
   core::TimePoint m_At;
-  Refuse m_What;
+  Refuse m_Refusal;
 };
 
 enum class CallerKind { All, High, Middle, Low };
 
 /// One process: its core, and the requests that it runs at targets.
-struct Simulated {
+struct SimulatedInstance {
   InstanceRef m_Instance;
   DecisionCore m_Core;
   core::TimePoint m_FrozenUntil{};
@@ -64,7 +64,7 @@
   CallerKind m_Kind = CallerKind::All;
 };
 
-struct Stored {
+struct StoredRecord {
   std::int64_t m_Revision = 0;
   ThresholdRecord m_Record;
   core::IncarnationId m_Holder;
@@ -101,17 +101,19 @@
     return std::uniform_real_distribution<>(0, 1)(m_Random) < Probability;
   }
   int drawBelow(int Limit) { return static_cast<int>(m_Random() % Limit); }
-  Simulated *at(int Index) { return m_All[static_cast<size_t>(Index)].get(); }
+  SimulatedInstance *at(int Index) {
+    return m_Instances[static_cast<size_t>(Index)].get();
+  }
   bool isAwake(int Index) {
     return at(Index) && at(Index)->m_FrozenUntil <= m_Now;
   }
 
   void boot(int Index) {
-    auto Next = std::make_unique<Simulated>();
+    auto Next = std::make_unique<SimulatedInstance>();
     Next->m_Instance.m_Incarnation = core::IncarnationId(++m_NextIncarnation);
     Next->m_Instance.m_Peer = {"127.0.0.1",
                                static_cast<std::uint16_t>(Index + 1)};
-    m_All[static_cast<size_t>(Index)] = std::move(Next);
+    m_Instances[static_cast<size_t>(Index)] = std::move(Next);
     InstanceStarted Start;
     Start.m_Self = at(Index)->m_Instance;
     Start.m_Seed = m_Random();
@@ -135,7 +137,7 @@
     int Index = drawBelow(Instances);
     if (at(Index) && chance(0.002)) {
       m_Dead.emplace_back(m_Now, at(Index)->m_Instance.m_Incarnation);
-      m_All[static_cast<size_t>(Index)].reset();
+      m_Instances[static_cast<size_t>(Index)].reset();
     } else if (!at(Index) && chance(0.05)) {
       boot(Index);
     } else if (at(Index) && chance(0.004)) {
@@ -143,9 +145,9 @@
     }
   }
 
-  int indexOf(core::IncarnationId Who) {
+  int indexOf(core::IncarnationId Incarnation) {
     for (int I = 0; I < Instances; ++I)
-      if (at(I) && at(I)->m_Instance.m_Incarnation == Who)
+      if (at(I) && at(I)->m_Instance.m_Incarnation == Incarnation)
         return I;
     return -1;
   }
@@ -171,18 +173,18 @@
     m_Messages = Later;
     for (Message &Each : Due)
       if (int Index = indexOf(Each.m_To); Index >= 0)
-        process(Index, Each.m_What);
+        process(Index, Each.m_Event);
   }
 
   void runTick(int Index) {
-    Simulated &Who = *at(Index);
+    SimulatedInstance &Process = *at(Index);
     // The instance list lags, and removal also requires silence.
     for (const auto &[DiedAt, Incarnation] : m_Dead)
       if (m_Now - DiedAt > std::chrono::seconds(7) && chance(0.1))
         process(Index, MemberGone{Incarnation});
     settleRefusals(Index);
     std::vector<core::RequestId> Ended;
-    for (const auto &[Id, At] : Who.m_EndsAt)
+    for (const auto &[Id, At] : Process.m_EndsAt)
       if (At <= m_Now)
         Ended.push_back(Id);
     for (core::RequestId Id : Ended)
@@ -196,7 +198,7 @@
     // Instances differ in the tiers that arrive: where only low ones do, a
     // wrong threshold shows at once.
     if (chance(0.01))
-      Who.m_Kind = static_cast<CallerKind>(drawBelow(4));
+      Process.m_Kind = static_cast<CallerKind>(drawBelow(4));
   }
 
   core::TierNumber drawTier(CallerKind Kind) {
@@ -214,16 +216,16 @@
   }
 
   void arrive(int Index) {
-    Simulated &Who = *at(Index);
-    RequestArrived What;
-    What.m_Request = core::RequestId(Who.m_NextRequest++);
-    What.m_Tier = drawTier(Who.m_Kind);
-    What.m_Pool = Pool;
-    What.m_IsEvictable = chance(0.8);
-    Who.m_Tiers[What.m_Request] = What.m_Tier;
-    if (!What.m_IsEvictable)
-      Who.m_NotEvictable.insert(What.m_Request);
-    process(Index, What);
+    SimulatedInstance &Process = *at(Index);
+    RequestArrived Arrival;
+    Arrival.m_Request = core::RequestId(Process.m_NextRequest++);
+    Arrival.m_Tier = drawTier(Process.m_Kind);
+    Arrival.m_Pool = Pool;
+    Arrival.m_IsEvictable = chance(0.8);
+    Process.m_Tiers[Arrival.m_Request] = Arrival.m_Tier;
+    if (!Arrival.m_IsEvictable)
+      Process.m_NotEvictable.insert(Arrival.m_Request);
+    process(Index, Arrival);
   }
 
   void end(int Index, core::RequestId Id, ResponseOutcome Outcome) {
@@ -235,21 +237,21 @@
   /// Sends due refusals, which are delayed, and much more so in a frozen
   /// process.
   void settleRefusals(int Index) {
-    Simulated &Who = *at(Index);
+    SimulatedInstance &Process = *at(Index);
     std::deque<PendingRefusal> Due;
-    Due.swap(Who.m_Refusals);
+    Due.swap(Process.m_Refusals);
     for (const PendingRefusal &Each : Due) {
       if (m_Now < Each.m_At) {
-        Who.m_Refusals.push_back(Each);
+        Process.m_Refusals.push_back(Each);
         continue;
       }
-      bool IsLimited = Each.m_What.m_ValidUntil != 0;
-      bool IsSent = !IsLimited ||
-                    m_Now.time_since_epoch().count() < Each.m_What.m_ValidUntil;
+      bool IsLimited = Each.m_Refusal.m_ValidUntil != 0;
+      bool IsSent = !IsLimited || m_Now.time_since_epoch().count() <
+                                      Each.m_Refusal.m_ValidUntil;
       if (IsSent)
-        check(Index, Each.m_What.m_Request);
+        check(Index, Each.m_Refusal.m_Request);
       if (IsLimited)
-        process(Index, RefusalSettled{Each.m_What.m_Request, IsSent});
+        process(Index, RefusalSettled{Each.m_Refusal.m_Request, IsSent});
     }
   }
 
@@ -274,17 +276,20 @@
   }
 
   void act(int Index, const Action &What) {
-    Simulated &Who = *at(Index);
+    SimulatedInstance &Process = *at(Index);
     if (const auto *DispatchAction = std::get_if<Dispatch>(&What))
-      Who.m_EndsAt[DispatchAction->m_Request] =
+      Process.m_EndsAt[DispatchAction->m_Request] =
           m_Now + Tick * (1 + drawBelow(60));
     if (const auto *RefuseAction = std::get_if<Refuse>(&What))
-      Who.m_Refusals.push_back({m_Now + Tick * drawBelow(2), *RefuseAction});
+      Process.m_Refusals.push_back(
+          {m_Now + Tick * drawBelow(2), *RefuseAction});
     if (const auto *CancelAction = std::get_if<Cancel>(&What)) {
-      CPPUNIT_ASSERT(Who.m_NotEvictable.count(CancelAction->m_Request) == 0);
+      CPPUNIT_ASSERT(Process.m_NotEvictable.count(CancelAction->m_Request) ==
+                     0);
       check(Index, CancelAction->m_Request);
       // A cancelled request ends after a short delay.
-      Who.m_EndsAt[CancelAction->m_Request] = m_Now + Tick * (1 + drawBelow(3));
+      Process.m_EndsAt[CancelAction->m_Request] =
+          m_Now + Tick * (1 + drawBelow(3));
     }
     if (const auto *CommandAction = std::get_if<SendThresholdCommand>(&What))
       send(Index, CommandAction->m_To, CommandAction->m_Command);
@@ -327,11 +332,11 @@
   std::mt19937 m_Random;
   core::TimePoint m_Now{std::chrono::hours(1)};
   config::ConfigurationHandle m_Configuration;
-  std::unique_ptr<Simulated> m_All[Instances];
+  std::unique_ptr<SimulatedInstance> m_Instances[Instances];
   std::deque<Message> m_Messages;
   std::set<std::pair<int, int>> m_CutLinks;
   std::vector<std::pair<core::TimePoint, core::IncarnationId>> m_Dead;
-  Stored m_Store;
+  StoredRecord m_Store;
   bool m_IsStoreUp = true;
   std::uint64_t m_NextIncarnation = 0;
 };
