--- a/Tests/LibQuarantine/ContentDigestTest.cpp
+++ b/Tests/LibQuarantine/ContentDigestTest.cpp
@@ -12,14 +12,17 @@
   CPPUNIT_TEST(testEachPartCounts);
   CPPUNIT_TEST(testPartsDoNotRunIntoEachOther);
   CPPUNIT_TEST(testReadsWhatItWrites);
-  CPPUNIT_TEST(testReadsNothingElse);
+  CPPUNIT_TEST(testRejectsMalformedText);
   CPPUNIT_TEST_SUITE_END();
 
-  static Content usual() { return {"owner", "h", "POST", "/again/x?y", "b"}; }
+  static Content sampleContent() {
+    return {"owner", "h", "POST", "/again/x?y", "b"};
+  }
 
 public:
   void testIsTheSameForTheSameContent() {
-    CPPUNIT_ASSERT(ContentDigest::of(usual()) == ContentDigest::of(usual()));
+    CPPUNIT_ASSERT(ContentDigest::of(sampleContent()) ==
+                   ContentDigest::of(sampleContent()));
     // All builds must give the same digest: SHA-256 (FIPS 180-4) over the five
     // parts, each preceded by its length as eight bytes, little-endian.
     CPPUNIT_ASSERT_EQUAL(std::string("2c34ce1df23b838c5abf2a7f6437cca3"),
@@ -27,11 +30,11 @@
   }
 
   void testEachPartCounts() {
-    std::set<ContentDigest> Seen{ContentDigest::of(usual())};
+    std::set<ContentDigest> Seen{ContentDigest::of(sampleContent())};
     for (std::string_view Content::*Part :
          {&Content::m_Account, &Content::m_Host, &Content::m_Method,
           &Content::m_Target, &Content::m_Body}) {
-      Content Other = usual();
+      Content Other = sampleContent();
       Other.*Part = "other";
       Seen.insert(ContentDigest::of(Other));
     }
@@ -51,7 +54,7 @@
     CPPUNIT_ASSERT(ContentDigest::parse(Digest.toString()) == Digest);
   }
 
-  void testReadsNothingElse() {
+  void testRejectsMalformedText() {
     for (const char *Text : {"", "0123", "0123456789abcdef000000000000000g",
                              "0123456789abcdef00000000000000071",
                              " 123456789abcdef0000000000000007",
--- a/Tests/LibQuarantine/QuarantineModelTest.cpp
+++ b/Tests/LibQuarantine/QuarantineModelTest.cpp
@@ -21,54 +21,54 @@
   CPPUNIT_TEST(testMassTargetExitsQuarantineNoHarmlessContent);
   CPPUNIT_TEST_SUITE_END();
 
-  static constexpr std::size_t MostLateSends = 3;
+  static constexpr std::size_t MaxLateSends = 3;
 
-  static void checkDays(std::size_t Days, std::size_t Instances,
-                        std::size_t Targets) {
-    for (std::uint64_t Seed = 1; Seed <= Days; ++Seed) {
-      QuarantineResult Got =
+  static void checkSeeds(std::size_t Seeds, std::size_t Instances,
+                         std::size_t Targets) {
+    for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
+      QuarantineResult Result =
           simulate(randomQuarantineScenario(Seed, Instances, Targets));
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(Seed),
-                             Got.m_LateSends <= MostLateSends);
-      CPPUNIT_ASSERT(Got.m_ExitsUnderBad > 0);
+                             Result.m_LateSends <= MaxLateSends);
+      CPPUNIT_ASSERT(Result.m_ExitsUnderBad > 0);
     }
   }
 
 public:
   void testSmallFleetsKeepTheBound() {
-    checkDays(200, 6, 12);
-    checkDays(200, 7, 9);
+    checkSeeds(200, 6, 12);
+    checkSeeds(200, 7, 9);
   }
 
   void testLargeFleetsKeepTheBound() {
-    checkDays(4, 78, 93);
-    checkDays(2, 295, 300);
+    checkSeeds(4, 78, 93);
+    checkSeeds(2, 295, 300);
   }
 
   /// No instance is left that knows of the third target's exit.
   void testAllRestartedWithoutAStore() {
-    QuarantineScenario Day;
-    Day.m_Faults = {{0ms, 20000ms, QuarantineFaultKind::StoreDown},
-                    {9000ms, 0ms, QuarantineFaultKind::Kill},
-                    {22000ms, 0ms, QuarantineFaultKind::Kill}};
-    for (Day.m_Seed = 1; Day.m_Seed <= 50; ++Day.m_Seed)
-      CPPUNIT_ASSERT(simulate(Day).m_LateSends <= MostLateSends);
+    QuarantineScenario Scenario;
+    Scenario.m_Faults = {{0ms, 20000ms, QuarantineFaultKind::StoreDown},
+                         {9000ms, 0ms, QuarantineFaultKind::Kill},
+                         {22000ms, 0ms, QuarantineFaultKind::Kill}};
+    for (Scenario.m_Seed = 1; Scenario.m_Seed <= 50; ++Scenario.m_Seed)
+      CPPUNIT_ASSERT(simulate(Scenario).m_LateSends <= MaxLateSends);
   }
 
   void testMassTargetExitsQuarantineNoHarmlessContent() {
-    QuarantineScenario Day;
-    Day.m_BadContents = 0;
-    Day.m_DownTime = 1500ms;
+    QuarantineScenario Scenario;
+    Scenario.m_BadContents = 0;
+    Scenario.m_DownTime = 1500ms;
     for (int I = 0; I < 25; ++I)
-      Day.m_Faults.push_back(
+      Scenario.m_Faults.push_back(
           {2000ms * (I + 1), 0ms, QuarantineFaultKind::ExitTargets, 0.4});
-    std::size_t Broken = 0;
-    for (Day.m_Seed = 1; Day.m_Seed <= 20; ++Day.m_Seed) {
-      QuarantineResult Got = simulate(Day);
-      Broken += Got.m_HarmlessInterrupted;
-      CPPUNIT_ASSERT_EQUAL(std::size_t(0), Got.m_WronglyRefused);
+    std::size_t Interrupted = 0;
+    for (Scenario.m_Seed = 1; Scenario.m_Seed <= 20; ++Scenario.m_Seed) {
+      QuarantineResult Result = simulate(Scenario);
+      Interrupted += Result.m_HarmlessInterrupted;
+      CPPUNIT_ASSERT_EQUAL(std::size_t(0), Result.m_WronglyRefused);
     }
-    CPPUNIT_ASSERT(Broken > 1000);
+    CPPUNIT_ASSERT(Interrupted > 1000);
   }
 };
 
--- a/Tests/LibQuarantine/QuarantineTableTest.cpp
+++ b/Tests/LibQuarantine/QuarantineTableTest.cpp
@@ -12,7 +12,7 @@
 
 class QuarantineTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuarantineTableTest);
-  CPPUNIT_TEST(testThreeRunsQuarantine);
+  CPPUNIT_TEST(testThreeIncarnationsQuarantine);
   CPPUNIT_TEST(testDuplicateReportsCountOnce);
   CPPUNIT_TEST(testSuccessClearsEarlierIncarnations);
   CPPUNIT_TEST(testRecentSuccessClearsLaterReports);
@@ -21,7 +21,7 @@
   CPPUNIT_TEST(testMergeIsOrderIndependent);
   CPPUNIT_TEST(testOnlyLocalChangesAreUpdates);
   CPPUNIT_TEST(testLeastSuspectedContentsAreEvicted);
-  CPPUNIT_TEST(testManyRunsAreBounded);
+  CPPUNIT_TEST(testIncarnationsAreBounded);
   CPPUNIT_TEST_SUITE_END();
 
   core::TimePoint m_Now = core::steadyNow();
@@ -31,10 +31,11 @@
   }
 
 public:
-  void testThreeRunsQuarantine() {
+  void testThreeIncarnationsQuarantine() {
     std::vector<bool> Changes;
-    QuarantineTable Table(
-        [&](const ContentDigest &, bool Is) { Changes.push_back(Is); });
+    QuarantineTable Table([&](const ContentDigest &, bool IsQuarantined) {
+      Changes.push_back(IsQuarantined);
+    });
     Table.noteTargetExit(content(1), 10, m_Now);
     Table.noteTargetExit(content(1), 11, m_Now);
     CPPUNIT_ASSERT(!Table.isQuarantined(content(1)));
@@ -61,8 +62,9 @@
 
   void testSuccessClearsEarlierIncarnations() {
     std::vector<bool> Changes;
-    QuarantineTable Table(
-        [&](const ContentDigest &, bool Is) { Changes.push_back(Is); });
+    QuarantineTable Table([&](const ContentDigest &, bool IsQuarantined) {
+      Changes.push_back(IsQuarantined);
+    });
     for (IncarnationHash Incarnation : {10, 11, 12})
       Table.noteTargetExit(content(1), Incarnation, m_Now);
     Table.noteSuccess(content(1), m_Now);
@@ -156,7 +158,7 @@
                          Table.incriminatingIncarnations(content(2)));
   }
 
-  void testManyRunsAreBounded() {
+  void testIncarnationsAreBounded() {
     QuarantineTable Table;
     for (IncarnationHash Incarnation = 0; Incarnation < 100; ++Incarnation)
       Table.noteTargetExit(content(1), Incarnation, m_Now);
