--- a/Tests/LibRollout/ParticipantTest.cpp
+++ b/Tests/LibRollout/ParticipantTest.cpp
@@ -10,12 +10,12 @@
 
 class ParticipantTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ParticipantTest);
-  CPPUNIT_TEST(testNothingWithoutAPermit);
-  CPPUNIT_TEST(testPermitLapsesFromItsReport);
+  CPPUNIT_TEST(testOldVersionWithoutPermit);
+  CPPUNIT_TEST(testPermitExpiresAfterItsReport);
   CPPUNIT_TEST(testLateAndForeignPermitsAreIgnored);
   CPPUNIT_TEST(testShareIsNeverExceeded);
   CPPUNIT_TEST(testRareRoutesAreSampled);
-  CPPUNIT_TEST(testStopsByItself);
+  CPPUNIT_TEST(testStopsOnLocalFailures);
   CPPUNIT_TEST(testRepeatedReportsCountOnce);
   CPPUNIT_TEST(testLostCountsAreReportedAgain);
   CPPUNIT_TEST(testCompletesOnlyWhenDrained);
@@ -30,22 +30,23 @@
     Out.m_BakeTime = seconds(10);
     return Out;
   }
-  Permit permit(const Report &Received, Traffic How, double Share = 0.1) const {
-    return {OrderId(7), Received.m_Number, How, Share};
+  Permit permit(const Report &Received, Traffic Mode,
+                double Share = 0.1) const {
+    return {OrderId(7), Received.m_Number, Mode, Share};
   }
-  void give(Participant &To, Traffic How, double Share = 0.1) {
-    To.applyPermit(permit(To.report(0, m_Now), How, Share), m_Now);
+  void grantPermit(Participant &To, Traffic Mode, double Share = 0.1) {
+    To.applyPermit(permit(To.report(0, m_Now), Mode, Share), m_Now);
   }
-  static ResponseCountsKey key(Side Which, std::uint32_t Target) {
+  static ResponseCountsKey key(Side KeySide, std::uint32_t Target) {
     ResponseCountsKey Out;
-    Out.m_Side = Which;
+    Out.m_Side = KeySide;
     Out.m_Target = Target;
     Out.m_Route = 1;
     return Out;
   }
 
 public:
-  void testNothingWithoutAPermit() {
+  void testOldVersionWithoutPermit() {
     Participant Tested(order(), core::Duration::zero(), m_Now);
     for (int I = 0; I < 100; ++I) {
       CPPUNIT_ASSERT(!Tested.isSampleDue(1, m_Now));
@@ -54,7 +55,7 @@
     CPPUNIT_ASSERT(Tested.traffic(m_Now) == Traffic::Old);
   }
 
-  void testPermitLapsesFromItsReport() {
+  void testPermitExpiresAfterItsReport() {
     Participant Tested(order(), core::Duration::zero(), m_Now);
     Report Received = Tested.report(0, m_Now);
     m_Now += milliseconds(1000);
@@ -91,7 +92,7 @@
     int New = 0;
     for (int I = 0; I < 2000; ++I) {
       if (I % 20 == 0)
-        give(Tested, Traffic::Sample, 0.06);
+        grantPermit(Tested, Traffic::Sample, 0.06);
       bool IsNew = Tested.isSampleDue(static_cast<std::uint32_t>(I % 3), m_Now);
       New += IsNew ? 1 : 0;
       Tested.recordSent(static_cast<std::uint32_t>(I % 3), IsNew, m_Now);
@@ -106,7 +107,7 @@
     std::map<std::uint32_t, int> Samples;
     for (int I = 0; I < 4000; ++I) {
       if (I % 20 == 0)
-        give(Tested, Traffic::Sample);
+        grantPermit(Tested, Traffic::Sample);
       std::uint32_t Route = I % 25 == 0 ? 2 : 1;
       bool IsNew = Tested.isSampleDue(Route, m_Now);
       Samples[Route] += IsNew ? 1 : 0;
@@ -118,9 +119,9 @@
     CPPUNIT_ASSERT(Samples[1] >= 200);
   }
 
-  void testStopsByItself() {
+  void testStopsOnLocalFailures() {
     Participant Tested(order(), core::Duration::zero(), m_Now);
-    give(Tested, Traffic::New);
+    grantPermit(Tested, Traffic::New);
     for (std::uint32_t I = 0; I < 8; ++I)
       Tested.recordResponse(key(Side::New, I),
                             I % 2 == 0 ? ResponseQuality::Failed
@@ -131,7 +132,7 @@
 
   void testRepeatedReportsCountOnce() {
     Participant Tested(order(), core::Duration::zero(), m_Now);
-    Coordinator Leader(order(), ExposureLimits(), m_Now);
+    Coordinator TestedCoordinator(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 40; ++I) {
       Tested.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
                             milliseconds(50), m_Now);
@@ -141,16 +142,16 @@
     }
     Report Received = Tested.report(0, m_Now);
     for (int I = 0; I < 5; ++I)
-      Leader.handleReport(core::IncarnationId(1), Received, m_Now);
+      TestedCoordinator.handleReport(core::IncarnationId(1), Received, m_Now);
     m_Now += milliseconds(200);
-    Leader.decide({16, 16}, seconds(1), m_Now);
-    CPPUNIT_ASSERT_EQUAL(40U, Leader.judgement().m_NewResponses);
-    CPPUNIT_ASSERT_EQUAL(40U, Leader.judgement().m_OldResponses);
+    TestedCoordinator.decide({16, 16}, seconds(1), m_Now);
+    CPPUNIT_ASSERT_EQUAL(40U, TestedCoordinator.judgement().m_NewResponses);
+    CPPUNIT_ASSERT_EQUAL(40U, TestedCoordinator.judgement().m_OldResponses);
   }
 
   void testLostCountsAreReportedAgain() {
     Participant Tested(order(), core::Duration::zero(), m_Now);
-    Coordinator Leader(order(), ExposureLimits(), m_Now);
+    Coordinator TestedCoordinator(order(), ExposureLimits(), m_Now);
     for (std::uint32_t I = 0; I < 60; ++I)
       Tested.recordResponse(key(Side::Old, I), ResponseQuality::Succeeded,
                             milliseconds(50), m_Now);
@@ -158,20 +159,20 @@
     for (int I = 0; I < 8; ++I) {
       Report Received = Tested.report(0, m_Now);
       CPPUNIT_ASSERT(Received.m_Counts.size() <= 9);
-      Leader.handleReport(core::IncarnationId(1), Received, m_Now);
+      TestedCoordinator.handleReport(core::IncarnationId(1), Received, m_Now);
     }
-    Leader.decide({16, 16}, seconds(1), m_Now);
-    CPPUNIT_ASSERT_EQUAL(60U, Leader.judgement().m_OldResponses);
+    TestedCoordinator.decide({16, 16}, seconds(1), m_Now);
+    CPPUNIT_ASSERT_EQUAL(60U, TestedCoordinator.judgement().m_OldResponses);
   }
 
   void testCompletesOnlyWhenDrained() {
     Participant Tested(order(), core::Duration::zero(), m_Now);
-    Coordinator Leader(order(), ExposureLimits(), m_Now);
+    Coordinator TestedCoordinator(order(), ExposureLimits(), m_Now);
     auto Exchange = [&](std::uint32_t RunningOld) {
-      Tested.applyPermit(Leader.handleReport(core::IncarnationId(1),
-                                             Tested.report(RunningOld, m_Now),
-                                             m_Now),
-                         m_Now);
+      Tested.applyPermit(
+          TestedCoordinator.handleReport(
+              core::IncarnationId(1), Tested.report(RunningOld, m_Now), m_Now),
+          m_Now);
     };
     for (std::uint32_t I = 0; I < 100; ++I) {
       Tested.recordResponse(key(Side::Old, I % 4), ResponseQuality::Succeeded,
@@ -183,18 +184,19 @@
     Exchange(3);
     m_Now += seconds(7);
     Exchange(3);
-    CPPUNIT_ASSERT(!Leader.decide({16, 16}, seconds(7), m_Now));
-    CPPUNIT_ASSERT(Leader.traffic() == Traffic::New);
+    CPPUNIT_ASSERT(!TestedCoordinator.decide({16, 16}, seconds(7), m_Now));
+    CPPUNIT_ASSERT(TestedCoordinator.traffic() == Traffic::New);
     m_Now += milliseconds(300);
     Exchange(2);
     Exchange(2);
-    CPPUNIT_ASSERT(!Leader.decide({16, 16}, milliseconds(7300), m_Now));
+    CPPUNIT_ASSERT(
+        !TestedCoordinator.decide({16, 16}, milliseconds(7300), m_Now));
     m_Now += milliseconds(300);
     Exchange(0);
-    auto End = Leader.decide({16, 16}, milliseconds(7600), m_Now);
+    auto End = TestedCoordinator.decide({16, 16}, milliseconds(7600), m_Now);
     CPPUNIT_ASSERT(End && End->m_State == State::Completed);
     // Participants that report after completion still get a permit.
-    CPPUNIT_ASSERT(Leader
+    CPPUNIT_ASSERT(TestedCoordinator
                        .handleReport(core::IncarnationId(2),
                                      Tested.report(0, m_Now), m_Now)
                        .m_Traffic == Traffic::New);
--- a/Tests/LibRollout/RolloutModelTest.cpp
+++ b/Tests/LibRollout/RolloutModelTest.cpp
@@ -21,7 +21,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   struct Tally {
-    int m_Played = 0;
+    int m_Simulated = 0;
     int m_Completed = 0;
     int m_InTime = 0;
     double m_MaxExcess = -1e9; ///< Requests beyond the allowed share.
@@ -30,24 +30,28 @@
     double m_LastEnd = 0;
   };
 
-  static Tally play(const RolloutScenario &What, int Seeds, const char *Name) {
+  static Tally simulateSeeds(const RolloutScenario &Scenario, int Seeds,
+                             const char *Name) {
     Tally Out;
     for (int Seed = 1; Seed <= Seeds; ++Seed) {
-      RolloutResult Got =
-          simulateRollout(What, static_cast<std::uint64_t>(Seed));
-      ++Out.m_Played;
-      bool IsInTime = Got.m_Decision &&
-                      Got.m_EndedAfter <= core::toSeconds(What.m_BakeTime);
+      RolloutResult Result =
+          simulateRollout(Scenario, static_cast<std::uint64_t>(Seed));
+      ++Out.m_Simulated;
+      bool IsInTime =
+          Result.m_Decision &&
+          Result.m_EndedAfter <= core::toSeconds(Scenario.m_BakeTime);
       Out.m_InTime += IsInTime ? 1 : 0;
       Out.m_Completed +=
-          Got.m_Decision && Got.m_Decision->m_State == State::Completed ? 1 : 0;
-      Out.m_LastEnd = std::max(Out.m_LastEnd, Got.m_EndedAfter);
-      bool IsBad = What.m_Behavior != VersionBehavior::Good;
+          Result.m_Decision && Result.m_Decision->m_State == State::Completed
+              ? 1
+              : 0;
+      Out.m_LastEnd = std::max(Out.m_LastEnd, Result.m_EndedAfter);
+      bool IsBad = Scenario.m_Behavior != VersionBehavior::Good;
       if (IsBad)
-        Out.m_MaxExcess = std::max(Out.m_MaxExcess, Got.m_ExcessRequests);
-      Out.m_Longest = std::max(Out.m_Longest, Got.m_LastAfterFiftieth);
+        Out.m_MaxExcess = std::max(Out.m_MaxExcess, Result.m_ExcessRequests);
+      Out.m_Longest = std::max(Out.m_Longest, Result.m_LastAfterFiftieth);
     }
-    std::cout << "\nrollouts case=" << Name << " played=" << Out.m_Played
+    std::cout << "\nrollouts case=" << Name << " played=" << Out.m_Simulated
               << " completed=" << Out.m_Completed << " in_time=" << Out.m_InTime
               << " last_end_s=" << Out.m_LastEnd
               << " most_beyond_share=" << Out.m_MaxExcess
@@ -55,55 +59,55 @@
     return Out;
   }
 
-  static void checkBad(const Tally &Got, double Slack = 50) {
-    CPPUNIT_ASSERT_EQUAL(0, Got.m_Completed);
-    CPPUNIT_ASSERT_EQUAL(Got.m_Played, Got.m_InTime);
-    CPPUNIT_ASSERT(Got.m_MaxExcess <= Slack);
-    CPPUNIT_ASSERT(Got.m_Longest <= 5);
+  static void checkBad(const Tally &Result, double Slack = 50) {
+    CPPUNIT_ASSERT_EQUAL(0, Result.m_Completed);
+    CPPUNIT_ASSERT_EQUAL(Result.m_Simulated, Result.m_InTime);
+    CPPUNIT_ASSERT(Result.m_MaxExcess <= Slack);
+    CPPUNIT_ASSERT(Result.m_Longest <= 5);
   }
-  static void checkGood(const Tally &Got) {
-    CPPUNIT_ASSERT_EQUAL(Got.m_Played, Got.m_Completed);
-    CPPUNIT_ASSERT_EQUAL(Got.m_Played, Got.m_InTime);
+  static void checkGood(const Tally &Result) {
+    CPPUNIT_ASSERT_EQUAL(Result.m_Simulated, Result.m_Completed);
+    CPPUNIT_ASSERT_EQUAL(Result.m_Simulated, Result.m_InTime);
   }
 
 public:
   void testGoodVersionsAreCompletedInTime() {
-    checkGood(play(RolloutScenario(), 60, "good"));
+    checkGood(simulateSeeds(RolloutScenario(), 60, "good"));
   }
 
   void testBadVersionsAreRolledBackInTime() {
     RolloutScenario Case;
-    for (auto [Shape, Name] :
+    for (auto [Behavior, Name] :
          {std::pair(VersionBehavior::Fails, "fails"),
           std::pair(VersionBehavior::FailsLate, "fails-late"),
           std::pair(VersionBehavior::FailsUnderLoad, "fails-under-load"),
           std::pair(VersionBehavior::FailsOnOneRoute, "fails-on-one-route"),
           std::pair(VersionBehavior::Slow, "slow"),
           std::pair(VersionBehavior::SlowOnOneRoute, "slow-on-one-route")}) {
-      Case.m_Behavior = Shape;
-      checkBad(play(Case, 25, Name));
+      Case.m_Behavior = Behavior;
+      checkBad(simulateSeeds(Case, 25, Name));
     }
   }
 
   void testMixedHardwareIsNotJudgedWorse() {
     RolloutScenario Case;
     Case.m_SlowHardwareFactor = 4.4;
-    checkGood(play(Case, 40, "good-unlike-hardware"));
+    checkGood(simulateSeeds(Case, 40, "good-unlike-hardware"));
     Case.m_Behavior = VersionBehavior::Slow;
-    checkBad(play(Case, 25, "slow-unlike-hardware"));
+    checkBad(simulateSeeds(Case, 25, "slow-unlike-hardware"));
     // All responses are slow, not only a part of them.
     Case.m_BadShare = 1;
     Case.m_SlowdownFactor = 5;
-    checkBad(play(Case, 25, "all-slow-unlike-hardware"));
+    checkBad(simulateSeeds(Case, 25, "all-slow-unlike-hardware"));
   }
 
   void testUnderKillsAndCuts() {
     RolloutScenario Case;
     Case.m_HasKills = Case.m_HasCuts = Case.m_HasGrayFailures = true;
-    Tally Good = play(Case, 40, "good-with-faults");
-    CPPUNIT_ASSERT(Good.m_Completed >= Good.m_Played - 2);
+    Tally Good = simulateSeeds(Case, 40, "good-with-faults");
+    CPPUNIT_ASSERT(Good.m_Completed >= Good.m_Simulated - 2);
     Case.m_Behavior = VersionBehavior::Fails;
-    checkBad(play(Case, 25, "fails-with-faults"));
+    checkBad(simulateSeeds(Case, 25, "fails-with-faults"));
   }
 
   void testFewRequests() {
@@ -113,9 +117,9 @@
     Case.m_Targets = 3;
     Case.m_RouteShares = {0.7, 0.3};
     Case.m_BaselineFailureRates = {0.004, 0.14};
-    checkGood(play(Case, 40, "good-few-requests"));
+    checkGood(simulateSeeds(Case, 40, "good-few-requests"));
     Case.m_Behavior = VersionBehavior::Fails;
-    checkBad(play(Case, 25, "fails-few-requests"));
+    checkBad(simulateSeeds(Case, 25, "fails-few-requests"));
   }
 
   void testFromSixToFourHundredInstances() {
@@ -125,9 +129,9 @@
       Case.m_RequestsPerSecond = 11.0 * static_cast<double>(Size);
       Case.m_Targets = Size;
       std::string Name = std::to_string(Size);
-      checkGood(play(Case, 6, ("good-" + Name).c_str()));
+      checkGood(simulateSeeds(Case, 6, ("good-" + Name).c_str()));
       Case.m_Behavior = VersionBehavior::Fails;
-      checkBad(play(Case, 6, ("fails-" + Name).c_str()));
+      checkBad(simulateSeeds(Case, 6, ("fails-" + Name).c_str()));
     }
   }
 };
