--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -170,6 +170,8 @@
     return;
   RequestState &Request = Found->second;
   if (What.m_IsSent) {
+    // Stands for the kind that was sent, which is not kept. All kinds with a
+    // time limit state "not run".
     abandonRunner(Request, RefusalKind::TierShed);
     return forget(What.m_Request);
   }
--- a/Libraries/LibDecision/DecisionCore.h
+++ b/Libraries/LibDecision/DecisionCore.h
@@ -65,7 +65,8 @@
   void addPool(const config::Pool &Pool);
   void admit(RequestState &Request, core::TimePoint Now);
   /// Runs the operators' policy program on the request. A failure is counted,
-  /// and the default decision is used instead.
+  /// and the default decision is used instead, so that a failing program loses
+  /// no request.
   void applyPolicy(RequestState &Request, const PoolScheduler &Pool);
   /// Refuses the request and forgets it. With a \p ValidUntil, the request
   /// stays open until RefusalSettled.
--- a/Libraries/LibDecision/TargetTable.h
+++ b/Libraries/LibDecision/TargetTable.h
@@ -93,8 +93,8 @@
   /// higher tier count there.
   bool hasFreeSlot(const TargetState &Target, core::TierNumber Tier) const;
   /// Whether one more request of \p Tier, which is not the highest, leaves the
-  /// slots free that are reserved for the highest tier. Sums over the pool and
-  /// uses this instance's share.
+  /// slots free that are reserved for the highest tier. Sums over the pool,
+  /// uses this instance's share and leaves out requests of tiers below \p Tier.
   bool leavesReservedSlots(core::TierNumber Tier) const;
   /// Returns a relative cost of running \p Work at \p Target, in about seconds.
   double predictedFinish(const TargetState &Target, const ExpectedWork &Work,
