--- a/Libraries/LibRollout/Coordinator.cpp
+++ b/Libraries/LibRollout/Coordinator.cpp
@@ -48,10 +48,10 @@
   double Seconds = std::max(1.0, core::toSeconds(Age));
   double Expected =
       Sent / Seconds * core::toSeconds(m_Order.m_BakeTime) * SamplePart;
-  double Own = m_Limits.m_Share * SampleShare;
+  double BaseShare = m_Limits.m_Share * SampleShare;
   if (Expected <= 0)
-    return Own;
-  return std::min(Own + SlackShare * m_Limits.m_Slack / Expected,
+    return BaseShare;
+  return std::min(BaseShare + SlackShare * m_Limits.m_Slack / Expected,
                   MaxSampleShare);
 }
 
@@ -89,8 +89,8 @@
   return Out;
 }
 
-std::optional<Decision> Coordinator::end(State How, const char *Reason) {
-  m_End = Decision{How, Reason, m_Judgement};
+std::optional<Decision> Coordinator::end(State Outcome, const char *Reason) {
+  m_End = Decision{Outcome, Reason, m_Judgement};
   return m_End;
 }
 
--- a/Libraries/LibRollout/Coordinator.h
+++ b/Libraries/LibRollout/Coordinator.h
@@ -74,7 +74,7 @@
   bool hasEnoughCapacity(const PoolCapacity &Targets) const;
   /// Whether no request runs at old targets and none will be sent there.
   bool isDrained(core::TimePoint Now) const;
-  std::optional<Decision> end(State How, const char *Reason);
+  std::optional<Decision> end(State Outcome, const char *Reason);
   std::optional<Decision> decideSampling(const PoolCapacity &Targets,
                                          core::Duration Age);
   std::optional<Decision> decideShifting(core::Duration Age,
--- a/Libraries/LibRollout/SampleBudget.cpp
+++ b/Libraries/LibRollout/SampleBudget.cpp
@@ -10,8 +10,8 @@
   // With a nearly full budget, stops waiting for requests on rare routes.
   if (m_Allowance >= MaxSaved - 1)
     return true;
-  auto Own = m_Samples.find(Route);
-  std::uint32_t Samples = Own == m_Samples.end() ? 0 : Own->second;
+  auto Found = m_Samples.find(Route);
+  std::uint32_t Samples = Found == m_Samples.end() ? 0 : Found->second;
   return std::all_of(
       m_Samples.begin(), m_Samples.end(),
       [Samples](const auto &Each) { return Samples <= Each.second + 1; });
