--- a/Libraries/LibInstance/OpenRequest.cpp
+++ b/Libraries/LibInstance/OpenRequest.cpp
@@ -29,15 +29,15 @@
   m_Caller.setDisconnectCallback(nullptr);
 }
 
-void OpenRequest::handleAction(decision::Action What) {
-  if (std::holds_alternative<decision::Cancel>(What)) {
+void OpenRequest::handleAction(decision::Action CoreAction) {
+  if (std::holds_alternative<decision::Cancel>(CoreAction)) {
     m_IsEvicted = true;
     logLine("request-evicted");
     if (m_Target)
       m_Target->close();
     return;
   }
-  m_Actions.push_back(std::move(What));
+  m_Actions.push_back(std::move(CoreAction));
   m_WakeTimer.cancel();
 }
 
@@ -60,17 +60,18 @@
   }
 }
 
-bool OpenRequest::perform(const decision::Action &What,
+bool OpenRequest::perform(const decision::Action &CoreAction,
                           asio::yield_context Yield) {
-  if (const auto *ToDispatch = std::get_if<decision::Dispatch>(&What))
+  if (const auto *ToDispatch = std::get_if<decision::Dispatch>(&CoreAction))
     return dispatch(*ToDispatch, Yield);
-  if (const auto *Refusal = std::get_if<decision::Refuse>(&What))
+  if (const auto *Refusal = std::get_if<decision::Refuse>(&CoreAction))
     return refuse(*Refusal, Yield);
-  if (const auto *ToForward = std::get_if<decision::Forward>(&What))
+  if (const auto *ToForward = std::get_if<decision::Forward>(&CoreAction))
     forward(*ToForward, Yield);
-  if (const auto *ToResend = std::get_if<decision::SendStoredResponse>(&What))
+  if (const auto *ToResend =
+          std::get_if<decision::SendStoredResponse>(&CoreAction))
     sendStoredResponse(ToResend->m_Original, Yield);
-  if (std::holds_alternative<decision::Drop>(What))
+  if (std::holds_alternative<decision::Drop>(CoreAction))
     finish("caller-left");
   return true;
 }
@@ -89,10 +90,10 @@
 // Dispatch to a target
 //===----------------------------------------------------------------------===//
 
-bool OpenRequest::dispatch(const decision::Dispatch &What,
+bool OpenRequest::dispatch(const decision::Dispatch &CoreAction,
                            asio::yield_context Yield) {
-  m_IsStoringResponse = What.m_StoreResponse;
-  m_TargetName = What.m_Target;
+  m_IsStoringResponse = CoreAction.m_StoreResponse;
+  m_TargetName = CoreAction.m_Target;
   m_Traffic.m_Metrics.observe(metrics::RequestLatency::QueueWait, m_Labels,
                               core::steadyNow() - m_ArrivedAt);
   logLine("request-dispatched");
@@ -104,12 +105,12 @@
   } else if (!m_IsCallerDisconnected || m_IsStoringResponse) {
     std::unique_ptr<http::ClientConnection> Target;
     try {
-      Target = m_Traffic.m_Targets.acquire(What.m_Address.toTcp(),
+      Target = m_Traffic.m_Targets.acquire(CoreAction.m_Address.toTcp(),
                                            m_IsStoringResponse, Yield);
     } catch (const Error &Failure) {
       core::LogLine("connect-failed", core::LogLevel::Warning)
           .add("request", m_PrintableId)
-          .add("target", What.m_Target)
+          .add("target", CoreAction.m_Target)
           .add("reason", Failure.detail());
       logLine("target-finished");
       m_Traffic.m_Hooks.m_Push(decision::ConnectFailed{m_Id});
@@ -118,24 +119,26 @@
       return false;
     }
     m_Target = Target.get();
-    // Both may have changed while the connection was opened.
+    // The request may have been evicted, or its caller may have disconnected,
+    // while the connection was opened.
     if (m_IsEvicted)
       Outcome = ResponseOutcome::Evicted;
     else if (!m_IsCallerDisconnected || m_IsStoringResponse)
       Outcome = runAtTarget(*Target, Yield);
     m_Target = nullptr;
     if (Outcome == ResponseOutcome::Complete)
-      m_Traffic.m_Targets.release(What.m_Address.toTcp(), std::move(Target));
+      m_Traffic.m_Targets.release(CoreAction.m_Address.toTcp(),
+                                  std::move(Target));
   }
-  bool IsKept = false;
+  bool IsStored = false;
   if (Outcome == ResponseOutcome::Complete && m_IsStoringResponse &&
       !m_IsTooLargeToStore)
-    IsKept = m_Traffic.m_Responses.store(m_Id, std::move(m_ResponseToStore));
+    IsStored = m_Traffic.m_Responses.store(m_Id, std::move(m_ResponseToStore));
   // Logged before the decision thread is notified, so that in the logs of all
   // instances a shed that this completion permits comes later.
   logLine("target-finished");
   m_Traffic.m_Hooks.m_Push(
-      decision::ResponseEnded{m_Id, Outcome, IsKept, m_OutputTokens});
+      decision::ResponseEnded{m_Id, Outcome, IsStored, m_OutputTokens});
   switch (Outcome) {
   case ResponseOutcome::Complete:
     finish(m_IsCallerDisconnected ? "caller-left" : "complete");
@@ -207,7 +210,8 @@
 }
 
 /// Counts the ends of server-sent events, which are empty lines (WHATWG HTML,
-/// section 9.2.5). Engines send one event per token.
+/// section 9.2.5). Engines send one event per token. An end that is split
+/// between two reads is not counted.
 static std::uint32_t countServerSentEvents(const std::string &Data) {
   std::uint32_t Count = 0;
   for (std::size_t At = Data.find("\n\n"); At != std::string::npos;
@@ -253,20 +257,21 @@
   finish(decision::describe(Kind).m_Type);
 }
 
-bool OpenRequest::refuse(const decision::Refuse &What,
+bool OpenRequest::refuse(const decision::Refuse &CoreAction,
                          asio::yield_context Yield) {
   // Checked at the time of sending: the process may have been suspended since
   // the decision.
   std::int64_t Now = core::steadyNow().time_since_epoch().count();
-  bool IsLimited = What.m_ValidUntil != 0;
-  bool IsSent = !IsLimited || Now < What.m_ValidUntil;
-  if (IsLimited)
+  bool HasTimeLimit = CoreAction.m_ValidUntil != 0;
+  bool IsSent = !HasTimeLimit || Now < CoreAction.m_ValidUntil;
+  if (HasTimeLimit)
     m_Traffic.m_Hooks.m_Push(decision::RefusalSettled{m_Id, IsSent});
   if (!IsSent)
     return false;
-  logLine("request-refused", decision::describe(What.m_Kind).m_Type);
-  sendProblem(toProblem(What.m_Kind, What.m_RetryAfterSeconds), Yield);
-  finish(decision::describe(What.m_Kind).m_Type);
+  logLine("request-refused", decision::describe(CoreAction.m_Kind).m_Type);
+  sendProblem(toProblem(CoreAction.m_Kind, CoreAction.m_RetryAfterSeconds),
+              Yield);
+  finish(decision::describe(CoreAction.m_Kind).m_Type);
   return true;
 }
 
@@ -283,7 +288,7 @@
   finish("complete-again");
 }
 
-void OpenRequest::forward(const decision::Forward &What,
+void OpenRequest::forward(const decision::Forward &CoreAction,
                           asio::yield_context Yield) {
   m_IsForwarded = true;
   http::RequestMessage Request = m_Caller.request();
@@ -292,8 +297,8 @@
   Request.m_Headers.set(AccountHeader, m_Request.m_Arrival.m_Account.value());
   m_Traffic.m_Signature.sign(Request, core::wallSeconds().count());
   try {
-    auto Owner =
-        m_Traffic.m_Targets.acquire(What.m_Owner.m_Peer.toTcp(), true, Yield);
+    auto Owner = m_Traffic.m_Targets.acquire(CoreAction.m_Owner.m_Peer.toTcp(),
+                                             true, Yield);
     m_Target = Owner.get();
     Owner->sendRequest(Request, m_Traffic.m_Settings.m_Targets.m_SilenceTimeout,
                        Yield);
@@ -304,7 +309,7 @@
     m_Target = nullptr;
     core::LogLine("forward-failed", core::LogLevel::Warning)
         .add("request", m_PrintableId)
-        .add("home", What.m_Owner.m_Peer.toString())
+        .add("home", CoreAction.m_Owner.m_Peer.toString())
         .add("reason", Failure.detail());
     failRequest(RefusalKind::OwnerLost, Yield);
   }
@@ -321,12 +326,13 @@
     Line.add("target", m_TargetName);
 }
 
-void OpenRequest::sendProblem(const Problem &What, asio::yield_context Yield) {
-  m_Status = What.m_Status;
+void OpenRequest::sendProblem(const Problem &Details,
+                              asio::yield_context Yield) {
+  m_Status = Details.m_Status;
   if (m_IsCallerDisconnected)
     return;
   try {
-    m_Caller.sendResponse(toResponse(What, m_PrintableId), Yield);
+    m_Caller.sendResponse(toResponse(Details, m_PrintableId), Yield);
   } catch (const Error &) {
     m_IsCallerDisconnected = true;
   }
--- a/Libraries/LibInstance/OpenRequest.h
+++ b/Libraries/LibInstance/OpenRequest.h
@@ -26,16 +26,19 @@
   void run(boost::asio::yield_context Yield);
   /// Handles a Cancel at once and queues any other action for run(). Called on
   /// the traffic thread.
-  void handleAction(decision::Action What);
+  void handleAction(decision::Action CoreAction);
 
 private:
   /// Carries out an action of the decision core.
   /// \returns true when no further action follows for this request.
-  bool perform(const decision::Action &What, boost::asio::yield_context Yield);
-  bool dispatch(const decision::Dispatch &What,
+  bool perform(const decision::Action &CoreAction,
+               boost::asio::yield_context Yield);
+  bool dispatch(const decision::Dispatch &CoreAction,
                 boost::asio::yield_context Yield);
-  bool refuse(const decision::Refuse &What, boost::asio::yield_context Yield);
-  void forward(const decision::Forward &What, boost::asio::yield_context Yield);
+  bool refuse(const decision::Refuse &CoreAction,
+              boost::asio::yield_context Yield);
+  void forward(const decision::Forward &CoreAction,
+               boost::asio::yield_context Yield);
   void sendStoredResponse(core::RequestId Original,
                           boost::asio::yield_context Yield);
 
@@ -50,15 +53,15 @@
   /// \throws core::Error when it disconnects now and the response is not being
   /// stored.
   void sendToCaller(const std::function<void()> &Send);
-  /// Measures and counts tokens, and collects the response if it is being
-  /// stored.
+  /// Records latencies, counts output tokens, and collects the response if it
+  /// is being stored.
   void recordBodyData(const std::string &Data);
   void handleCallerDisconnect();
   /// Resets the caller's connection if a response has begun, else sends a
   /// problem.
   void failRequest(decision::RefusalKind Kind,
                    boost::asio::yield_context Yield);
-  void sendProblem(const Problem &What, boost::asio::yield_context Yield);
+  void sendProblem(const Problem &Details, boost::asio::yield_context Yield);
   /// \param Kind the kind of refusal; if null, the line names the target.
   void logLine(const char *Event, const char *Kind = nullptr) const;
   /// Records the outcome and total time in the metrics and the log.
