--- a/Libraries/LibInstance/DecisionThread.cpp
+++ b/Libraries/LibInstance/DecisionThread.cpp
@@ -12,8 +12,8 @@
 DecisionThread::DecisionThread(std::size_t QueueCapacity,
                                const std::string &TraceFile)
     : m_Thread("decision"), m_Events(QueueCapacity, m_Thread.makeWaker([this] {
-        m_Events.drain([this](const decision::Event &What) {
-          handle(What, core::steadyNow());
+        m_Events.drain([this](const decision::Event &NewEvent) {
+          handle(NewEvent, core::steadyNow());
         });
       })),
       m_Timers(m_Thread.context()) {
@@ -38,14 +38,17 @@
   m_Thread.start();
 }
 
-void DecisionThread::push(const decision::Event &What) { m_Events.push(What); }
+void DecisionThread::push(const decision::Event &NewEvent) {
+  m_Events.push(NewEvent);
+}
 
-void DecisionThread::handle(const decision::Event &What, core::TimePoint Now) {
-  std::vector<decision::Action> Actions = m_Core.handle(What, Now);
+void DecisionThread::handle(const decision::Event &NewEvent,
+                            core::TimePoint Now) {
+  std::vector<decision::Action> Actions = m_Core.handle(NewEvent, Now);
   // An exception here is a bug. EventLoopThread logs it as duty-failure, which
   // fails the tests.
   if (m_Trace)
-    m_Trace->write(What, Now, Actions);
+    m_Trace->write(NewEvent, Now, Actions);
   for (decision::Action &Next : Actions)
     m_Sink(std::move(Next));
 }
--- a/Libraries/LibInstance/DecisionThread.h
+++ b/Libraries/LibInstance/DecisionThread.h
@@ -65,18 +65,18 @@
 
   /// Queues an event that may be rejected. \returns false when the queue is
   /// full.
-  bool tryPush(decision::Event What) {
-    return m_Events.tryPush(std::move(What));
+  bool tryPush(decision::Event NewEvent) {
+    return m_Events.tryPush(std::move(NewEvent));
   }
   /// Queues an event that must not be lost. The queue has room for all events
   /// of open requests, so this blocks only behind a stalled decision thread.
-  void push(const decision::Event &What);
+  void push(const decision::Event &NewEvent);
 
   /// Returns the status as last published. Thread-safe.
   DecisionStatus status() const;
 
 private:
-  void handle(const decision::Event &What, core::TimePoint Now);
+  void handle(const decision::Event &NewEvent, core::TimePoint Now);
   void publishStatus(core::TimePoint Now);
 
   core::EventLoopThread m_Thread;
--- a/Libraries/LibInstance/Instance.cpp
+++ b/Libraries/LibInstance/Instance.cpp
@@ -60,10 +60,12 @@
 void Instance::createComponents() {
   m_Decision = std::make_unique<DecisionThread>(m_Settings.m_QueueCapacity,
                                                 m_Settings.m_TraceFile);
-  auto Push = [this](const decision::Event &What) { m_Decision->push(What); };
+  auto Push = [this](const decision::Event &NewEvent) {
+    m_Decision->push(NewEvent);
+  };
   TrafficHooks Traffic;
-  Traffic.m_TryPush = [this](decision::Event What) {
-    return m_Decision->tryPush(std::move(What));
+  Traffic.m_TryPush = [this](decision::Event NewEvent) {
+    return m_Decision->tryPush(std::move(NewEvent));
   };
   Traffic.m_Push = Push;
   m_Traffic = std::make_unique<TrafficThread>(
@@ -83,27 +85,27 @@
         return handleOperator(Request);
       });
   m_Decision->setSink(
-      [this](const decision::Action &What) { routeAction(What); });
+      [this](const decision::Action &CoreAction) { routeAction(CoreAction); });
   m_Configuration.subscribe([this](const config::ConfigurationHandle &Next) {
     m_Decision->push(decision::ConfigurationAccepted{Next});
   });
 }
 
-void Instance::routeAction(const decision::Action &What) {
+void Instance::routeAction(const decision::Action &CoreAction) {
   bool IsForPlatform =
-      std::holds_alternative<decision::Claim>(What) ||
-      std::holds_alternative<decision::ReadThresholdRecord>(What) ||
-      std::holds_alternative<decision::WriteThresholdRecord>(What) ||
-      std::holds_alternative<decision::ResignLeadership>(What);
+      std::holds_alternative<decision::Claim>(CoreAction) ||
+      std::holds_alternative<decision::ReadThresholdRecord>(CoreAction) ||
+      std::holds_alternative<decision::WriteThresholdRecord>(CoreAction) ||
+      std::holds_alternative<decision::ResignLeadership>(CoreAction);
   bool IsForPeers =
-      std::holds_alternative<decision::SendThresholdCommand>(What) ||
-      std::holds_alternative<decision::SendThresholdReport>(What);
+      std::holds_alternative<decision::SendThresholdCommand>(CoreAction) ||
+      std::holds_alternative<decision::SendThresholdReport>(CoreAction);
   if (IsForPlatform)
-    m_Platform->push(What);
+    m_Platform->push(CoreAction);
   else if (IsForPeers)
-    m_Peers->push(What);
+    m_Peers->push(CoreAction);
   else
-    m_Traffic->push(What);
+    m_Traffic->push(CoreAction);
 }
 
 void Instance::start() {
@@ -131,8 +133,8 @@
   core::LogLine("instance-stopping")
       .add("instance", m_Settings.m_Name)
       .add("open_requests", m_Traffic->load().m_Requests);
-  auto NoticeEnds = core::steadyNow() + m_Settings.m_DrainDelay;
-  while (core::steadyNow() < NoticeEnds && !IsStopForced)
+  auto DrainDelayEnd = core::steadyNow() + m_Settings.m_DrainDelay;
+  while (core::steadyNow() < DrainDelayEnd && !IsStopForced)
     std::this_thread::sleep_for(DrainPollPeriod);
   m_Traffic->stopAccepting();
   m_Decision->push(decision::StopRequested{});
--- a/Libraries/LibInstance/Instance.h
+++ b/Libraries/LibInstance/Instance.h
@@ -36,7 +36,7 @@
 
   void createComponents();
   /// Passes an action of the decision core to the thread that carries it out.
-  void routeAction(const decision::Action &What);
+  void routeAction(const decision::Action &CoreAction);
   OperatorResponse handleOperator(const OperatorRequest &Request);
   /// Sets the gauges that are computed only when metrics are requested.
   void updateGauges();
--- a/Libraries/LibInstance/PeerThread.cpp
+++ b/Libraries/LibInstance/PeerThread.cpp
@@ -36,8 +36,9 @@
                   Settings.m_Peers.m_SilenceTimeout),
       m_Signature(Settings.m_Peers.m_Key),
       m_Actions(Settings.m_QueueCapacity, m_Thread.makeWaker([this] {
-        m_Actions.drain(
-            [this](const decision::Action &What) { handleAction(What); });
+        m_Actions.drain([this](const decision::Action &CoreAction) {
+          handleAction(CoreAction);
+        });
       })),
       m_Socket(m_Thread.context(), Settings.m_PeerAddress, m_Codec),
       m_Random(core::randomBits()) {}
@@ -53,7 +54,9 @@
   m_Thread.start();
 }
 
-void PeerThread::push(const decision::Action &What) { m_Actions.push(What); }
+void PeerThread::push(const decision::Action &CoreAction) {
+  m_Actions.push(CoreAction);
+}
 
 void PeerThread::setListedPeers(std::vector<config::Endpoint> Addresses) {
   asio::post(m_Thread.context(), [this, Addresses = std::move(Addresses)] {
@@ -142,14 +145,15 @@
 // Sending
 //===----------------------------------------------------------------------===//
 
-void PeerThread::handleAction(const decision::Action &What) {
+void PeerThread::handleAction(const decision::Action &CoreAction) {
   core::TimePoint Now = core::steadyNow();
   if (const auto *Command =
-          std::get_if<decision::SendThresholdCommand>(&What)) {
+          std::get_if<decision::SendThresholdCommand>(&CoreAction)) {
     send(Command->m_To.m_Peer, Command->m_Command);
     return reportIfGone(Command->m_To, Now);
   }
-  if (const auto *Report = std::get_if<decision::SendThresholdReport>(&What))
+  if (const auto *Report =
+          std::get_if<decision::SendThresholdReport>(&CoreAction))
     send(Report->m_To.m_Peer, Report->m_Report);
 }
 
@@ -219,8 +223,9 @@
 
 void PeerThread::reportIfGone(const decision::InstanceRef &Member,
                               core::TimePoint Now) {
-  // A silent member may only be suspended or unreachable; it counts as gone
-  // when, in addition, its address is unlisted or used by another process.
+  // Silence alone may mean that the member is suspended or unreachable. It
+  // counts as gone when, in addition, its address is unlisted or used by
+  // another process.
   if (m_Directory.all().count(Member.m_Incarnation) != 0) {
     m_FirstCommandAt.erase(Member.m_Incarnation);
     return;
--- a/Libraries/LibInstance/PeerThread.h
+++ b/Libraries/LibInstance/PeerThread.h
@@ -49,7 +49,7 @@
   void start();
   void stop() { m_Thread.stop(); }
   /// Queues a SendThresholdCommand or SendThresholdReport. Thread-safe.
-  void push(const decision::Action &What);
+  void push(const decision::Action &CoreAction);
   /// Sets the peer addresses of the platform's instance list. Thread-safe.
   void setListedPeers(std::vector<config::Endpoint> Addresses);
   /// Announces in further heartbeats that this instance is stopping.
@@ -63,7 +63,7 @@
   void handleMessage(const peer::PeerMessage &Message);
   void handleHeartbeat(const peer::PeerMessage &Message,
                        const peer::Heartbeat &Beat);
-  void handleAction(const decision::Action &What);
+  void handleAction(const decision::Action &CoreAction);
   void send(const config::Endpoint &To, peer::PeerBody Body);
   void sendHeartbeats(core::TimePoint Now);
   peer::Heartbeat makeHeartbeat();
--- a/Libraries/LibInstance/PlatformThread.cpp
+++ b/Libraries/LibInstance/PlatformThread.cpp
@@ -46,8 +46,9 @@
       m_Claims(m_Service, std::move(Self), Settings.m_Identities.m_Retention),
       m_ThresholdRecords(m_Service),
       m_Actions(Settings.m_QueueCapacity, m_Thread.makeWaker([this] {
-        m_Actions.drain(
-            [this](const decision::Action &What) { handleAction(What); });
+        m_Actions.drain([this](const decision::Action &CoreAction) {
+          handleAction(CoreAction);
+        });
       })) {}
 
 PlatformThread::~PlatformThread() { stop(); }
@@ -68,26 +69,27 @@
   asio::spawn(m_Thread.context(), std::move(Run), asio::detached);
 }
 
-void PlatformThread::push(const decision::Action &What) {
-  m_Actions.push(What);
+void PlatformThread::push(const decision::Action &CoreAction) {
+  m_Actions.push(CoreAction);
 }
 
-void PlatformThread::handleAction(const decision::Action &What) {
-  if (const auto *Operation = std::get_if<decision::Claim>(&What))
+void PlatformThread::handleAction(const decision::Action &CoreAction) {
+  if (const auto *Operation = std::get_if<decision::Claim>(&CoreAction))
     return spawn([this, Operation = *Operation](asio::yield_context Yield) {
       m_Hooks.m_Push(m_Claims.claim(Operation, Yield));
     });
-  if (const auto *Operation = std::get_if<decision::ReadThresholdRecord>(&What))
+  if (const auto *Operation =
+          std::get_if<decision::ReadThresholdRecord>(&CoreAction))
     return spawn([this, Operation = *Operation](asio::yield_context Yield) {
       if (auto Read = m_ThresholdRecords.read(Operation.m_Pool, Yield))
         m_Hooks.m_Push(*Read);
     });
   if (const auto *Operation =
-          std::get_if<decision::WriteThresholdRecord>(&What))
+          std::get_if<decision::WriteThresholdRecord>(&CoreAction))
     return spawn([this, Operation = *Operation](asio::yield_context Yield) {
       m_Hooks.m_Push(m_ThresholdRecords.write(Operation, Yield));
     });
-  if (std::holds_alternative<decision::ResignLeadership>(What))
+  if (std::holds_alternative<decision::ResignLeadership>(CoreAction))
     spawn([this](asio::yield_context Yield) {
       m_ThresholdRecords.resign(Yield);
     });
@@ -114,9 +116,9 @@
 // Watches
 //===----------------------------------------------------------------------===//
 
-static void logWatchLost(const char *What, const std::exception &Failure) {
+static void logWatchLost(const char *Watch, const std::exception &Failure) {
   core::LogLine("platform-watch-lost", core::LogLevel::Warning)
-      .add("watch", What)
+      .add("watch", Watch)
       .add("reason", Failure.what());
 }
 
--- a/Libraries/LibInstance/PlatformThread.h
+++ b/Libraries/LibInstance/PlatformThread.h
@@ -25,7 +25,7 @@
 /// Functions by which the platform thread reports to other threads.
 struct PlatformHooks {
   std::function<void(decision::Event)> m_Push;
-  /// Receives the peer addresses of all listed instances that are not leaving.
+  /// Receives the peer addresses of all listed schedulers that are not leaving.
   std::function<void(std::vector<config::Endpoint>)> m_OnSchedulersListed;
 };
 
@@ -52,17 +52,18 @@
   void stop() { m_Thread.stop(); }
   /// Queues a Claim, ReadThresholdRecord, WriteThresholdRecord or
   /// ResignLeadership. Thread-safe.
-  void push(const decision::Action &What);
+  void push(const decision::Action &CoreAction);
 
   /// Writes a configuration to the platform and waits for the result.
   /// Thread-safe. \returns the new version.
   /// \throws config::DocumentError, or core::Error of kind Policy (invalid
-  /// policy program), Conflict (the base version is not current), Unavailable
-  /// (nothing was written) or OutcomeUnknown.
+  /// policy program), Conflict (the base version is not current), Refused,
+  /// Unavailable or BudgetSpent (nothing was written), Configuration or
+  /// Protocol (the store returned malformed data) or OutcomeUnknown.
   core::ConfigurationVersion publish(const PublishRequest &Request);
 
 private:
-  void handleAction(const decision::Action &What);
+  void handleAction(const decision::Action &CoreAction);
   void spawn(std::function<void(boost::asio::yield_context)> Run);
   void watchConfiguration(boost::asio::yield_context Yield);
   void watchInstances(boost::asio::yield_context Yield);
--- a/Libraries/LibInstance/TrafficThread.cpp
+++ b/Libraries/LibInstance/TrafficThread.cpp
@@ -64,8 +64,9 @@
       m_Configuration(Configuration), m_Metrics(Metrics),
       m_Hooks(std::move(Hooks)),
       m_Actions(Settings.m_QueueCapacity, m_Thread.makeWaker([this] {
-        m_Actions.drain(
-            [this](decision::Action What) { handleAction(std::move(What)); });
+        m_Actions.drain([this](decision::Action CoreAction) {
+          handleAction(std::move(CoreAction));
+        });
       })),
       m_Tickets(Settings.m_Peers.m_Key, Self,
                 Settings.m_Identities.m_Retention),
@@ -95,7 +96,9 @@
 
 TrafficThread::~TrafficThread() { stop(); }
 
-void TrafficThread::push(const decision::Action &What) { m_Actions.push(What); }
+void TrafficThread::push(const decision::Action &CoreAction) {
+  m_Actions.push(CoreAction);
+}
 
 void TrafficThread::stopAccepting() {
   asio::post(m_Thread.context(), [this] { m_CallerServer->stopAccepting(); });
@@ -127,23 +130,24 @@
 /// Visitor that returns the request of an action, or no id for actions of other
 /// threads.
 struct RequestIdOf {
-  core::RequestId operator()(const decision::Dispatch &What) const {
-    return What.m_Request;
+  core::RequestId operator()(const decision::Dispatch &CoreAction) const {
+    return CoreAction.m_Request;
   }
-  core::RequestId operator()(const decision::Refuse &What) const {
-    return What.m_Request;
+  core::RequestId operator()(const decision::Refuse &CoreAction) const {
+    return CoreAction.m_Request;
   }
-  core::RequestId operator()(const decision::Drop &What) const {
-    return What.m_Request;
+  core::RequestId operator()(const decision::Drop &CoreAction) const {
+    return CoreAction.m_Request;
   }
-  core::RequestId operator()(const decision::Cancel &What) const {
-    return What.m_Request;
+  core::RequestId operator()(const decision::Cancel &CoreAction) const {
+    return CoreAction.m_Request;
   }
-  core::RequestId operator()(const decision::Forward &What) const {
-    return What.m_Request;
+  core::RequestId operator()(const decision::Forward &CoreAction) const {
+    return CoreAction.m_Request;
   }
-  core::RequestId operator()(const decision::SendStoredResponse &What) const {
-    return What.m_Request;
+  core::RequestId
+  operator()(const decision::SendStoredResponse &CoreAction) const {
+    return CoreAction.m_Request;
   }
   template <class Other> core::RequestId operator()(const Other &) const {
     return core::RequestId();
@@ -152,14 +156,14 @@
 
 } // namespace
 
-void TrafficThread::handleAction(decision::Action What) {
+void TrafficThread::handleAction(decision::Action CoreAction) {
   if (const auto *ToDiscard =
-          std::get_if<decision::DiscardStoredResponse>(&What))
+          std::get_if<decision::DiscardStoredResponse>(&CoreAction))
     return m_Responses.discard(ToDiscard->m_Original);
-  core::RequestId Id = std::visit(RequestIdOf(), What);
+  core::RequestId Id = std::visit(RequestIdOf(), CoreAction);
   auto Found = m_OpenRequests.find(Id);
   if (Found != m_OpenRequests.end())
-    Found->second->handleAction(std::move(What));
+    Found->second->handleAction(std::move(CoreAction));
 }
 
 void TrafficThread::handleCallerRequest(http::Exchange &Caller,
--- a/Libraries/LibInstance/TrafficThread.h
+++ b/Libraries/LibInstance/TrafficThread.h
@@ -53,7 +53,7 @@
   void start() { m_Thread.start(); }
   void stop() { m_Thread.stop(); }
   /// Queues an action of the decision core. Thread-safe.
-  void push(const decision::Action &What);
+  void push(const decision::Action &CoreAction);
   /// Stops accepting callers' connections; requests in progress continue.
   /// Thread-safe.
   void stopAccepting();
@@ -80,8 +80,8 @@
                     boost::asio::yield_context Yield);
   void sendConfiguration(http::Exchange &Peer,
                          boost::asio::yield_context Yield);
-  void handleAction(decision::Action What);
-  /// \returns an id that is unique among all instances, as in logs and headers.
+  void handleAction(decision::Action CoreAction);
+  /// Returns an id that is unique among all instances, as in logs and headers.
   std::string printableId(core::RequestId Id) const;
 
   core::EventLoopThread m_Thread;
