--- a/Libraries/LibInstance/ClaimService.cpp
+++ b/Libraries/LibInstance/ClaimService.cpp
@@ -67,6 +67,8 @@
 
 void ClaimService::renewLease(core::TimePoint Now,
                               boost::asio::yield_context Yield) {
+  // Claims use the lease for up to LeaseSharingPeriod after its grant; the
+  // second period is a margin.
   auto TimeToLive =
       std::chrono::duration_cast<std::chrono::seconds>(m_Retention) +
       2 * LeaseSharingPeriod;
--- a/Libraries/LibInstance/ClaimService.h
+++ b/Libraries/LibInstance/ClaimService.h
@@ -36,7 +36,7 @@
                                     const std::string &Key,
                                     const std::string &Value,
                                     boost::asio::yield_context Yield);
-  /// \returns Won if \p Stored is this claim's own \p Value, else Held by the
+  /// Returns Won if \p Stored is this claim's own \p Value, else Held by the
   /// owner that \p Stored names.
   decision::ClaimCompleted resultFor(const decision::Claim &Request,
                                      const std::string &Stored,
--- a/Libraries/LibInstance/ThresholdRecordService.cpp
+++ b/Libraries/LibInstance/ThresholdRecordService.cpp
@@ -62,20 +62,21 @@
 }
 
 decision::ThresholdRecordWritten
-ThresholdRecordService::write(const decision::WriteThresholdRecord &What,
+ThresholdRecordService::write(const decision::WriteThresholdRecord &Action,
                               boost::asio::yield_context Yield) {
   decision::ThresholdRecordWritten Out;
-  Out.m_Pool = What.m_Pool;
+  Out.m_Pool = Action.m_Pool;
   try {
     if (!m_Lease)
       m_Lease = m_Service.grantLease(LeaseDuration, CallClass::Control, Yield);
-    std::string Prefix = prefixOf(What.m_Pool);
+    std::string Prefix = prefixOf(Action.m_Pool);
     platform::CompareAndSwap Swap;
     Swap.m_Key = Prefix + "record";
-    Swap.m_Expected = platform::Revision(What.m_Revision);
-    Swap.m_Puts.push_back({Swap.m_Key, toJson(What.m_Record), std::nullopt});
-    Swap.m_Puts.push_back(
-        {Prefix + "leader", What.m_Record.m_Leader.m_Peer.toString(), m_Lease});
+    Swap.m_Expected = platform::Revision(Action.m_Revision);
+    Swap.m_Puts.push_back({Swap.m_Key, toJson(Action.m_Record), std::nullopt});
+    Swap.m_Puts.push_back({Prefix + "leader",
+                           Action.m_Record.m_Leader.m_Peer.toString(),
+                           m_Lease});
     auto Result = m_Service.compareAndSwap(Swap, CallClass::Control, Yield);
     Out.m_IsWritten = Result.m_IsSwapped;
     Out.m_Revision = Result.m_Revision.value();
@@ -83,7 +84,7 @@
     // The write may have failed because the lease has expired.
     m_Lease.reset();
     core::LogLine("floor-record-unwritten", core::LogLevel::Warning)
-        .add("pool", What.m_Pool)
+        .add("pool", Action.m_Pool)
         .add("reason", Failure.what());
   }
   return Out;
--- a/Libraries/LibInstance/ThresholdRecordService.h
+++ b/Libraries/LibInstance/ThresholdRecordService.h
@@ -21,16 +21,18 @@
   explicit ThresholdRecordService(platform::KeyValueService &Service)
       : m_Service(Service) {}
 
-  /// \returns none, and logs why, when the service fails or the record is
+  /// Returns none, and logs why, when the service fails or the record is
   /// malformed.
   std::optional<decision::ThresholdRecordRead>
   read(const core::PoolName &Pool, boost::asio::yield_context Yield);
   /// Writes the record and the `leader` key if the record's revision is the
-  /// expected one. Logs failures and reports them as not written.
+  /// expected one. Logs failures and reports them as not written, although a
+  /// write of unknown outcome may still take effect.
   decision::ThresholdRecordWritten
-  write(const decision::WriteThresholdRecord &What,
+  write(const decision::WriteThresholdRecord &Action,
         boost::asio::yield_context Yield);
-  /// Revokes the lease, which removes the `leader` keys of this instance.
+  /// Revokes the lease, which removes the `leader` keys of this instance in all
+  /// pools.
   void resign(boost::asio::yield_context Yield);
   /// Renews the lease; called every KeepAlivePeriod.
   void keepAlive(boost::asio::yield_context Yield);
