--- a/Libraries/LibInstance/InstanceList.h
+++ b/Libraries/LibInstance/InstanceList.h
@@ -42,11 +42,12 @@
   const std::map<std::string, ListedInstance> &all() const {
     return m_Instances;
   }
-  /// \returns the peer addresses of schedulers that are not leaving.
+  /// Returns the peer addresses of schedulers that are not leaving.
   std::vector<config::Endpoint> schedulerAddresses() const;
 
 private:
-  /// Adds or replaces an entry. Logs a malformed value and ignores it.
+  /// Adds or replaces an entry. Logs a malformed value and ignores it; a
+  /// malformed address alone is left empty.
   void put(const platform::Entry &Item);
 
   std::map<std::string, ListedInstance> m_Instances; ///< By key.
--- a/Libraries/LibInstance/InstanceRefJson.cpp
+++ b/Libraries/LibInstance/InstanceRefJson.cpp
@@ -2,9 +2,9 @@
 
 namespace yardrill::instance {
 
-boost::json::object toJson(const decision::InstanceRef &InstanceRef) {
-  return {{"incarnation", InstanceRef.m_Incarnation.value()},
-          {"peer", InstanceRef.m_Peer.toString()}};
+boost::json::object toJson(const decision::InstanceRef &Instance) {
+  return {{"incarnation", Instance.m_Incarnation.value()},
+          {"peer", Instance.m_Peer.toString()}};
 }
 
 decision::InstanceRef toInstanceRef(const boost::json::value &Value) {
--- a/Libraries/LibInstance/InstanceRefJson.h
+++ b/Libraries/LibInstance/InstanceRefJson.h
@@ -8,8 +8,9 @@
 
 namespace yardrill::instance {
 
-/// \returns `{"incarnation":N,"peer":"ip:port"}`, as stored at the platform.
-boost::json::object toJson(const decision::InstanceRef &InstanceRef);
+/// Returns `{"incarnation":N,"peer":"ip:port"}`, as stored at the platform.
+boost::json::object toJson(const decision::InstanceRef &Instance);
+/// Reads a reference; a malformed peer address is left empty.
 /// \throws std::exception when a member is missing or has another type.
 decision::InstanceRef toInstanceRef(const boost::json::value &Value);
 
--- a/Libraries/LibInstance/PeerSignature.h
+++ b/Libraries/LibInstance/PeerSignature.h
@@ -26,7 +26,7 @@
 
   /// Adds the time and signature headers. \p WallSeconds is Unix time.
   void sign(http::RequestMessage &Request, std::int64_t WallSeconds) const;
-  /// \returns false when the request is unsigned or forged, or its time differs
+  /// Returns false when the request is unsigned or forged, or its time differs
   /// too much from \p WallSeconds.
   bool isValid(const http::RequestMessage &Request,
                std::int64_t WallSeconds) const;
--- a/Libraries/LibInstance/ProblemDetails.cpp
+++ b/Libraries/LibInstance/ProblemDetails.cpp
@@ -17,26 +17,26 @@
   return Out;
 }
 
-http::ResponseMessage toResponse(const Problem &What,
+http::ResponseMessage toResponse(const Problem &Details,
                                  const std::string &RequestId) {
-  boost::json::object Body{{"type", TypePrefix + What.m_Type},
-                           {"title", What.m_Title},
-                           {"status", What.m_Status},
-                           {"outcome", decision::toString(What.m_RunState)}};
-  if (!What.m_Detail.empty())
-    Body["detail"] = What.m_Detail;
+  boost::json::object Body{{"type", TypePrefix + Details.m_Type},
+                           {"title", Details.m_Title},
+                           {"status", Details.m_Status},
+                           {"outcome", decision::toString(Details.m_RunState)}};
+  if (!Details.m_Detail.empty())
+    Body["detail"] = Details.m_Detail;
   if (!RequestId.empty())
     Body["request_id"] = RequestId;
   http::ResponseMessage Out;
-  Out.m_Head.m_Status = What.m_Status;
+  Out.m_Head.m_Status = Details.m_Status;
   Out.m_Head.m_Headers.set("Content-Type", "application/problem+json");
   if (!RequestId.empty())
     Out.m_Head.m_Headers.set("Yardrill-Request-Id", RequestId);
-  if (What.m_Status == 401)
+  if (Details.m_Status == 401)
     Out.m_Head.m_Headers.set("WWW-Authenticate", "Bearer");
-  if (What.m_RetryAfterSeconds != 0)
+  if (Details.m_RetryAfterSeconds != 0)
     Out.m_Head.m_Headers.set("Retry-After",
-                             std::to_string(What.m_RetryAfterSeconds));
+                             std::to_string(Details.m_RetryAfterSeconds));
   Out.m_Body = boost::json::serialize(Body) + "\n";
   return Out;
 }
--- a/Libraries/LibInstance/ProblemDetails.h
+++ b/Libraries/LibInstance/ProblemDetails.h
@@ -25,7 +25,7 @@
 /// Makes an `application/problem+json` response. Beside the members of RFC 9457
 /// it has `outcome` (`not-run`, `outcome-unknown` or `ran`) and, unless
 /// \p RequestId is empty, `request_id`.
-http::ResponseMessage toResponse(const Problem &What,
+http::ResponseMessage toResponse(const Problem &Details,
                                  const std::string &RequestId);
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/RequestReader.cpp
+++ b/Libraries/LibInstance/RequestReader.cpp
@@ -155,7 +155,7 @@
   return std::nullopt;
 }
 
-/// \returns the caller's headers without credentials and hop-by-hop fields.
+/// Returns the caller's headers without credentials and hop-by-hop fields.
 static http::HeaderList headersForTarget(const http::RequestMessage &Request) {
   http::HeaderList Out = Request.m_Headers;
   Out.removeHopByHop();
@@ -235,7 +235,7 @@
   return std::nullopt;
 }
 
-/// \returns the rest of the target after `/apps/<pool>`, not decoded.
+/// Returns the rest of the target after `/apps/<pool>`, not decoded.
 static std::string pathWithinPool(const std::string &Target) {
   std::size_t PathEnd = std::min(Target.find_first_of("?#"), Target.size());
   std::string Path = Target.substr(0, PathEnd);
--- a/Libraries/LibInstance/RequestReader.h
+++ b/Libraries/LibInstance/RequestReader.h
@@ -29,7 +29,7 @@
                 const TicketSigner &Tickets)
       : m_Configuration(Configuration), m_Tickets(Tickets) {}
 
-  /// \returns the client account, or the error response (401, 403).
+  /// Returns the client account, or the error response (401, 403).
   std::variant<const config::ClientAccount *, Problem>
   authenticate(const http::RequestMessage &Request) const;
 
@@ -60,8 +60,9 @@
 
 /// Returns the path without the query, percent-decoded once.
 /// \returns none for a path that targets may interpret in several ways (dot
-/// segments, empty segments, encoded slashes, control characters), so that no
-/// spelling bypasses a route's rule.
+/// segments, empty segments, backslashes, encoded slashes or percent signs,
+/// control characters) or whose encoding is malformed, so that no spelling
+/// bypasses a route's rule.
 std::optional<std::string> canonicalPath(const std::string &Target);
 
 } // namespace yardrill::instance
--- a/Libraries/LibInstance/ResponseStore.h
+++ b/Libraries/LibInstance/ResponseStore.h
@@ -14,7 +14,8 @@
 
 using StoredResponse = std::shared_ptr<const http::ResponseMessage>;
 
-/// Complete responses to requests with an identity, by the request that ran.
+/// Complete responses to requests with an identity, keyed by the request that
+/// ran.
 /// The traffic thread sends them to callers who repeat the request. Bounded by
 /// the bytes of the bodies: the oldest are discarded first, and a repeat of
 /// their request is refused with ResponseNotStored.
@@ -25,7 +26,7 @@
 
   /// Stores a response. \returns false when it is too large.
   bool store(core::RequestId Request, http::ResponseMessage Response);
-  /// \returns null when the response is not stored.
+  /// Returns null when the response is not stored.
   StoredResponse find(core::RequestId Request) const;
   void discard(core::RequestId Request);
 
--- a/Libraries/LibInstance/TicketSigner.cpp
+++ b/Libraries/LibInstance/TicketSigner.cpp
@@ -8,7 +8,8 @@
 
 namespace yardrill::instance {
 
-/// Fields of `1.incarnation.serial.expiry.peer-port.peer-address-hex.mac`.
+/// Number of fields of
+/// `1.incarnation.serial.expiry.peer-port.peer-address-hex.mac`.
 /// Numbers are decimal; the expiry is in microseconds of the owner's steady
 /// clock.
 static const std::size_t PartCount = 7;
--- a/Libraries/LibInstance/TicketSigner.h
+++ b/Libraries/LibInstance/TicketSigner.h
@@ -22,7 +22,7 @@
 
   /// Issues a ticket that expires after lifetime().
   std::string issue(const core::AccountName &Account, core::TimePoint Now);
-  /// \returns none for a ticket that is malformed, forged or of another
+  /// Returns none for a ticket that is malformed, forged or of another
   /// account. The expiry is not checked: it is a time of the owner's clock.
   std::optional<decision::Identity>
   read(const std::string &Ticket, const core::AccountName &Account) const;
