--- a/Tests/Platform/DialectTest.cpp
+++ b/Tests/Platform/DialectTest.cpp
@@ -15,8 +15,8 @@
   CPPUNIT_TEST(testInvalidNumbersCountAsMissing);
   CPPUNIT_TEST(testSetsReservedHeaders);
   CPPUNIT_TEST(testParsesResponse);
-  CPPUNIT_TEST(testParsesTargetTerms);
-  CPPUNIT_TEST(testInvalidTerms);
+  CPPUNIT_TEST(testParsesBackpressure);
+  CPPUNIT_TEST(testInvalidBackpressureIsIgnored);
   CPPUNIT_TEST(testParsesConfiguration);
   CPPUNIT_TEST(testParsesTargets);
   CPPUNIT_TEST(testMalformedEntriesThrowTypedErrors);
@@ -69,10 +69,10 @@
 
   void testSetsReservedHeaders() {
     http::RequestMessage Out = request();
-    gateway::ForwardDescription What;
-    What.m_Target = core::TargetName("i-7f");
-    What.m_TimeLeft = std::chrono::milliseconds(11900);
-    m_Dialect.prepare(Out, What);
+    gateway::ForwardDescription Forward;
+    Forward.m_Target = core::TargetName("i-7f");
+    Forward.m_TimeLeft = std::chrono::milliseconds(11900);
+    m_Dialect.prepare(Out, Forward);
     CPPUNIT_ASSERT_EQUAL(std::string("i-7f"),
                          *Out.m_Headers.find("Expect-Replica"));
     CPPUNIT_ASSERT_EQUAL(std::string("11900"),
@@ -84,10 +84,10 @@
                          *Out.m_Headers.find("Attempt-Id"));
     CPPUNIT_ASSERT(Out.m_Headers.find("Model") && Out.m_Headers.find("Host"));
     // The next attempt, at another target, resumes a stream after event 12.
-    What.m_Target = core::TargetName("i-8f");
-    What.m_Account = core::AccountName("hule930");
-    What.m_LastEvent = "12";
-    m_Dialect.prepare(Out, What);
+    Forward.m_Target = core::TargetName("i-8f");
+    Forward.m_Account = core::AccountName("hule930");
+    Forward.m_LastEvent = "12";
+    m_Dialect.prepare(Out, Forward);
     CPPUNIT_ASSERT_EQUAL(std::string("i-8f"),
                          *Out.m_Headers.find("Expect-Replica"));
     CPPUNIT_ASSERT_EQUAL(std::string("hule930"), *Out.m_Headers.find("Tenant"));
@@ -114,7 +114,7 @@
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_IsNotRun);
   }
 
-  void testParsesTargetTerms() {
+  void testParsesBackpressure() {
     http::ResponseHead Head;
     Head.m_Status = 200;
     CPPUNIT_ASSERT(m_Dialect.describe(Head).m_Backpressure.isEmpty());
@@ -152,7 +152,7 @@
         m_Dialect.describe(Head).m_Backpressure.m_IsLimitUnspecified);
   }
 
-  void testInvalidTerms() {
+  void testInvalidBackpressureIsIgnored() {
     http::ResponseHead Head;
     Head.m_Status = 503;
     for (const char *Text : {"", "-1", "-0.0", "nan", "inf", "1e300", "many",
--- a/Tests/Platform/MalformedTargetEntryTest.cpp
+++ b/Tests/Platform/MalformedTargetEntryTest.cpp
@@ -30,7 +30,7 @@
 
   PlatformDialect m_Dialect;
 
-  /// \returns an announcement as in older deployments, without a start time.
+  /// Returns an announcement as in older deployments, without a start time.
   static json::object oldFormat() {
     return {{"service", "huvo11a"}, {"address", "10.128.0.9:8080"},
             {"zone", "bandung"},    {"version", "v1"},
@@ -177,28 +177,29 @@
   }
 
 private:
-  static std::size_t below(std::mt19937_64 &Random, std::size_t Limit) {
+  static std::size_t randomBelow(std::mt19937_64 &Random, std::size_t Limit) {
     return std::uniform_int_distribution<std::size_t>(0, Limit - 1)(Random);
   }
   static std::string mutated(std::mt19937_64 &Random) {
     static const json::value Values[] = {
         nullptr, false,      0,    -7, 1e18,         0.25,
         "ready", "draining", "v2", "", json::array{}};
-    json::object Content = below(Random, 2) == 0 ? oldFormat() : newFormat();
-    for (std::size_t Changes = below(Random, 3); Changes > 0; --Changes) {
-      auto Field = Content.begin() + below(Random, Content.size());
-      if (below(Random, 3) == 0)
+    json::object Content =
+        randomBelow(Random, 2) == 0 ? oldFormat() : newFormat();
+    for (std::size_t Changes = randomBelow(Random, 3); Changes > 0; --Changes) {
+      auto Field = Content.begin() + randomBelow(Random, Content.size());
+      if (randomBelow(Random, 3) == 0)
         Content.erase(Field->key());
       else
-        Content[Field->key()] = Values[below(Random, std::size(Values))];
+        Content[Field->key()] = Values[randomBelow(Random, std::size(Values))];
     }
     std::string Text = json::serialize(Content);
-    if (below(Random, 4) == 0)
-      Text.resize(below(Random, Text.size()));
-    for (std::size_t Bytes = below(Random, 8) / 6; Bytes > 0; --Bytes)
+    if (randomBelow(Random, 4) == 0)
+      Text.resize(randomBelow(Random, Text.size()));
+    for (std::size_t Bytes = randomBelow(Random, 8) / 6; Bytes > 0; --Bytes)
       if (!Text.empty())
-        Text[below(Random, Text.size())] =
-            static_cast<char>(below(Random, 256));
+        Text[randomBelow(Random, Text.size())] =
+            static_cast<char>(randomBelow(Random, 256));
     return Text;
   }
 };
