--- a/Libraries/LibHTTP/ClientConnection.cpp
+++ b/Libraries/LibHTTP/ClientConnection.cpp
@@ -124,7 +124,8 @@
   } while (Parser->get().result_int() < 200);
   if (!m_Impl->m_AllowsCloseDelimitedBody && !Parser->is_done() &&
       Parser->need_eof() && !Parser->chunked() && !Parser->content_length())
-    throw Error(ErrorKind::OutcomeUnknown, "response has no length");
+    throw Error(ErrorKind::OutcomeUnknown,
+                "the response has neither a length nor chunked coding");
   ResponseHead Head;
   Head.m_Status = Parser->get().result_int();
   for (const auto &Field : Parser->get())
--- a/Libraries/LibHTTP/ClientConnection.h
+++ b/Libraries/LibHTTP/ClientConnection.h
@@ -38,7 +38,7 @@
   /// \throws core::Error of kind OutcomeUnknown.
   ResponseHead readHead(core::Duration Timeout,
                         boost::asio::yield_context Yield);
-  /// \returns the next bytes of the body; empty at its end.
+  /// Returns the next bytes of the body; empty at its end.
   /// \throws core::Error of kind OutcomeUnknown when the body is truncated.
   std::string readBodyData(core::Duration Timeout,
                            boost::asio::yield_context Yield);
@@ -48,7 +48,7 @@
   ResponseMessage readResponse(core::Duration Timeout, std::size_t MaxBytes,
                                boost::asio::yield_context Yield);
 
-  /// \returns true when the last response was read completely and the server
+  /// Returns true when the last response was read completely and the server
   /// has since neither closed the connection nor sent anything.
   bool isReusable();
   /// Closes the connection; a pending operation fails with OutcomeUnknown.
--- a/Libraries/LibHTTP/ConnectionPool.h
+++ b/Libraries/LibHTTP/ConnectionPool.h
@@ -37,8 +37,8 @@
   acquire(const boost::asio::ip::tcp::endpoint &Address, bool MustBeNew,
           boost::asio::yield_context Yield);
   /// Keeps a connection for reuse if its response was read completely.
-  /// \param MaxIdleTime after which it is not reused, as the server may be
-  /// closing it.
+  /// \param MaxIdleTime idle time after which it is not reused, as the server
+  /// may be closing it.
   void release(const boost::asio::ip::tcp::endpoint &Address,
                std::unique_ptr<ClientConnection> Connection,
                core::Duration MaxIdleTime = std::chrono::hours(1));
@@ -48,7 +48,7 @@
   /// Closes connections that were idle for longer than their MaxIdleTime.
   void closeExpired();
 
-  /// \returns the number of connections opened so far.
+  /// Returns the number of connections opened so far, failed attempts included.
   std::uint64_t opened() const { return m_Opened; }
 
 private:
--- a/Libraries/LibHTTP/Message.h
+++ b/Libraries/LibHTTP/Message.h
@@ -22,9 +22,9 @@
   HeaderList() = default;
   HeaderList(std::initializer_list<Header> Headers) : m_Headers(Headers) {}
 
-  /// \returns the value of the first field with that name, or null.
+  /// Returns the value of the first field with that name, or null.
   const std::string *find(std::string_view Name) const;
-  /// \returns whether more than one field has that name.
+  /// Returns whether more than one field has that name.
   bool isRepeated(std::string_view Name) const;
   void add(std::string Name, std::string Value);
   /// Replaces all fields with that name by a single one.
@@ -60,7 +60,7 @@
   std::string m_Body;
 };
 
-/// \returns a response without headers and body.
+/// Returns a response without headers and body.
 ResponseMessage emptyResponse(unsigned Status);
 
 } // namespace yardrill::http
--- a/Libraries/LibHTTP/Server.cpp
+++ b/Libraries/LibHTTP/Server.cpp
@@ -97,7 +97,8 @@
       serve(std::move(Socket));
       continue;
     }
-    // Usually out of file descriptors: retry when some may be closed.
+    // Usually the process is out of file descriptors. Retried after a delay, or
+    // earlier when a connection closes.
     core::LogLine("accept-failed", core::LogLevel::Warning)
         .add("reason", Failure.message());
     m_AcceptTimer.expires_after(AcceptRetryDelay);
--- a/Libraries/LibHTTP/Server.h
+++ b/Libraries/LibHTTP/Server.h
@@ -51,7 +51,8 @@
   /// is incomplete.
   virtual void abort() = 0;
   /// Sets a function that is called once if the caller disconnects before the
-  /// response is complete.
+  /// response is complete. After the caller has pipelined another request, only
+  /// the functions that send report a disconnection.
   virtual void setDisconnectCallback(std::function<void()> Callback) = 0;
   virtual bool isStreamStarted() const = 0;
 };
@@ -76,7 +77,7 @@
 
   virtual std::uint16_t port() const = 0;
   virtual std::size_t openConnections() const = 0;
-  /// \returns the number of requests of which at least one byte has arrived and
+  /// Returns the number of requests of which at least one byte has arrived and
   /// whose responses are not complete.
   virtual std::size_t openRequests() const = 0;
   /// Sets limits that apply from the next request of each connection.
--- a/Libraries/LibHTTP/ServerConnection.h
+++ b/Libraries/LibHTTP/ServerConnection.h
@@ -33,7 +33,7 @@
 
   /// Serves requests until the connection closes.
   void run(boost::asio::yield_context Yield);
-  /// \returns whether no byte of a next request has arrived yet.
+  /// Returns whether the connection waits for the first byte of a request.
   bool isIdle() const { return m_IsIdle; }
   void close();
 
@@ -50,13 +50,15 @@
   bool isStreamStarted() const override { return m_IsStreamStarted; }
 
 private:
-  /// \returns 0 when a request was read, the status of the error response when
-  /// it was not, or NoResponse when the caller has disconnected.
+  /// Returns 0 when a request was read, the status of the error response when
+  /// it was not, or NoResponse when the caller has disconnected or has sent
+  /// nothing within the idle timeout.
   unsigned readRequest(boost::asio::yield_context Yield);
   unsigned statusForReadError(boost::system::error_code Failure,
                               bool IsHeaderRead) const;
   void sendErrorResponse(unsigned Status, boost::asio::yield_context Yield);
-  /// Discards what the caller still sends, for up to LingerTime.
+  /// Discards what the caller still sends, for up to LingerTime and up to the
+  /// body limit.
   void linger(boost::asio::yield_context Yield);
   void watchForDisconnect();
   void waitForDisconnect(const std::weak_ptr<std::function<void()>> &Weak);
