--- a/Libraries/LibCore/Digest.h
+++ b/Libraries/LibCore/Digest.h
@@ -24,7 +24,7 @@
 bool isEqualConstantTime(std::string_view A, std::string_view B);
 
 std::string toHex(std::string_view Bytes);
-/// \returns the bytes, or an empty string when \p Hex is not an even number of
+/// Returns the bytes, or an empty string when \p Hex is not an even number of
 /// hex digits.
 std::string fromHex(std::string_view Hex);
 
@@ -32,7 +32,7 @@
 /// \throws Error of kind Protocol when \p Text is not base64 (RFC 4648).
 std::string fromBase64(std::string_view Text);
 
-/// \returns 64 bits from OpenSSL's random generator.
+/// Returns 64 bits from OpenSSL's random generator.
 /// \throws Error of kind Unavailable when it fails.
 std::uint64_t randomBits();
 
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -20,12 +20,12 @@
   Protocol,       ///< A message or stored value is malformed.
   BudgetSpent,    ///< This process's own limit was reached; nothing was done.
   AddressInUse,   ///< A listening address could not be bound.
-  LimitExceeded,  ///< A message is larger than allowed.
+  LimitExceeded,  ///< A message or a list is larger than allowed.
   Trace,          ///< A recorded trace cannot be read.
   Policy,         ///< A policy program is invalid.
 };
 
-/// \returns the kind's name as in logs and responses: `outcome-unknown`.
+/// Returns the kind's name as in logs and responses: `outcome-unknown`.
 const char *toString(ErrorKind Kind);
 
 /// Base class of all exceptions that yardrill throws. what() is the kind's name
@@ -35,7 +35,7 @@
   Error(ErrorKind Kind, const std::string &Detail);
 
   ErrorKind kind() const { return m_Kind; }
-  /// \returns the description without the kind's name.
+  /// Returns the description without the kind's name.
   const std::string &detail() const { return m_Detail; }
 
 private:
--- a/Libraries/LibCore/LogReader.h
+++ b/Libraries/LibCore/LogReader.h
@@ -18,11 +18,11 @@
   std::string m_Event;
   std::map<std::string, std::string> m_Fields; ///< Other fields, unescaped.
 
-  /// \returns the field's value, or "" when the line has no such field.
+  /// Returns the field's value, or "" when the line has no such field.
   std::string field(const std::string &Name) const;
 };
 
-/// \returns none for a line that LogLine did not write.
+/// Returns none for a line that LogLine did not write.
 std::optional<LogEntry> parseLogLine(std::string_view Line);
 
 } // namespace yardrill::core
--- a/Libraries/LibCore/MPSCQueue.h
+++ b/Libraries/LibCore/MPSCQueue.h
@@ -27,7 +27,7 @@
       delete Value;
   }
 
-  /// \returns false when the queue is full; \p Value is then dropped.
+  /// Returns false when the queue is full; \p Value is then dropped.
   bool tryPush(T Value) {
     auto Owned = std::make_unique<T>(std::move(Value));
     if (!m_Queue.bounded_push(Owned.get()))
--- a/Libraries/LibCore/NonBlockingLogWriter.h
+++ b/Libraries/LibCore/NonBlockingLogWriter.h
@@ -14,7 +14,7 @@
 struct LogWriterLimits {
   double m_LinesPerSecond = 400;
   double m_Burst = 2000;              ///< In lines.
-  std::size_t m_BufferBytes = 262144; ///< Buffered for a slow reader.
+  std::size_t m_BufferBytes = 262144; ///< Maximum held for a slow reader.
 };
 
 /// Buffers log lines and writes them to a file descriptor without blocking.
@@ -31,7 +31,7 @@
   void add(const std::string &Line, TimePoint Now);
   /// Writes as much as the descriptor accepts without blocking.
   void flush(TimePoint Now);
-  /// \returns the number of lines dropped so far.
+  /// Returns the number of lines dropped so far.
   std::uint64_t droppedLines() const { return m_TotalDropped; }
 
 private:
--- a/Libraries/LibCore/Time.h
+++ b/Libraries/LibCore/Time.h
@@ -37,7 +37,7 @@
   return std::chrono::time_point_cast<Duration>(BootClock::now());
 }
 
-/// \returns seconds since the Unix epoch, which machines can compare.
+/// Returns seconds since the Unix epoch, which machines can compare.
 inline std::chrono::seconds wallSeconds() {
   return std::chrono::duration_cast<std::chrono::seconds>(
       std::chrono::system_clock::now().time_since_epoch());
