--- a/Tests/Platform/DeploymentSettingsTest.cpp
+++ b/Tests/Platform/DeploymentSettingsTest.cpp
@@ -56,18 +56,18 @@
   }
 
   void testLinkRateIsValidated() {
-    auto With = [](const std::string &Line) {
+    auto ParseWith = [](const std::string &Line) {
       std::string Text = Example;
       Text.insert(Text.find("maxFds"), Line + "\n");
       return DeploymentSettings::parse(Text, "local.toml");
     };
     CPPUNIT_ASSERT_EQUAL(
-        25e6, With("linkMbps = 200.0").m_Gateway.m_LinkBytesPerSecond);
+        25e6, ParseWith("linkMbps = 200.0").m_Gateway.m_LinkBytesPerSecond);
     CPPUNIT_ASSERT_EQUAL(
-        1.25e8, With("linkMbps = 1000").m_Gateway.m_LinkBytesPerSecond);
+        1.25e8, ParseWith("linkMbps = 1000").m_Gateway.m_LinkBytesPerSecond);
     for (const char *Wrong :
          {"linkMbps = 0", "linkMbps = -1.0", "linkMbps = \"fast\""})
-      CPPUNIT_ASSERT_THROW(With(Wrong), config::DocumentError);
+      CPPUNIT_ASSERT_THROW(ParseWith(Wrong), config::DocumentError);
   }
 
   void testNamesEveryFault() {
--- a/Tests/Platform/StoreClientTest.cpp
+++ b/Tests/Platform/StoreClientTest.cpp
@@ -108,10 +108,11 @@
       CPPUNIT_ASSERT(Read && Read->m_Value == Value);
       CPPUNIT_ASSERT(Read->m_ModRevision == First);
       CPPUNIT_ASSERT(!m_Client->read("none", CallClass::Control, Yield));
-      CompareAndSwap Again{Key, Revision(0), {{Key, "z", std::nullopt}}};
-      auto Lost = m_Client->compareAndSwap(Again, CallClass::Control, Yield);
-      CPPUNIT_ASSERT(!Lost.m_IsSwapped && Lost.m_Current);
-      CPPUNIT_ASSERT(Lost.m_Current->m_Value == Value);
+      CompareAndSwap SecondSwap{Key, Revision(0), {{Key, "z", std::nullopt}}};
+      auto FailedSwap =
+          m_Client->compareAndSwap(SecondSwap, CallClass::Control, Yield);
+      CPPUNIT_ASSERT(!FailedSwap.m_IsSwapped && FailedSwap.m_Current);
+      CPPUNIT_ASSERT(FailedSwap.m_Current->m_Value == Value);
       put(Key, "z", Yield, First.value());
     });
   }
