--- a/Libraries/LibInstance/TrafficThread.cpp
+++ b/Libraries/LibInstance/TrafficThread.cpp
@@ -191,11 +191,11 @@
     const config::ConfigurationHandle &Configuration, bool IsForwarded,
     asio::yield_context Yield) {
   RequestReader Reader(*Configuration, m_Tickets);
-  auto Read = Reader.read(Caller.request(), Account);
+  auto ReadResult = Reader.read(Caller.request(), Account);
   core::RequestId Id(m_NextRequest++);
-  if (const auto *Rejection = std::get_if<Problem>(&Read))
+  if (const auto *Rejection = std::get_if<Problem>(&ReadResult))
     return Caller.sendResponse(toResponse(*Rejection, printableId(Id)), Yield);
-  auto &Request = std::get<ParsedRequest>(Read);
+  auto &Request = std::get<ParsedRequest>(ReadResult);
   Request.m_Arrival.m_Request = Id;
   Request.m_Arrival.m_IsForwarded = IsForwarded;
   OpenRequest Open(*this, Caller, std::move(Request));
