--- a/Libraries/LibPlatform/KeyValueService.h
+++ b/Libraries/LibPlatform/KeyValueService.h
@@ -73,7 +73,7 @@
                                     boost::asio::yield_context Yield) = 0;
   virtual LeaseId grantLease(std::chrono::seconds TimeToLive, CallClass Class,
                              boost::asio::yield_context Yield) = 0;
-  /// \returns false when the lease has ended.
+  /// Returns false when the lease has ended.
   virtual bool keepAlive(LeaseId Lease, boost::asio::yield_context Yield) = 0;
   virtual void revoke(LeaseId Lease, boost::asio::yield_context Yield) = 0;
   /// Calls \p Notify with the changes after \p After, in order, until it
@@ -84,7 +84,7 @@
   watch(const std::string &Prefix, Revision After,
         const std::function<bool(const std::vector<Entry> &)> &Notify,
         boost::asio::yield_context Yield) = 0;
-  /// \returns the newest revision that the store reported; right after
+  /// Returns the newest revision that the store reported; right after
   /// readPrefix(), the revision up to which its entries have all changes.
   virtual Revision lastRevision() const = 0;
 };
--- a/Libraries/LibPlatform/StoreMirror.cpp
+++ b/Libraries/LibPlatform/StoreMirror.cpp
@@ -35,11 +35,11 @@
 }
 
 void StoreMirror::markPending(const Entry &Update) {
-  auto [Place, IsNew] = m_PendingValues.try_emplace(
+  auto [Position, IsNew] = m_PendingValues.try_emplace(
       Update.m_Key, PendingValue{Update.m_ModRevision, Update.m_ModRevision});
-  if (!IsNew && !(Place->second.m_NewestRevision < Update.m_ModRevision))
+  if (!IsNew && !(Position->second.m_NewestRevision < Update.m_ModRevision))
     return;
-  Place->second.m_NewestRevision = Update.m_ModRevision;
+  Position->second.m_NewestRevision = Update.m_ModRevision;
   recordChange(Update);
 }
 
@@ -48,12 +48,12 @@
   if (Found != m_Entries.end()) {
     Entry Replaced = std::move(Found->second);
     m_Entries.erase(Found);
-    if (m_Replaced)
-      m_Replaced(std::move(Replaced));
+    if (m_ReplacedCallback)
+      m_ReplacedCallback(std::move(Replaced));
   }
   if (!Update.m_IsDeleted)
     m_Entries[Update.m_Key] = Update;
-  for (const Subscriber &Notify : m_Notify)
+  for (const Subscriber &Notify : m_Subscribers)
     Notify(Update);
 }
 
@@ -66,8 +66,10 @@
 }
 
 void StoreMirror::replaceAll(Revision At, const std::vector<Entry> &Content) {
+  // Of an older snapshot only pending values and entries newer than revision()
+  // still apply.
   if (At < m_Revision)
-    return apply(At, Content); // Only what is wanted.
+    return apply(At, Content);
   bool IsFirst = m_Revision == Revision();
   std::set<std::string> Present;
   for (const Entry &Each : Content) {
--- a/Libraries/LibPlatform/StoreMirror.h
+++ b/Libraries/LibPlatform/StoreMirror.h
@@ -41,35 +41,39 @@
   explicit StoreMirror(std::size_t MaxChanges) : m_MaxChanges(MaxChanges) {}
 
   /// Calls \p Notify with each change, removals included, after it is applied.
-  void subscribe(Subscriber Notify) { m_Notify.push_back(std::move(Notify)); }
+  void subscribe(Subscriber Notify) {
+    m_Subscribers.push_back(std::move(Notify));
+  }
 
   /// Sets a function that receives each entry that was replaced or removed.
   void setReplacedCallback(ReplacedCallback Callback) {
-    m_Replaced = std::move(Callback);
+    m_ReplacedCallback = std::move(Callback);
   }
 
   /// Applies a snapshot of all entries at revision \p At. Some may be newer, as
-  /// a range is read in several pages.
+  /// a range is read in several pages. A snapshot older than revision() removes
+  /// nothing.
   void replaceAll(Revision At, const std::vector<Entry> &Content);
   /// Applies \p Changes, which are all those after revision() up to \p At.
   void apply(Revision At, const std::vector<Entry> &Changes);
 
-  /// Applies a pending value, or a newer value of the same key.
+  /// Applies a value newer than the current one of its key; ignores it unless a
+  /// value of that key is pending.
   void supplyValue(const Entry &Value);
 
-  /// \returns the revision up to which changes were applied; 0 before the first
+  /// Returns the revision up to which changes were applied; 0 before the first
   /// update.
   Revision revision() const { return m_Revision; }
-  /// \returns the revision up to which no value is pending. Even while values
+  /// Returns the revision up to which no value is pending. Even while values
   /// change faster than they arrive, it grows with each that arrives.
   Revision completeRevision() const;
-  /// \returns the pending values by key.
+  /// Returns the pending values by key.
   const PendingValueMap &pendingValues() const { return m_PendingValues; }
-  /// \returns the entry, or null when there is none.
+  /// Returns the entry, or null when there is none.
   const Entry *find(const std::string &Key) const;
-  /// \returns a snapshot of all entries; pending values are omitted.
+  /// Returns a snapshot of all entries; pending values are omitted.
   std::vector<Entry> content() const;
-  /// \returns the newest change of each key after \p After, or none when some
+  /// Returns the newest change of each key after \p After, or none when some
   /// of these changes are no longer kept.
   std::optional<std::vector<Entry>> changesSince(Revision After) const;
 
@@ -89,7 +93,7 @@
   /// Removes the entries that a snapshot read at \p At does not have.
   void removeAbsent(Revision At, const std::set<std::string> &Present);
   bool isPresent(const std::string &Key) const;
-  /// \returns the entry of \p Key, without its value if that is pending.
+  /// Returns the entry of \p Key, without its value if that is pending.
   /// \pre isPresent(Key).
   Entry current(const std::string &Key) const;
   void recordChange(const Entry &Update);
@@ -101,8 +105,8 @@
   std::map<std::string, Entry> m_Entries;
   PendingValueMap m_PendingValues;
   std::deque<Change> m_Changes;
-  std::vector<Subscriber> m_Notify;
-  ReplacedCallback m_Replaced;
+  std::vector<Subscriber> m_Subscribers;
+  ReplacedCallback m_ReplacedCallback;
 };
 
 } // namespace yardrill::platform
