--- a/Libraries/LibConfig/InstanceSettings.cpp
+++ b/Libraries/LibConfig/InstanceSettings.cpp
@@ -8,8 +8,8 @@
 
 namespace yardrill::config {
 
-static const IntegerRange TimeoutRange{1, 86'400'000};
-static const IntegerRange DelayRange{0, 86'400'000};
+static const IntegerRange TimeoutRangeMs{1, 86'400'000};
+static const IntegerRange DelayRangeMs{0, 86'400'000};
 static const IntegerRange SizeRange{1, 1'000'000'000};
 // boost::lockfree's fixed-size queue counts its nodes in 16 bits.
 static const IntegerRange QueueCapacityRange{16, 65'534};
@@ -33,8 +33,8 @@
   header_bytes: 16384                # larger headers get status 431
   body_bytes: 8388608                # larger bodies get status 413
   open_connections: 4096             # more wait in the listen queue
-  open_requests: 4096                # more are answered 503, not run
-  read_timeout_ms: 10000             # slower headers or bodies get status 408
+  open_requests: 4096                # not enforced yet
+  read_timeout_ms: 10000             # slower requests get status 408
   write_timeout_ms: 30000            # slower readers are disconnected
   idle_timeout_ms: 60000             # between requests of one connection
 
@@ -75,43 +75,44 @@
   Out.m_TraceFile = Reader.readString("trace_file", "");
   Out.m_QueueCapacity = static_cast<std::size_t>(
       Reader.readInteger("ring_capacity", QueueCapacityRange, 16384));
-  Out.m_DrainDelay = Reader.readMilliseconds("drain_notice_ms", DelayRange, 0);
+  Out.m_DrainDelay =
+      Reader.readMilliseconds("drain_notice_ms", DelayRangeMs, 0);
   if (Out.m_OperatorToken.empty())
     Reader.reportError("operator_token", "is empty", "a secret");
 }
 
-static std::size_t size(YamlReader &Reader, const char *Key,
-                        std::int64_t Default) {
+static std::size_t readSize(YamlReader &Reader, const char *Key,
+                            std::int64_t Default) {
   return static_cast<std::size_t>(Reader.readInteger(Key, SizeRange, Default));
 }
 
 static void readCallers(YamlReader &Reader, CallerLimits &Out) {
-  Out.m_HeaderBytes = size(Reader, "header_bytes", 16384);
-  Out.m_BodyBytes = size(Reader, "body_bytes", 8388608);
-  Out.m_OpenConnections = size(Reader, "open_connections", 4096);
-  Out.m_MaxOpenRequests = size(Reader, "open_requests", 4096);
+  Out.m_HeaderBytes = readSize(Reader, "header_bytes", 16384);
+  Out.m_BodyBytes = readSize(Reader, "body_bytes", 8388608);
+  Out.m_OpenConnections = readSize(Reader, "open_connections", 4096);
+  Out.m_MaxOpenRequests = readSize(Reader, "open_requests", 4096);
   Out.m_ReadTimeout =
-      Reader.readMilliseconds("read_timeout_ms", TimeoutRange, 10000);
+      Reader.readMilliseconds("read_timeout_ms", TimeoutRangeMs, 10000);
   Out.m_WriteTimeout =
-      Reader.readMilliseconds("write_timeout_ms", TimeoutRange, 30000);
+      Reader.readMilliseconds("write_timeout_ms", TimeoutRangeMs, 30000);
   Out.m_IdleTimeout =
-      Reader.readMilliseconds("idle_timeout_ms", TimeoutRange, 60000);
+      Reader.readMilliseconds("idle_timeout_ms", TimeoutRangeMs, 60000);
 }
 
 static void readTargets(YamlReader &Reader, TargetLimits &Out) {
   Out.m_ConnectTimeout =
-      Reader.readMilliseconds("connect_timeout_ms", TimeoutRange, 1000);
+      Reader.readMilliseconds("connect_timeout_ms", TimeoutRangeMs, 1000);
   Out.m_SilenceTimeout =
-      Reader.readMilliseconds("silence_timeout_ms", TimeoutRange, 60000);
-  Out.m_MaxIdleConnections = size(Reader, "idle_connections", 64);
+      Reader.readMilliseconds("silence_timeout_ms", TimeoutRangeMs, 60000);
+  Out.m_MaxIdleConnections = readSize(Reader, "idle_connections", 64);
 }
 
 static void readIdentities(YamlReader &Reader, IdentityLimits &Out) {
-  Out.m_Identities = size(Reader, "identities", 100000);
-  Out.m_MaxStoreBytes = size(Reader, "answer_bytes", 16777216);
-  Out.m_MaxStoredResponseBytes = size(Reader, "one_answer_bytes", 262144);
+  Out.m_Identities = readSize(Reader, "identities", 100000);
+  Out.m_MaxStoreBytes = readSize(Reader, "answer_bytes", 16777216);
+  Out.m_MaxStoredResponseBytes = readSize(Reader, "one_answer_bytes", 262144);
   Out.m_Retention =
-      Reader.readMilliseconds("retention_ms", TimeoutRange, 600000);
+      Reader.readMilliseconds("retention_ms", TimeoutRangeMs, 600000);
 }
 
 static void readPlatform(YamlReader &Reader, PlatformSettings &Out) {
@@ -119,10 +120,10 @@
   if (Out.m_Addresses.empty())
     Reader.reportError("addresses", "names no address", "one address or more");
   Out.m_CallTimeout =
-      Reader.readMilliseconds("call_timeout_ms", TimeoutRange, 2000);
+      Reader.readMilliseconds("call_timeout_ms", TimeoutRangeMs, 2000);
   Out.m_CallsPerSecond = Reader.readNumber("calls_per_second", 0.1, 10000, 20);
   Out.m_CallBurst = Reader.readNumber("call_burst", 1, 10000, 40);
-  Out.m_MaxWaitingCalls = size(Reader, "waiting_calls", 256);
+  Out.m_MaxWaitingCalls = readSize(Reader, "waiting_calls", 256);
 }
 
 static void readPeers(YamlReader &Reader, PeerSettings &Out) {
@@ -132,10 +133,10 @@
     Reader.reportError("key_hex", "is too short or not hex",
                        "32 hex digits or more");
   Out.m_HeartbeatPeriod =
-      Reader.readMilliseconds("heartbeat_ms", TimeoutRange, 1000);
+      Reader.readMilliseconds("heartbeat_ms", TimeoutRangeMs, 1000);
   Out.m_SilenceTimeout =
-      Reader.readMilliseconds("silence_ms", TimeoutRange, 5000);
-  Out.m_MaxKnownPeers = size(Reader, "known_peers", 1024);
+      Reader.readMilliseconds("silence_ms", TimeoutRangeMs, 5000);
+  Out.m_MaxKnownPeers = readSize(Reader, "known_peers", 1024);
 }
 
 InstanceSettings InstanceSettings::parse(const std::string &Text,
--- a/Libraries/LibConfig/InstanceSettings.h
+++ b/Libraries/LibConfig/InstanceSettings.h
@@ -19,21 +19,23 @@
   std::size_t m_BodyBytes = 0;   ///< Larger bodies: status 413.
   /// Further connections wait in the kernel's listen queue.
   std::size_t m_OpenConnections = 0;
-  /// FIXME: Read, but not enforced.
+  /// Maximum number of requests in progress at this instance.
+  /// FIXME: It is only read; no request is refused because of it.
   std::size_t m_MaxOpenRequests = 0;
-  /// Time for a header or body to arrive; then status 408.
+  /// Time from the first bytes of a request to the end of its body, after which
+  /// it is refused with status 408.
   core::Duration m_ReadTimeout{};
   /// Time for one write, after which the connection is closed.
   core::Duration m_WriteTimeout{};
-  /// Time between two requests, after which the connection is closed.
+  /// Time to wait for the next request, after which the connection is closed.
   core::Duration m_IdleTimeout{};
 };
 
 /// Limits on connections to targets.
 struct TargetLimits {
   core::Duration m_ConnectTimeout{};
-  /// Maximum time without progress while a request is sent or its response
-  /// received.
+  /// Maximum time to send a request, to receive the header of its response, and
+  /// between two parts of the body of the response.
   core::Duration m_SilenceTimeout{};
   std::size_t m_MaxIdleConnections = 0; ///< Per target, for reuse.
 };
@@ -43,7 +45,9 @@
   std::size_t m_Identities = 0; ///< Further ones: status 429 `identities-full`.
   std::size_t m_MaxStoreBytes = 0;          ///< Sum over all stored responses.
   std::size_t m_MaxStoredResponseBytes = 0; ///< Larger ones are not stored.
-  core::Duration m_Retention{}; ///< Time after which an identity is forgotten.
+  /// Time after which an identity is forgotten, counted from the issue of its
+  /// ticket or from the first request with its key.
+  core::Duration m_Retention{};
 };
 
 /// Connection to the platform's metadata store.
@@ -51,7 +55,7 @@
   std::vector<Endpoint> m_Addresses;
   core::Duration m_CallTimeout{};
   double m_CallsPerSecond = 0;       ///< Rate limit over all kinds of calls.
-  double m_CallBurst = 0;            ///< Number of calls.
+  double m_CallBurst = 0;            ///< Burst that it allows, in calls.
   std::size_t m_MaxWaitingCalls = 0; ///< Further calls fail at once.
 };
 
@@ -60,7 +64,8 @@
   std::vector<Endpoint> m_Seeds; ///< Peer addresses of some instances.
   std::string m_Key;             ///< Secret that all instances share, as bytes.
   core::Duration m_HeartbeatPeriod{};
-  core::Duration m_SilenceTimeout{}; ///< Then a peer is considered gone.
+  /// Time without a message, after which a peer is considered gone.
+  core::Duration m_SilenceTimeout{};
   std::size_t m_MaxKnownPeers = 0;
 };
 
