--- a/Libraries/LibConfig/FleetConfiguration.cpp
+++ b/Libraries/LibConfig/FleetConfiguration.cpp
@@ -11,7 +11,7 @@
 static const IntegerRange TierNumberRange{1, 16};
 static const IntegerRange CountRange{1, 1'000'000};
 static const IntegerRange CountOrZeroRange{0, 1'000'000};
-static const IntegerRange DeadlineRange{1, 86'400'000};
+static const IntegerRange DeadlineRangeMs{1, 86'400'000};
 static const std::size_t Sha256HexDigits = 64;
 static const std::size_t MaxNameBytes = 64;
 
@@ -66,7 +66,8 @@
   Out.m_Name = readName(Reader);
   Out.m_Number = core::TierNumber(
       static_cast<std::uint32_t>(Reader.readInteger("tier", TierNumberRange)));
-  Out.m_Deadline = Reader.readMilliseconds("deadline_ms", DeadlineRange, 30000);
+  Out.m_Deadline =
+      Reader.readMilliseconds("deadline_ms", DeadlineRangeMs, 30000);
   return Out;
 }
 
@@ -151,7 +152,7 @@
 static void reportIfDuplicate(Map &Seen, const Key &Name, std::size_t Index,
                               YamlReader &Reader, const char *Field) {
   if (!Seen.emplace(Name, Index).second)
-    Reader.reportError(Field, "is used twice", "each value once");
+    Reader.reportError(Field, "repeats an earlier value", "each value once");
 }
 
 std::shared_ptr<const FleetConfiguration>
--- a/Libraries/LibConfig/FleetConfiguration.h
+++ b/Libraries/LibConfig/FleetConfiguration.h
@@ -28,9 +28,10 @@
   std::string m_KeySha256; ///< SHA-256 of the bearer key, in hex.
   std::string m_DefaultTier;
   std::vector<std::string> m_Tiers; ///< Tiers that its requests may name.
-  /// Relative share of targets among the accounts that wait in one tier.
+  /// Relative share of the work that is served among the accounts that wait in
+  /// one tier.
   double m_Weight = 1;
-  /// Further requests are refused with status 429.
+  /// Maximum at one instance; further requests are refused with status 429.
   std::size_t m_MaxOpenRequests = 0;
 };
 
