--- a/Libraries/LibConfig/YamlReader.h
+++ b/Libraries/LibConfig/YamlReader.h
@@ -32,13 +32,15 @@
   YamlReader(const YAML::Node &Node, std::string Path,
              std::vector<Diagnostic> &Diagnostics);
 
+  /// Parses \p Text; \p File names it in diagnostics.
   /// \throws DocumentError of \p Kind when \p Text is not valid YAML.
   static YAML::Node load(const std::string &Text, const std::string &File,
                          core::ErrorKind Kind);
 
   bool has(const std::string &Key);
   /// Returns the value of \p Key, or \p Default when it is absent; without a
-  /// default the key is required. The other functions do the same.
+  /// default the key is required. The other functions with a default do the
+  /// same.
   std::string
   readString(const std::string &Key,
              const std::optional<std::string> &Default = std::nullopt);
