--- a/Programs/yardrill/GatewayVerb.cpp
+++ b/Programs/yardrill/GatewayVerb.cpp
@@ -20,8 +20,9 @@
             "choose targets by this instance's outstanding requests alone, "
             "without a queue; a baseline for measurements");
 DEFINE_uint32(group_size, 0,
-              "number of instances in a group, which share a subset of the "
-              "targets; 0: derived from the number of targets");
+              "maximum number of instances in a group, which share a subset "
+              "of the targets; 0: derived from the numbers of instances and "
+              "targets");
 
 namespace yardrill::program {
 
