--- a/Programs/yardrill/RequestTimeline.cpp
+++ b/Programs/yardrill/RequestTimeline.cpp
@@ -182,8 +182,8 @@
     bool IsRelated = Target.empty() ? Sources.count(Each.m_Source) != 0
                                     : Targets.count(Target) != 0;
     // Events of its content are relevant at any time and instance.
-    std::string Seen = Each.m_Entry.field("content");
-    if (!Seen.empty() && Seen == Content &&
+    std::string EventContent = Each.m_Entry.field("content");
+    if (!EventContent.empty() && EventContent == Content &&
         Each.m_Entry.m_Event != "target-broke") {
       Out << Each.m_Entry.m_Event << " for its content, at " << Each.m_Source
           << (Target.empty() ? "" : ": " + Target) << '\n';
@@ -191,13 +191,13 @@
     }
     if (SecondsBefore < 0 || SecondsBefore > ContextSeconds || !IsRelated)
       continue;
-    std::string What = Each.m_Entry.m_Event;
-    What += Target.empty() ? " at " + Each.m_Source : " of " + Target;
-    ++Counts[What];
+    std::string Description = Each.m_Entry.m_Event;
+    Description += Target.empty() ? " at " + Each.m_Source : " of " + Target;
+    ++Counts[Description];
   }
-  for (const auto &[What, Count] : Counts)
-    Out << "in the " << ContextSeconds << " s before: " << What << ", " << Count
-        << " times\n";
+  for (const auto &[Description, Count] : Counts)
+    Out << "in the " << ContextSeconds << " s before: " << Description << ", "
+        << Count << " times\n";
 }
 
 } // namespace yardrill::program
--- a/Programs/yardrill/ServeVerb.cpp
+++ b/Programs/yardrill/ServeVerb.cpp
@@ -51,7 +51,7 @@
   waitForSignal(Signals);
   std::atomic<bool> IsStopForced{false};
   // A second signal stops the instance without waiting for open requests.
-  std::thread Second([&] {
+  std::thread SecondSignalThread([&] {
     waitForSignal(Signals);
     IsStopForced = true;
   });
@@ -60,7 +60,7 @@
   // Ends the second thread's wait; all other threads block the signal.
   if (!WasForced)
     kill(getpid(), SIGINT);
-  Second.join();
+  SecondSignalThread.join();
   return WasForced ? ExitFailure : ExitSuccess;
 }
 
