--- a/Tests/LibCore/MPSCQueueTest.cpp
+++ b/Tests/LibCore/MPSCQueueTest.cpp
@@ -29,21 +29,21 @@
 
   void testManyProducersLoseNothing() {
     static const int Producers = 4;
-    static const int Each = 10000;
+    static const int ItemsPerProducer = 10000;
     std::atomic<int> Wakes{0};
     MPSCQueue<int> Queue(64, [&] { ++Wakes; });
     std::vector<std::thread> Threads;
     for (int P = 0; P < Producers; ++P)
       Threads.emplace_back([&, P] {
-        for (int I = 0; I < Each; ++I)
-          while (!Queue.tryPush(P * Each + I))
+        for (int I = 0; I < ItemsPerProducer; ++I)
+          while (!Queue.tryPush(P * ItemsPerProducer + I))
             std::this_thread::yield();
       });
     std::vector<int> Last(Producers, -1);
     int Count = 0;
-    while (Count < Producers * Each)
+    while (Count < Producers * ItemsPerProducer)
       Queue.drain([&](int Value) {
-        int P = Value / Each;
+        int P = Value / ItemsPerProducer;
         CPPUNIT_ASSERT(Last[static_cast<std::size_t>(P)] < Value);
         Last[static_cast<std::size_t>(P)] = Value;
         ++Count;
--- a/Tests/LibHTTP/ServerTest.cpp
+++ b/Tests/LibHTTP/ServerTest.cpp
@@ -23,13 +23,13 @@
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr int Callers = 64;
-  static constexpr int RequestsOfCaller = 300;
+  static constexpr int RequestsPerCaller = 300;
 
   asio::io_context m_Context{1};
   std::unique_ptr<Server> m_Server;
   std::thread m_Thread;
   std::atomic<int> m_Disconnects{0};
-  std::atomic<int> m_Done{0};
+  std::atomic<int> m_FinishedCallers{0};
 
   void start(std::chrono::milliseconds ResponseDelay) {
     m_Server = Server::create(
@@ -57,27 +57,27 @@
     return Out;
   }
   /// Sends a request whose body ends in a packet of its own.
-  static void sendSplitRequest(tcp::socket &To) {
+  static void sendSplitRequest(tcp::socket &Socket) {
     static const std::string Head =
         "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 6\r\n\r\n";
-    asio::write(To, asio::buffer(Head));
-    asio::write(To, asio::buffer("one", 3));
-    asio::write(To, asio::buffer("two", 3));
+    asio::write(Socket, asio::buffer(Head));
+    asio::write(Socket, asio::buffer("one", 3));
+    asio::write(Socket, asio::buffer("two", 3));
   }
   /// Sends requests in succession, on the server's thread, so that the next one
   /// often arrives before the write of the last response has returned.
   void callMany(asio::yield_context Yield) {
-    tcp::socket To(m_Context);
-    To.async_connect({asio::ip::make_address("127.0.0.1"), m_Server->port()},
-                     Yield);
+    tcp::socket Socket(m_Context);
+    Socket.async_connect(
+        {asio::ip::make_address("127.0.0.1"), m_Server->port()}, Yield);
     static const std::string Request = "POST / HTTP/1.1\r\nHost: h\r\n"
                                        "Content-Length: 6\r\n\r\nonetwo";
-    for (int I = 0; I < RequestsOfCaller; ++I) {
-      asio::async_write(To, asio::buffer(Request), Yield);
+    for (int I = 0; I < RequestsPerCaller; ++I) {
+      asio::async_write(Socket, asio::buffer(Request), Yield);
       char Response[256];
-      To.async_read_some(asio::buffer(Response), Yield);
+      Socket.async_read_some(asio::buffer(Response), Yield);
     }
-    ++m_Done;
+    ++m_FinishedCallers;
   }
 
 public:
@@ -92,17 +92,17 @@
       asio::spawn(
           m_Context, [this](asio::yield_context Yield) { callMany(Yield); },
           asio::detached);
-    for (int I = 0; I < 4000 && m_Done < Callers; ++I)
+    for (int I = 0; I < 4000 && m_FinishedCallers < Callers; ++I)
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    CPPUNIT_ASSERT_EQUAL(Callers, m_Done.load());
+    CPPUNIT_ASSERT_EQUAL(Callers, m_FinishedCallers.load());
   }
 
   void testDisconnectIsDetectedAfterSplitBody() {
     start(std::chrono::seconds(30));
     for (int I = 0; I < 50; ++I) {
       asio::io_context ClientContext;
-      tcp::socket To = connect(ClientContext);
-      sendSplitRequest(To);
+      tcp::socket Socket = connect(ClientContext);
+      sendSplitRequest(Socket);
       std::this_thread::sleep_for(std::chrono::milliseconds(3));
     }
     for (int I = 0; I < 200 && m_Disconnects < 50; ++I)
