--- a/Tests/LibInstance/ClaimServiceTest.cpp
+++ b/Tests/LibInstance/ClaimServiceTest.cpp
@@ -25,7 +25,7 @@
 };
 
 /// Store in memory whose next write can be made to fail.
-class MockService final : public tests::EmptyStore {
+class MockStore final : public tests::EmptyStore {
 public:
   std::map<std::string, std::string> m_Entries;
   WriteFailure m_NextWrite = WriteFailure::None;
@@ -81,7 +81,7 @@
   CPPUNIT_TEST(testLeaseIsShared);
   CPPUNIT_TEST_SUITE_END();
 
-  MockService m_Service;
+  MockStore m_Store;
 
   static InstanceRef owner(std::uint64_t Incarnation) {
     return {core::IncarnationId(Incarnation), {"127.0.0.1", 8082}};
@@ -90,7 +90,7 @@
   ClaimCompleted claim(std::uint64_t By, std::uint64_t Request,
                        const std::string &Identity = "key") {
     boost::asio::io_context Context;
-    ClaimService Service(m_Service, owner(By), std::chrono::minutes(10));
+    ClaimService Service(m_Store, owner(By), std::chrono::minutes(10));
     ClaimCompleted Out;
     boost::asio::spawn(
         Context,
@@ -109,32 +109,32 @@
     CPPUNIT_ASSERT(Second.m_Outcome == ClaimOutcome::Held);
     CPPUNIT_ASSERT(Second.m_Owner == owner(1));
     CPPUNIT_ASSERT_EQUAL(std::uint16_t(8082), Second.m_Owner.m_Peer.m_Port);
-    // The claim is the request's, not the instance's.
+    // Another request of the same instance does not hold the claim.
     CPPUNIT_ASSERT(claim(1, 6).m_Outcome == ClaimOutcome::Held);
   }
 
   void testLostAfterWriteIsWon() {
-    m_Service.m_NextWrite = WriteFailure::LostAfterWrite;
+    m_Store.m_NextWrite = WriteFailure::LostAfterWrite;
     CPPUNIT_ASSERT(claim(1, 5).m_Outcome == ClaimOutcome::Won);
   }
 
   void testLostBeforeWriteMayTakeEffect() {
-    m_Service.m_NextWrite = WriteFailure::LostBeforeWrite;
+    m_Store.m_NextWrite = WriteFailure::LostBeforeWrite;
     ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
 
   void testUnconfirmedWriteMayTakeEffect() {
-    m_Service.m_NextWrite = WriteFailure::LostAfterWrite;
-    m_Service.m_AreReadsFailing = true;
+    m_Store.m_NextWrite = WriteFailure::LostAfterWrite;
+    m_Store.m_AreReadsFailing = true;
     ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(Out.m_MayTakeEffect);
   }
 
   void testRejectedWriteDoesNotTakeEffect() {
-    m_Service.m_NextWrite = WriteFailure::Refused;
+    m_Store.m_NextWrite = WriteFailure::Refused;
     ClaimCompleted Out = claim(1, 5);
     CPPUNIT_ASSERT(Out.m_Outcome == ClaimOutcome::Unavailable);
     CPPUNIT_ASSERT(!Out.m_MayTakeEffect);
@@ -142,13 +142,13 @@
 
   void testUnreadableClaimIsUnavailable() {
     claim(1, 5);
-    m_Service.m_Entries.begin()->second = "not JSON";
+    m_Store.m_Entries.begin()->second = "not JSON";
     CPPUNIT_ASSERT(claim(2, 5).m_Outcome == ClaimOutcome::Unavailable);
   }
 
   void testLeaseIsShared() {
     boost::asio::io_context Context;
-    ClaimService Service(m_Service, owner(1), std::chrono::minutes(10));
+    ClaimService Service(m_Store, owner(1), std::chrono::minutes(10));
     int Won = 0;
     for (std::uint64_t I = 1; I <= 20; ++I)
       boost::asio::spawn(
@@ -160,7 +160,7 @@
           boost::asio::detached);
     Context.run();
     CPPUNIT_ASSERT_EQUAL(20, Won);
-    CPPUNIT_ASSERT_EQUAL(1, m_Service.m_Grants);
+    CPPUNIT_ASSERT_EQUAL(1, m_Store.m_Grants);
   }
 };
 
--- a/Tests/LibInstance/RequestReaderTest.cpp
+++ b/Tests/LibInstance/RequestReaderTest.cpp
@@ -110,17 +110,17 @@
     CPPUNIT_ASSERT(Signature.isValid(Request, 1030));
     CPPUNIT_ASSERT(!Signature.isValid(Request, 1031));
     CPPUNIT_ASSERT(!PeerSignature("other").isValid(Request, 1000));
-    for (int What = 0; What < 5; ++What) {
+    for (int Variant = 0; Variant < 5; ++Variant) {
       http::RequestMessage Changed = Request;
-      if (What == 0)
+      if (Variant == 0)
         Changed.m_Method = "PUT";
-      if (What == 1)
+      if (Variant == 1)
         Changed.m_Target += "y";
-      if (What == 2)
+      if (Variant == 2)
         Changed.m_Body += "!";
-      if (What == 3)
+      if (Variant == 3)
         Changed.m_Headers.set(AccountHeader, "other");
-      if (What == 4)
+      if (Variant == 4)
         Changed.m_Headers.remove(IdempotencyKeyHeader);
       CPPUNIT_ASSERT(!Signature.isValid(Changed, 1000));
     }
