--- a/Tests/LibPlatform/StoreMirrorTest.cpp
+++ b/Tests/LibPlatform/StoreMirrorTest.cpp
@@ -123,7 +123,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("b")->m_Value);
     CPPUNIT_ASSERT(m_Mirror.revision() == Revision(12));
     CPPUNIT_ASSERT(m_Mirror.completeRevision() == Revision(10));
-    // A value between the current and the newest pending one is applied.
+    // A value between the current and the newest pending one is applied; one
+    // older than the current value is ignored.
     m_Mirror.apply(Revision(13), {valueOmitted("a", 13)});
     m_Mirror.supplyValue(put("a", "2", 11));
     m_Mirror.supplyValue(put("a", "1", 3));
@@ -154,7 +155,8 @@
   void testStoreUpdatesResolvePendingValues() {
     m_Mirror.apply(Revision(12),
                    {valueOmitted("a", 11), valueOmitted("b", 12)});
-    // Updates from the store: changes of a watch, then a snapshot.
+    // A watch and a snapshot whose revisions are older than the mirror's still
+    // supply pending values.
     m_Mirror.apply(Revision(11), {put("a", "2", 11)});
     CPPUNIT_ASSERT_EQUAL(std::string("2"), m_Mirror.find("a")->m_Value);
     m_Mirror.replaceAll(Revision(11), {put("b", "2", 12)});
