--- a/Tests/Failures/BadInputTest.cpp
+++ b/Tests/Failures/BadInputTest.cpp
@@ -97,8 +97,8 @@
                       static_cast<std::uint16_t>(port())});
       boost::system::error_code Ignored;
       asio::write(Socket, asio::buffer(Bytes), Ignored);
-      // Sends every third input again and reads the response; the others are
-      // closed unread.
+      // The connection closes without reading the response. Every third input
+      // is sent again, on a connection that reads it.
       if (I % 3 == 1)
         sendRaw(port(), Bytes);
     }
--- a/Tests/Failures/CompleteResponseTest.cpp
+++ b/Tests/Failures/CompleteResponseTest.cpp
@@ -1,8 +1,7 @@
 //===-- CompleteResponseTest.cpp - Responses are complete and not mixed ---===//
 //
-// Brief, "What must always hold": every caller receives the complete response
-// to its own request, and to no other, even when responses arrive late or out
-// of order.
+// Guards against responses that are truncated, or that reach the caller of
+// another request when they arrive late or out of order.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
--- a/Tests/Failures/ConfigurationTest.cpp
+++ b/Tests/Failures/ConfigurationTest.cpp
@@ -1,7 +1,7 @@
 //===-- ConfigurationTest.cpp - Accepted configuration never reverts ------===//
 //
-// Brief, "What must always hold": an accepted configuration is in force
-// everywhere within seconds and never reverts.
+// Guards against an accepted configuration that does not come into force at all
+// instances or that reverts to an older version.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
--- a/Tests/Failures/ShutdownAndLeavingTest.cpp
+++ b/Tests/Failures/ShutdownAndLeavingTest.cpp
@@ -1,7 +1,7 @@
 //===-- ShutdownAndLeavingTest.cpp - Planned stops, leaving targets -------===//
 //
-// Brief, "What must always hold": a planned stop cuts no request in progress; a
-// target that is leaving receives no new work after a few seconds.
+// Guards against a planned stop that breaks off requests in progress, and
+// against new requests to a target that is leaving.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
--- a/Tests/Failures/TierOrderTest.cpp
+++ b/Tests/Failures/TierOrderTest.cpp
@@ -1,7 +1,7 @@
 //===-- TierOrderTest.cpp - Tier order across real processes --------------===//
 //
-// Brief, "What must always hold": a higher tier is never shed while a lower
-// tier still runs. Checked in the logs of all instances.
+// Guards against shedding a request while one of a lower tier still runs.
+// Checked in the logs of all instances.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
