--- a/Tests/Failures/AtMostOnceTest.cpp
+++ b/Tests/Failures/AtMostOnceTest.cpp
@@ -1,8 +1,8 @@
 //===-- AtMostOnceTest.cpp - At-most-once execution under failures --------===//
 //
-// Brief, "What must always hold": every request is dispatched at most once; one
-// that may not be repeated runs at most once over a caller's retries; one that
-// is refused as "not run" did not run. Checked by the application's own count.
+// Guards against requests that are dispatched twice, non-repeatable requests
+// that run twice over a caller's retries, and refusals as "not run" of requests
+// that ran. The application stand-in counts the executions.
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -64,13 +64,13 @@
     CPPUNIT_ASSERT(TestFleet.waitUntilServing());
     std::string Ticket = issueTicket(TestFleet.at(0).m_CallerPort);
     for (int I = 2; I >= 0; --I) {
-      Reply One =
+      Reply Ticketed =
           call(TestFleet.at(I).m_CallerPort, withTicket(Ticket, "by-ticket"));
-      CPPUNIT_ASSERT_EQUAL(200U, One.m_Status);
-      CPPUNIT_ASSERT_EQUAL(std::string("1"), One.header("Execution"));
-      Reply Two = call(TestFleet.at(I).m_CallerPort, withKey("by-key"));
-      CPPUNIT_ASSERT_EQUAL(200U, Two.m_Status);
-      CPPUNIT_ASSERT_EQUAL(std::string("1"), Two.header("Execution"));
+      CPPUNIT_ASSERT_EQUAL(200U, Ticketed.m_Status);
+      CPPUNIT_ASSERT_EQUAL(std::string("1"), Ticketed.header("Execution"));
+      Reply Keyed = call(TestFleet.at(I).m_CallerPort, withKey("by-key"));
+      CPPUNIT_ASSERT_EQUAL(200U, Keyed.m_Status);
+      CPPUNIT_ASSERT_EQUAL(std::string("1"), Keyed.header("Execution"));
     }
     CPPUNIT_ASSERT_EQUAL(std::int64_t(1), executions(TestFleet, "by-ticket"));
     CPPUNIT_ASSERT_EQUAL(std::int64_t(1), executions(TestFleet, "by-key"));
--- a/Tests/Failures/NotRunTest.cpp
+++ b/Tests/Failures/NotRunTest.cpp
@@ -1,7 +1,6 @@
 //===-- NotRunTest.cpp - The outcome "not-run" is true --------------------===//
 //
-// Brief, "What must always hold": a request that is refused as "not run" did
-// not run.
+// Guards against requests that run although they are refused as "not run".
 //
 //===----------------------------------------------------------------------===//
 #include "Fleet.h"
@@ -20,7 +19,7 @@
   CPPUNIT_TEST(testInvalidRequestsAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
-  static http::RequestMessage batchCall(const std::string &Identity) {
+  static http::RequestMessage batchRequest(const std::string &Identity) {
     auto Out = applicationRequest("/holds", Identity);
     Out.m_Headers.set("Yardrill-Tier", "batch");
     return Out;
@@ -39,7 +38,7 @@
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 80; ++I)
       Replies.push_back(callAsync(TestFleet.at(I % 2).m_CallerPort,
-                                  batchCall("load-" + std::to_string(I))));
+                                  batchRequest("load-" + std::to_string(I))));
     std::set<std::string> ProblemTypes;
     for (int I = 0; I < 80; ++I) {
       Reply Response = Replies[static_cast<std::size_t>(I)].get();
@@ -79,7 +78,7 @@
     std::vector<std::future<Reply>> Replies;
     for (int I = 0; I < 50; ++I)
       Replies.push_back(
-          callAsync(TestFleet.at(0).m_CallerPort, batchCall("s")));
+          callAsync(TestFleet.at(0).m_CallerPort, batchRequest("s")));
     std::set<int> Seconds;
     for (auto &Each : Replies) {
       Reply Response = Each.get();
@@ -100,11 +99,11 @@
     auto WrongKey = completionRequest("x", 1, false);
     WrongKey.m_Headers.set("Authorization", "Bearer wrong");
     CPPUNIT_ASSERT_EQUAL(403U, call(Port, WrongKey).m_Status);
-    auto NoTier = completionRequest("x", 1, false, "gold");
-    CPPUNIT_ASSERT_EQUAL(400U, call(Port, NoTier).m_Status);
-    auto NoModel = completionRequest("x", 1, false);
-    NoModel.m_Body = R"({"model":"other","prompt":"x"})";
-    CPPUNIT_ASSERT_EQUAL(404U, call(Port, NoModel).m_Status);
+    auto UnknownTier = completionRequest("x", 1, false, "gold");
+    CPPUNIT_ASSERT_EQUAL(400U, call(Port, UnknownTier).m_Status);
+    auto UnknownModel = completionRequest("x", 1, false);
+    UnknownModel.m_Body = R"({"model":"other","prompt":"x"})";
+    CPPUNIT_ASSERT_EQUAL(404U, call(Port, UnknownModel).m_Status);
     for (const char *Body :
          {"", "{", "[]", "{}", R"({"model":1})", R"({"model":"assistant-1"})",
           R"({"model":"assistant-1","prompt":"x","stream":1})"}) {
