--- a/Tests/StandIns/Platform.cpp
+++ b/Tests/StandIns/Platform.cpp
@@ -11,7 +11,9 @@
 namespace json = boost::json;
 using Clock = std::chrono::steady_clock;
 
-static const std::chrono::milliseconds LeaseCheckPeriod(50);
+/// Period at which the expiry of leases and the end of a phase without
+/// responses are checked.
+static const std::chrono::milliseconds PollPeriod(50);
 
 /// Returns a parameter of the query, percent-decoded (RFC 3986, section 2.1),
 /// or "".
@@ -60,7 +62,7 @@
       m_Context,
       [this](asio::yield_context Yield) {
         while (true) {
-          sleep(LeaseCheckPeriod, Yield);
+          sleep(PollPeriod, Yield);
           auto Leases = m_Leases;
           for (const auto &[Id, HeldLease] : Leases)
             if (HeldLease.m_ExpiresAt <= Clock::now())
@@ -89,11 +91,11 @@
     sleep(std::chrono::milliseconds(m_ResponseDelayMilliseconds), Yield);
   if (m_IsDown)
     return Call.abort();
-  // Counts a call on arrival: one that is held while the store is unresponsive
-  // must not use up the rate limit later, when its caller is gone.
+  // Counted before the call is held: a call that is held while the store is
+  // unresponsive must not use up the rate limit later, when its caller is gone.
   bool IsOverLimit = isOverRateLimit();
   while (m_IsUnresponsive)
-    sleep(LeaseCheckPeriod, Yield);
+    sleep(PollPeriod, Yield);
   if (IsOverLimit)
     return sendJson(Call, json::object{{"error", "rate limit"}}, Yield, 429);
   const http::RequestMessage Request = Call.request();
@@ -313,10 +315,10 @@
     if (Lag > 0)
       sleep(std::chrono::milliseconds(Lag), Yield);
     ++m_Revision;
-    std::optional<Item> Now = Entry;
-    if (Now)
-      Now->m_ModRevision = m_Revision;
-    applyChange(Key, Now);
+    std::optional<Item> NewItem = Entry;
+    if (NewItem)
+      NewItem->m_ModRevision = m_Revision;
+    applyChange(Key, NewItem);
   };
   asio::spawn(m_Context, ApplyLater, asio::detached);
 }
--- a/Tests/StandIns/Platform.h
+++ b/Tests/StandIns/Platform.h
@@ -13,9 +13,10 @@
 
 namespace yardrill::standins {
 
-/// Implements the calls of the users' metadata store: reads of items, ranges in
-/// pages, conditional writes, leases and watches. The instance list is a set of
-/// keys in the store; POST /control writes them, optionally with a delay.
+/// Implements the calls of the platform's metadata store: reads of items,
+/// ranges in pages, conditional writes, leases and watches. The instance list
+/// is a set of keys in the store; POST /control writes them, optionally with a
+/// delay.
 ///
 /// Faults that POST /control injects: an outage, no or slow responses, a rate
 /// limit, responses dropped after the write took effect, writes that take
@@ -41,7 +42,7 @@
   struct Change {
     std::int64_t m_Revision = 0;
     std::string m_Key;
-    std::optional<Item> m_Item; ///< Omitted for a removal.
+    std::optional<Item> m_Item; ///< Not set for a removal.
   };
   struct Lease {
     std::chrono::milliseconds m_TimeToLive{};
