--- a/Tests/StandIns/Application.h
+++ b/Tests/StandIns/Application.h
@@ -22,6 +22,7 @@
 
 private:
   std::map<std::string, std::size_t> m_Executions;
+  /// Time from the execution of a request to its response.
   std::int64_t m_DelayMilliseconds = 0;
   /// "", "before-execution", "after-execution" or "within-answer".
   std::string m_AbortPoint;
--- a/Tests/StandIns/main.cpp
+++ b/Tests/StandIns/main.cpp
@@ -13,10 +13,11 @@
 #include <iostream>
 
 DEFINE_int32(port, 0, "port on loopback");
-DEFINE_uint64(places, 8, "engine: requests it runs at one time");
-DEFINE_double(decode_rate, 200, "engine: tokens a second of one stream");
-DEFINE_double(prefill_rate, 20000, "engine: prompt tokens a second");
-DEFINE_uint64(cached_prefixes, 16, "engine: prefixes kept in its cache");
+DEFINE_uint64(places, 8, "engine: requests that run at the same time");
+DEFINE_double(decode_rate, 200, "engine: output tokens per second and request");
+DEFINE_double(prefill_rate, 20000,
+              "engine: prompt tokens per second and request");
+DEFINE_uint64(cached_prefixes, 16, "engine: capacity of the prefix cache");
 
 using namespace yardrill::standins;
 
