--- a/Tests/Support/ChangingStore.h
+++ b/Tests/Support/ChangingStore.h
@@ -15,7 +15,8 @@
 namespace yardrill::tests {
 
 /// Mock store of one gateway. readPrefix() returns m_Content, or fails while
-/// that is empty; watch() reports the changes that the test makes.
+/// that is empty; watch() reports the changes made by the test and by
+/// compareAndSwap(). Changes do not alter m_Content.
 class ChangingStore final : public EmptyStore {
 public:
   explicit ChangingStore(boost::asio::io_context &Context)
@@ -64,7 +65,8 @@
     Out.m_Revision = platform::Revision(m_NextRevision++);
     return Out;
   }
-  /// Returns the last value of a key. Thread-safe.
+  /// Returns the last value that a change or swap gave to the key, or "".
+  /// Thread-safe.
   std::string valueOf(const std::string &Key) {
     std::lock_guard<std::mutex> Lock(m_Mutex);
     return m_Values[Key];
