--- a/Tests/Support/Fleet.cpp
+++ b/Tests/Support/Fleet.cpp
@@ -44,8 +44,8 @@
   return Out;
 }
 
-Fleet::Fleet(const Options &Wanted)
-    : m_Options(Wanted), m_Folder(makeFolder()) {
+Fleet::Fleet(const Options &FleetOptions)
+    : m_Options(FleetOptions), m_Folder(makeFolder()) {
   std::string Log = m_Folder + "/stand-ins.log";
   std::string StandIn = program("Tests/stand_in");
   m_PlatformPort = freePort();
@@ -53,24 +53,24 @@
   m_Platform = Process(
       {StandIn, "platform", "--port=" + std::to_string(m_PlatformPort)}, Log);
   startApplication();
-  for (int I = 0; I < Wanted.m_Engines; ++I) {
+  for (int I = 0; I < FleetOptions.m_Engines; ++I) {
     m_EnginePorts.push_back(freePort());
     std::vector<std::string> Command = {
         StandIn, "engine", "--port=" + std::to_string(m_EnginePorts.back()),
-        "--places=" + std::to_string(Wanted.m_Slots)};
-    for (const std::string &Flag : splitWords(Wanted.m_EngineFlags))
+        "--places=" + std::to_string(FleetOptions.m_Slots)};
+    for (const std::string &Flag : splitWords(FleetOptions.m_EngineFlags))
       Command.push_back(Flag);
     m_Engines.emplace_back(Command, Log);
   }
-  m_Instances.resize(static_cast<std::size_t>(Wanted.m_Instances));
-  for (int I = 0; I < Wanted.m_Instances; ++I) {
+  m_Instances.resize(static_cast<std::size_t>(FleetOptions.m_Instances));
+  for (int I = 0; I < FleetOptions.m_Instances; ++I) {
     at(I).m_CallerPort = freePort();
     at(I).m_OperatorPort = freePort();
     at(I).m_PeerPort = freePort();
   }
   if (!eventually([&] { return !countersOf(m_PlatformPort).empty(); }))
     throw std::runtime_error("the platform stand-in did not respond in time");
-  for (int I = 0; I < Wanted.m_Instances; ++I) {
+  for (int I = 0; I < FleetOptions.m_Instances; ++I) {
     writeSettings(at(I), I);
     start(I);
   }
@@ -98,21 +98,21 @@
                           m_Folder + "/stand-ins.log");
 }
 
-void Fleet::writeSettings(Instance &Which, int Index) const {
+void Fleet::writeSettings(Instance &Configured, int Index) const {
   std::string Name = "entry-" + std::to_string(Index + 1);
-  Which.m_SettingsFile = m_Folder + "/" + Name + ".yaml";
-  Which.m_LogFile = m_Folder + "/" + Name + ".log";
-  Which.m_TraceFile = m_Folder + "/" + Name + ".trace";
-  std::ofstream Out(Which.m_SettingsFile);
+  Configured.m_SettingsFile = m_Folder + "/" + Name + ".yaml";
+  Configured.m_LogFile = m_Folder + "/" + Name + ".log";
+  Configured.m_TraceFile = m_Folder + "/" + Name + ".trace";
+  std::ofstream Out(Configured.m_SettingsFile);
   Out << "instance:\n  name: " << Name
       << "\n  data_hall: edinburgh\n  caller_address: "
-      << local(Which.m_CallerPort)
-      << "\n  operator_address: " << local(Which.m_OperatorPort)
-      << "\n  peer_address: " << local(Which.m_PeerPort)
+      << local(Configured.m_CallerPort)
+      << "\n  operator_address: " << local(Configured.m_OperatorPort)
+      << "\n  peer_address: " << local(Configured.m_PeerPort)
       << "\n  operator_token: " << OperatorToken << '\n';
-  // For recording the traces under Tests/Traces.
+  // Meta/record-traces requests the traces of Tests/Traces this way.
   if (std::getenv("YARDRILL_TRACE"))
-    Out << "  trace_file: " << Which.m_TraceFile << '\n';
+    Out << "  trace_file: " << Configured.m_TraceFile << '\n';
   Out << "platform:\n  addresses: [" << local(m_PlatformPort)
       << "]\n  call_timeout_ms: 1000\n  calls_per_second: 100\n"
       << "peers:\n  key_hex: 000102030405060708090a0b0c0d0e0f\n"
--- a/Tests/Support/Fleet.h
+++ b/Tests/Support/Fleet.h
@@ -36,16 +36,17 @@
     std::string m_TraceFile;
   };
 
-  explicit Fleet(const Options &Wanted);
+  explicit Fleet(const Options &FleetOptions);
   ~Fleet();
 
   /// Starts instance \p Index, also after it has ended.
   void start(int Index);
-  /// Publishes the configuration and waits until all instances apply it and
-  /// admit every tier in every pool. \returns false on a timeout.
+  /// Publishes the configuration and waits until all instances know each other,
+  /// apply it and admit every tier in every pool. \returns false on a timeout.
   bool waitUntilServing();
   /// Publishes a fleet configuration through instance \p Index.
   /// \param Base version that it replaces.
+  /// \param Change id of the change; publishing it again adds no version.
   /// \returns the response.
   Reply publish(int Index, int Base, const std::string &Change,
                 const std::string &Text);
@@ -75,7 +76,7 @@
   static bool hadInternalFailures();
 
 private:
-  void writeSettings(Instance &Which, int Index) const;
+  void writeSettings(Instance &Configured, int Index) const;
 
   Options m_Options;
   std::string m_Folder;
