--- a/Tests/Support/GatewayFixture.h
+++ b/Tests/Support/GatewayFixture.h
@@ -129,8 +129,8 @@
     Out.m_Body = "body";
     return Out;
   }
-  Reply send(const http::RequestMessage &What) {
-    return call(m_CallerPort, What);
+  Reply send(const http::RequestMessage &Message) {
+    return call(m_CallerPort, Message);
   }
   std::size_t requestCount() const {
     std::size_t Sum = 0;
--- a/Tests/Support/GatewayFleet.cpp
+++ b/Tests/Support/GatewayFleet.cpp
@@ -44,28 +44,28 @@
 }
 
 void GatewayFleet::start(std::size_t Index) {
-  Instance &Where = m_Instances[Index];
+  Instance &Started = m_Instances[Index];
   gateway::GatewaySettings Settings;
   Settings.m_Name = core::InstanceName("gateway-" + std::to_string(Index));
   Settings.m_DataHall = core::DataHallName("hall");
-  Settings.m_CallerAddress = local(Where.m_CallerPort);
-  Settings.m_ReadinessAddress = local(Where.m_ReadinessPort);
-  Settings.m_PeerAddress = local(Where.m_PeerPort);
-  Settings.m_MetricsAddress = local(Where.m_MetricsPort);
+  Settings.m_CallerAddress = local(Started.m_CallerPort);
+  Settings.m_ReadinessAddress = local(Started.m_ReadinessPort);
+  Settings.m_PeerAddress = local(Started.m_PeerPort);
+  Settings.m_MetricsAddress = local(Started.m_MetricsPort);
   Settings.m_PeerKey = "test";
   for (const Instance &Each : m_Instances)
     Settings.m_Seeds.push_back(local(Each.m_PeerPort));
-  Settings.m_IsFirstStart = !Where.m_HasRun;
+  Settings.m_IsFirstStart = !Started.m_HasRun;
   Settings.m_Retries = {0.2, std::chrono::seconds(10), 200};
-  Where.m_HasRun = true;
-  Where.m_Context = std::make_unique<asio::io_context>(1);
-  Where.m_Gateway = gateway::Gateway::Builder()
-                        .settings(Settings)
-                        .dialect(m_Dialect)
-                        .store(m_Store)
-                        .build(*Where.m_Context);
-  Where.m_Gateway->start();
-  Where.m_Thread = std::thread([&Where] { Where.m_Context->run(); });
+  Started.m_HasRun = true;
+  Started.m_Context = std::make_unique<asio::io_context>(1);
+  Started.m_Gateway = gateway::Gateway::Builder()
+                          .settings(Settings)
+                          .dialect(m_Dialect)
+                          .store(m_Store)
+                          .build(*Started.m_Context);
+  Started.m_Gateway->start();
+  Started.m_Thread = std::thread([&Started] { Started.m_Context->run(); });
 }
 
 void GatewayFleet::startAll() {
@@ -74,14 +74,14 @@
 }
 
 void GatewayFleet::kill(std::size_t Index) {
-  Instance &Which = m_Instances[Index];
-  if (!Which.m_Gateway)
+  Instance &Killed = m_Instances[Index];
+  if (!Killed.m_Gateway)
     return;
-  Which.m_Context->stop();
-  Which.m_Thread.join();
+  Killed.m_Context->stop();
+  Killed.m_Thread.join();
   // Before the context, whose destruction ends the coroutines of its requests.
-  Which.m_Gateway.reset();
-  Which.m_Context.reset();
+  Killed.m_Gateway.reset();
+  Killed.m_Context.reset();
 }
 
 void GatewayFleet::killAll() {
--- a/Tests/Support/GatewayFleet.h
+++ b/Tests/Support/GatewayFleet.h
@@ -21,7 +21,7 @@
   GatewayFleet(std::size_t Gateways, std::size_t Targets);
   ~GatewayFleet();
 
-  /// Starts the gateway at \p Index. \pre It is not running.
+  /// Starts the gateway at \p Index, which must not be running.
   void start(std::size_t Index);
   void startAll();
   /// Stops the gateway without a shutdown, as SIGKILL does.
