--- a/Tests/Support/MirrorFleet.cpp
+++ b/Tests/Support/MirrorFleet.cpp
@@ -14,7 +14,7 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-/// Period at which an instance evaluates its peers' reports.
+/// Period at which an instance evaluates its peers' reports, as in PeerService.
 static constexpr milliseconds FetchPeriod{40};
 static constexpr milliseconds RunStep{5};
 static constexpr std::size_t MaxChanges = 4096;
@@ -71,14 +71,14 @@
       fetchFromPeers(*Each);
 }
 
-void MirrorFleet::fetchFromPeers(MirrorInstance &Which) {
-  const platform::StoreMirror &Own = Which.mirror();
+void MirrorFleet::fetchFromPeers(MirrorInstance &Receiver) {
+  const platform::StoreMirror &Own = Receiver.mirror();
   std::vector<gateway::FetchCandidate> Ahead;
   for (const auto &Other : m_Instances)
     if (Own.revision() < Other->mirror().revision() ||
         Own.completeRevision() < Other->mirror().completeRevision())
       Ahead.push_back(Other->asFetchCandidate());
-  Which.fetcher().fetchIfDue(Ahead, false, core::steadyNow());
+  Receiver.fetcher().fetchIfDue(Ahead, false, core::steadyNow());
 }
 
 bool MirrorFleet::haveAllDelivered(const std::string &Key, Revision At) const {
--- a/Tests/Support/MirrorFleet.h
+++ b/Tests/Support/MirrorFleet.h
@@ -72,7 +72,7 @@
 
 private:
   void fetchPeriodically(boost::asio::yield_context Yield);
-  void fetchFromPeers(MirrorInstance &Which);
+  void fetchFromPeers(MirrorInstance &Receiver);
 
   boost::asio::io_context m_Context{1};
   std::vector<std::unique_ptr<MirrorInstance>> m_Instances;
