--- a/Tests/Support/Process.h
+++ b/Tests/Support/Process.h
@@ -26,7 +26,7 @@
   /// Sends SIGKILL and waits for the process to end.
   void kill();
   /// Waits for the process to end. \returns the exit code, or the negated
-  /// signal number.
+  /// signal number; -1 if there is no process.
   int wait();
   /// Returns the result of wait() if the process has ended, else std::nullopt.
   std::optional<int> poll();
--- a/Tests/Support/SuspendedClock.cpp
+++ b/Tests/Support/SuspendedClock.cpp
@@ -17,9 +17,9 @@
 
 } // namespace yardrill::tests
 
-extern "C" int clock_gettime(clockid_t Which, timespec *Out) noexcept {
-  long Result = syscall(SYS_clock_gettime, Which, Out);
-  if (Result == 0 && (Which == CLOCK_BOOTTIME || Which == CLOCK_REALTIME)) {
+extern "C" int clock_gettime(clockid_t ClockId, timespec *Out) noexcept {
+  long Result = syscall(SYS_clock_gettime, ClockId, Out);
+  if (Result == 0 && (ClockId == CLOCK_BOOTTIME || ClockId == CLOCK_REALTIME)) {
     long Ns = Out->tv_nsec + SuspendedNs.load();
     Out->tv_sec += Ns / NsPerSecond;
     Out->tv_nsec = Ns % NsPerSecond;
--- a/Tests/Support/TestClient.h
+++ b/Tests/Support/TestClient.h
@@ -30,12 +30,13 @@
 /// it returns false.
 Reply call(int Port, const http::RequestMessage &Request,
            const std::function<bool(const std::string &)> &OnPiece = nullptr);
-/// Does the same on another thread.
+/// Runs call() on another thread.
 std::future<Reply> callAsync(int Port, const http::RequestMessage &Request);
 /// Sends \p Bytes unchanged and returns everything received until the other
 /// side closes the connection.
 std::string sendRaw(int Port, const std::string &Bytes);
 
+/// Applies settings to a stand-in. \returns its counters.
 boost::json::object controlStandIn(int Port,
                                    const boost::json::object &Settings);
 boost::json::object countersOf(int Port);
