--- a/Tests/Support/QuarantineSimulation.cpp
+++ b/Tests/Support/QuarantineSimulation.cpp
@@ -93,22 +93,22 @@
                         const std::vector<Observation> &Observations);
   void writeStore();
   void readStore(std::size_t Index);
-  void beginFault(const QuarantineFaultEvent &What);
-  void end(const QuarantineFaultEvent &What,
-           const std::vector<std::size_t> &Affected);
+  void beginFault(const QuarantineFaultEvent &Fault);
+  void endFault(const QuarantineFaultEvent &Fault,
+                const std::vector<std::size_t> &Affected);
   void generateHarmless();
   void generateBad(std::size_t Number);
-  void arrive(const RequestHandle &What);
-  void send(const RequestHandle &What);
-  void finish(std::size_t Where, quarantine::IncarnationHash Incarnation,
-              const RequestHandle &What);
-  void exitTarget(std::size_t Where);
+  void arrive(const RequestHandle &Current);
+  void send(const RequestHandle &Current);
+  void finish(std::size_t Index, quarantine::IncarnationHash Incarnation,
+              const RequestHandle &Current);
+  void exitTarget(std::size_t Index);
   void handleInterruption(quarantine::IncarnationHash Incarnation,
-                          const RequestHandle &What);
-  void recordSend(const Request &What);
-  bool isConnected(const Instance &Which) const;
-  bool isRefused(const Request &What) const;
-  void refuse(const Request &What);
+                          const RequestHandle &Current);
+  void recordSend(const Request &Current);
+  bool isConnected(const Instance &Sender) const;
+  bool isRefused(const Request &Current) const;
+  void refuse(const Request &Current);
 
   QuarantineScenario m_Scenario;
   std::mt19937_64 m_Random;
@@ -129,7 +129,7 @@
 };
 
 void QuarantineSimulation::startInstance(std::size_t Index) {
-  Instance &Which = m_Instances[Index];
+  Instance &Started = m_Instances[Index];
   quarantine::GossipHooks Hooks;
   Hooks.m_Broadcast = [this,
                        Index](const std::vector<Observation> &Observations) {
@@ -142,11 +142,11 @@
     for (int I = 0; I < 2; ++I)
       sendObservations(Index, drawBelow(m_Instances.size()), Observations);
   };
-  Which.m_Gossip = std::make_unique<Gossip>(Hooks);
-  Which.m_IsUp = true;
-  Which.m_StartedAt = m_Now;
-  Which.m_RecoveredAt = m_Now;
-  ++Which.m_Incarnation;
+  Started.m_Gossip = std::make_unique<Gossip>(Hooks);
+  Started.m_IsUp = true;
+  Started.m_StartedAt = m_Now;
+  Started.m_RecoveredAt = m_Now;
+  ++Started.m_Incarnation;
   readStore(Index);
 }
 
@@ -194,41 +194,41 @@
 // Faults
 //===----------------------------------------------------------------------===//
 
-void QuarantineSimulation::beginFault(const QuarantineFaultEvent &What) {
+void QuarantineSimulation::beginFault(const QuarantineFaultEvent &Fault) {
   std::vector<std::size_t> Affected;
-  bool AffectsTargets = What.m_Kind == QuarantineFaultKind::ExitTargets;
+  bool AffectsTargets = Fault.m_Kind == QuarantineFaultKind::ExitTargets;
   std::size_t Count = AffectsTargets ? m_Targets.size() : m_Instances.size();
   for (std::size_t I = 0; I < Count; ++I)
-    if (draw() < What.m_Share)
+    if (draw() < Fault.m_Share)
       Affected.push_back(I);
-  if (What.m_Kind == QuarantineFaultKind::StoreDown)
+  if (Fault.m_Kind == QuarantineFaultKind::StoreDown)
     m_IsStoreUp = false;
   for (std::size_t I : Affected) {
     if (AffectsTargets)
       exitTarget(I);
-    if (What.m_Kind == QuarantineFaultKind::Kill)
+    if (Fault.m_Kind == QuarantineFaultKind::Kill)
       m_Instances[I].m_IsUp = false;
-    if (What.m_Kind == QuarantineFaultKind::Cut)
+    if (Fault.m_Kind == QuarantineFaultKind::Cut)
       m_Instances[I].m_IsCut = true;
   }
-  Duration Length = What.m_Kind == QuarantineFaultKind::Kill
+  Duration Length = Fault.m_Kind == QuarantineFaultKind::Kill
                         ? RestartTime
-                        : Duration(What.m_Length);
-  after(Length, [this, What, Affected] { end(What, Affected); });
+                        : Duration(Fault.m_Length);
+  after(Length, [this, Fault, Affected] { endFault(Fault, Affected); });
 }
 
-void QuarantineSimulation::end(const QuarantineFaultEvent &What,
-                               const std::vector<std::size_t> &Affected) {
-  if (What.m_Kind == QuarantineFaultKind::StoreDown) {
+void QuarantineSimulation::endFault(const QuarantineFaultEvent &Fault,
+                                    const std::vector<std::size_t> &Affected) {
+  if (Fault.m_Kind == QuarantineFaultKind::StoreDown) {
     m_IsStoreUp = true;
     m_StoreRecoveredAt = m_Now;
     for (std::size_t I = 0; I < m_Instances.size(); ++I)
       readStore(I);
   }
   for (std::size_t I : Affected) {
-    if (What.m_Kind == QuarantineFaultKind::Kill)
+    if (Fault.m_Kind == QuarantineFaultKind::Kill)
       startInstance(I);
-    if (What.m_Kind != QuarantineFaultKind::Cut)
+    if (Fault.m_Kind != QuarantineFaultKind::Cut)
       continue;
     m_Instances[I].m_IsCut = false;
     m_Instances[I].m_RecoveredAt = m_Now;
@@ -236,9 +236,9 @@
   }
 }
 
-bool QuarantineSimulation::isConnected(const Instance &Which) const {
-  return Which.isReachable() && m_IsStoreUp &&
-         m_Now - Which.m_RecoveredAt >= m_Scenario.m_ContactTime &&
+bool QuarantineSimulation::isConnected(const Instance &Sender) const {
+  return Sender.isReachable() && m_IsStoreUp &&
+         m_Now - Sender.m_RecoveredAt >= m_Scenario.m_ContactTime &&
          m_Now - m_StoreRecoveredAt >= m_Scenario.m_ContactTime;
 }
 
@@ -247,140 +247,142 @@
 //===----------------------------------------------------------------------===//
 
 void QuarantineSimulation::generateHarmless() {
-  auto What = std::make_shared<Request>();
+  auto Current = std::make_shared<Request>();
   if (draw() < m_Scenario.m_PopularShare) {
-    What->m_Kind = Kind::Popular;
-    What->m_Content = {1, drawBelow(PopularContents)};
+    Current->m_Kind = Kind::Popular;
+    Current->m_Content = {1, drawBelow(PopularContents)};
   } else {
-    What->m_Content = {m_NextContent, m_NextContent};
+    Current->m_Content = {m_NextContent, m_NextContent};
     m_NextContent += 7;
   }
-  arrive(What);
+  arrive(Current);
   after(drawInterval(m_Scenario.m_RequestRate *
                      static_cast<double>(m_Targets.size())),
         [this] { generateHarmless(); });
 }
 
 void QuarantineSimulation::generateBad(std::size_t Number) {
-  auto What = std::make_shared<Request>();
-  What->m_Kind = Kind::Bad;
-  What->m_Content = {2, Number};
-  What->m_RetriesLeft = 0;
-  arrive(What);
+  auto Current = std::make_shared<Request>();
+  Current->m_Kind = Kind::Bad;
+  Current->m_Content = {2, Number};
+  Current->m_RetriesLeft = 0;
+  arrive(Current);
   after(drawInterval(m_Scenario.m_BadRate),
         [this, Number] { generateBad(Number); });
 }
 
-void QuarantineSimulation::arrive(const RequestHandle &What) {
-  What->m_Instance = drawBelow(m_Instances.size());
-  const Instance &At = m_Instances[What->m_Instance];
+void QuarantineSimulation::arrive(const RequestHandle &Current) {
+  Current->m_Instance = drawBelow(m_Instances.size());
+  const Instance &At = m_Instances[Current->m_Instance];
   if (!At.m_IsUp)
     return;
-  What->m_Incarnation = At.m_Incarnation;
-  What->m_Sends = 0;
-  m_Result.m_HarmlessAttempts += What->m_Kind != Kind::Bad;
-  send(What);
+  Current->m_Incarnation = At.m_Incarnation;
+  Current->m_Sends = 0;
+  m_Result.m_HarmlessAttempts += Current->m_Kind != Kind::Bad;
+  send(Current);
 }
 
-bool QuarantineSimulation::isRefused(const Request &What) const {
-  const Gossip &Own = *m_Instances[What.m_Instance].m_Gossip;
-  return Own.table().incriminatingIncarnations(What.m_Content) >=
+bool QuarantineSimulation::isRefused(const Request &Current) const {
+  const Gossip &Own = *m_Instances[Current.m_Instance].m_Gossip;
+  return Own.table().incriminatingIncarnations(Current.m_Content) >=
          m_Scenario.m_QuarantineThreshold;
 }
 
-void QuarantineSimulation::refuse(const Request &What) {
-  m_Result.m_HarmlessLost += What.m_Kind != Kind::Bad;
-  m_Result.m_WronglyRefused += What.m_Kind != Kind::Bad;
-  m_Result.m_PopularRefused += What.m_Kind == Kind::Popular;
+void QuarantineSimulation::refuse(const Request &Current) {
+  m_Result.m_HarmlessLost += Current.m_Kind != Kind::Bad;
+  m_Result.m_WronglyRefused += Current.m_Kind != Kind::Bad;
+  m_Result.m_PopularRefused += Current.m_Kind == Kind::Popular;
 }
 
-void QuarantineSimulation::recordSend(const Request &What) {
-  const std::vector<TimePoint> &Exits = m_Exits[What.m_Content];
+void QuarantineSimulation::recordSend(const Request &Current) {
+  const std::vector<TimePoint> &Exits = m_Exits[Current.m_Content];
   if (Exits.size() >= Third &&
       m_Now > Exits[Third - 1] + m_Scenario.m_ContactTime &&
-      isConnected(m_Instances[What.m_Instance]))
-    ++m_LateSends[What.m_Content];
+      isConnected(m_Instances[Current.m_Instance]))
+    ++m_LateSends[Current.m_Content];
 }
 
-void QuarantineSimulation::send(const RequestHandle &What) {
-  if (isRefused(*What))
-    return refuse(*What);
-  Target *Where = nullptr;
+void QuarantineSimulation::send(const RequestHandle &Current) {
+  if (isRefused(*Current))
+    return refuse(*Current);
+  Target *Chosen = nullptr;
   std::size_t Offset = drawBelow(m_Targets.size());
   for (std::size_t I = 0; I < m_Targets.size(); ++I) {
     Target &Each = m_Targets[(I + Offset) % m_Targets.size()];
     if (Each.m_IsUp && Each.m_Running.size() < m_Scenario.m_Slots &&
-        (!Where || Each.m_Running.size() < Where->m_Running.size()))
-      Where = &Each;
+        (!Chosen || Each.m_Running.size() < Chosen->m_Running.size()))
+      Chosen = &Each;
   }
-  if (!Where)
+  if (!Chosen)
     return;
-  ++What->m_Sends;
-  Where->m_Running.push_back(What);
+  ++Current->m_Sends;
+  Chosen->m_Running.push_back(Current);
   Duration Time = Duration(m_Scenario.m_TimeToExit);
-  if (What->m_Kind == Kind::Bad)
-    recordSend(*What);
+  if (Current->m_Kind == Kind::Bad)
+    recordSend(*Current);
   else
-    Time =
-        What->m_Kind == Kind::Popular ? Duration(60ms) : drawInterval(1) + 50ms;
-  auto Index = static_cast<std::size_t>(Where - m_Targets.data());
-  after(Time, [this, Index, Incarnation = Where->m_IncarnationHash, What] {
-    finish(Index, Incarnation, What);
+    Time = Current->m_Kind == Kind::Popular ? Duration(60ms)
+                                            : drawInterval(1) + 50ms;
+  auto Index = static_cast<std::size_t>(Chosen - m_Targets.data());
+  after(Time, [this, Index, Incarnation = Chosen->m_IncarnationHash, Current] {
+    finish(Index, Incarnation, Current);
   });
 }
 
-void QuarantineSimulation::finish(std::size_t Where,
+void QuarantineSimulation::finish(std::size_t Index,
                                   quarantine::IncarnationHash Incarnation,
-                                  const RequestHandle &What) {
-  Target &At = m_Targets[Where];
+                                  const RequestHandle &Current) {
+  Target &At = m_Targets[Index];
   if (At.m_IncarnationHash != Incarnation || !At.m_IsUp)
     return;
-  if (What->m_Kind == Kind::Bad) {
-    m_Exits[What->m_Content].push_back(m_Now);
+  if (Current->m_Kind == Kind::Bad) {
+    m_Exits[Current->m_Content].push_back(m_Now);
     ++m_Result.m_ExitsUnderBad;
-    return exitTarget(Where);
+    return exitTarget(Index);
   }
-  At.m_Running.erase(std::find(At.m_Running.begin(), At.m_Running.end(), What));
-  Instance &From = m_Instances[What->m_Instance];
-  if (From.m_IsUp && From.m_Incarnation == What->m_Incarnation)
-    From.m_Gossip->noteSuccess(What->m_Content, m_Now);
+  At.m_Running.erase(
+      std::find(At.m_Running.begin(), At.m_Running.end(), Current));
+  Instance &From = m_Instances[Current->m_Instance];
+  if (From.m_IsUp && From.m_Incarnation == Current->m_Incarnation)
+    From.m_Gossip->noteSuccess(Current->m_Content, m_Now);
 }
 
-void QuarantineSimulation::exitTarget(std::size_t Where) {
-  Target &Which = m_Targets[Where];
-  if (!Which.m_IsUp)
+void QuarantineSimulation::exitTarget(std::size_t Index) {
+  Target &Exiting = m_Targets[Index];
+  if (!Exiting.m_IsUp)
     return;
-  Which.m_IsUp = false;
+  Exiting.m_IsUp = false;
   std::vector<RequestHandle> Interrupted;
-  Interrupted.swap(Which.m_Running);
+  Interrupted.swap(Exiting.m_Running);
   for (const RequestHandle &Each : Interrupted)
-    after(ProbeTime, [this, Incarnation = Which.m_IncarnationHash, Each] {
+    after(ProbeTime, [this, Incarnation = Exiting.m_IncarnationHash, Each] {
       handleInterruption(Incarnation, Each);
     });
-  after(m_Scenario.m_DownTime, [this, Where] {
-    m_Targets[Where].m_IncarnationHash = m_NextIncarnation++;
-    m_Targets[Where].m_IsUp = true;
+  after(m_Scenario.m_DownTime, [this, Index] {
+    m_Targets[Index].m_IncarnationHash = m_NextIncarnation++;
+    m_Targets[Index].m_IsUp = true;
   });
 }
 
 void QuarantineSimulation::handleInterruption(
-    quarantine::IncarnationHash Incarnation, const RequestHandle &What) {
-  m_Result.m_HarmlessInterrupted += What->m_Kind != Kind::Bad;
-  Instance &At = m_Instances[What->m_Instance];
-  bool IsInstanceGone = !At.m_IsUp || At.m_Incarnation != What->m_Incarnation;
+    quarantine::IncarnationHash Incarnation, const RequestHandle &Current) {
+  m_Result.m_HarmlessInterrupted += Current->m_Kind != Kind::Bad;
+  Instance &At = m_Instances[Current->m_Instance];
+  bool IsInstanceGone =
+      !At.m_IsUp || At.m_Incarnation != Current->m_Incarnation;
   if (!IsInstanceGone) {
-    At.m_Gossip->noteTargetExit(What->m_Content, Incarnation, m_Now);
+    At.m_Gossip->noteTargetExit(Current->m_Content, Incarnation, m_Now);
     bool IsRetried = m_Scenario.m_RetriesSuspects ||
-                     !At.m_Gossip->table().isSuspect(What->m_Content);
-    if (What->m_Sends < MaxSends && IsRetried)
-      return send(What);
+                     !At.m_Gossip->table().isSuspect(Current->m_Content);
+    if (Current->m_Sends < MaxSends && IsRetried)
+      return send(Current);
   }
-  if (What->m_RetriesLeft == 0) {
-    m_Result.m_HarmlessLost += What->m_Kind != Kind::Bad;
+  if (Current->m_RetriesLeft == 0) {
+    m_Result.m_HarmlessLost += Current->m_Kind != Kind::Bad;
     return;
   }
-  --What->m_RetriesLeft;
-  after(RetryDelay, [this, What] { arrive(What); });
+  --Current->m_RetriesLeft;
+  after(RetryDelay, [this, Current] { arrive(Current); });
 }
 
 QuarantineResult QuarantineSimulation::run() {
--- a/Tests/Support/QuarantineSimulation.h
+++ b/Tests/Support/QuarantineSimulation.h
@@ -28,7 +28,7 @@
   std::chrono::milliseconds m_At{};
   std::chrono::milliseconds m_Length{};
   QuarantineFaultKind m_Kind = QuarantineFaultKind::Kill;
-  double m_Share = 1; ///< Share of the instances or targets, 0 to 1.
+  double m_Share = 1; ///< Average share of the instances or targets.
 };
 
 /// Input of one simulated run.
@@ -46,6 +46,7 @@
   double m_BadRate = 2; ///< Attempts per second with each bad content.
   /// Time from the start of a bad request at a target to the target's exit.
   std::chrono::milliseconds m_TimeToExit{100};
+  /// Time from the exit of a target until it runs again.
   std::chrono::milliseconds m_DownTime{3500};
   /// Time after a fault from which an instance counts as connected.
   std::chrono::milliseconds m_ContactTime{3000};
