--- a/Tests/Support/QuotaScenario.cpp
+++ b/Tests/Support/QuotaScenario.cpp
@@ -134,9 +134,9 @@
       Out.m_Events.push_back(randomFaultEvent(Random));
     break;
   default:
-    std::uniform_int_distribution<std::size_t> Which(0,
-                                                     Out.m_Events.size() - 1);
-    Out.m_Events[Which(Random)] = randomFaultEvent(Random);
+    std::uniform_int_distribution<std::size_t> DrawEvent(
+        0, Out.m_Events.size() - 1);
+    Out.m_Events[DrawEvent(Random)] = randomFaultEvent(Random);
     break;
   }
   return Out;
@@ -203,13 +203,13 @@
 
   void sendLargestRequests() {
     double Tokens = m_Scenario.m_Deployment->largestRequest();
-    std::uniform_int_distribution<std::size_t> Where(0,
-                                                     m_Simulation.size() - 1);
+    std::uniform_int_distribution<std::size_t> DrawInstance(
+        0, m_Simulation.size() - 1);
     std::poisson_distribution<int> Count(
         m_Scenario.m_Limit * m_Scenario.m_Load / Tokens *
         core::toSeconds(QuotaSimulation::StepTime));
     for (int Remaining = Count(m_Random); Remaining > 0; --Remaining)
-      m_Simulation.request(Where(m_Random), 0,
+      m_Simulation.request(DrawInstance(m_Random), 0,
                            static_cast<std::uint32_t>(Tokens));
   }
 
@@ -223,8 +223,8 @@
       Mean += Each.m_Share * meanTokens(Each);
     double Rate = m_Scenario.m_Limit * m_Scenario.m_Load / Mean *
                   core::toSeconds(QuotaSimulation::StepTime);
-    std::uniform_int_distribution<std::size_t> Where(0,
-                                                     m_Simulation.size() - 1);
+    std::uniform_int_distribution<std::size_t> DrawInstance(
+        0, m_Simulation.size() - 1);
     for (const QuotaRequestKind &Each : m_Scenario.m_Deployment->m_Kinds) {
       std::poisson_distribution<int> Count(Rate * Each.m_Share);
       for (int Remaining = Count(m_Random); Remaining > 0; --Remaining) {
@@ -232,7 +232,7 @@
                                    Each.m_MaxPromptTokens) +
                         drawTokens(Each.m_MeanResponseTokens, ResponseLogStdDev,
                                    Each.m_MaxResponseTokens);
-        m_Simulation.request(Where(m_Random), 0,
+        m_Simulation.request(DrawInstance(m_Random), 0,
                              static_cast<std::uint32_t>(Tokens));
       }
     }
--- a/Tests/Support/QuotaScenario.h
+++ b/Tests/Support/QuotaScenario.h
@@ -7,8 +7,8 @@
 // quota_search.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_TESTS_QUOTASCENARIO_H
-#define YARDRILL_TESTS_QUOTASCENARIO_H
+#ifndef YARDRILL_TESTS_SUPPORT_QUOTASCENARIO_H
+#define YARDRILL_TESTS_SUPPORT_QUOTASCENARIO_H
 
 #include "LibCore/Time.h"
 #include "LibRouting/QuotaOwner.h"
@@ -53,7 +53,8 @@
 struct QuotaFaultEvent {
   core::Duration m_At{}; ///< Time since the start of the scenario.
   QuotaFaultKind m_Kind = QuotaFaultKind::Kill;
-  double m_Share = 1; ///< Share of the instances; of the spare ones for Add.
+  /// Average share of the instances; for Add, share of the spare instances.
+  double m_Share = 1;
   core::Duration m_Duration{};
 };
 
@@ -73,6 +74,7 @@
   static QuotaScenario random(const QuotaDeployment &Deployment,
                               std::uint64_t Seed);
   /// Returns a copy with another seed, or with one fault added or replaced.
+  /// Adds none to a scenario that already has the maximum number of faults.
   QuotaScenario mutated(std::mt19937_64 &Random) const;
   std::string describe() const;
 };
