--- a/Tests/Support/QuotaSimulation.cpp
+++ b/Tests/Support/QuotaSimulation.cpp
@@ -98,13 +98,14 @@
     return !IsSplit && From.m_CutUntil <= m_Now && To.m_CutUntil <= m_Now;
   }
 
-  bool hasDetectedCut(const ModelInstance &Which) const {
-    bool IsOff = std::max(Which.m_CutUntil, Which.m_SplitUntil) > m_Now;
-    return IsOff && Which.m_DetectsCutAt <= m_Now;
+  bool hasDetectedCut(const ModelInstance &Instance) const {
+    bool IsCutOff =
+        std::max(Instance.m_CutUntil, Instance.m_SplitUntil) > m_Now;
+    return IsCutOff && Instance.m_DetectsCutAt <= m_Now;
   }
-  void scheduleCutDetection(ModelInstance &Which) {
-    if (std::max(Which.m_CutUntil, Which.m_SplitUntil) <= m_Now)
-      Which.m_DetectsCutAt =
+  void scheduleCutDetection(ModelInstance &Instance) {
+    if (std::max(Instance.m_CutUntil, Instance.m_SplitUntil) <= m_Now)
+      Instance.m_DetectsCutAt =
           m_Now + drawDuration(MinDetectionTime, MaxDetectionTime);
   }
 
@@ -144,12 +145,12 @@
     Instance.m_ReadsAt = core::TimePoint::max();
   }
 
-  void send(std::size_t To, const Datagram &What) {
+  void send(std::size_t To, const Datagram &Message) {
     std::uniform_real_distribution<double> Chance(0, 1);
     ModelInstance &Receiver = m_Instances[To];
-    if (Receiver.m_Quota && canReach(m_Instances[What.m_From], Receiver) &&
+    if (Receiver.m_Quota && canReach(m_Instances[Message.m_From], Receiver) &&
         Chance(m_Random) >= LossShare)
-      Receiver.m_Inbox.push_back(What);
+      Receiver.m_Inbox.push_back(Message);
   }
 
   void begin(std::size_t Instance, const CallerRequest &Request) {
@@ -209,46 +210,46 @@
     }
   }
 
-  void handleDatagram(std::size_t Instance, const Datagram &What) {
+  void handleDatagram(std::size_t Instance, const Datagram &Received) {
     DistributedQuota &Quota = *m_Instances[Instance].m_Quota;
-    if (!What.m_IsResponse) {
+    if (!Received.m_IsResponse) {
       Datagram Response;
       Response.m_From = Instance;
-      Response.m_Acquisition = What.m_Acquisition;
+      Response.m_Acquisition = Received.m_Acquisition;
       Response.m_IsResponse = true;
-      Response.m_Request = What.m_Request;
-      Response.m_IsCharge = What.m_IsCharge;
-      Response.m_Response = What.m_IsCharge
-                                ? charge(Quota, What.m_Request)
-                                : Quota.handleRequest(What.m_Request, m_Now);
-      return send(What.m_From, Response);
+      Response.m_Request = Received.m_Request;
+      Response.m_IsCharge = Received.m_IsCharge;
+      Response.m_Response =
+          Received.m_IsCharge ? charge(Quota, Received.m_Request)
+                              : Quota.handleRequest(Received.m_Request, m_Now);
+      return send(Received.m_From, Response);
     }
-    if (What.m_IsCharge) {
-      if (What.m_Response.m_Verdict == routing::QuotaVerdict::Granted)
-        Quota.settleCharge(What.m_Request.m_Account, What.m_Request.m_Tokens,
-                           m_Now);
+    if (Received.m_IsCharge) {
+      if (Received.m_Response.m_Verdict == routing::QuotaVerdict::Granted)
+        Quota.settleCharge(Received.m_Request.m_Account,
+                           Received.m_Request.m_Tokens, m_Now);
       return;
     }
-    auto Pending = m_Pending.find(What.m_Acquisition);
-    const config::Endpoint &Owner = m_Instances[What.m_From].m_Address;
+    auto Pending = m_Pending.find(Received.m_Acquisition);
+    const config::Endpoint &Owner = m_Instances[Received.m_From].m_Address;
     bool IsPending =
         Pending != m_Pending.end() &&
         Pending->second.m_Acquisition.m_RemainingOwners.back() == Owner;
     if (IsPending)
-      return applyStep(What.m_Acquisition,
+      return applyStep(Received.m_Acquisition,
                        Quota.handleResponse(Pending->second.m_Acquisition,
-                                            What.m_Response, m_Now));
-    Quota.cacheGrant(Owner, What.m_Request.m_Account, What.m_Response.m_Tokens,
-                     m_Now);
+                                            Received.m_Response, m_Now));
+    Quota.cacheGrant(Owner, Received.m_Request.m_Account,
+                     Received.m_Response.m_Tokens, m_Now);
   }
 
   void expirePending() {
-    std::vector<std::uint64_t> Late;
+    std::vector<std::uint64_t> TimedOut;
     for (const auto &[Id, Pending] : m_Pending)
       if (m_Now - Pending.m_SentAt > DistributedQuota::ResponseTimeout &&
           m_Instances[Pending.m_Instance].m_FrozenUntil <= m_Now)
-        Late.push_back(Id);
-    for (std::uint64_t Id : Late) {
+        TimedOut.push_back(Id);
+    for (std::uint64_t Id : TimedOut) {
       PendingAcquisition &Pending = m_Pending.at(Id);
       DistributedQuota &Quota = *m_Instances[Pending.m_Instance].m_Quota;
       applyStep(Id, Quota.handleTimeout(Pending.m_Acquisition, m_Now));
@@ -286,11 +287,11 @@
                      std::max(Each.m_CutUntil, Each.m_SplitUntil) <= m_Now;
       if (Each.m_ReadsAt <= m_Now && CanRead)
         readStore(Each);
-      for (const CallerRequest &Late :
+      for (const CallerRequest &Delayed :
            std::exchange(Each.m_DelayedRequests, {}))
-        begin(I, Late);
-      for (const Datagram &What : Inboxes[I])
-        handleDatagram(I, What);
+        begin(I, Delayed);
+      for (const Datagram &Received : Inboxes[I])
+        handleDatagram(I, Received);
       returnUnusedGrants(I);
       sendCharges(I);
     }
@@ -348,9 +349,9 @@
 }
 
 void QuotaSimulation::cut(std::size_t Instance, core::Duration Time) {
-  Model::ModelInstance &Which = m_Model->m_Instances[Instance];
-  m_Model->scheduleCutDetection(Which);
-  Which.m_CutUntil = now() + Time;
+  Model::ModelInstance &Affected = m_Model->m_Instances[Instance];
+  m_Model->scheduleCutDetection(Affected);
+  Affected.m_CutUntil = now() + Time;
 }
 
 void QuotaSimulation::split(const std::vector<std::size_t> &Instances,
