--- a/Tests/Support/RateLimitSimulation.cpp
+++ b/Tests/Support/RateLimitSimulation.cpp
@@ -21,14 +21,20 @@
 static constexpr seconds SimulatedTime{40};
 static constexpr seconds LimitFrom{5};
 static constexpr seconds LimitUntil{30};
+/// Time from the start of the limits, or after a fault of the instance, in
+/// which requests are not counted.
 static constexpr seconds ContactTime{3};
 /// Requests sent within this time of the first response with a limit are not
 /// counted.
 static constexpr milliseconds InFlightTime{500};
 static constexpr seconds Window{4};
 static constexpr seconds ReportPeriod{1};
+/// Share of lost datagrams.
 static constexpr double LossShare = 0.03;
+/// Maximum additional delay of late datagrams; all others are delayed by at
+/// most a tenth of it.
 static constexpr milliseconds MaxDelay{300};
+/// Share of late datagrams.
 static constexpr double LateShare = 0.02;
 /// Limit on the delay until an instance learns of a change of the fleet.
 static constexpr milliseconds MaxUpdateDelay{2000};
@@ -115,12 +121,12 @@
   std::size_t drawIndex(std::size_t Count) {
     return std::uniform_int_distribution<std::size_t>(0, Count - 1)(m_Random);
   }
-  bool isUp(const ModelInstance &Which) const {
-    return Which.m_IsMember && Which.m_DownUntil <= m_Now &&
-           Which.m_FrozenUntil <= m_Now;
+  bool isUp(const ModelInstance &Instance) const {
+    return Instance.m_IsMember && Instance.m_DownUntil <= m_Now &&
+           Instance.m_FrozenUntil <= m_Now;
   }
-  bool isCut(const ModelInstance &Which) const {
-    return m_Now < Which.m_CutUntil;
+  bool isCut(const ModelInstance &Instance) const {
+    return m_Now < Instance.m_CutUntil;
   }
   bool isLimited() const {
     return m_Now >= m_Start + LimitFrom && m_Now < m_Start + LimitUntil;
@@ -131,7 +137,7 @@
   std::size_t sendersOf(std::size_t Index,
                         const routing::TargetIncarnation &Incarnation);
   void sendRequest();
-  void handleResponse(const Response &What);
+  void handleResponse(const Response &Received);
   void sendReports(std::size_t From,
                    const std::vector<routing::BackpressureReport> &Reports);
   void deliver();
@@ -229,19 +235,20 @@
       {m_Now + ResponseTime, Index, Target, Own.m_Incarnation});
 }
 
-void RateLimitSimulation::handleResponse(const Response &What) {
-  ModelInstance &Own = m_Instances[What.m_Instance];
-  if (!Own.m_IsMember || Own.m_Incarnation != What.m_Incarnation)
+void RateLimitSimulation::handleResponse(const Response &Received) {
+  ModelInstance &Own = m_Instances[Received.m_Instance];
+  if (!Own.m_IsMember || Own.m_Incarnation != Received.m_Incarnation)
     return;
   routing::TargetBackpressure Backpressure;
   if (isLimited()) {
     Backpressure.m_RequestsPerSecond = m_Scenario.m_Limit;
-    Own.m_LimitKnownAt[What.m_Target] =
-        std::min(Own.m_LimitKnownAt[What.m_Target], m_Now);
+    Own.m_LimitKnownAt[Received.m_Target] =
+        std::min(Own.m_LimitKnownAt[Received.m_Target], m_Now);
   }
-  routing::TargetIncarnation Incarnation = incarnationOf(What.m_Target);
+  routing::TargetIncarnation Incarnation = incarnationOf(Received.m_Target);
   if (Own.m_ThrottleTable->update(Incarnation, Backpressure, m_Now))
-    sendReports(What.m_Instance, {Own.m_ThrottleTable->reportOf(Incarnation)});
+    sendReports(Received.m_Instance,
+                {Own.m_ThrottleTable->reportOf(Incarnation)});
 }
 
 void RateLimitSimulation::sendReports(
