--- a/Tests/Support/RolloutSimulation.cpp
+++ b/Tests/Support/RolloutSimulation.cpp
@@ -16,18 +16,18 @@
 static constexpr double LossShare = 0.01;
 static constexpr std::size_t MaxBadResponses = 50;
 /// Median response time in milliseconds.
-static constexpr double TypicalMs = 60;
+static constexpr double MedianResponseMs = 60;
 
 namespace {
 
-struct Running {
+struct RunningRequest {
   core::TimePoint m_EndsAt{};
   std::size_t m_Instance = 0;
   ResponseCountsKey m_Key;
   ResponseQuality m_Quality = ResponseQuality::Succeeded;
   core::Duration m_Time{};
 
-  bool operator<(const Running &Other) const {
+  bool operator<(const RunningRequest &Other) const {
     return m_EndsAt > Other.m_EndsAt; // The queue returns the earliest first.
   }
 };
@@ -85,8 +85,8 @@
   double elapsedSeconds() const { return core::toSeconds(m_Now - Begin); }
   bool hasDecided() const { return m_Result.m_Decision.has_value(); }
 
-  void start(std::size_t Which, core::Duration Age) {
-    Instance &Each = m_Instances[Which];
+  void start(std::size_t Index, core::Duration Age) {
+    Instance &Each = m_Instances[Index];
     Each.m_Participant = std::make_unique<Participant>(m_Order, Age, m_Now);
     Each.m_Incarnation = ++m_Incarnations;
     Each.m_RunningOld = 0;
@@ -94,13 +94,13 @@
 
   void injectFaults() {
     double Chance = core::toSeconds(Step) / 2; // One per 2 s on average.
-    std::size_t Which = m_Random() % m_Instances.size();
+    std::size_t Index = m_Random() % m_Instances.size();
     if (m_Scenario.m_HasKills && draw() < Chance) {
-      m_Instances[Which].m_DownUntil = m_Now + milliseconds(800);
-      start(Which, core::Duration::zero());
+      m_Instances[Index].m_DownUntil = m_Now + milliseconds(800);
+      start(Index, core::Duration::zero());
     }
     if (m_Scenario.m_HasCuts && draw() < Chance)
-      m_Instances[Which].m_CutUntil = m_Now + milliseconds(4000);
+      m_Instances[Index].m_CutUntil = m_Now + milliseconds(4000);
     if (m_Scenario.m_HasGrayFailures && m_GrayUntil < m_Now &&
         draw() < Chance / 2) {
       m_GrayUntil = m_Now + milliseconds(4000);
@@ -114,12 +114,12 @@
 
   /// Returns the target of the new version that the instance's group samples
   /// now.
-  std::size_t sampledTarget(std::size_t Which) const {
+  std::size_t sampledTarget(std::size_t Index) const {
     auto Slot = static_cast<std::size_t>(elapsedSeconds());
-    return (Which / 8 + Slot * 7) % m_Scenario.m_Targets;
+    return (Index / 8 + Slot * 7) % m_Scenario.m_Targets;
   }
 
-  bool isBadResponse(std::size_t Route, Traffic How) {
+  bool isBadResponse(std::size_t Route, Traffic CurrentTraffic) {
     bool IsRarest = Route + 1 == m_Scenario.m_RouteShares.size();
     bool IsAffected = false;
     switch (m_Scenario.m_Behavior) {
@@ -134,7 +134,7 @@
       break;
     case VersionBehavior::FailsUnderLoad:
       // A sampled target gets the load that each has after the roll-out.
-      IsAffected = How != Traffic::Old;
+      IsAffected = CurrentTraffic != Traffic::Old;
       break;
     case VersionBehavior::FailsOnOneRoute:
     case VersionBehavior::SlowOnOneRoute:
@@ -166,15 +166,15 @@
       sendRequest(m_Random() % m_Instances.size());
   }
 
-  void sendRequest(std::size_t Which) {
-    Instance &By = m_Instances[Which];
+  void sendRequest(std::size_t Index) {
+    Instance &By = m_Instances[Index];
     if (m_Now < By.m_DownUntil)
       return;
     std::size_t Route = drawRoute();
     auto RouteHash = static_cast<std::uint32_t>(Route + 1);
-    Traffic How = By.m_Participant->traffic(m_Now);
-    bool IsNew =
-        How == Traffic::New || By.m_Participant->isSampleDue(RouteHash, m_Now);
+    Traffic CurrentTraffic = By.m_Participant->traffic(m_Now);
+    bool IsNew = CurrentTraffic == Traffic::New ||
+                 By.m_Participant->isSampleDue(RouteHash, m_Now);
     // All instances except those that are cut off know the decision by then.
     bool IsDecisionKnown =
         hasDecided() && m_Now > m_DecisionKnownAt && By.m_CutUntil < m_Now;
@@ -182,21 +182,21 @@
       IsNew = m_Result.m_Decision->m_State == State::Completed;
     By.m_Participant->recordSent(RouteHash, IsNew, m_Now);
     countSent(IsNew);
-    std::size_t Target = IsNew && How == Traffic::Sample
-                             ? sampledTarget(Which)
+    std::size_t Target = IsNew && CurrentTraffic == Traffic::Sample
+                             ? sampledTarget(Index)
                              : m_Random() % m_Scenario.m_Targets;
-    Running Next;
-    Next.m_Instance = Which;
+    RunningRequest Next;
+    Next.m_Instance = Index;
     Next.m_Key = {IsNew ? Side::New : Side::Old,
                   static_cast<std::uint32_t>(Target + (IsNew ? 100000 : 0)),
                   RouteHash};
-    double Ms = TypicalMs *
+    double Ms = MedianResponseMs *
                 std::exp(std::normal_distribution<double>(0, 0.35)(m_Random));
     if (Target % 3 == 0)
       Ms *= m_Scenario.m_SlowHardwareFactor;
     bool IsFailure = draw() < m_Scenario.m_BaselineFailureRates[Route] ||
                      (isGray(Target) && draw() < 0.45);
-    bool IsBad = IsNew && isBadResponse(Route, How);
+    bool IsBad = IsNew && isBadResponse(Route, CurrentTraffic);
     if (IsBad && isSlowBehavior())
       Ms *= m_Scenario.m_SlowdownFactor;
     else if (IsBad)
@@ -220,7 +220,7 @@
 
   void finishRequests() {
     while (!m_Running.empty() && m_Running.top().m_EndsAt <= m_Now) {
-      Running Ended = m_Running.top();
+      RunningRequest Ended = m_Running.top();
       m_Running.pop();
       Instance &By = m_Instances[Ended.m_Instance];
       By.m_Participant->recordResponse(Ended.m_Key, Ended.m_Quality,
@@ -270,7 +270,7 @@
   Order m_Order;
   std::vector<Instance> m_Instances;
   std::unique_ptr<Coordinator> m_Coordinator;
-  std::priority_queue<Running> m_Running;
+  std::priority_queue<RunningRequest> m_Running;
   std::uint64_t m_Incarnations = 0;
   core::TimePoint m_EvaluatesAt{};
   core::TimePoint m_DecisionKnownAt{};
