--- a/Tests/StandIns/Platform.cpp
+++ b/Tests/StandIns/Platform.cpp
@@ -91,8 +91,8 @@
     sleep(std::chrono::milliseconds(m_ResponseDelayMilliseconds), Yield);
   if (m_IsDown)
     return Call.abort();
-  // Counted before the call is held: a call that is held while the store is
-  // unresponsive must not use up the rate limit later, when its caller is gone.
+  // Counts the call before it is held while the store is unresponsive. Later,
+  // when its caller is gone, it must not use up the rate limit.
   bool IsOverLimit = isOverRateLimit();
   while (m_IsUnresponsive)
     sleep(PollPeriod, Yield);
