--- a/Tests/Support/QuotaSimulation.h
+++ b/Tests/Support/QuotaSimulation.h
@@ -6,8 +6,8 @@
 // QuotaScenario.
 //
 //===----------------------------------------------------------------------===//
-#ifndef YARDRILL_TESTS_QUOTASIMULATION_H
-#define YARDRILL_TESTS_QUOTASIMULATION_H
+#ifndef YARDRILL_TESTS_SUPPORT_QUOTASIMULATION_H
+#define YARDRILL_TESTS_SUPPORT_QUOTASIMULATION_H
 
 #include "LibCore/Time.h"
 #include "LibRouting/QuotaOwner.h"
