--- a/Tests/Soak/InvariantChecker.cpp
+++ b/Tests/Soak/InvariantChecker.cpp
@@ -39,11 +39,12 @@
   m_Gateways[Gateway].m_IsStopping = IsStopping;
 }
 
-bool InvariantChecker::isUndisturbedSince(std::size_t Which,
+bool InvariantChecker::isUndisturbedSince(std::size_t GatewayIndex,
                                           TimePoint Since) const {
-  const Gateway &At = m_Gateways[Which];
-  return !At.m_IsStopping && At.m_Process.hasEndedBefore(Since) &&
-         At.m_StorePath.hasEndedBefore(Since) && m_Store.hasEndedBefore(Since);
+  const Gateway &State = m_Gateways[GatewayIndex];
+  return !State.m_IsStopping && State.m_Process.hasEndedBefore(Since) &&
+         State.m_StorePath.hasEndedBefore(Since) &&
+         m_Store.hasEndedBefore(Since);
 }
 
 //===----------------------------------------------------------------------===//
@@ -56,65 +57,70 @@
 }
 
 void InvariantChecker::addViolation(const std::string &Rule,
-                                    const std::string &What) {
-  m_Violations.push_back(Rule + ": " + What);
+                                    const std::string &Description) {
+  m_Violations.push_back(Rule + ": " + Description);
 }
 
-void InvariantChecker::requestSent(SentRequest What) {
-  m_Requests.push_back({What.m_SentAt});
-  std::string Id = What.m_Id;
-  m_SentRequests.emplace(std::move(Id), std::move(What));
+void InvariantChecker::requestSent(SentRequest Request) {
+  m_Requests.push_back({Request.m_SentAt});
+  std::string Id = Request.m_Id;
+  m_SentRequests.emplace(std::move(Id), std::move(Request));
 }
 
 void InvariantChecker::requestArrived(const std::string &Id,
                                       const std::string &Target,
                                       std::optional<TimePoint> LeavingSince) {
-  SentRequest *What = findRequest(Id);
-  if (!What)
+  SentRequest *Request = findRequest(Id);
+  if (!Request)
     return addViolation("unasked", "no caller sent " + Id);
-  if (++What->m_Arrivals > 1)
+  if (++Request->m_Arrivals > 1)
     m_Repeats.push_back({m_Now()});
-  if (!What->m_Content.empty() && isUndisturbedSince(What->m_Gateway, m_Now()))
-    m_BadContents[What->m_Content].m_Arrivals.push_back(m_Now());
+  if (!Request->m_Content.empty() &&
+      isUndisturbedSince(Request->m_Gateway, m_Now()))
+    m_BadContents[Request->m_Content].m_Arrivals.push_back(m_Now());
   if (!LeavingSince || m_Now() <= *LeavingSince + bounds::LeavingGracePeriod)
     return;
-  if (isUndisturbedSince(What->m_Gateway, *LeavingSince))
-    addViolation("leaving",
-                 Id + " arrived at target " + Target + " after it left");
+  if (isUndisturbedSince(Request->m_Gateway, *LeavingSince))
+    addViolation(
+        "leaving",
+        Id + " arrived at target " + Target +
+            " more than the grace period after it announced that it leaves");
 }
 
 void InvariantChecker::arrivedAtIncarnation(const std::string &Id,
                                             const std::string &Incarnation) {
-  const SentRequest *What = findRequest(Id);
-  if (!What)
+  const SentRequest *Request = findRequest(Id);
+  if (!Request)
     return;
-  const Gateway &At = m_Gateways[What->m_Gateway];
-  m_Backpressure.requestArrived(Incarnation, What->m_Gateway, What->m_SentAt,
-                                m_Now(), !At.m_Process.hasEndedBefore(m_Now()));
+  const Gateway &Sender = m_Gateways[Request->m_Gateway];
+  m_Backpressure.requestArrived(Incarnation, Request->m_Gateway,
+                                Request->m_SentAt, m_Now(),
+                                !Sender.m_Process.hasEndedBefore(m_Now()));
 }
 
-void InvariantChecker::backpressureStated(const std::string &Id,
-                                          const std::string &Incarnation,
-                                          const ResponseBackpressure &What) {
-  if (const SentRequest *Of = findRequest(Id))
-    m_Backpressure.backpressureStated(Incarnation, Of->m_Gateway, What,
-                                      m_Now());
+void InvariantChecker::backpressureStated(
+    const std::string &Id, const std::string &Incarnation,
+    const ResponseBackpressure &Backpressure) {
+  if (const SentRequest *Request = findRequest(Id))
+    m_Backpressure.backpressureStated(Incarnation, Request->m_Gateway,
+                                      Backpressure, m_Now());
 }
 
 void InvariantChecker::requestExecuted(const std::string &Id) {
-  SentRequest *What = findRequest(Id);
-  if (!What)
+  SentRequest *Request = findRequest(Id);
+  if (!Request)
     return;
-  m_ExecutedTokens[What->m_Account].push_back({m_Now(), What->m_Tokens});
-  if (++What->m_Executions > 1 && !What->isRetryable())
+  m_ExecutedTokens[Request->m_Account].push_back({m_Now(), Request->m_Tokens});
+  if (++Request->m_Executions > 1 && !Request->isRetryable())
     addViolation("once", Id + " was executed again, but is not idempotent");
-  if (What->m_Status && isRefusal(*What->m_Status) && !What->isRetryable())
+  if (Request->m_Status && isRefusal(*Request->m_Status) &&
+      !Request->isRetryable())
     addViolation("refusal", Id + " was executed after it was refused");
 }
 
 void InvariantChecker::noteTargetDisturbance(const std::string &Id) {
-  if (SentRequest *What = findRequest(Id))
-    What->m_IsTargetDisturbed = true;
+  if (SentRequest *Request = findRequest(Id))
+    Request->m_IsTargetDisturbed = true;
 }
 
 void InvariantChecker::targetExited(const std::string &Content) {
@@ -124,8 +130,9 @@
 void InvariantChecker::arrivedAtVersion(const std::string &Id,
                                         const std::string &Pool,
                                         const std::string &Version) {
-  const SentRequest *What = findRequest(Id);
-  bool IsUndisturbed = What && isUndisturbedSince(What->m_Gateway, m_Now());
+  const SentRequest *Request = findRequest(Id);
+  bool IsUndisturbed =
+      Request && isUndisturbedSince(Request->m_Gateway, m_Now());
   m_VersionArrivals.push_back({m_Now(), Pool, Version, IsUndisturbed});
 }
 
@@ -144,35 +151,38 @@
 void InvariantChecker::checkRollout(const RolloutOrder &Order) {
   if (!Order.m_IsBad)
     return;
-  double All = 0;
+  double PoolRequests = 0;
   double CanaryRequests = 0;
   for (const VersionArrival &Each : m_VersionArrivals) {
     bool IsWithin = Each.m_Pool == Order.m_Pool &&
                     Each.m_At >= Order.m_OrderedAt &&
                     Each.m_At <= Order.m_Deadline;
-    All += IsWithin ? 1 : 0;
+    PoolRequests += IsWithin ? 1 : 0;
     CanaryRequests += IsWithin && Each.m_IsGatewayUndisturbed &&
                               Each.m_Version == Order.m_Version
                           ? 1
                           : 0;
   }
-  if (CanaryRequests > bounds::CanaryShare * All + bounds::CanarySlack) {
+  if (CanaryRequests >
+      bounds::CanaryShare * PoolRequests + bounds::CanarySlack) {
     std::ostringstream Text;
     Text << Order.m_Version << " received " << CanaryRequests << " requests of "
-         << All;
+         << PoolRequests;
     addViolation("exposure", Text.str());
   }
-  // Only bad responses after the store's last disturbance count.
-  std::size_t Bad = 0;
-  std::optional<TimePoint> Last;
+  // Bad responses count only from SettleTime after the store's last disturbance
+  // on.
+  std::size_t BadResponses = 0;
+  std::optional<TimePoint> RollbackDueAt;
   for (const BadResponse &Each : m_BadResponses)
     if (Each.m_Pool == Order.m_Pool && Each.m_Version == Order.m_Version &&
         m_Store.hasEndedBefore(Each.m_At) &&
-        ++Bad == bounds::BadResponsesForRollback)
-      Last = Each.m_At + bounds::RollbackTime;
+        ++BadResponses == bounds::BadResponsesForRollback)
+      RollbackDueAt = Each.m_At + bounds::RollbackTime;
   for (const VersionArrival &Each : m_VersionArrivals)
-    if (Last && Each.m_At > *Last && Each.m_IsGatewayUndisturbed &&
-        Each.m_Pool == Order.m_Pool && Each.m_Version == Order.m_Version)
+    if (RollbackDueAt && Each.m_At > *RollbackDueAt &&
+        Each.m_IsGatewayUndisturbed && Each.m_Pool == Order.m_Pool &&
+        Each.m_Version == Order.m_Version)
       return addViolation("exposure",
                           Order.m_Version +
                               " received requests after its rollback was due");
@@ -180,37 +190,37 @@
 
 void InvariantChecker::responseReceived(const std::string &Id,
                                         unsigned Status) {
-  SentRequest &What = m_SentRequests.at(Id);
-  What.m_Status = Status;
-  if (isRefusal(Status) && What.m_Executions > 0 && !What.isRetryable())
+  SentRequest &Request = m_SentRequests.at(Id);
+  Request.m_Status = Status;
+  if (isRefusal(Status) && Request.m_Executions > 0 && !Request.isRetryable())
     addViolation("refusal", Id + " was refused after it was executed");
-  if (!What.m_IsProbe && (Status == 401 || Status == 404))
+  if (!Request.m_IsProbe && (Status == 401 || Status == 404))
     addViolation("denied", Id + " got status " + std::to_string(Status));
 }
 
 void InvariantChecker::responseLost(const std::string &Id,
-                                    const std::string &How) {
+                                    const std::string &Error) {
   ++m_LostResponses;
-  SentRequest &What = m_SentRequests.at(Id);
-  const Gateway &At = m_Gateways[What.m_Gateway];
-  auto Elapsed = m_Now() - What.m_SentAt;
-  if (!At.m_Process.hasEndedBefore(What.m_SentAt))
+  SentRequest &Request = m_SentRequests.at(Id);
+  const Gateway &Sender = m_Gateways[Request.m_Gateway];
+  auto Elapsed = m_Now() - Request.m_SentAt;
+  if (!Sender.m_Process.hasEndedBefore(Request.m_SentAt))
     return;
-  if (Elapsed > What.m_TimeLimit + bounds::ResponseSlack)
+  if (Elapsed > Request.m_TimeLimit + bounds::ResponseSlack)
     return addViolation("held",
-                        Id + " had no response at its time limit: " + How);
+                        Id + " had no response at its time limit: " + Error);
   // A response that is incomplete at its time limit may be aborted.
-  bool IsOver = Elapsed >= What.m_TimeLimit;
+  bool IsOver = Elapsed >= Request.m_TimeLimit;
   bool IsGatewayFault =
-      !IsOver && (What.m_Executions > 0 || Elapsed > bounds::EarlyLossSlack);
-  if (IsGatewayFault && !What.m_IsTargetDisturbed)
-    addViolation(At.m_IsStopping ? "stop" : "lost",
-                 Id + " lost its response: " + How);
+      !IsOver && (Request.m_Executions > 0 || Elapsed > bounds::EarlyLossSlack);
+  if (IsGatewayFault && !Request.m_IsTargetDisturbed)
+    addViolation(Sender.m_IsStopping ? "stop" : "lost",
+                 Id + " lost its response: " + Error);
 }
 
 void InvariantChecker::wrongResponse(const std::string &Id,
-                                     const std::string &How) {
-  addViolation("answer", Id + ": " + How);
+                                     const std::string &Problem) {
+  addViolation("answer", Id + ": " + Problem);
 }
 
 //===----------------------------------------------------------------------===//
@@ -218,13 +228,12 @@
 //===----------------------------------------------------------------------===//
 
 /// Returns the sum of the amounts from point \p First on, over \p Length.
-static double sumFrom(const std::vector<DataPoint> &TimeSeries,
-                      std::size_t First, Clock::duration Length) {
+static double sumFrom(const std::vector<DataPoint> &Points, std::size_t First,
+                      Clock::duration Length) {
   double Sum = 0;
-  TimePoint End = TimeSeries[First].m_At + Length;
-  for (std::size_t I = First; I < TimeSeries.size() && TimeSeries[I].m_At < End;
-       ++I)
-    Sum += TimeSeries[I].m_Amount;
+  TimePoint End = Points[First].m_At + Length;
+  for (std::size_t I = First; I < Points.size() && Points[I].m_At < End; ++I)
+    Sum += Points[I].m_Amount;
   return Sum;
 }
 
@@ -270,13 +279,13 @@
 void InvariantChecker::checkRecovery(TimePoint RecoveredAt) {
   std::size_t Sent = 0;
   std::size_t Served = 0;
-  for (const auto &[Id, What] : m_SentRequests) {
-    bool IsLimited = m_Quotas.count(What.m_Account) != 0;
-    if (What.m_SentAt < RecoveredAt + bounds::SettleTime || IsLimited ||
-        !What.m_Content.empty())
+  for (const auto &[Id, Request] : m_SentRequests) {
+    bool IsLimited = m_Quotas.count(Request.m_Account) != 0;
+    if (Request.m_SentAt < RecoveredAt + bounds::SettleTime || IsLimited ||
+        !Request.m_Content.empty())
       continue;
     ++Sent;
-    Served += What.m_Status && isSuccess(*What.m_Status) ? 1 : 0;
+    Served += Request.m_Status && isSuccess(*Request.m_Status) ? 1 : 0;
   }
   if (static_cast<double>(Served) >=
       bounds::MinServedAfterRecovery * static_cast<double>(Sent))
@@ -288,18 +297,19 @@
 }
 
 void InvariantChecker::checkQuarantine() {
-  for (const auto &[Content, Seen] : m_BadContents) {
-    if (Seen.m_Exits.size() < bounds::ExitsForQuarantine)
+  for (const auto &[Content, Observed] : m_BadContents) {
+    if (Observed.m_Exits.size() < bounds::ExitsForQuarantine)
       continue;
-    TimePoint Last =
-        Seen.m_Exits[bounds::ExitsForQuarantine - 1] + bounds::SettleTime;
-    auto Late = std::count_if(Seen.m_Arrivals.begin(), Seen.m_Arrivals.end(),
-                              [Last](TimePoint At) { return At > Last; });
-    if (static_cast<std::size_t>(Late) <= bounds::MaxSendsInQuarantine)
+    TimePoint QuarantineDueAt =
+        Observed.m_Exits[bounds::ExitsForQuarantine - 1] + bounds::SettleTime;
+    auto LateArrivals = std::count_if(
+        Observed.m_Arrivals.begin(), Observed.m_Arrivals.end(),
+        [QuarantineDueAt](TimePoint At) { return At > QuarantineDueAt; });
+    if (static_cast<std::size_t>(LateArrivals) <= bounds::MaxSendsInQuarantine)
       continue;
     std::ostringstream Text;
-    Text << Content << " arrived " << Late
-         << " times after its quarantine was due, " << Seen.m_Exits.size()
+    Text << Content << " arrived " << LateArrivals
+         << " times after its quarantine was due, " << Observed.m_Exits.size()
          << " targets exited";
     addViolation("quarantine", Text.str());
   }
@@ -316,9 +326,9 @@
 std::string InvariantChecker::summary() const {
   std::size_t Served = 0;
   std::size_t Refused = 0;
-  for (const auto &[Id, What] : m_SentRequests) {
-    Served += What.m_Status && isSuccess(*What.m_Status) ? 1 : 0;
-    Refused += What.m_Status && isRefusal(*What.m_Status) ? 1 : 0;
+  for (const auto &[Id, Request] : m_SentRequests) {
+    Served += Request.m_Status && isSuccess(*Request.m_Status) ? 1 : 0;
+    Refused += Request.m_Status && isRefusal(*Request.m_Status) ? 1 : 0;
   }
   std::ostringstream Out;
   Out << "requests=" << m_SentRequests.size() << " served=" << Served
--- a/Tests/Soak/InvariantChecker.h
+++ b/Tests/Soak/InvariantChecker.h
@@ -48,7 +48,8 @@
 inline constexpr std::chrono::seconds RetryWindow{10};
 inline constexpr double RetryRatio = 0.2;
 inline constexpr double RetrySlack = 52; ///< Requests.
-/// A bad canary receives at most CanaryShare x requests + CanarySlack.
+/// Until the roll-out's deadline, a bad canary receives at most CanaryShare x
+/// requests of its pool + CanarySlack.
 inline constexpr double CanaryShare = 0.1;
 inline constexpr double CanarySlack = 50; ///< Requests.
 /// Time after BadResponsesForRollback bad responses by which a canary receives
@@ -63,12 +64,13 @@
 /// LimitSlack requests in a LimitWindow.
 inline constexpr std::chrono::seconds LimitWindow{4};
 inline constexpr double LimitFactor = 1.5;
-inline constexpr double LimitSlack = 5;
+inline constexpr double LimitSlack = 5; ///< Requests.
 /// Time allowed for requests in flight when a target states backpressure.
 inline constexpr std::chrono::milliseconds BackpressureSlack{500};
 /// Requests that one gateway may send to a target during a back-off.
 inline constexpr std::size_t MaxRequestsInBackoff = 2;
-/// Share of the requests that are served once all disturbances have ended.
+/// Share of the requests that are served from SettleTime after the last
+/// disturbance on.
 inline constexpr double MinServedAfterRecovery = 0.9;
 } // namespace bounds
 
@@ -95,7 +97,8 @@
   std::size_t m_Arrivals = 0;   ///< At targets.
   std::size_t m_Executions = 0; ///< By targets.
   bool m_IsProbe = false; ///< Probes a route that need not exist yet (404).
-  /// Whether a target that received it aborted, failed or was disturbed.
+  /// Whether a target that received it refused, aborted, failed or was
+  /// disturbed.
   bool m_IsTargetDisturbed = false;
   std::optional<unsigned> m_Status; ///< Status of a complete response.
 
@@ -139,31 +142,33 @@
   void noteStoreDisturbance(bool Begins);
   /// Records that a planned stop began, or (false) that the process exited.
   void setStopping(std::size_t Gateway, bool IsStopping);
-  /// Returns whether the gateway is not stopping and all its disturbances ended
-  /// at least SettleTime before \p Since.
-  bool isUndisturbedSince(std::size_t Gateway, TimePoint Since) const;
+  /// Returns whether the gateway is not stopping and all disturbances of its
+  /// process, its store path and the store ended at least SettleTime before
+  /// \p Since.
+  bool isUndisturbedSince(std::size_t GatewayIndex, TimePoint Since) const;
 
   // Observations of callers.
-  void requestSent(SentRequest What);
+  void requestSent(SentRequest Request);
   void responseReceived(const std::string &Id, unsigned Status);
   /// Records that the connection closed or the caller timed out before the
-  /// response was complete. \param How the error that the caller saw.
-  void responseLost(const std::string &Id, const std::string &How);
+  /// response was complete. \param Error the error that the caller saw.
+  void responseLost(const std::string &Id, const std::string &Error);
   /// Records a response that belongs to another request, or that is incomplete
   /// although it ended regularly.
-  void wrongResponse(const std::string &Id, const std::string &How);
+  void wrongResponse(const std::string &Id, const std::string &Problem);
 
   // Observations of targets.
-  /// \param LeavingSince when the target's announcement said that it leaves.
+  /// \param LeavingSince when the target's announcement said that it leaves;
+  ///   empty if it does not.
   void requestArrived(const std::string &Id, const std::string &Target,
                       std::optional<TimePoint> LeavingSince);
   void arrivedAtIncarnation(const std::string &Id,
                             const std::string &Incarnation);
   /// Records the backpressure that the response to request \p Id stated.
   void backpressureStated(const std::string &Id, const std::string &Incarnation,
-                          const ResponseBackpressure &What);
-  /// Records the rate limit that all further responses of the incarnation
-  /// state.
+                          const ResponseBackpressure &Backpressure);
+  /// Records the rate limit, or none, that all further responses of the
+  /// incarnation state.
   void rateLimitChanged(const std::string &Incarnation,
                         std::optional<double> PerSecond) {
     m_Backpressure.rateLimitChanged(Incarnation, PerSecond, m_Now());
@@ -176,13 +181,14 @@
   void arrivedAtVersion(const std::string &Id, const std::string &Pool,
                         const std::string &Version);
   void badResponseSent(const std::string &Pool, const std::string &Version);
-  /// Checks how many requests a bad canary received. Called after the
-  /// roll-out's deadline.
+  /// Checks how many requests a bad canary received, and that none arrived
+  /// after its rollback was due. Called after its targets were promoted or
+  /// discarded.
   void checkRollout(const RolloutOrder &Order);
   /// Returns whether isUndisturbedSince() holds for every gateway.
   bool isFleetUndisturbedSince(TimePoint Since) const;
 
-  void addViolation(const std::string &Rule, const std::string &What);
+  void addViolation(const std::string &Rule, const std::string &Description);
   void setQuota(const std::string &Account, const AccountQuota &Quota) {
     m_Quotas[Account] = Quota;
   }
@@ -247,8 +253,9 @@
   std::vector<VersionArrival> m_VersionArrivals;
   std::vector<BadResponse> m_BadResponses;
   std::map<std::string, BadContent> m_BadContents;
-  BackpressureChecker m_Backpressure{
-      [this](const std::string &What) { m_Violations.push_back(What); }};
+  BackpressureChecker m_Backpressure{[this](const std::string &Description) {
+    m_Violations.push_back(Description);
+  }};
   std::vector<std::string> m_Violations;
   std::size_t m_LostResponses = 0;
 };
--- a/Tests/Soak/InvariantCheckerTest.cpp
+++ b/Tests/Soak/InvariantCheckerTest.cpp
@@ -41,15 +41,15 @@
 
   std::string send(RequestKind Kind = RequestKind::NonIdempotent,
                    const std::string &Account = "open") {
-    SentRequest What;
-    What.m_Id = "a" + std::to_string(++m_Next);
-    What.m_Kind = Kind;
-    What.m_Account = Account;
-    What.m_Tokens = 100;
-    What.m_SentAt = m_Now;
-    What.m_TimeLimit = seconds(2);
-    m_Checker.requestSent(What);
-    return What.m_Id;
+    SentRequest Request;
+    Request.m_Id = "a" + std::to_string(++m_Next);
+    Request.m_Kind = Kind;
+    Request.m_Account = Account;
+    Request.m_Tokens = 100;
+    Request.m_SentAt = m_Now;
+    Request.m_TimeLimit = seconds(2);
+    m_Checker.requestSent(Request);
+    return Request.m_Id;
   }
   void arriveAndExecute(const std::string &Id) {
     m_Checker.requestArrived(Id, "i-1", std::nullopt);
@@ -67,8 +67,8 @@
     m_Checker.arrivedAtIncarnation(Id, Incarnation);
   }
   void stateBackpressure(const std::string &Incarnation,
-                         const ResponseBackpressure &What) {
-    m_Checker.backpressureStated(send(), Incarnation, What);
+                         const ResponseBackpressure &Backpressure) {
+    m_Checker.backpressureStated(send(), Incarnation, Backpressure);
   }
 
 public:
@@ -177,23 +177,23 @@
   }
 
   void testLeavingTarget() {
-    TimePoint LeftAt = m_Now;
+    TimePoint LeavingSince = m_Now;
     m_Now += milliseconds(1900);
-    m_Checker.requestArrived(send(), "i-1", LeftAt);
+    m_Checker.requestArrived(send(), "i-1", LeavingSince);
     expectNoViolation();
     m_Now += milliseconds(200);
-    m_Checker.requestArrived(send(), "i-1", LeftAt);
+    m_Checker.requestArrived(send(), "i-1", LeavingSince);
     expectViolation("leaving");
   }
 
   void testLostResponse() {
-    std::string Untouched = send();
+    std::string NotExecuted = send();
     m_Now += milliseconds(100);
-    m_Checker.responseLost(Untouched, "reset");
-    std::string OfTarget = send();
-    arriveAndExecute(OfTarget);
-    m_Checker.noteTargetDisturbance(OfTarget);
-    m_Checker.responseLost(OfTarget, "reset");
+    m_Checker.responseLost(NotExecuted, "reset");
+    std::string AtDisturbedTarget = send();
+    arriveAndExecute(AtDisturbedTarget);
+    m_Checker.noteTargetDisturbance(AtDisturbedTarget);
+    m_Checker.responseLost(AtDisturbedTarget, "reset");
     expectNoViolation();
     std::string Id = send();
     arriveAndExecute(Id);
@@ -236,9 +236,9 @@
     m_Checker.noteProcessDisturbance(0, true);
     m_Checker.responseLost(send(), "reset");
     m_Checker.noteProcessDisturbance(0, false);
-    TimePoint LeftAt = m_Now;
+    TimePoint LeavingSince = m_Now;
     m_Now += milliseconds(2500);
-    m_Checker.requestArrived(send(), "i-1", LeftAt);
+    m_Checker.requestArrived(send(), "i-1", LeavingSince);
     expectNoViolation();
     // The other gateway is undisturbed, and so is this one after SettleTime.
     CPPUNIT_ASSERT(m_Checker.isUndisturbedSince(1, m_Now));
@@ -291,14 +291,14 @@
 
   void testQuarantine() {
     auto ArriveAt = [this](std::size_t Gateway) {
-      SentRequest What;
-      What.m_Id = "a" + std::to_string(++m_Next);
-      What.m_Kind = RequestKind::Idempotent;
-      What.m_Gateway = Gateway;
-      What.m_Content = "bad";
-      What.m_SentAt = m_Now;
-      m_Checker.requestSent(What);
-      m_Checker.requestArrived(What.m_Id, "i-1", std::nullopt);
+      SentRequest Request;
+      Request.m_Id = "a" + std::to_string(++m_Next);
+      Request.m_Kind = RequestKind::Idempotent;
+      Request.m_Gateway = Gateway;
+      Request.m_Content = "bad";
+      Request.m_SentAt = m_Now;
+      m_Checker.requestSent(Request);
+      m_Checker.requestArrived(Request.m_Id, "i-1", std::nullopt);
     };
     for (int I = 0; I < 3; ++I) {
       ArriveAt(0);
