--- a/Tests/Soak/BackpressureChecker.cpp
+++ b/Tests/Soak/BackpressureChecker.cpp
@@ -10,29 +10,29 @@
 void BackpressureChecker::rateLimitChanged(const std::string &Incarnation,
                                            std::optional<double> PerSecond,
                                            TimePoint Now) {
-  std::vector<LimitPeriod> &Of = m_Periods[Incarnation];
-  if (!Of.empty() && !Of.back().m_End)
-    Of.back().m_End = Now;
+  std::vector<LimitPeriod> &Periods = m_Periods[Incarnation];
+  if (!Periods.empty() && !Periods.back().m_End)
+    Periods.back().m_End = Now;
   if (!PerSecond)
     return;
   ++m_Limits;
-  Of.push_back({*PerSecond, Now, std::nullopt, {}});
+  Periods.push_back({*PerSecond, Now, std::nullopt, {}});
 }
 
-void BackpressureChecker::backpressureStated(const std::string &Incarnation,
-                                             std::size_t Gateway,
-                                             const ResponseBackpressure &What,
-                                             TimePoint Now) {
+void BackpressureChecker::backpressureStated(
+    const std::string &Incarnation, std::size_t Gateway,
+    const ResponseBackpressure &Backpressure, TimePoint Now) {
   NotifiedGateway &Notified = m_Notified[Incarnation][Gateway];
-  if (What.m_RequestsPerSecond && !Notified.m_LimitSince)
+  if (Backpressure.m_RequestsPerSecond && !Notified.m_LimitSince)
     Notified.m_LimitSince = Now;
-  if (What.m_IsLeaving && !Notified.m_LeavingSince)
+  if (Backpressure.m_IsLeaving && !Notified.m_LeavingSince)
     Notified.m_LeavingSince = Now;
-  if (!What.m_Backoff || Now + *What.m_Backoff <= Notified.m_BackoffEndsAt)
+  if (!Backpressure.m_Backoff ||
+      Now + *Backpressure.m_Backoff <= Notified.m_BackoffEndsAt)
     return;
   ++m_Backoffs;
   Notified.m_BackoffStatedAt = Now;
-  Notified.m_BackoffEndsAt = Now + *What.m_Backoff;
+  Notified.m_BackoffEndsAt = Now + *Backpressure.m_Backoff;
   Notified.m_RequestsInBackoff = 0;
 }
 
@@ -54,12 +54,13 @@
   if (Notified.m_LeavingSince &&
       SentAt > *Notified.m_LeavingSince + bounds::LeavingGracePeriod)
     m_OnViolation("leaving: " + Incarnation + " got a request from gateway " +
-                  std::to_string(Gateway) + " after it stated that it leaves");
-  std::vector<LimitPeriod> &Of = m_Periods[Incarnation];
+                  std::to_string(Gateway) +
+                  " more than the grace period after it stated that it leaves");
+  std::vector<LimitPeriod> &Periods = m_Periods[Incarnation];
   if (Notified.m_LimitSince &&
-      Now > *Notified.m_LimitSince + bounds::BackpressureSlack && !Of.empty() &&
-      !Of.back().m_End)
-    Of.back().m_Arrivals.push_back(Now);
+      Now > *Notified.m_LimitSince + bounds::BackpressureSlack &&
+      !Periods.empty() && !Periods.back().m_End)
+    Periods.back().m_Arrivals.push_back(Now);
 }
 
 void BackpressureChecker::forget(std::size_t Gateway) {
@@ -68,14 +69,15 @@
 }
 
 void BackpressureChecker::check(const std::string &Incarnation,
-                                const LimitPeriod &Of) const {
+                                const LimitPeriod &Period) const {
   double Window = std::chrono::duration<double>(bounds::LimitWindow).count();
-  double MaxRequests = bounds::LimitFactor * Of.m_RequestsPerSecond * Window +
-                       bounds::LimitSlack;
-  TimePoint From = Of.m_Begin + bounds::SettleTime;
-  auto First =
-      std::lower_bound(Of.m_Arrivals.begin(), Of.m_Arrivals.end(), From);
-  for (auto Last = First; Last != Of.m_Arrivals.end(); ++Last) {
+  double MaxRequests =
+      bounds::LimitFactor * Period.m_RequestsPerSecond * Window +
+      bounds::LimitSlack;
+  TimePoint CheckedFrom = Period.m_Begin + bounds::SettleTime;
+  auto First = std::lower_bound(Period.m_Arrivals.begin(),
+                                Period.m_Arrivals.end(), CheckedFrom);
+  for (auto Last = First; Last != Period.m_Arrivals.end(); ++Last) {
     while (*Last - *First > bounds::LimitWindow)
       ++First;
     auto Count = static_cast<double>(Last - First + 1);
--- a/Tests/Soak/BackpressureChecker.h
+++ b/Tests/Soak/BackpressureChecker.h
@@ -40,15 +40,15 @@
                         std::optional<double> PerSecond, TimePoint Now);
   /// Records that a gateway was sent a response with this backpressure.
   void backpressureStated(const std::string &Incarnation, std::size_t Gateway,
-                          const ResponseBackpressure &What, TimePoint Now);
+                          const ResponseBackpressure &Backpressure,
+                          TimePoint Now);
   /// Checks a request that arrived at the incarnation.
   /// \param SentAt when the caller sent it.
   /// \param IsGatewayDisturbed whether the gateway's process was disturbed
-  /// within
-  ///   SettleTime; such requests are not checked.
+  ///   within SettleTime; such requests are not checked.
   void requestArrived(const std::string &Incarnation, std::size_t Gateway,
                       TimePoint SentAt, TimePoint Now, bool IsGatewayDisturbed);
-  /// Discards the backpressure stated to a gateway, whose process exited.
+  /// Discards the backpressure stated to a gateway's previous process.
   void forget(std::size_t Gateway);
   /// Checks the rate limits, which need whole windows.
   void finish();
@@ -62,7 +62,8 @@
     double m_RequestsPerSecond = 0;
     TimePoint m_Begin;
     std::optional<TimePoint> m_End;
-    std::vector<TimePoint> m_Arrivals; ///< From notified gateways.
+    /// From gateways that were notified at least BackpressureSlack before.
+    std::vector<TimePoint> m_Arrivals;
   };
   /// Backpressure that one incarnation stated to one gateway.
   struct NotifiedGateway {
@@ -73,7 +74,7 @@
     std::size_t m_RequestsInBackoff = 0;
   };
 
-  void check(const std::string &Incarnation, const LimitPeriod &Of) const;
+  void check(const std::string &Incarnation, const LimitPeriod &Period) const;
 
   ViolationHandler m_OnViolation;
   std::map<std::string, std::vector<LimitPeriod>> m_Periods;
