--- a/Tests/Soak/FaultPlan.cpp
+++ b/Tests/Soak/FaultPlan.cpp
@@ -24,7 +24,7 @@
 /// Exceeds bounds::SettleTime, after which rate limits are checked.
 static constexpr std::uint64_t MinBackpressureMs = 4000;
 static constexpr std::uint64_t BackpressureSpreadMs = 8000;
-/// Rate limits are multiples of 0.1 requests per second.
+/// Rate limits are multiples of 0.1 requests per second below this.
 static constexpr std::uint64_t MaxLimitTenths = 60;
 
 const char *toString(FaultKind Kind) {
@@ -88,13 +88,13 @@
 /// Injects one fault.
 class FaultInjection {
 public:
-  FaultInjection(const Fault &What, Deployment &System,
+  FaultInjection(const Fault &Scheduled, Deployment &System,
                  InvariantChecker &Checker, asio::io_context &Context,
                  asio::yield_context Yield)
-      : m_Fault(What), m_System(System), m_Checker(Checker), m_Context(Context),
-        m_Yield(std::move(Yield)),
-        m_GatewayIndex(What.m_Selector % System.gateways()),
-        m_TargetIndex(What.m_Selector % System.targets()) {}
+      : m_Fault(Scheduled), m_System(System), m_Checker(Checker),
+        m_Context(Context), m_Yield(std::move(Yield)),
+        m_GatewayIndex(Scheduled.m_Selector % System.gateways()),
+        m_TargetIndex(Scheduled.m_Selector % System.targets()) {}
 
   void run();
 
@@ -109,10 +109,10 @@
     m_System.signalGateway(m_GatewayIndex, SIGCONT);
     m_Checker.noteProcessDisturbance(m_GatewayIndex, false);
   }
-  void disturbStoreLink(tests::ProxyMode How, bool MustReset) {
+  void disturbStoreLink(tests::ProxyMode Mode, bool MustReset) {
     m_Checker.noteStorePathDisturbance(m_GatewayIndex, true);
     tests::LoopbackProxy &Link = m_System.storeProxy(m_GatewayIndex);
-    Link.setMode(How);
+    Link.setMode(Mode);
     if (MustReset)
       Link.resetAll();
     sleepForFault();
@@ -134,36 +134,36 @@
     m_System.freezeStore(false);
     m_Checker.noteStoreDisturbance(false);
   }
-  void disturbTargetLink(tests::ProxyMode How, bool MustReset) {
-    SoakTarget &Which = m_System.target(m_TargetIndex);
-    Which.setDisturbed(true);
-    Which.proxy().setMode(How);
+  void disturbTargetLink(tests::ProxyMode Mode, bool MustReset) {
+    SoakTarget &Target = m_System.target(m_TargetIndex);
+    Target.setDisturbed(true);
+    Target.proxy().setMode(Mode);
     if (MustReset)
-      Which.proxy().resetAll();
+      Target.proxy().resetAll();
     sleepForFault();
-    Which.proxy().setMode(tests::ProxyMode::PassThrough);
-    Which.setDisturbed(false);
+    Target.proxy().setMode(tests::ProxyMode::PassThrough);
+    Target.setDisturbed(false);
   }
   void dropIdleConnections() {
     // Any next request may use one of these connections and be reset.
-    SoakTarget &Which = m_System.target(m_TargetIndex);
-    Which.setDisturbed(true);
-    Which.proxy().resetIdle(IdleTime);
+    SoakTarget &Target = m_System.target(m_TargetIndex);
+    Target.setDisturbed(true);
+    Target.proxy().resetIdle(IdleTime);
     sleepForFault();
-    Which.setDisturbed(false);
+    Target.setDisturbed(false);
   }
-  void injectResponseFaults(const ResponseFaults &How) {
-    m_System.target(m_TargetIndex).setResponseFaults(How);
+  void injectResponseFaults(const ResponseFaults &Faults) {
+    m_System.target(m_TargetIndex).setResponseFaults(Faults);
     sleepForFault();
     m_System.target(m_TargetIndex).setResponseFaults({});
   }
 
   void limitRate() {
-    SoakTarget &Which = m_System.target(m_TargetIndex);
-    Which.setLimit(static_cast<double>(m_Fault.m_Selector % MaxLimitTenths) /
-                   10);
+    SoakTarget &Target = m_System.target(m_TargetIndex);
+    Target.setLimit(static_cast<double>(m_Fault.m_Selector % MaxLimitTenths) /
+                    10);
     sleepForFault();
-    Which.setLimit(std::nullopt);
+    Target.setLimit(std::nullopt);
   }
 
   const Fault &m_Fault;
@@ -246,9 +246,10 @@
   }
 }
 
-void runFault(const Fault &What, Deployment &System, InvariantChecker &Checker,
-              asio::io_context &Context, asio::yield_context Yield) {
-  FaultInjection(What, System, Checker, Context, Yield).run();
+void runFault(const Fault &Scheduled, Deployment &System,
+              InvariantChecker &Checker, asio::io_context &Context,
+              asio::yield_context Yield) {
+  FaultInjection(Scheduled, System, Checker, Context, Yield).run();
 }
 
 } // namespace yardrill::soak
--- a/Tests/Soak/FaultPlan.h
+++ b/Tests/Soak/FaultPlan.h
@@ -53,27 +53,30 @@
 
 /// One scheduled fault.
 struct Fault {
-  std::chrono::milliseconds m_At{}; ///< Time after the soak's start.
+  std::chrono::milliseconds m_At{}; ///< Time after the schedule's start.
+  /// Kills, stops, reloads, publications and TargetLeaves don't use it.
   std::chrono::milliseconds m_Length{};
   FaultKind m_Kind = FaultKind::Publish;
-  /// Selects the gateway or target: its index, modulo their number.
+  /// Selects the gateway or target: its index, modulo their number. Also the
+  /// source of the rate limit of TargetLimits.
   std::size_t m_Selector = 0;
 };
 
 /// Returns a random schedule in order of time, in which faults may overlap. It
-/// depends only on the arguments. \param Length time by which all have ended.
+/// depends only on the arguments. \param Length end of the schedule, which
+/// shortens the faults that would last longer.
 std::vector<Fault> drawFaults(std::uint64_t Seed,
                               std::chrono::milliseconds Length);
 
 /// Returns the schedule of backpressure that targets state, in order of time.
-/// Drawn separately, so that a seed keeps its schedule from drawFaults().
+/// It is drawn separately, so that a seed keeps its schedule from drawFaults().
 std::vector<Fault> drawBackpressureFaults(std::uint64_t Seed,
                                           std::chrono::milliseconds Length);
 
-/// Injects a fault, waits for its length and removes it. Throws core::Error
-/// when the store can't be reached.
-void runFault(const Fault &What, Deployment &System, InvariantChecker &Checker,
-              boost::asio::io_context &Context,
+/// Injects a fault and removes it after its length, if it has one. Throws
+/// core::Error when the store can't be reached.
+void runFault(const Fault &Scheduled, Deployment &System,
+              InvariantChecker &Checker, boost::asio::io_context &Context,
               boost::asio::yield_context Yield);
 
 } // namespace yardrill::soak
