--- a/Tests/Soak/Deployment.cpp
+++ b/Tests/Soak/Deployment.cpp
@@ -27,7 +27,8 @@
 /// Time for which a target serves after the store accepted that it leaves.
 static constexpr std::chrono::milliseconds LeavingServiceTime{2600};
 static constexpr std::chrono::milliseconds LeavingExitDelay{600};
-/// Time after which the announcement of a target that just stopped is removed.
+/// Time after which the announcement of a target that stopped without leaving
+/// is removed.
 static constexpr std::chrono::milliseconds AnnouncementExpiryTime{1500};
 static constexpr std::chrono::seconds OperatorTimeout{20};
 static constexpr std::chrono::milliseconds PublishPollInterval{20};
@@ -99,9 +100,9 @@
 //===----------------------------------------------------------------------===//
 
 void Deployment::writeSettings(std::size_t Index, bool IsFirstStart) const {
-  const Gateway &Which = m_Gateways[Index];
-  const std::string &Ip = Which.m_Address;
-  auto At = [&Ip](std::uint16_t Port) {
+  const Gateway &Instance = m_Gateways[Index];
+  const std::string &Ip = Instance.m_Address;
+  auto QuotedEndpoint = [&Ip](std::uint16_t Port) {
     return "\"" + Ip + ":" + std::to_string(Port) + "\"\n";
   };
   std::ofstream Out(m_Shape.m_Folder + "/gateway-" + std::to_string(Index) +
@@ -111,26 +112,27 @@
       << PeerPort + 15 << "]\nseeds = [\"" << m_Gateways[0].m_Address << ":"
       << ControlPort << "\"]\nbootstrap = " << (IsFirstStart ? "true" : "false")
       << "\npeerKey = \"soak " << getpid()
-      << "\"\n[listen]\nfrontend = " << At(CallerPort)
-      << "readiness = " << At(ReadinessPort) << "control = " << At(ControlPort)
+      << "\"\n[listen]\nfrontend = " << QuotedEndpoint(CallerPort)
+      << "readiness = " << QuotedEndpoint(ReadinessPort)
+      << "control = " << QuotedEndpoint(ControlPort)
       << "[limits]\nmaxFds = 4100\n[bounds]\ngraceS = "
       << std::chrono::seconds(StopGrace).count()
       << "\nretryRatio = " << bounds::RetryRatio
       << "\nretryWindowS = " << bounds::RetryWindow.count()
       << "\nretrySlack = " << bounds::RetrySlack
-      << "\n[platform]\naddress = \"127.0.0.1:" << Which.m_StoreProxy->port()
+      << "\n[platform]\naddress = \"127.0.0.1:" << Instance.m_StoreProxy->port()
       << "\"\nreadsPerS = 2000\n";
 }
 
 void Deployment::startGateway(std::size_t Index, bool IsFirstStart) {
   writeSettings(Index, IsFirstStart);
-  Gateway &Which = m_Gateways[Index];
+  Gateway &Instance = m_Gateways[Index];
   std::string Stem = m_Shape.m_Folder + "/gateway-" + std::to_string(Index);
-  Which.m_Process = tests::Process(
+  Instance.m_Process = tests::Process(
       {m_Shape.m_Program, "gateway", "--config=" + Stem + ".toml"},
       Stem + ".log");
-  Which.m_IsExitExpected = false;
-  Which.m_StoppingSince = TimePoint();
+  Instance.m_IsExitExpected = false;
+  Instance.m_StoppingSince = TimePoint();
 }
 
 void Deployment::start(asio::yield_context Yield) {
@@ -151,25 +153,26 @@
 }
 
 void Deployment::killGateway(std::size_t Index) {
-  Gateway &Which = m_Gateways[Index];
-  if (!Which.m_Process.isRunning())
+  Gateway &Instance = m_Gateways[Index];
+  if (!Instance.m_Process.isRunning())
     return;
-  Which.m_IsExitExpected = true;
+  Instance.m_IsExitExpected = true;
   // Before the signal, since callers may notice the exit immediately.
   m_Checker.noteProcessDisturbance(Index, true);
-  Which.m_Process.kill();
+  Instance.m_Process.kill();
   handleGatewayExit(Index, -SIGKILL);
   m_Checker.noteProcessDisturbance(Index, false);
 }
 
 void Deployment::stopGateway(std::size_t Index) {
-  Gateway &Which = m_Gateways[Index];
-  if (!Which.m_Process.isRunning() || Which.m_StoppingSince != TimePoint())
+  Gateway &Instance = m_Gateways[Index];
+  if (!Instance.m_Process.isRunning() ||
+      Instance.m_StoppingSince != TimePoint())
     return;
-  Which.m_StoppingSince = Clock::now();
-  Which.m_IsExitExpected = true;
+  Instance.m_StoppingSince = Clock::now();
+  Instance.m_IsExitExpected = true;
   m_Checker.setStopping(Index, true);
-  Which.m_Process.signal(SIGTERM);
+  Instance.m_Process.signal(SIGTERM);
 }
 
 void Deployment::signalGateway(std::size_t Index, int Signal) {
@@ -177,32 +180,32 @@
 }
 
 void Deployment::handleGatewayExit(std::size_t Index, int ExitCode) {
-  Gateway &Which = m_Gateways[Index];
-  if (!Which.m_IsExitExpected)
+  Gateway &Instance = m_Gateways[Index];
+  if (!Instance.m_IsExitExpected)
     m_Checker.addViolation("exit", "gateway " + std::to_string(Index) +
                                        " exited unexpectedly with " +
                                        std::to_string(ExitCode));
   m_Checker.setStopping(Index, false);
   m_Checker.noteProcessDisturbance(Index, true);
-  Which.m_StartsAt = Clock::now() + RestartDelay;
+  Instance.m_StartsAt = Clock::now() + RestartDelay;
 }
 
 void Deployment::supervise() {
   for (std::size_t I = 0; I < m_Gateways.size(); ++I) {
-    Gateway &Which = m_Gateways[I];
-    if (!Which.m_Process.isRunning()) {
-      if (Which.m_StartsAt > Clock::now())
+    Gateway &Instance = m_Gateways[I];
+    if (!Instance.m_Process.isRunning()) {
+      if (Instance.m_StartsAt > Clock::now())
         continue;
-      ++Which.m_Restarts;
+      ++Instance.m_Restarts;
       m_Checker.gatewayRestarted(I);
       startGateway(I, false);
       m_Checker.noteProcessDisturbance(I, false);
       continue;
     }
-    if (auto Code = Which.m_Process.poll())
+    if (auto Code = Instance.m_Process.poll())
       handleGatewayExit(I, *Code);
-    else if (Which.m_StoppingSince != TimePoint() &&
-             Clock::now() > Which.m_StoppingSince + StopGrace)
+    else if (Instance.m_StoppingSince != TimePoint() &&
+             Clock::now() > Instance.m_StoppingSince + StopGrace)
       killGateway(I);
   }
 }
@@ -248,7 +251,7 @@
 }
 
 /// Returns the number of unused routes in a version. It varies, so that
-/// configurations grow and shrink between some hundred bytes and 0.4 MB.
+/// configurations grow and shrink between 1 kB and 0.5 MB.
 static std::uint64_t idleRoutes(std::uint64_t Version) {
   return Version % 3 * 1400;
 }
@@ -296,17 +299,17 @@
 //===----------------------------------------------------------------------===//
 
 void Deployment::replaceTarget(std::size_t Index, asio::yield_context Yield) {
-  SoakTarget &Which = *m_Targets[Index];
-  if (Which.isRetired())
+  SoakTarget &Target = *m_Targets[Index];
+  if (Target.isRetired())
     return;
-  std::string Key = Which.key();
-  Which.setLeavingInResponses();
-  Which.setLeavingInStore();
+  std::string Key = Target.key();
+  Target.setLeavingInResponses();
+  Target.setLeavingInStore();
   // Set again below, as the grace period starts at the store's response.
-  put(Key, Which.announcement(), Yield);
-  Which.setLeavingInStore();
+  put(Key, Target.announcement(), Yield);
+  Target.setLeavingInStore();
   tests::sleepFor(m_Context, LeavingServiceTime, Yield);
-  if (Which.isRetired())
+  if (Target.isRetired())
     return;
   remove(Key, Yield);
   tests::sleepFor(m_Context, LeavingExitDelay, Yield);
@@ -316,34 +319,34 @@
 void Deployment::crashTarget(std::size_t Index,
                              std::chrono::milliseconds DownFor,
                              asio::yield_context Yield) {
-  SoakTarget &Which = *m_Targets[Index];
-  if (Which.isRetired())
+  SoakTarget &Target = *m_Targets[Index];
+  if (Target.isRetired())
     return;
-  std::string Old = Which.key();
-  Which.setDisturbed(true);
-  Which.proxy().setMode(tests::ProxyMode::Closed);
-  Which.proxy().resetAll();
+  std::string Old = Target.key();
+  Target.setDisturbed(true);
+  Target.proxy().setMode(tests::ProxyMode::Closed);
+  Target.proxy().resetAll();
   tests::sleepFor(m_Context, DownFor, Yield);
-  if (Which.isRetired())
+  if (Target.isRetired())
     return;
   bool KeepsName = m_NextTarget % 2 == 0;
   std::string Next = nextTargetName();
-  Which.restart(KeepsName ? Which.name() : Next);
-  Which.proxy().setMode(tests::ProxyMode::PassThrough);
-  Which.setDisturbed(false);
-  put(Which.key(), Which.announcement(), Yield);
+  Target.restart(KeepsName ? Target.name() : Next);
+  Target.proxy().setMode(tests::ProxyMode::PassThrough);
+  Target.setDisturbed(false);
+  put(Target.key(), Target.announcement(), Yield);
   if (!KeepsName)
     remove(Old, Yield);
 }
 
 void Deployment::startVersion(const std::string &Pool,
                               const std::string &Version,
-                              const ResponseFaults &How,
+                              const ResponseFaults &Faults,
                               asio::yield_context Yield) {
   for (std::size_t I = 0; I < m_Shape.m_TargetsPerPool; ++I) {
     m_CanaryTargets.push_back(std::make_unique<SoakTarget>(
         m_Context, m_Checker, m_Random, nextTargetName(), Pool, Version));
-    m_CanaryTargets.back()->setResponseFaults(How);
+    m_CanaryTargets.back()->setResponseFaults(Faults);
     put(m_CanaryTargets.back()->key(), m_CanaryTargets.back()->announcement(),
         Yield);
   }
--- a/Tests/Soak/Deployment.h
+++ b/Tests/Soak/Deployment.h
@@ -71,7 +71,7 @@
   void replaceTarget(std::size_t Index, boost::asio::yield_context Yield);
   /// Starts canary targets of another version, as many as the pool has targets.
   void startVersion(const std::string &Pool, const std::string &Version,
-                    const ResponseFaults &How,
+                    const ResponseFaults &Faults,
                     boost::asio::yield_context Yield);
   /// Replaces the pool's targets by the canary targets, as after a completed
   /// roll-out; the old ones stop at once.
@@ -85,17 +85,17 @@
   /// Returns the roll-out state that operators read, as JSON; empty if none.
   std::string rolloutState(const std::string &Pool,
                            boost::asio::yield_context Yield);
-  /// Crashes the target and restarts it, alternately under a new name and under
-  /// the one it had.
+  /// Crashes the target and restarts it after \p DownFor, under a new name or
+  /// under the one it had.
   void crashTarget(std::size_t Index, std::chrono::milliseconds DownFor,
                    boost::asio::yield_context Yield);
 
-  /// Restarts processes that exited and kills those that exceed the stop grace.
+  /// Restarts gateways that exited and kills those that exceed the stop grace.
   /// Must be called periodically.
   void supervise();
 
 private:
-  /// Makes the target at that index crash under bad contents.
+  /// Makes the target at that index crash when it serves a bad content.
   void installExitHook(std::size_t Index);
 
   struct Gateway {
