--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -30,12 +30,12 @@
     : m_Context(Context), m_Checker(Checker), m_System(System),
       m_Random(Random), m_Misses(System.gateways(), MissesUntilRemoval) {}
 
-template <class Body> void Callers::spawn(Body What) {
+template <class Body> void Callers::spawn(Body Function) {
   ++m_ActiveCoroutines;
   asio::spawn(
       m_Context,
-      [this, What](asio::yield_context Yield) {
-        What(Yield);
+      [this, Function](asio::yield_context Yield) {
+        Function(Yield);
         --m_ActiveCoroutines;
       },
       asio::detached);
@@ -67,19 +67,19 @@
   return Out;
 }
 
-static http::RequestMessage toMessage(const SentRequest &What,
+static http::RequestMessage toMessage(const SentRequest &Request,
                                       const std::string &Path) {
   http::RequestMessage Out;
   Out.m_Method = "POST";
-  Out.m_Target =
-      Path + (What.m_Content.empty() ? "x?" + What.m_Id : What.m_Content);
+  Out.m_Target = Path + (Request.m_Content.empty() ? "x?" + Request.m_Id
+                                                   : Request.m_Content);
   Out.m_Headers = {{"Host", "h"},
-                   {"Attempt-Id", What.m_Id},
-                   {"Api-Key", What.m_Account + "-key"},
+                   {"Attempt-Id", Request.m_Id},
+                   {"Api-Key", Request.m_Account + "-key"},
                    {"Tenant", "forged"},
                    {"Deadline-Ms", std::to_string(TimeLimit.count())}};
-  Out.m_Body =
-      requestBodyOf(What.m_Content.empty() ? What.m_Id : What.m_Content);
+  Out.m_Body = requestBodyOf(Request.m_Content.empty() ? Request.m_Id
+                                                       : Request.m_Content);
   return Out;
 }
 
@@ -91,53 +91,55 @@
 }
 
 std::string Callers::readBody(http::ClientConnection &Connection,
-                              const SentRequest &What, bool IsStream,
+                              const SentRequest &Request, bool IsStream,
                               asio::yield_context Yield) {
   std::string Expected =
-      IsStream ? allEventsOf(What.m_Id) : responseBodyOf(What.m_Id);
+      IsStream ? allEventsOf(Request.m_Id) : responseBodyOf(Request.m_Id);
   std::string Out;
   while (true) {
     std::string Data = Connection.readBodyData(ClientTimeout, Yield);
     Out += Data;
     if (Expected.compare(0, Out.size(), Out) != 0) {
-      m_Checker.wrongResponse(What.m_Id, "body differs from the expected one");
+      m_Checker.wrongResponse(Request.m_Id,
+                              "body differs from the expected one");
       throw core::Error(core::ErrorKind::Protocol, "unexpected response body");
     }
     if (!Data.empty())
       continue;
     if (Out.size() != Expected.size())
-      m_Checker.wrongResponse(What.m_Id, "body ended early without an error");
+      m_Checker.wrongResponse(Request.m_Id,
+                              "body ended early without an error");
     return Out;
   }
 }
 
 std::optional<unsigned> Callers::exchange(http::ClientConnection &Connection,
-                                          const SentRequest &What,
+                                          const SentRequest &Request,
                                           const std::string &Path,
                                           asio::yield_context Yield) {
-  m_Checker.requestSent(What);
+  m_Checker.requestSent(Request);
   try {
-    Connection.sendRequest(toMessage(What, Path), ClientTimeout, Yield);
+    Connection.sendRequest(toMessage(Request, Path), ClientTimeout, Yield);
     http::ResponseHead Head = Connection.readHead(ClientTimeout, Yield);
     bool IsSuccess = Head.m_Status == 200;
     const std::string *Id = Head.m_Headers.find("Attempt-Id");
-    if (Id && *Id != What.m_Id)
-      m_Checker.wrongResponse(What.m_Id, "is the response to " + *Id);
+    if (Id && *Id != Request.m_Id)
+      m_Checker.wrongResponse(Request.m_Id, "is the response to " + *Id);
     if (IsSuccess && !Head.m_Headers.find("Replica-Seal"))
-      m_Checker.wrongResponse(What.m_Id, "is not signed");
+      m_Checker.wrongResponse(Request.m_Id, "is not signed");
     if (IsSuccess)
-      readBody(Connection, What,
-               What.m_Kind == RequestKind::Stream ||
-                   What.m_Kind == RequestKind::ResumableStream,
+      readBody(Connection, Request,
+               Request.m_Kind == RequestKind::Stream ||
+                   Request.m_Kind == RequestKind::ResumableStream,
                Yield);
     else
       while (!Connection.readBodyData(ClientTimeout, Yield).empty()) {
         // The body of a failure is not checked.
       }
-    m_Checker.responseReceived(What.m_Id, Head.m_Status);
+    m_Checker.responseReceived(Request.m_Id, Head.m_Status);
     return Head.m_Status;
   } catch (const core::Error &Failure) {
-    m_Checker.responseLost(What.m_Id, Failure.what());
+    m_Checker.responseLost(Request.m_Id, Failure.what());
     return std::nullopt;
   }
 }
@@ -159,10 +161,10 @@
                 {RequestKind::ResumableStream, "/resume/"}};
   for (std::uint64_t Left = 1 + randomBelow(MaxRequestsPerConnection); Left > 0;
        --Left) {
-    const auto &Kind = Routes[randomBelow(std::size(Routes))];
-    SentRequest What =
-        makeSentRequest(Gateway, Kind.m_Kind, randomBelow(4) == 0);
-    auto Status = exchange(*Connection, What, Kind.m_Path, Yield);
+    const auto &Route = Routes[randomBelow(std::size(Routes))];
+    SentRequest Request =
+        makeSentRequest(Gateway, Route.m_Kind, randomBelow(4) == 0);
+    auto Status = exchange(*Connection, Request, Route.m_Path, Yield);
     if (!Status || !Connection->isReusable() || m_IsStopped)
       return;
     // Pauses vary, so that connections also idle between requests.
@@ -186,11 +188,11 @@
     try {
       auto Connection = http::ClientConnection::connect(
           m_Context, m_System.callerAddress(Gateway), ConnectTime, Yield);
-      SentRequest What =
+      SentRequest Request =
           makeSentRequest(Gateway, RequestKind::Idempotent, false);
-      What.m_Content = BadContentPrefix + std::to_string(Number) + "-" +
-                       std::to_string(Series);
-      exchange(*Connection, What, "/again/", Yield);
+      Request.m_Content = BadContentPrefix + std::to_string(Number) + "-" +
+                          std::to_string(Series);
+      exchange(*Connection, Request, "/again/", Yield);
     } catch (const core::Error &) {
       // The gateway is down or starting.
     }
@@ -242,23 +244,23 @@
 void Callers::checkProbe(std::size_t Gateway, std::size_t RestartCount,
                          const AcceptedVersion &Probed, TimePoint SentAt,
                          unsigned Status) {
-  std::string Where = "gateway " + std::to_string(Gateway) + ", version " +
-                      std::to_string(Probed.m_Number);
-  std::uint64_t &Seen = m_NewestActiveVersion[{Gateway, RestartCount}];
+  std::string Subject = "gateway " + std::to_string(Gateway) + ", version " +
+                        std::to_string(Probed.m_Number);
+  std::uint64_t &NewestActive = m_NewestActiveVersion[{Gateway, RestartCount}];
   const AcceptedVersion &Newest = m_System.versions().back();
   bool IsNewest = Newest.m_Number == Probed.m_Number &&
                   m_System.newestSentVersion() == Probed.m_Number;
   if (Status == 200)
-    Seen = std::max(Seen, Probed.m_Number);
+    NewestActive = std::max(NewestActive, Probed.m_Number);
   // 503 is valid while the gateway has no configuration.
   if (Status != 404 || !IsNewest)
     return;
-  if (Seen >= Probed.m_Number)
-    return m_Checker.addViolation("configuration", Where + " was reverted");
+  if (NewestActive >= Probed.m_Number)
+    return m_Checker.addViolation("configuration", Subject + " was reverted");
   if (SentAt > Probed.m_AcceptedAt + bounds::ConfigurationApplyTime &&
       m_Checker.isUndisturbedSince(Gateway, Probed.m_AcceptedAt))
     m_Checker.addViolation("configuration",
-                           Where + " is not in effect in time");
+                           Subject + " is not in effect in time");
 }
 
 void Callers::runProber(std::size_t Gateway, asio::yield_context Yield) {
@@ -267,16 +269,17 @@
       continue;
     AcceptedVersion Probed = m_System.versions().back();
     std::size_t RestartCount = m_System.restartCount(Gateway);
-    SentRequest What = makeSentRequest(Gateway, RequestKind::Idempotent, false);
-    What.m_IsProbe = true;
+    SentRequest Request =
+        makeSentRequest(Gateway, RequestKind::Idempotent, false);
+    Request.m_IsProbe = true;
     try {
       auto Connection = http::ClientConnection::connect(
           m_Context, m_System.callerAddress(Gateway), ConnectTime, Yield);
       auto Status =
-          exchange(*Connection, What,
+          exchange(*Connection, Request,
                    "/probe-" + std::to_string(Probed.m_Number) + "/", Yield);
       if (Status && RestartCount == m_System.restartCount(Gateway))
-        checkProbe(Gateway, RestartCount, Probed, What.m_SentAt, *Status);
+        checkProbe(Gateway, RestartCount, Probed, Request.m_SentAt, *Status);
     } catch (const core::Error &) {
       // The gateway is down or starting.
     }
--- a/Tests/Soak/Callers.h
+++ b/Tests/Soak/Callers.h
@@ -32,7 +32,7 @@
 private:
   using ConnectionHandle = std::unique_ptr<http::ClientConnection>;
 
-  template <class Body> void spawn(Body What);
+  template <class Body> void spawn(Body Function);
   void runCaller(boost::asio::yield_context Yield);
   /// Sends up to MaxRequestsPerConnection requests over one connection.
   void useConnection(std::size_t Gateway, boost::asio::yield_context Yield);
@@ -52,18 +52,18 @@
   /// Sends a request and checks its response. \returns the status, or nothing
   /// if the response is incomplete; the connection can't be reused then.
   std::optional<unsigned> exchange(http::ClientConnection &Connection,
-                                   const SentRequest &What,
+                                   const SentRequest &Request,
                                    const std::string &Path,
                                    boost::asio::yield_context Yield);
   std::string readBody(http::ClientConnection &Connection,
-                       const SentRequest &What, bool IsStream,
+                       const SentRequest &Request, bool IsStream,
                        boost::asio::yield_context Yield);
   /// Checks whether the gateway applies a configuration in time and never
   /// reverts to an older one.
   void checkProbe(std::size_t Gateway, std::size_t RestartCount,
                   const AcceptedVersion &Probed, TimePoint SentAt,
                   unsigned Status);
-  std::uint64_t randomBelow(std::uint64_t Below) { return m_Random() % Below; }
+  std::uint64_t randomBelow(std::uint64_t Bound) { return m_Random() % Bound; }
 
   boost::asio::io_context &m_Context;
   InvariantChecker &m_Checker;
