--- a/Tests/Soak/Operator.cpp
+++ b/Tests/Soak/Operator.cpp
@@ -40,14 +40,14 @@
   Order.m_Pool = m_Random() % 2 == 0 ? "app" : "engine";
   Order.m_Version = "v" + std::to_string(m_NextVersion++);
   Order.m_IsBad = m_Random() % 2 == 0;
-  ResponseFaults How;
+  ResponseFaults Faults;
   // A bad engine aborts its streams; a bad application responds with 500.
-  (Order.m_Pool == "app" ? How.m_FailShare : How.m_AbortShare) =
+  (Order.m_Pool == "app" ? Faults.m_FailShare : Faults.m_AbortShare) =
       Order.m_IsBad ? BadVersionFaultShare : 0;
   m_System.putRolloutOrder(Order.m_Pool, Order.m_Version, BakeTime, Yield);
   Order.m_OrderedAt = Clock::now();
   Order.m_Deadline = Order.m_OrderedAt + BakeTime;
-  m_System.startVersion(Order.m_Pool, Order.m_Version, How, Yield);
+  m_System.startVersion(Order.m_Pool, Order.m_Version, Faults, Yield);
   std::string State = awaitFinalState(Order, Yield);
   checkOutcome(Order, State);
   if (State == "completed")
--- a/Tests/Soak/Operator.h
+++ b/Tests/Soak/Operator.h
@@ -7,8 +7,8 @@
 namespace yardrill::soak {
 
 /// Orders roll-outs of good and bad versions for both pools and checks their
-/// outcome. It draws from its own generator, so that a seed's fault schedule
-/// does not depend on it.
+/// outcome. It draws from its own generator, so that the sequence of its orders
+/// depends only on the seed.
 class Operator {
 public:
   Operator(boost::asio::io_context &Context, InvariantChecker &Checker,
@@ -26,7 +26,8 @@
 
 private:
   void rollOut(boost::asio::yield_context Yield);
-  /// \returns the final state, or an empty string after MaxFinishDelay.
+  /// Returns the final state, or an empty string if the roll-out has none
+  /// MaxFinishDelay after its deadline.
   std::string awaitFinalState(const RolloutOrder &Order,
                               boost::asio::yield_context Yield);
   void checkOutcome(const RolloutOrder &Order, const std::string &State);
--- a/Tests/Soak/SoakTarget.cpp
+++ b/Tests/Soak/SoakTarget.cpp
@@ -98,8 +98,8 @@
 }
 
 std::string SoakTarget::badContentOf(const http::RequestMessage &Request) {
-  std::size_t At = Request.m_Target.find(BadContentPrefix);
-  return At == std::string::npos ? "" : Request.m_Target.substr(At);
+  std::size_t Position = Request.m_Target.find(BadContentPrefix);
+  return Position == std::string::npos ? "" : Request.m_Target.substr(Position);
 }
 
 void SoakTarget::exitProcess(const std::string &Content) {
@@ -145,10 +145,10 @@
 void SoakTarget::stateBackpressure(
     http::ResponseHead &Head, const std::string &Id,
     std::optional<std::chrono::milliseconds> Backoff) {
-  ResponseBackpressure What;
-  What.m_RequestsPerSecond = m_Limit;
-  What.m_IsLeaving = m_IsLeavingInResponses;
-  What.m_Backoff = Backoff;
+  ResponseBackpressure Backpressure;
+  Backpressure.m_RequestsPerSecond = m_Limit;
+  Backpressure.m_IsLeaving = m_IsLeavingInResponses;
+  Backpressure.m_Backoff = Backoff;
   if (m_Limit)
     Head.m_Headers.add("Server-Limit", std::to_string(*m_Limit));
   if (m_IsLeavingInResponses)
@@ -156,7 +156,7 @@
   if (Backoff)
     Head.m_Headers.add("Retry-After",
                        std::to_string(core::toSeconds(*Backoff)));
-  m_Checker.backpressureStated(Id, incarnation(), What);
+  m_Checker.backpressureStated(Id, incarnation(), Backpressure);
 }
 
 void SoakTarget::handle(http::Exchange &Call, asio::yield_context Yield) {
--- a/Tests/Soak/SoakTarget.h
+++ b/Tests/Soak/SoakTarget.h
@@ -45,7 +45,9 @@
   std::string announcement() const;
   tests::LoopbackProxy &proxy() { return *m_Proxy; }
 
-  void setResponseFaults(const ResponseFaults &How) { m_ResponseFaults = How; }
+  void setResponseFaults(const ResponseFaults &Faults) {
+    m_ResponseFaults = Faults;
+  }
   /// \param Hook restarts the target; called once for each incarnation, when a
   ///   request makes it exit.
   void setExitHook(std::function<void()> Hook) { m_ExitHook = std::move(Hook); }
@@ -82,8 +84,7 @@
               boost::asio::yield_context Yield);
   /// Returns true with probability \p Share.
   bool isFaultDrawn(double Share);
-  /// \returns the content under which the target must exit; else an empty
-  /// string.
+  /// Returns the content under which the target must exit, or an empty string.
   static std::string badContentOf(const http::RequestMessage &Request);
   void exitProcess(const std::string &Content);
 
@@ -93,7 +94,7 @@
   std::string m_Name;
   std::string m_Pool;
   std::string m_Version;
-  std::int64_t m_StartTime = 1;
+  std::int64_t m_StartTime = 1; ///< As announced; one more per incarnation.
   bool m_IsRetired = false;
   std::unique_ptr<http::Server> m_Server;
   std::unique_ptr<tests::LoopbackProxy> m_Proxy;
