--- a/Tests/Soak/main.cpp
+++ b/Tests/Soak/main.cpp
@@ -5,9 +5,9 @@
 //             [--callers=N] [--bad_callers=N] [--norollouts] [--nofaults]
 //
 // Gateways and the store's stand-in run as processes; targets, callers and
-// proxies run in this one. A seed determines the schedule of faults. Exits with
-// 0 if no invariant was violated; else prints the violations and exits with 1.
-// The folder holds all logs.
+// proxies run in this one. A seed determines the schedule of faults and the
+// sequence of roll-outs. Exits with 0 if no invariant was violated; else prints
+// the violations and exits with 1. The folder holds all logs.
 //
 //===----------------------------------------------------------------------===//
 #include "Callers.h"
@@ -27,7 +27,7 @@
 DEFINE_string(yardrill, "", "path of the yardrill program");
 DEFINE_string(stand_in, "", "path of the stand_in program");
 DEFINE_string(folder, "", "existing folder for settings and logs");
-DEFINE_uint64(seed, 1, "seed of the schedule of faults");
+DEFINE_uint64(seed, 1, "seed of the schedule of faults and of the roll-outs");
 DEFINE_uint64(seconds, 20, "length of the schedule of faults");
 DEFINE_uint64(gateways, 4, "number of gateway processes");
 DEFINE_uint64(targets, 4, "number of targets in each of the two pools");
@@ -42,9 +42,10 @@
 
 namespace {
 
-/// Time to start gateways and callers, each, before the first fault.
+/// Time for gateways to start, and then for callers, before the first fault.
 constexpr std::chrono::milliseconds StartTime{1500};
-/// Time without faults in which the system must recover.
+/// Time without faults at the end. Exceeds bounds::SettleTime, after which
+/// requests must be served again.
 constexpr std::chrono::milliseconds RecoveryTime{6000};
 constexpr std::chrono::milliseconds SupervisePeriod{20};
 /// Exceeds the timeout of every caller.
@@ -94,13 +95,13 @@
     if (!FLAGS_faults)
       yardrill::tests::sleepFor(m_Context, std::chrono::seconds(FLAGS_seconds),
                                 Yield);
-    for (const Fault &What : plan()) {
+    for (const Fault &Next : plan()) {
       yardrill::tests::sleepFor(
           m_Context,
           std::chrono::duration_cast<std::chrono::milliseconds>(
-              Start + What.m_At - Clock::now()),
+              Start + Next.m_At - Clock::now()),
           Yield);
-      begin(What);
+      begin(Next);
     }
     m_Callers.stopBadRequestCallers();
     m_Operator.stop();
@@ -119,25 +120,26 @@
       return {};
     std::chrono::seconds Length(FLAGS_seconds);
     std::vector<Fault> Out = drawFaults(FLAGS_seed, Length);
-    std::vector<Fault> Terms = drawBackpressureFaults(FLAGS_seed, Length);
-    Out.insert(Out.end(), Terms.begin(), Terms.end());
+    std::vector<Fault> BackpressureFaults =
+        drawBackpressureFaults(FLAGS_seed, Length);
+    Out.insert(Out.end(), BackpressureFaults.begin(), BackpressureFaults.end());
     std::stable_sort(
         Out.begin(), Out.end(),
         [](const Fault &A, const Fault &B) { return A.m_At < B.m_At; });
     return Out;
   }
 
-  void begin(const Fault &What) {
-    std::cout << "fault at_ms=" << What.m_At.count()
-              << " length_ms=" << What.m_Length.count()
-              << " kind=" << toString(What.m_Kind)
-              << " which=" << What.m_Selector % FLAGS_gateways << "/"
-              << What.m_Selector % m_System.targets() << std::endl;
+  void begin(const Fault &Scheduled) {
+    std::cout << "fault at_ms=" << Scheduled.m_At.count()
+              << " length_ms=" << Scheduled.m_Length.count()
+              << " kind=" << toString(Scheduled.m_Kind)
+              << " which=" << Scheduled.m_Selector % FLAGS_gateways << "/"
+              << Scheduled.m_Selector % m_System.targets() << std::endl;
     ++m_ActiveFaults;
     asio::spawn(
         m_Context,
-        [this, What](asio::yield_context Yield) {
-          runFault(What, m_System, m_Checker, m_Context, Yield);
+        [this, Scheduled](asio::yield_context Yield) {
+          runFault(Scheduled, m_System, m_Checker, m_Context, Yield);
           --m_ActiveFaults;
         },
         asio::detached);
