--- a/Bench/EngineModel.cpp
+++ b/Bench/EngineModel.cpp
@@ -4,12 +4,12 @@
 
 namespace yardrill::bench {
 
-void EngineModel::enqueue(std::size_t Index, const Request &What) {
-  m_Waiting.emplace(std::make_pair(What.m_Tier, Index), Index);
+void EngineModel::enqueue(std::size_t Index, const Request &Queued) {
+  m_Waiting.emplace(std::make_pair(Queued.m_Tier, Index), Index);
 }
 
-bool EngineModel::cancelWaiting(std::size_t Index, const Request &What) {
-  return m_Waiting.erase({What.m_Tier, Index}) != 0;
+bool EngineModel::cancelWaiting(std::size_t Index, const Request &Queued) {
+  return m_Waiting.erase({Queued.m_Tier, Index}) != 0;
 }
 
 bool EngineModel::hasPrefix(std::uint64_t Prefix) const {
@@ -28,18 +28,18 @@
   Out.m_Request = m_Waiting.begin()->second;
   m_Waiting.erase(m_Waiting.begin());
   ++m_Running;
-  const Request &What = All[Out.m_Request];
-  Out.m_IsCached = What.m_Prefix != 0 && hasPrefix(What.m_Prefix);
-  if (What.m_Prefix != 0) {
-    m_Cache.remove(What.m_Prefix);
-    m_Cache.push_back(What.m_Prefix);
+  const Request &Started = All[Out.m_Request];
+  Out.m_IsCached = Started.m_Prefix != 0 && hasPrefix(Started.m_Prefix);
+  if (Started.m_Prefix != 0) {
+    m_Cache.remove(Started.m_Prefix);
+    m_Cache.push_back(Started.m_Prefix);
     if (m_Cache.size() > m_CachedPrefixes)
       m_Cache.pop_front();
   }
   double Scale = m_Slowness / m_Speed;
-  double Prefill = Out.m_IsCached ? 0 : What.m_Prefill / PrefillRate * Scale;
+  double Prefill = Out.m_IsCached ? 0 : Started.m_Prefill / PrefillRate * Scale;
   Out.m_Prefill = fromSeconds(Prefill);
-  Out.m_Total = fromSeconds(Prefill + What.m_Output / DecodeRate * Scale);
+  Out.m_Total = fromSeconds(Prefill + Started.m_Output / DecodeRate * Scale);
   return Out;
 }
 
--- a/Bench/EngineModel.h
+++ b/Bench/EngineModel.h
@@ -18,8 +18,10 @@
 
 namespace yardrill::bench {
 
-inline constexpr double PrefillRate = 4000; ///< Tokens per second at speed 1.
-inline constexpr double DecodeRate = 40;    ///< Tokens per second and stream.
+/// Tokens per second at speed 1.
+inline constexpr double PrefillRate = 4000;
+/// Tokens per second and stream at speed 1.
+inline constexpr double DecodeRate = 40;
 
 /// A request that an engine started, with its service times.
 struct StartedRequest {
@@ -38,12 +40,12 @@
 
   /// Sets a factor on the service times of requests started from now on.
   void setSlowness(double Slowness) { m_Slowness = Slowness; }
-  void enqueue(std::size_t Index, const Request &What);
+  void enqueue(std::size_t Index, const Request &Queued);
   /// Starts the first request in the queue if a slot is free.
   std::optional<StartedRequest> startNext(const std::vector<Request> &All);
   void finishRequest() { --m_Running; }
   /// Removes a request from the queue. \returns false if it is not queued.
-  bool cancelWaiting(std::size_t Index, const Request &What);
+  bool cancelWaiting(std::size_t Index, const Request &Queued);
 
   bool hasPrefix(std::uint64_t Prefix) const;
   /// Returns the number of running and queued requests.
--- a/Bench/Simulation.cpp
+++ b/Bench/Simulation.cpp
@@ -39,8 +39,8 @@
   m_Scheduler = Factory(*this);
 }
 
-void Simulation::at(core::Duration When, std::function<void()> What) {
-  m_Tasks.push({When, m_NextSequence++, std::move(What)});
+void Simulation::at(core::Duration When, std::function<void()> Task) {
+  m_Tasks.push({When, m_NextSequence++, std::move(Task)});
 }
 
 SimulationResult Simulation::run() {
@@ -76,18 +76,19 @@
   startWaitingRequests(Engine);
 }
 
-void Simulation::recordPrefill(std::size_t Engine, const StartedRequest &What) {
-  const Request &Which = m_Requests[What.m_Request];
-  if (What.m_IsCached)
+void Simulation::recordPrefill(std::size_t Engine,
+                               const StartedRequest &Started) {
+  const Request &Prefilled = m_Requests[Started.m_Request];
+  if (Started.m_IsCached)
     return;
-  m_Result.m_PrefilledTokens += Which.m_Prefill;
+  m_Result.m_PrefilledTokens += Prefilled.m_Prefill;
   bool IsCachedElsewhere = false;
   for (std::size_t I = 0; I < EngineCount; ++I)
     IsCachedElsewhere =
-        IsCachedElsewhere || (I != Engine && Which.m_Prefix != 0 &&
-                              m_Engines[I].hasPrefix(Which.m_Prefix));
+        IsCachedElsewhere || (I != Engine && Prefilled.m_Prefix != 0 &&
+                              m_Engines[I].hasPrefix(Prefilled.m_Prefix));
   if (IsCachedElsewhere)
-    m_Result.m_WastedTokens += Which.m_Prefill;
+    m_Result.m_WastedTokens += Prefilled.m_Prefill;
 }
 
 void Simulation::startWaitingRequests(std::size_t Engine) {
@@ -98,9 +99,9 @@
     at(m_Now + Next->m_Prefill, [this, Index] {
       if (m_IsCancelled[Index])
         return;
-      const Request &Which = m_Requests[Index];
-      m_Result.m_FirstToken[Which.m_Tier].push_back(
-          core::toSeconds(m_Now - Which.m_At));
+      const Request &Answered = m_Requests[Index];
+      m_Result.m_FirstToken[Answered.m_Tier].push_back(
+          core::toSeconds(m_Now - Answered.m_At));
       m_Scheduler->responseStarted(Index);
     });
     at(m_Now + Next->m_Total, [this, Index, Engine] {
@@ -111,23 +112,23 @@
 }
 
 void Simulation::finish(std::size_t Index, std::size_t Engine) {
-  const Request &Which = m_Requests[Index];
+  const Request &Finished = m_Requests[Index];
   m_Engines[Engine].finishRequest();
-  if (m_Now <= Which.m_At + Which.m_Deadline) {
-    ++m_Result.m_InTime[Which.m_Tier];
-    m_Result.m_InTimeInBurst[Which.m_Tier] += isInBurst(Index) ? 1 : 0;
+  if (m_Now <= Finished.m_At + Finished.m_Deadline) {
+    ++m_Result.m_InTime[Finished.m_Tier];
+    m_Result.m_InTimeInBurst[Finished.m_Tier] += isInBurst(Index) ? 1 : 0;
   }
   startWaitingRequests(Engine);
   m_Scheduler->responseEnded(Index, false);
 }
 
 void Simulation::cancel(std::size_t Index) {
-  const Request &Which = m_Requests[Index];
+  const Request &Cancelled = m_Requests[Index];
   auto Engine = static_cast<std::size_t>(m_EngineOf[Index]);
   m_IsCancelled[Index] = true;
   ++m_Result.m_Evicted;
-  if (!m_Engines[Engine].cancelWaiting(Index, Which)) {
-    m_Result.m_WastedTokens += Which.m_Prefill;
+  if (!m_Engines[Engine].cancelWaiting(Index, Cancelled)) {
+    m_Result.m_WastedTokens += Cancelled.m_Prefill;
     m_Engines[Engine].finishRequest();
     startWaitingRequests(Engine);
   }
--- a/Bench/Simulation.h
+++ b/Bench/Simulation.h
@@ -20,7 +20,8 @@
 
 inline constexpr std::size_t EngineCount = 12;
 inline constexpr std::size_t EngineSlots = 8;
-/// Delay of messages between instances, and of an engine's cancellation.
+/// Delay of messages between instances, and of an engine's confirmation that it
+/// cancelled a request.
 inline constexpr core::Duration MessageDelay = std::chrono::milliseconds(1);
 
 /// Sums over one or several runs; arrays are indexed by tier, 1 to 3.
@@ -60,7 +61,8 @@
 
 /// Simulates one workload under one scheduler. One engine slows down to a third
 /// of its speed halfway, load reports are up to two seconds old, and an
-/// instance is lost during the burst.
+/// instance is lost during the burst; schedulers that don't override
+/// loseInstance() ignore that.
 class Simulation {
 public:
   using SchedulerFactory =
@@ -71,7 +73,7 @@
 
   SimulationResult run();
   /// Schedules a task at a time after the start.
-  void at(core::Duration When, std::function<void()> What);
+  void at(core::Duration When, std::function<void()> Task);
   /// Returns the simulated time since the start.
   core::Duration now() const { return m_Now; }
   /// Returns the simulated time as a steady-clock reading.
@@ -104,7 +106,7 @@
   }
   void startWaitingRequests(std::size_t Engine);
   void finish(std::size_t Index, std::size_t Engine);
-  void recordPrefill(std::size_t Engine, const StartedRequest &What);
+  void recordPrefill(std::size_t Engine, const StartedRequest &Started);
   void reportLoads();
 
   std::vector<Request> m_Requests;
