--- a/Bench/CoreScheduler.cpp
+++ b/Bench/CoreScheduler.cpp
@@ -24,10 +24,10 @@
     auto Configuration = config::FleetConfiguration::parse(
         configuration(), "bench", core::ConfigurationVersion(1));
     for (std::size_t I = 0; I < m_Cores.size(); ++I) {
-      decision::InstanceStarted First;
-      First.m_Self = instanceRef(I);
-      First.m_Seed = m_Seed * 100UL + I;
-      handleEvent(I, First);
+      decision::InstanceStarted Started;
+      Started.m_Self = instanceRef(I);
+      Started.m_Seed = m_Seed * 100UL + I;
+      handleEvent(I, Started);
       handleEvent(I, decision::ConfigurationAccepted{Configuration});
       handleEvent(I, decision::InstanceCountChanged{
                          static_cast<std::uint32_t>(m_Cores.size())});
@@ -36,21 +36,22 @@
   }
 
   void requestArrived(std::size_t Index) override {
-    const Request &Which = m_Owner.requests()[Index];
-    std::size_t Instance = Which.m_Instance;
+    const Request &Simulated = m_Owner.requests()[Index];
+    std::size_t Instance = Simulated.m_Instance;
     // The balancer skips lost instances.
     while (m_IsLost[Instance])
       Instance = (Instance + 1) % m_Cores.size();
     m_InstanceOf[Index] = Instance;
-    decision::RequestArrived What;
-    What.m_Request = core::RequestId(Index + 1);
-    What.m_Tier = core::TierNumber(Which.m_Tier);
-    What.m_Account = core::AccountName("a" + std::to_string(Which.m_Account));
-    What.m_Pool = Pool;
-    What.m_PrefillTokens = Which.m_Prefill;
-    What.m_OutputTokens = Which.m_Output;
-    What.m_PrefixHash = Which.m_Prefix;
-    handleEvent(Instance, What);
+    decision::RequestArrived Arrival;
+    Arrival.m_Request = core::RequestId(Index + 1);
+    Arrival.m_Tier = core::TierNumber(Simulated.m_Tier);
+    Arrival.m_Account =
+        core::AccountName("a" + std::to_string(Simulated.m_Account));
+    Arrival.m_Pool = Pool;
+    Arrival.m_PrefillTokens = Simulated.m_Prefill;
+    Arrival.m_OutputTokens = Simulated.m_Output;
+    Arrival.m_PrefixHash = Simulated.m_Prefix;
+    handleEvent(Instance, Arrival);
   }
 
   void responseStarted(std::size_t Index) override {
@@ -70,8 +71,8 @@
   void loseInstance(std::size_t Instance) override {
     m_IsLost[Instance] = true;
     // Its connections break, so the engines cancel its requests.
-    for (const auto &[Index, Owner] : m_InstanceOf)
-      if (Owner == Instance && m_Dispatched.count(Index) != 0)
+    for (const auto &[Index, RequestInstance] : m_InstanceOf)
+      if (RequestInstance == Instance && m_Dispatched.count(Index) != 0)
         m_Owner.cancel(Index);
     m_Owner.at(m_Owner.now() + std::chrono::seconds(7), [this, Instance] {
       for (std::size_t I = 0; I < m_Cores.size(); ++I) {
@@ -117,55 +118,55 @@
                [this, Instance] { tick(Instance); });
   }
 
-  void handleEventAtOwner(std::size_t Index, const decision::Event &What) {
+  void handleEventAtOwner(std::size_t Index, const decision::Event &Input) {
     std::size_t Instance = m_InstanceOf.at(Index);
     if (!m_IsLost[Instance])
-      handleEvent(Instance, What);
+      handleEvent(Instance, Input);
   }
 
-  void handleEvent(std::size_t Instance, const decision::Event &What) {
+  void handleEvent(std::size_t Instance, const decision::Event &Input) {
     if (m_IsLost[Instance])
       return;
     for (const decision::Action &Next :
-         m_Cores[Instance].handle(What, m_Owner.steadyNow()))
+         m_Cores[Instance].handle(Input, m_Owner.steadyNow()))
       perform(Instance, Next);
-    if (const auto *End = std::get_if<decision::ResponseEnded>(&What))
+    if (const auto *End = std::get_if<decision::ResponseEnded>(&Input))
       m_Dispatched.erase(End->m_Request.value() - 1);
   }
 
-  void send(const decision::InstanceRef &To, const decision::Event &What) {
-    m_Owner.at(m_Owner.now() + MessageDelay, [this, To, What] {
-      handleEvent(To.m_Incarnation.value() - 1, What);
+  void send(const decision::InstanceRef &To, const decision::Event &Input) {
+    m_Owner.at(m_Owner.now() + MessageDelay, [this, To, Input] {
+      handleEvent(To.m_Incarnation.value() - 1, Input);
     });
   }
 
-  void perform(std::size_t Instance, const decision::Action &What) {
-    if (const auto *Assignment = std::get_if<decision::Dispatch>(&What)) {
+  void perform(std::size_t Instance, const decision::Action &Next) {
+    if (const auto *Assignment = std::get_if<decision::Dispatch>(&Next)) {
       std::size_t Index = Assignment->m_Request.value() - 1;
       m_Dispatched.insert(Index);
       m_Owner.dispatch(Index,
                        std::stoul(Assignment->m_Target.value().substr(1)));
     }
-    if (const auto *Refusal = std::get_if<decision::Refuse>(&What)) {
+    if (const auto *Refusal = std::get_if<decision::Refuse>(&Next)) {
       m_Owner.refuse(Refusal->m_Request.value() - 1);
       if (Refusal->m_ValidUntil != 0)
         send(instanceRef(Instance),
              decision::RefusalSettled{Refusal->m_Request, true});
     }
-    if (const auto *Eviction = std::get_if<decision::Cancel>(&What))
+    if (const auto *Eviction = std::get_if<decision::Cancel>(&Next))
       m_Owner.cancel(Eviction->m_Request.value() - 1);
-    if (const auto *Order = std::get_if<decision::SendThresholdCommand>(&What))
+    if (const auto *Order = std::get_if<decision::SendThresholdCommand>(&Next))
       send(Order->m_To, Order->m_Command);
-    if (const auto *Report = std::get_if<decision::SendThresholdReport>(&What))
+    if (const auto *Report = std::get_if<decision::SendThresholdReport>(&Next))
       send(Report->m_To, Report->m_Report);
-    if (std::get_if<decision::ReadThresholdRecord>(&What))
+    if (std::get_if<decision::ReadThresholdRecord>(&Next))
       send(instanceRef(Instance),
            decision::ThresholdRecordRead{
                Pool, m_Revision, m_Record,
                m_Revision != 0 &&
                    !m_IsLost[m_Record.m_Leader.m_Incarnation.value() - 1]});
     if (const auto *Write =
-            std::get_if<decision::WriteThresholdRecord>(&What)) {
+            std::get_if<decision::WriteThresholdRecord>(&Next)) {
       bool IsWritten = Write->m_Revision == m_Revision;
       if (IsWritten) {
         m_Record = Write->m_Record;
--- a/Bench/DecisionCostProgram.cpp
+++ b/Bench/DecisionCostProgram.cpp
@@ -1,8 +1,8 @@
 //===-- DecisionCostProgram.cpp - Latency of single decisions -------------===//
 //
-// Prints the median and 99th percentile for an arriving request and for a
-// finished one (which dispatches the next from the queue), by number of queued
-// requests and targets.
+// Prints the median and 99th percentile of the time to handle an arriving
+// request and a finished one (which dispatches the next from the queue), by
+// number of queued requests and targets.
 //
 //===----------------------------------------------------------------------===//
 #include "LibDecision/DecisionCore.h"
@@ -47,19 +47,20 @@
       handleArrival();
   }
 
+  /// Returns the time taken in nanoseconds, as handleEnd() does.
   std::int64_t handleArrival() {
-    RequestArrived What;
-    What.m_Request = core::RequestId(++m_Last);
-    What.m_Tier = core::TierNumber(1);
-    What.m_Account = core::AccountName("a" + std::to_string(m_Last % 50));
-    What.m_Pool = core::PoolName("p");
-    What.m_PrefillTokens = 500;
-    What.m_OutputTokens = 100;
-    What.m_PrefixHash = m_Last % 100;
-    return handleEvent(What);
+    RequestArrived Arrival;
+    Arrival.m_Request = core::RequestId(++m_LastId);
+    Arrival.m_Tier = core::TierNumber(1);
+    Arrival.m_Account = core::AccountName("a" + std::to_string(m_LastId % 50));
+    Arrival.m_Pool = core::PoolName("p");
+    Arrival.m_PrefillTokens = 500;
+    Arrival.m_OutputTokens = 100;
+    Arrival.m_PrefixHash = m_LastId % 100;
+    return handleEvent(Arrival);
   }
 
-  std::int64_t end() {
+  std::int64_t handleEnd() {
     core::RequestId Id = m_Running.front();
     m_Running.pop_front();
     return handleEvent(
@@ -67,10 +68,10 @@
   }
 
 private:
-  std::int64_t handleEvent(const Event &What) {
+  std::int64_t handleEvent(const Event &Input) {
     m_Now += std::chrono::microseconds(50);
     auto Start = std::chrono::steady_clock::now();
-    std::vector<Action> Actions = m_Core.handle(What, m_Now);
+    std::vector<Action> Actions = m_Core.handle(Input, m_Now);
     auto Elapsed = std::chrono::steady_clock::now() - Start;
     for (const Action &Each : Actions)
       if (const auto *Assignment = std::get_if<Dispatch>(&Each))
@@ -81,16 +82,16 @@
 
   DecisionCore m_Core;
   core::TimePoint m_Now{std::chrono::hours(1)};
-  std::uint64_t m_Last = 0;
+  std::uint64_t m_LastId = 0;
   std::deque<core::RequestId> m_Running;
 };
 
 } // namespace
 
-static void print(const char *What, int Targets, int Queued,
+static void print(const char *Decision, int Targets, int Queued,
                   std::vector<std::int64_t> Times) {
   std::sort(Times.begin(), Times.end());
-  std::cout << "decision=" << What << " targets=" << Targets
+  std::cout << "decision=" << Decision << " targets=" << Targets
             << " queued=" << Queued << " p50_ns=" << Times[Times.size() / 2]
             << " p99_ns=" << Times[Times.size() * 99 / 100] << std::endl;
 }
@@ -104,7 +105,7 @@
       std::vector<std::int64_t> Ends;
       for (int I = 0; I < Decisions; ++I) {
         Arrivals.push_back(Core.handleArrival());
-        Ends.push_back(Core.end());
+        Ends.push_back(Core.handleEnd());
       }
       print("arrival", Targets, Queued, Arrivals);
       print("end-and-dispatch", Targets, Queued, Ends);
