--- a/Bench/ConfigurationCostProgram.cpp
+++ b/Bench/ConfigurationCostProgram.cpp
@@ -1,8 +1,8 @@
 //===-- ConfigurationCostProgram.cpp - Costs of a configuration change ----===//
 //
 // Prints for configurations of several sizes: the time to parse one, to create
-// and to apply the patch for one changed route, the size of the patch, and the
-// memory of the parsed route table.
+// and to apply the patch for two changed routes, the size of the patch and of
+// the one from an empty value, and the memory of the parsed route table.
 //
 //===----------------------------------------------------------------------===//
 #include "LibGateway/ValuePatch.h"
@@ -21,7 +21,8 @@
 static constexpr int Repetitions = 9;
 static constexpr std::size_t MaxBytes = 16UL * 1024 * 1024;
 
-/// Returns a configuration with unique random names.
+/// Returns a configuration with random names, the same for each call, in which
+/// the route at index \p Changed has another time limit.
 static std::string configuration(std::size_t Routes, std::size_t Changed) {
   std::mt19937 Random(1);
   auto RandomName = [&Random] {
@@ -44,11 +45,11 @@
 }
 
 /// Returns the shortest time of several repetitions, in milliseconds.
-static double minMilliseconds(const std::function<void()> &What) {
+static double minMilliseconds(const std::function<void()> &Function) {
   double Best = 1e9;
   for (int I = 0; I < Repetitions; ++I) {
     auto Begin = std::chrono::steady_clock::now();
-    What();
+    Function();
     std::chrono::duration<double, std::milli> Took =
         std::chrono::steady_clock::now() - Begin;
     Best = std::min(Best, Took.count());
--- a/Bench/StoreSpreadProgram.cpp
+++ b/Bench/StoreSpreadProgram.cpp
@@ -42,7 +42,7 @@
 }
 
 /// Propagates a change from \p Before to \p After and prints its costs.
-static void measureChange(std::size_t Instances, const char *What,
+static void measureChange(std::size_t Instances, const char *Change,
                           const std::string &Before, const std::string &After) {
   MirrorFleet Fleet;
   for (std::size_t I = 0; I < Instances; ++I) {
@@ -64,7 +64,7 @@
     MaxBytesSent = std::max(MaxBytesSent, Fleet.instance(I).bytesSent());
     TotalBytesSent += Fleet.instance(I).bytesSent();
   }
-  std::cout << Instances << ',' << What << ',' << After.size() << ','
+  std::cout << Instances << ',' << Change << ',' << After.size() << ','
             << Took.count() << ',' << TotalBytesSent / Instances << ','
             << MaxBytesSent << ','
             << ProcessorMs / static_cast<double>(Instances) << std::endl;
