--- a/Bench/LimitSearchProgram.cpp
+++ b/Bench/LimitSearchProgram.cpp
@@ -2,7 +2,9 @@
 //
 // Usage: limit_search [DAYS]. Simulates DAYS scenarios for each rate limit
 // strategy and fleet. Prints the worst ratio of received to allowed requests,
-// and the share of their limit that targets received without faults.
+// the most reports that an instance received per second, and without faults:
+// the share of their limit that targets received, and the time until no
+// instance applies an ended limit.
 //
 //===----------------------------------------------------------------------===//
 #include "RateLimitSimulation.h"
@@ -17,8 +19,8 @@
 struct FleetShape {
   std::size_t m_Instances;
   std::size_t m_Targets;
-  double m_RequestsPerSecond;
-  double m_Limit;
+  double m_RequestsPerSecond; ///< To all targets, from all instances.
+  double m_Limit;             ///< Of one target, in requests per second.
 };
 
 static void simulateScenarios(const FleetShape &Shape,
--- a/Bench/MembershipProgram.cpp
+++ b/Bench/MembershipProgram.cpp
@@ -1,8 +1,8 @@
-//===-- MembershipProgram.cpp - Processor time of the peer table ----------===//
+//===-- MembershipProgram.cpp - Time spent on the peer table --------------===//
 //
 // Feeds one instance the load reports of an idle fleet and reads its peer table
-// at the usual rate. Prints the processor time of a simulated second, the best
-// of several rounds.
+// at the usual rate. Prints the time spent on a simulated second, the best of
+// several rounds.
 //
 //===----------------------------------------------------------------------===//
 #include "LibGateway/PeerTable.h"
@@ -98,11 +98,11 @@
 
 int main() {
   for (std::size_t Fleet : FleetSizes) {
-    Instance What(Fleet);
+    Instance Local(Fleet);
     auto Best = Clock::duration::max();
     for (int Round = 0; Round < Rounds; ++Round) {
       auto Begin = Clock::now();
-      What.simulateSecond();
+      Local.simulateSecond();
       Best = std::min(Best, Clock::now() - Begin);
     }
     std::cout
