--- a/Bench/QuarantineSearchProgram.cpp
+++ b/Bench/QuarantineSearchProgram.cpp
@@ -1,10 +1,12 @@
 //===-- QuarantineSearchProgram.cpp - Random quarantine scenarios ---------===//
 //
-// Usage: quarantine_search DAYS INSTANCES TARGETS [THRESHOLD [RETRY_SUSPECTS]].
+// Usage: quarantine_search
+//   [DAYS [INSTANCES [TARGETS [THRESHOLD [RETRY_SUSPECTS]]]]].
 // Simulates DAYS random scenarios of that fleet size and prints their sums.
 // THRESHOLD is the number of incarnations that exit before a content is
 // refused; RETRY_SUSPECTS other than 0 retries an attempt immediately after its
-// target exited, even if others exited under its content before.
+// target exited, even if others exited under its content before. Exits with 1
+// if a scenario has more than 3 late sends (see QuarantineResult).
 //
 //===----------------------------------------------------------------------===//
 #include "QuarantineSimulation.h"
@@ -30,35 +32,35 @@
         randomQuarantineScenario(Seed, Number(2, 7), Number(3, 9));
     Scenario.m_QuarantineThreshold = Number(4, Scenario.m_QuarantineThreshold);
     Scenario.m_RetriesSuspects = Number(5, 0) != 0;
-    QuarantineResult Got = simulate(Scenario);
+    QuarantineResult Result = simulate(Scenario);
     Bad += Scenario.m_BadContents;
-    Violations += Got.m_LateSends > 3;
-    if (Got.m_LateSends > Worst)
-      std::printf("seed %zu: %zu late sends\n", Seed, Got.m_LateSends);
-    Worst = std::max(Worst, Got.m_LateSends);
-    Sum.m_ExitsUnderBad += Got.m_ExitsUnderBad;
-    Sum.m_HarmlessAttempts += Got.m_HarmlessAttempts;
-    Sum.m_HarmlessInterrupted += Got.m_HarmlessInterrupted;
-    Sum.m_HarmlessLost += Got.m_HarmlessLost;
-    Sum.m_WronglyRefused += Got.m_WronglyRefused;
-    Sum.m_PopularRefused += Got.m_PopularRefused;
-    Sum.m_StoreWrites += Got.m_StoreWrites;
-    Sum.m_Datagrams += Got.m_Datagrams;
+    Violations += Result.m_LateSends > 3;
+    if (Result.m_LateSends > Worst)
+      std::printf("seed %zu: %zu late sends\n", Seed, Result.m_LateSends);
+    Worst = std::max(Worst, Result.m_LateSends);
+    Sum.m_ExitsUnderBad += Result.m_ExitsUnderBad;
+    Sum.m_HarmlessAttempts += Result.m_HarmlessAttempts;
+    Sum.m_HarmlessInterrupted += Result.m_HarmlessInterrupted;
+    Sum.m_HarmlessLost += Result.m_HarmlessLost;
+    Sum.m_WronglyRefused += Result.m_WronglyRefused;
+    Sum.m_PopularRefused += Result.m_PopularRefused;
+    Sum.m_StoreWrites += Result.m_StoreWrites;
+    Sum.m_Datagrams += Result.m_Datagrams;
   }
-  auto Of = [](std::size_t Part, std::size_t Whole) {
+  auto Ratio = [](std::size_t Part, std::size_t Whole) {
     return static_cast<double>(Part) / static_cast<double>(Whole);
   };
   std::printf("%zu days: %zu with more than 3 late sends, at most %zu\n", Days,
               Violations, Worst);
   std::printf("%.2f targets exited per bad content\n",
-              Of(Sum.m_ExitsUnderBad, Bad));
+              Ratio(Sum.m_ExitsUnderBad, Bad));
   std::printf(
       "of %zu harmless attempts %.3f %% interrupted, %zu lost, of them %zu "
       "wrongly refused (%zu popular)\n",
       Sum.m_HarmlessAttempts,
-      100 * Of(Sum.m_HarmlessInterrupted, Sum.m_HarmlessAttempts),
+      100 * Ratio(Sum.m_HarmlessInterrupted, Sum.m_HarmlessAttempts),
       Sum.m_HarmlessLost, Sum.m_WronglyRefused, Sum.m_PopularRefused);
   std::printf("per day %.1f writes to the store, %.0f datagrams\n",
-              Of(Sum.m_StoreWrites, Days), Of(Sum.m_Datagrams, Days));
+              Ratio(Sum.m_StoreWrites, Days), Ratio(Sum.m_Datagrams, Days));
   return Violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/Bench/QuotaSearchProgram.cpp
+++ b/Bench/QuotaSearchProgram.cpp
@@ -3,8 +3,8 @@
 // Usage: quota_search [DAYS [GENERATIONS [SEED [DEPLOYMENT]]]]
 //
 // Simulates DAYS random scenarios for each deployment and mutates the worst one
-// for GENERATIONS. Prints the used share of the tolerance, which violates the
-// quota above 1.
+// for GENERATIONS. Prints the used share of the tolerance; a share above 1
+// violates the quota.
 //
 //===----------------------------------------------------------------------===//
 #include "QuotaScenario.h"
@@ -65,8 +65,8 @@
 } // namespace
 
 int main(int Count, char **Arguments) {
-  auto Number = [Count, Arguments](int Which, int Default) {
-    return Count > Which ? std::atoi(Arguments[Which]) : Default;
+  auto Number = [Count, Arguments](int Index, int Default) {
+    return Count > Index ? std::atoi(Arguments[Index]) : Default;
   };
   std::string Only = Count > 4 ? Arguments[4] : "";
   for (const QuotaDeployment &Each : QuotaDeployment::all())
