--- a/Bench/FleetCutProgram.cpp
+++ b/Bench/FleetCutProgram.cpp
@@ -15,7 +15,7 @@
 static const std::size_t FleetSizes[] = {6, 24, 89, 295, 440};
 static const std::size_t PoolSizes[] = {3,   8,   18,   48,   90,   140,
                                         160, 222, 1000, 4000, 12000};
-/// Number in deployments of hundreds of instances.
+/// Number of data halls in deployments of hundreds of instances.
 static constexpr std::size_t DataHalls = 5;
 
 static FleetSubset::Fleet fleetOf(std::size_t Size) {
--- a/Bench/Workload.h
+++ b/Bench/Workload.h
@@ -36,7 +36,7 @@
   std::uint32_t m_Prefill;
   std::uint32_t m_Output;
   core::Duration m_Deadline;
-  std::uint64_t m_Prefixes; ///< Number of prompt prefixes; 0: none shared.
+  std::uint64_t m_Prefixes; ///< Number of shared prompt prefixes; 0: none.
 };
 
 /// Parameters of a random workload.
@@ -50,14 +50,15 @@
   std::uint32_t m_Accounts = 5;
 };
 
-/// Returns the Trust's sale: listings and disputes beside long seller
-/// summaries.
+/// Returns the shape of the Trust's sale: listings and disputes beside long
+/// seller summaries.
 WorkloadShape trustSale();
-/// Returns the club's tournament evening: questions and critical positions
-/// beside long annotations over shared game records.
+/// Returns the shape of the club's tournament evening: questions and critical
+/// positions beside long annotations over shared game records.
 WorkloadShape clubEvening();
 
-/// Returns the requests in order of arrival; the same for the same seed.
+/// Returns the requests in order of arrival, which depend only on the
+/// arguments.
 std::vector<Request> makeWorkload(const WorkloadShape &Shape, unsigned Seed);
 void writeWorkload(std::ostream &Out, const std::vector<Request> &Requests);
 
