--- a/Libraries/LibDecision/DecisionCore.cpp
+++ b/Libraries/LibDecision/DecisionCore.cpp
@@ -170,6 +170,8 @@
     return;
   RequestState &Request = Found->second;
   if (What.m_IsSent) {
+    // Stands for the kind that was sent, which is not kept. All kinds with a
+    // time limit state "not run".
     abandonRunner(Request, RefusalKind::TierShed);
     return forget(What.m_Request);
   }
@@ -183,7 +185,8 @@
   RequestState &Request = Found->second;
   switch (Request.m_Phase) {
   case RequestPhase::Dispatched:
-    // ResponseEnded follows and ends the request.
+    // ResponseEnded ends the request. If connecting fails instead, this event
+    // comes again after ConnectFailed.
     return;
   case RequestPhase::Queued:
     findPool(Request.m_Arrival.m_Pool)->withdraw(Request);
@@ -206,7 +209,7 @@
 }
 
 void DecisionCore::on(const ResponseStarted &What, core::TimePoint Now) {
-  m_Requests.at(What.m_Request).m_BeganAt = Now;
+  m_Requests.at(What.m_Request).m_ResponseStartedAt = Now;
 }
 
 void DecisionCore::on(const ResponseEnded &What, core::TimePoint Now) {
@@ -295,10 +298,10 @@
   if (Request.m_Phase != RequestPhase::Claiming)
     return;
   IdentityRecord &Record = *findRecord(Request);
-  bool IsOurs = What.m_Outcome == ClaimOutcome::Held &&
-                What.m_Owner == m_Self && Record.m_MayHoldClaim;
+  bool IsOwnClaim = What.m_Outcome == ClaimOutcome::Held &&
+                    What.m_Owner == m_Self && Record.m_MayHoldClaim;
   Record.m_MayHoldClaim = Record.m_MayHoldClaim || What.m_MayTakeEffect;
-  if (What.m_Outcome == ClaimOutcome::Won || IsOurs) {
+  if (What.m_Outcome == ClaimOutcome::Won || IsOwnClaim) {
     Record.m_State = IdentityState::Running;
     Record.m_MayHoldClaim = false;
     return admit(Request, Now);
@@ -309,10 +312,10 @@
   // may have run.
   if (What.m_Owner == m_Self)
     return refuse(Request, RefusalKind::OwnerLost);
-  std::vector<core::RequestId> All = Record.m_Waiting;
-  All.push_back(Request.id());
+  std::vector<core::RequestId> ToForward = Record.m_Waiting;
+  ToForward.push_back(Request.id());
   m_Identities.erase(Request.m_Arrival.m_Identity->m_Name);
-  for (core::RequestId Id : All) {
+  for (core::RequestId Id : ToForward) {
     emit(Forward{Id, What.m_Owner});
     forget(Id);
   }
--- a/Libraries/LibRouting/RoutingTable.h
+++ b/Libraries/LibRouting/RoutingTable.h
@@ -16,6 +16,7 @@
 /// Priority of a request: compared first by the tier of its client account,
 /// then by that of its route.
 struct Priority {
+  /// Tier of the account, or of the route if the account has none.
   core::TierNumber m_Account{1};
   core::TierNumber m_Route{1};
 
@@ -131,9 +132,9 @@
 class RoutingTable::Builder {
 public:
   Builder &version(core::ConfigurationVersion Version);
-  Builder &route(Route What);
-  Builder &pool(Pool What);
-  Builder &account(Account What);
+  Builder &route(Route NewRoute);
+  Builder &pool(Pool NewPool);
+  Builder &account(Account NewAccount);
   Builder &limits(const CallerLimits &Limits);
   std::shared_ptr<const RoutingTable> build();
 
--- a/Libraries/LibRouting/TargetDirectory.h
+++ b/Libraries/LibRouting/TargetDirectory.h
@@ -2,8 +2,9 @@
 //
 // Each instance knows all targets and sends requests to a subset of them. The
 // cost of frequent operations (requests, load reports, expiry checks) depends
-// on the subset alone; adding, changing or removing a target costs
-// logarithmically in the size of its pool.
+// on the subset and on the targets concerned, not on the size of the pool.
+// Adding, moving or removing a target takes a number of comparisons that is
+// logarithmic in the size of its pool, and a rebuild of the subset.
 //
 //===----------------------------------------------------------------------===//
 #ifndef YARDRILL_LIBROUTING_TARGETDIRECTORY_H
@@ -45,7 +46,7 @@
 
   /// Adds or updates a target. State of an earlier incarnation under the same
   /// name is discarded.
-  AnnouncementEffect announce(const Target &What);
+  AnnouncementEffect announce(const Target &Announced);
   /// Marks a target as expired because its announcement is missing. It is still
   /// used for a grace period if no other target is free: announcements that
   /// expired during a store outage return within two seconds of its end.
@@ -66,10 +67,10 @@
   /// \param PendingPromptTokens prompt tokens still without a first event.
   void recordEnd(const TargetIncarnation &Incarnation,
                  std::uint32_t PendingPromptTokens);
-  /// Raises the failure rate and starts a cooldown. The first failure of a
-  /// request that ran starts none.
-  void recordFailure(const TargetIncarnation &Incarnation, TargetFailure How,
-                     core::TimePoint Now);
+  /// Raises the failure rate and starts a cooldown, unless the request ran
+  /// (TargetFailure::Failed) and no other failure directly precedes it.
+  void recordFailure(const TargetIncarnation &Incarnation,
+                     TargetFailure Failure, core::TimePoint Now);
   /// Excludes an incarnation because another one responded at its address.
   void recordReplacement(const TargetIncarnation &Incarnation);
   /// Lowers the failure rate and ends a probation.
@@ -92,7 +93,7 @@
   const TargetThrottleTable &throttles() const { return m_Throttles; }
   /// Whether a request may be sent now according to the target's announcement
   /// and backpressure. Cooldown and free slots are not considered.
-  bool acceptsRequests(const KnownTarget &Which, core::TimePoint Now);
+  bool acceptsRequests(const KnownTarget &Known, core::TimePoint Now);
   /// Returns when the first throttled target of the subset accepts a request;
   /// none if a target accepts one now or no target will.
   /// \param Ahead number of requests to be served first by limited targets.
@@ -114,10 +115,12 @@
   void setSubset(const FleetSubset &Subset);
 
   /// Whether the incarnation may end at any time for reasons unrelated to its
-  /// requests: it is leaving, has ended, or is missing while others are not.
+  /// requests: it is leaving, has ended, or its announcement is missing while
+  /// most others are not.
   bool isLeaving(const TargetIncarnation &Incarnation) const;
   KnownTarget *find(const core::TargetName &Name);
-  /// \returns null if the incarnation is unknown or known to have ended.
+  /// Returns the target, or null if the incarnation is unknown or known to have
+  /// ended.
   KnownTarget *findByIncarnation(const TargetIncarnation &Incarnation);
   /// Returns the targets of this instance's subset of a pool.
   const std::vector<KnownTarget *> &subsetOf(const core::PoolName &Pool);
@@ -152,9 +155,9 @@
   /// not.
   std::size_t senderCount(const TargetIncarnation &Incarnation);
   /// Schedules a rebuild of the subset and of the senders of limited targets.
-  void invalidateSubset(PoolState &Which);
+  void invalidateSubset(PoolState &Pool);
   void updateSlowness(const core::PoolName &Pool);
-  void rebuildSubset(PoolState &Which) const;
+  void rebuildSubset(PoolState &Pool) const;
   /// Removes a target from its pool and from all indexes.
   void detach(KnownTarget &Known);
   /// Adds a target to its pool and to the hash index.
--- a/Tests/LibRouting/DispatcherBackpressureTest.cpp
+++ b/Tests/LibRouting/DispatcherBackpressureTest.cpp
@@ -28,12 +28,12 @@
        [this](core::RequestId Request) { m_Refused.insert(Request); }}};
 
   /// Announces the only target, "a".
-  void announce(std::size_t Places) {
+  void announce(std::size_t Slots) {
     Target Out;
     Out.m_Name = core::TargetName("a");
     Out.m_Pool = m_Pool;
     Out.m_DataHall = core::DataHallName("hall");
-    Out.m_Slots = Places;
+    Out.m_Slots = Slots;
     m_Targets.announce(Out);
   }
   /// Returns a request that waits up to 350 ms for a slot.
@@ -93,7 +93,8 @@
     CPPUNIT_ASSERT(m_Refused.empty());
     place(2);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(2)) == 1);
-    // A request of a lower tier comes after the waiting one, which is too late.
+    // A request of a lower tier is served after the waiting one, which would be
+    // too late for it.
     m_Refused.clear();
     place(3, 2);
     CPPUNIT_ASSERT(m_Refused.count(core::RequestId(3)) == 1);
