--- a/Libraries/LibPolicy/PolicyProgram.cpp
+++ b/Libraries/LibPolicy/PolicyProgram.cpp
@@ -100,9 +100,10 @@
   luaL_requiref(m_Lua, "math", luaopen_math, 1);
   luaL_requiref(m_Lua, "table", luaopen_table, 1);
   lua_settop(m_Lua, 0);
-  // Omitted: functions that do I/O, load code, catch errors (those of the
-  // limits too) or loop within one C call, which the hook can't interrupt, such
-  // as the pattern matching of the string library.
+  // Omitted: functions that do I/O, load code, draw random numbers, set
+  // metatables, catch errors (those of the limits too) or loop without bound
+  // within one C call, which the hook can't interrupt, such as the pattern
+  // matching of the string library.
   restrictTable("math", {"abs", "ceil", "floor", "fmod", "huge", "max", "min",
                          "sqrt", "exp", "log", "tointeger", "type"});
   restrictTable("table", {"insert", "remove", "concat", "sort"});
@@ -248,7 +249,7 @@
   return IsValid;
 }
 
-/// Reads the table at index 1. \returns false when any field has a wrong type.
+/// Reads the table at index 1. \returns false when any field is invalid.
 static bool readDecision(lua_State *Lua, PolicyDecision &Out) {
   if (!lua_istable(Lua, 1))
     return false;
@@ -289,7 +290,7 @@
   else
     Out.m_Failure = PolicyFailure::RuntimeError;
   Out.m_Detail = Status == LUA_OK
-                     ? "decide returned a value or field of the wrong type"
+                     ? "decide did not return a table with valid fields"
                      : m_Sandbox->popMessage();
   lua_settop(Lua, 0);
   lua_gc(Lua, LUA_GCCOLLECT, 0);
--- a/Libraries/LibPolicy/PolicyProgram.h
+++ b/Libraries/LibPolicy/PolicyProgram.h
@@ -28,7 +28,7 @@
   std::uint32_t m_OutputTokens = 0;
   bool m_IsIdempotent = true;
   std::size_t m_Queued = 0;  ///< Waiting for the pool at this instance.
-  std::size_t m_Running = 0; ///< Requests of this instance at its targets.
+  std::size_t m_Running = 0; ///< Of this instance, at targets of the pool.
 };
 
 /// Result of `decide`. Fields that the program omits keep their defaults.
@@ -50,7 +50,7 @@
   BadResult,    ///< The result has another form than PolicyDecision.
 };
 
-/// \returns the name as in logs: `runtime-error`.
+/// Returns the name for error messages, for example `runtime-error`.
 const char *toString(PolicyFailure Failure);
 
 /// Result of PolicyProgram::decide().
@@ -63,6 +63,7 @@
 /// Compiled policy program, which the decision core calls for each request. Not
 /// thread-safe. An assignment to a global variable in `decide` is an error, so
 /// that a decision can't replace globals that later ones read.
+/// FIXME: An assignment to a field, as in `_G.name = value`, is not rejected.
 class PolicyProgram {
 public:
   /// Compiles \p Text and runs its top level.
